--- /dev/null
+++ b/crates/hillpick/tests/characterization.rs
@@ -0,0 +1,48 @@
+//! Characterization of the decisions: digests of all actions for generated sequences of events, as the program
+//! gave them before the code was put into other words. A digest that differs means that a decision differs.
+//!
+//! `CHARACTERIZATION_WRITE=1` prints the fixture instead of comparing with it.
+
+#[path = "characterization/conditions.rs"]
+mod conditions;
+#[path = "characterization/encoding.rs"]
+mod encoding;
+#[path = "characterization/random.rs"]
+mod random;
+#[path = "characterization/sequence.rs"]
+mod sequence;
+
+const FIXTURE: &str = include_str!("fixtures/decision-digests.txt");
+const SEEDS: u64 = 256;
+const EVENTS: u64 = 4000;
+const THREADS: u64 = 4;
+
+/// A seed's line of the fixture: the seed, events handled, actions, digest.
+fn line(seed: u64) -> String {
+    let played = sequence::play(seed, EVENTS);
+    format!("{seed} {} {} {}", played.events, played.digest.actions, played.digest.finish())
+}
+
+/// The lines of all seeds, in their order.
+fn lines() -> Vec<String> {
+    let mut lines: Vec<(u64, String)> = std::thread::scope(|scope| {
+        let play_part = |part: u64| move || (part..SEEDS).step_by(THREADS as usize).map(|s| (s, line(s))).collect();
+        let parts: Vec<_> = (0..THREADS).map(|part| scope.spawn(play_part(part))).collect();
+        parts.into_iter().flat_map(|part| -> Vec<_> { part.join().expect("a sequence that plays") }).collect()
+    });
+    lines.sort();
+    lines.into_iter().map(|(_, line)| line).collect()
+}
+
+#[test]
+fn decides_as_before_on_generated_sequences() {
+    let lines = lines();
+    if std::env::var_os("CHARACTERIZATION_WRITE").is_some() {
+        println!("{}", lines.join("\n"));
+        return;
+    }
+    let expected: Vec<_> = FIXTURE.lines().collect();
+    assert_eq!(lines.len(), expected.len());
+    let differing: Vec<_> = lines.iter().zip(expected).filter(|(line, expected)| line != expected).collect();
+    assert!(differing.is_empty(), "{} sequences differ, first {:?}", differing.len(), differing[0]);
+}
--- /dev/null
+++ b/crates/hillpick/tests/characterization/conditions.rs
@@ -0,0 +1,172 @@
+//! What a sequence is played under: settings and the simulated fleet, drawn from the seed.
+
+use super::random::Random;
+use hillpick::*;
+use std::time::Duration;
+
+fn ms(ms: u64) -> Duration {
+    Duration::from_millis(ms)
+}
+
+/// Settings of every kind: with and without health checks, hedging, polled lists, tenants, slow start.
+pub fn settings(random: &mut Random) -> Settings {
+    let nodes = random.pick(&[1, 2, 3, 8, 40, 300]);
+    Settings {
+        nodes,
+        node: random.below(u64::from(nodes)) as u32,
+        zone: random.below(3) as u8,
+        classes: (0..random.between(1, 5)).map(|_| class(random)).collect(),
+        tenants: (0..random.pick(&[0, 0, 2, 4])).map(|_| tenant(random)).collect(),
+        over_share_worth: random.pick(&[1.0, 0.5, 0.2, 0.0]),
+        worth_by_work: random.chance(0.3),
+        reports: random.pick(&[
+            ReportSource::Answers,
+            ReportSource::Answers,
+            ReportSource::Probes,
+            ReportSource::Probes,
+            ReportSource::None,
+        ]),
+        limits: limits(random),
+        rules: rules(random),
+        prices: Prices {
+            probe: random.pick(&[0.0, 0.002, 0.05, 0.2]),
+            cross_zone: random.pick(&[0.0, 0.01]),
+            waste: random.pick(&[0.0, 0.04]),
+            late_failure: random.pick(&[0.0, 0.03]),
+            connections: random.pick(&[0.0, 0.02, 0.1]),
+        },
+        goal: Goal {
+            whole: random.pick(&[1.0, 0.6, 0.0]),
+            worst_window: 0.1,
+            worst_class: random.pick(&[0.0, 0.2, 0.5]),
+            worst_tenant: 0.1,
+        },
+        list_on_request: random.chance(0.4),
+        stricter_at_once: random.chance(0.4),
+        tick: Duration::from_micros(random.pick(&[200, 1000, 5000])),
+    }
+}
+
+fn class(random: &mut Random) -> Class {
+    let aim = random.between(20, 600);
+    Class {
+        aim: ms(aim),
+        aim_stretch: random.pick(&[0.0, 0.0, 0.5, 2.0]),
+        deadline: ms(aim + random.between(0, 1500)),
+        worth: random.pick(&[0.5, 1.0, 2.0, 10.0]),
+        late_worth: random.pick(&[0.0, 0.0, 0.3]),
+        repeat: repeat(random),
+        streamed: random.chance(0.2),
+    }
+}
+
+fn repeat(random: &mut Random) -> Repeat {
+    let window = ms(random.between(30, 900));
+    match random.below(6) {
+        0 | 1 => Repeat::Safe,
+        2 => Repeat::Keyed { scope: Scope::All, window },
+        3 => Repeat::Keyed { scope: Scope::Zone, window },
+        4 => Repeat::Keyed { scope: Scope::Cell, window },
+        _ => Repeat::Unsafe,
+    }
+}
+
+fn tenant(random: &mut Random) -> Tenant {
+    Tenant { allowance_per_s: random.between(1, 400) as f64, share: random.unit() }
+}
+
+fn limits(random: &mut Random) -> Limits {
+    Limits {
+        max_attempts: random.between(1, 4) as u32,
+        cancel: random.chance(0.7),
+        probes: random.chance(0.8),
+        parallel_attempts: random.chance(0.5),
+        max_retry_after: random.chance(0.5).then(|| ms(random.between(50, 3000))),
+        connect_timeout: ms(random.between(20, 300)),
+    }
+}
+
+fn rules(random: &mut Random) -> Rules {
+    Rules {
+        drain_grace: ms(random.between(100, 2000)),
+        cold_share: random.pick(&[0.1, 0.3, 0.6, 1.0]),
+        warm_after: ms(random.between(500, 8000)),
+        overload_factor: random.pick(&[1.5, 3.0, 4.0]),
+        overload_time: ms(random.between(300, 2000)),
+        ask_within: ms(random.between(500, 10_000)),
+    }
+}
+
+/// Changes some of the settings, as a new configuration would.
+pub fn change(random: &mut Random, settings: &mut Settings) {
+    match random.below(7) {
+        0 => settings.limits = limits(random),
+        1 => settings.rules = rules(random),
+        2 => {
+            let class = random.below(settings.classes.len() as u64) as usize;
+            settings.classes[class].repeat = repeat(random);
+        }
+        3 => settings.classes.push(class(random)),
+        4 => settings.tenants.push(tenant(random)),
+        5 => settings.nodes = (settings.node + 1).max(random.pick(&[1, 3, 30, 300])),
+        _ => settings.reports = random.pick(&[ReportSource::Answers, ReportSource::Probes, ReportSource::None]),
+    }
+}
+
+/// How a simulated server behaves at the time.
+#[derive(Clone, Copy, PartialEq)]
+pub enum Behaviour {
+    Healthy,
+    Slow,
+    Hanging,
+    Failing,
+    Resetting,
+    Rejecting,
+    Unreachable,
+    LateConnections,
+}
+
+/// A simulated server.
+pub struct SimulatedServer {
+    pub entry: ServerEntry,
+    pub listed: bool,
+    /// Work a request takes there, in microseconds.
+    pub work_us: u64,
+    pub cores: u64,
+    pub in_flight: u64,
+    pub behaviour: Behaviour,
+}
+
+pub fn server(random: &mut Random, number: u64) -> SimulatedServer {
+    SimulatedServer {
+        entry: ServerEntry {
+            id: ServerId(number * 7 + 3),
+            zone: random.below(3) as u8,
+            kind: random.below(2) as u8,
+            cell: random.below(4) as u16,
+            state: ServerState::Ready,
+            weight: 1.0,
+            started: None,
+        },
+        listed: true,
+        work_us: random.between(2_000, 60_000),
+        cores: random.between(1, 4),
+        in_flight: 0,
+        behaviour: Behaviour::Healthy,
+    }
+}
+
+pub fn behaviour(random: &mut Random) -> Behaviour {
+    random.pick(&[
+        Behaviour::Healthy,
+        Behaviour::Healthy,
+        Behaviour::Healthy,
+        Behaviour::Slow,
+        Behaviour::Hanging,
+        Behaviour::Failing,
+        Behaviour::Resetting,
+        Behaviour::Rejecting,
+        Behaviour::Unreachable,
+        Behaviour::LateConnections,
+    ])
+}
--- /dev/null
+++ b/crates/hillpick/tests/characterization/sequence.rs
@@ -0,0 +1,428 @@
+//! Generated sequences of events: a balancer amid simulated servers, clients and an endpoint list.
+
+use super::conditions::{self, Behaviour, SimulatedServer};
+use super::encoding::Digest;
+use super::random::Random;
+use hillpick::*;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+/// The longest that a sequence runs, in microseconds of its own clock.
+const LONGEST_US: u64 = 600_000_000;
+
+/// What is due at a time.
+enum Due {
+    Arrival,
+    BodyComplete(RequestId),
+    AnswerStarted(RequestId, u32),
+    AttemptEnd(RequestId, u32, Outcome),
+    ClientGone(RequestId),
+    Timer(u64),
+    ProbeEnd(ServerId, Outcome),
+    ListChange,
+    SettingsChange,
+    FaultChange,
+    LoadChange,
+    OddEvent,
+}
+
+struct SimulatedAttempt {
+    server: ServerId,
+    sent_us: u64,
+    report: Option<LoadReport>,
+    ended: bool,
+}
+
+/// One sequence as it is played.
+pub struct Sequence {
+    random: Random,
+    balancer: Balancer,
+    settings: Settings,
+    now_us: u64,
+    queue: BTreeMap<(u64, u64), Due>,
+    scheduled: u64,
+    servers: Vec<SimulatedServer>,
+    /// Attempts of requests whose attempts have not all ended, in the order of sending.
+    attempts: BTreeMap<RequestId, Vec<SimulatedAttempt>>,
+    answered: BTreeSet<RequestId>,
+    probes: BTreeMap<ServerId, u64>,
+    next_request: u64,
+    arrival_gap_us: u64,
+    pub digest: Digest,
+    pub events: u64,
+}
+
+/// Plays the sequence of a seed and returns it when so many events have been handled.
+pub fn play(seed: u64, events: u64) -> Sequence {
+    let mut random = Random::new(seed);
+    let settings = conditions::settings(&mut random);
+    let count = random.pick(&[1, 2, 3, 6, 12, 40, 90]);
+    let servers: Vec<_> = (0..count).map(|number| conditions::server(&mut random, number)).collect();
+    let mut sequence = Sequence {
+        balancer: Balancer::new(settings.clone(), seed),
+        settings,
+        now_us: random.between(1, 5_000_000),
+        queue: BTreeMap::new(),
+        scheduled: 0,
+        servers,
+        attempts: BTreeMap::new(),
+        answered: BTreeSet::new(),
+        probes: BTreeMap::new(),
+        next_request: 1,
+        arrival_gap_us: 0,
+        digest: Digest::new(),
+        events: 0,
+        random,
+    };
+    sequence.begin();
+    while sequence.events < events && sequence.now_us < LONGEST_US {
+        sequence.step();
+    }
+    sequence
+}
+
+impl Sequence {
+    fn begin(&mut self) {
+        self.change_load();
+        if self.random.chance(0.5) {
+            let entries = self.whole_list();
+            self.handle(Event::List { kind: ListKind::Cached, entries });
+        }
+        if self.random.chance(0.9) {
+            let entries = self.whole_list();
+            self.handle(Event::List { kind: ListKind::Full, entries });
+        }
+        for due in [Due::Arrival, Due::ListChange, Due::SettingsChange, Due::FaultChange, Due::LoadChange] {
+            let after = self.random.between(100, 900_000);
+            self.schedule(after, due);
+        }
+        self.schedule(50_000, Due::OddEvent);
+    }
+
+    fn schedule(&mut self, after_us: u64, due: Due) {
+        self.scheduled += 1;
+        self.queue.insert((self.now_us + after_us, self.scheduled), due);
+    }
+
+    fn step(&mut self) {
+        let Some(((at, _), due)) = self.queue.pop_first() else { return };
+        self.now_us = self.now_us.max(at);
+        match due {
+            Due::Arrival => self.arrival(),
+            Due::BodyComplete(id) => {
+                let spent = self.random.chance(0.3);
+                self.handle(Event::Arrived { id, spent });
+            }
+            Due::AnswerStarted(id, attempt) => self.answer_started(id, attempt),
+            Due::AttemptEnd(id, attempt, outcome) => self.attempt_end(id, attempt, outcome),
+            Due::ClientGone(id) => {
+                if self.answered.insert(id) {
+                    self.handle(Event::ClientGone { id });
+                }
+            }
+            Due::Timer(token) => self.handle(Event::Timer { token }),
+            Due::ProbeEnd(server, outcome) => self.probe_end(server, outcome),
+            Due::ListChange => self.list_change(),
+            Due::SettingsChange => {
+                conditions::change(&mut self.random, &mut self.settings);
+                self.handle(Event::Settings(Box::new(self.settings.clone())));
+                let after = self.random.between(500_000, 6_000_000);
+                self.schedule(after, Due::SettingsChange);
+            }
+            Due::FaultChange => {
+                let server = self.random.below(self.servers.len() as u64) as usize;
+                self.servers[server].behaviour = conditions::behaviour(&mut self.random);
+                let after = self.random.between(50_000, 1_500_000);
+                self.schedule(after, Due::FaultChange);
+            }
+            Due::LoadChange => {
+                self.change_load();
+                let after = self.random.between(300_000, 3_000_000);
+                self.schedule(after, Due::LoadChange);
+            }
+            Due::OddEvent => self.odd_event(),
+        }
+    }
+
+    /// Between a quiet time and twice of what the servers can carry.
+    fn change_load(&mut self) {
+        let capacity: f64 = self.servers.iter().map(|s| s.cores as f64 / s.work_us as f64).sum();
+        let load = self.random.pick(&[0.05, 0.3, 0.6, 0.9, 1.2, 2.0]);
+        self.arrival_gap_us = ((1.0 / (capacity * load)) as u64).clamp(50, 400_000);
+    }
+
+    fn handle(&mut self, event: Event) {
+        self.events += 1;
+        let mut actions = Vec::new();
+        self.balancer.handle(Duration::from_micros(self.now_us), event, &mut actions);
+        let (listed, avoided) = self.balancer.view();
+        self.digest.number(listed as u64);
+        self.digest.number(avoided as u64);
+        for action in actions {
+            self.digest.action(&action);
+            self.obey(action);
+        }
+    }
+
+    fn obey(&mut self, action: Action) {
+        match action {
+            Action::Send { id, server, timeout } => self.send(id, server, timeout),
+            Action::Refuse { id, .. } | Action::Fail { id } => {
+                self.answered.insert(id);
+            }
+            Action::Cancel { id, attempt } => {
+                let after = self.random.between(0, 2000);
+                self.schedule(after, Due::AttemptEnd(id, attempt, Outcome::Cancelled));
+            }
+            Action::SetTimer { after, token } => {
+                let late = self.random.below(self.settings.tick.as_micros() as u64 + 1);
+                self.schedule(after.as_micros() as u64 + late, Due::Timer(token));
+            }
+            Action::Probe { server } => self.probe(server),
+            Action::Subscribe { .. } | Action::FetchList => self.poll(),
+            _ => {}
+        }
+    }
+
+    fn arrival(&mut self) {
+        let id = RequestId(self.next_request);
+        self.next_request += 1;
+        let number = self.random.below(self.settings.classes.len() as u64 + 1) as usize;
+        let class = &self.settings.classes[number.min(self.settings.classes.len() - 1)];
+        let deadline_us = class.deadline.as_micros() as u64;
+        let remaining_us = match self.random.below(8) {
+            0 => self.random.between(1, deadline_us),
+            1 => self.random.between(1, 20_000),
+            _ => deadline_us,
+        };
+        let cost_us = self.random.chance(0.4).then(|| match self.random.below(6) {
+            0 => self.random.between(1, 3_000_000),
+            _ => self.random.between(5_000, 60_000),
+        });
+        let arriving = self.random.chance(0.06);
+        let new = NewRequest {
+            id,
+            class: number,
+            tenant: self.random.below(self.settings.tenants.len() as u64 + 1) as usize,
+            key: self.random.below(100),
+            remaining: Duration::from_micros(remaining_us),
+            cost: cost_us.map(Duration::from_micros),
+            client_retry: self.random.chance(0.2),
+            arriving,
+        };
+        self.attempts.insert(id, Vec::new());
+        if arriving {
+            let after = self.random.between(1_000, 400_000);
+            self.schedule(after, Due::BodyComplete(id));
+        }
+        if self.random.chance(0.04) {
+            let after = self.random.between(0, 300_000);
+            self.schedule(after, Due::ClientGone(id));
+        }
+        self.handle(Event::Request(new));
+        let gap = (-self.random.unit().max(1e-6).ln() * self.arrival_gap_us as f64) as u64;
+        self.schedule(gap, Due::Arrival);
+    }
+
+    fn simulated(&mut self, server: ServerId) -> Option<&mut SimulatedServer> {
+        self.servers.iter_mut().find(|s| s.entry.id == server)
+    }
+
+    /// What a server reports of itself, noisy, and not always.
+    fn report(&mut self, server: ServerId) -> Option<LoadReport> {
+        let noise = self.random.unit() as f32;
+        let kind = self.random.below(5);
+        let in_flight = self.simulated(server)?.in_flight as f32;
+        match kind {
+            0 => None,
+            1 => Some(LoadReport { queue: Some((in_flight - 2.0).max(0.0)), ..LoadReport::default() }),
+            2 => Some(LoadReport { in_flight: Some(in_flight * (0.5 + noise)), ..LoadReport::default() }),
+            _ => Some(LoadReport { in_flight: Some(in_flight), ..LoadReport::default() }),
+        }
+    }
+
+    fn send(&mut self, id: RequestId, server: ServerId, timeout: Duration) {
+        let connect_us = self.settings.limits.connect_timeout.as_micros() as u64;
+        let report = self.report(server);
+        let draw = self.random.unit();
+        let (mut outcome, mut after) = (Outcome::NotSent, 100);
+        if let Some(simulated) = self.simulated(server) {
+            simulated.in_flight += 1;
+            let wait = 1.0 + simulated.in_flight.saturating_sub(1) as f64 / simulated.cores as f64;
+            let work = (simulated.work_us as f64 * wait * (0.3 - draw.max(1e-6).ln() * 0.7)) as u64;
+            (outcome, after) = match simulated.behaviour {
+                Behaviour::Healthy if draw < 0.01 => (Outcome::Error, work),
+                Behaviour::Healthy => (Outcome::Served, work),
+                Behaviour::Slow => (Outcome::Served, work * 6),
+                Behaviour::Hanging => (Outcome::TimedOut, LONGEST_US),
+                Behaviour::Failing => (Outcome::Error, 700),
+                Behaviour::Resetting => (Outcome::Reset, work / 2),
+                Behaviour::Rejecting => (Outcome::Rejected, 600),
+                Behaviour::Unreachable => (Outcome::ConnectFailed, 300),
+                Behaviour::LateConnections => (Outcome::ConnectFailed, connect_us + 100),
+            };
+        }
+        let timeout_us = timeout.as_micros() as u64;
+        if after > timeout_us {
+            (outcome, after) = (Outcome::TimedOut, timeout_us);
+        }
+        let attempts = self.attempts.entry(id).or_default();
+        let attempt = attempts.len() as u32;
+        attempts.push(SimulatedAttempt { server, sent_us: self.now_us, report, ended: false });
+        if outcome == Outcome::Served && self.random.chance(0.06) {
+            self.schedule(after / 2, Due::AnswerStarted(id, attempt));
+        }
+        self.schedule(after, Due::AttemptEnd(id, attempt, outcome));
+    }
+
+    fn answer_started(&mut self, id: RequestId, attempt: u32) {
+        let Some(one) = self.attempts.get(&id).and_then(|all| all.get(attempt as usize)) else { return };
+        if one.ended || self.answered.contains(&id) {
+            return;
+        }
+        let (server, report) = (one.server, one.report);
+        self.handle(Event::Started { id, attempt, server, report });
+    }
+
+    fn attempt_end(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
+        let now_us = self.now_us;
+        let Some(one) = self.attempts.get_mut(&id).and_then(|all| all.get_mut(attempt as usize)) else {
+            return;
+        };
+        if std::mem::replace(&mut one.ended, true) {
+            return;
+        }
+        let (server, report, elapsed_us) = (one.server, one.report, now_us - one.sent_us);
+        if let Some(simulated) = self.simulated(server) {
+            simulated.in_flight = simulated.in_flight.saturating_sub(1);
+        }
+        let finished = self.answered.contains(&id) || outcome == Outcome::Served;
+        if outcome == Outcome::Served {
+            self.answered.insert(id);
+        }
+        let spent = self.random.chance(0.03);
+        let end = AttemptEnd {
+            id,
+            attempt,
+            server,
+            outcome,
+            elapsed: Duration::from_micros(elapsed_us),
+            finished,
+            spent,
+            report,
+        };
+        self.handle(Event::AttemptEnded(end));
+    }
+
+    fn probe(&mut self, server: ServerId) {
+        self.probes.insert(server, self.now_us);
+        let draw = self.random.between(300, 6_000);
+        let (outcome, after) = match self.simulated(server).map(|s| s.behaviour) {
+            None | Some(Behaviour::Unreachable) => (Outcome::ConnectFailed, 200),
+            Some(Behaviour::Hanging) => (Outcome::TimedOut, 250_000),
+            Some(Behaviour::Failing) => (Outcome::Error, 500),
+            Some(Behaviour::Slow) => (Outcome::Served, draw * 5),
+            Some(_) => (Outcome::Served, draw),
+        };
+        self.schedule(after, Due::ProbeEnd(server, outcome));
+    }
+
+    fn probe_end(&mut self, server: ServerId, outcome: Outcome) {
+        let Some(sent_us) = self.probes.remove(&server) else { return };
+        let report = if outcome == Outcome::Served { self.report(server) } else { None };
+        let elapsed = Duration::from_micros(self.now_us - sent_us);
+        self.handle(Event::Probed(ProbeEnd { server, outcome, elapsed, report }));
+    }
+
+    fn whole_list(&self) -> Vec<ServerEntry> {
+        self.servers.iter().filter(|s| s.listed).map(|s| s.entry).collect()
+    }
+
+    /// The list was asked for: it comes, or the call fails.
+    fn poll(&mut self) {
+        let kind = if self.random.chance(0.25) { ListKind::Failed } else { ListKind::Full };
+        let entries = if kind == ListKind::Full { self.whole_list() } else { Vec::new() };
+        self.handle(Event::List { kind, entries });
+    }
+
+    fn list_change(&mut self) {
+        let count = self.random.between(1, 1 + self.servers.len() as u64 / 4);
+        let changed: Vec<_> = (0..count).map(|_| self.change_one()).collect();
+        match self.random.below(10) {
+            0 => self.handle(Event::List { kind: ListKind::Failed, entries: Vec::new() }),
+            1 | 2 => {
+                let entries = self.whole_list();
+                self.handle(Event::List { kind: ListKind::Full, entries });
+            }
+            3 => {
+                let entries = self.whole_list();
+                self.handle(Event::List { kind: ListKind::Cached, entries });
+            }
+            _ => self.handle(Event::List { kind: ListKind::Changes, entries: changed }),
+        }
+        let after = self.random.between(50_000, 2_500_000);
+        self.schedule(after, Due::ListChange);
+    }
+
+    /// One server drains, leaves, comes back or starts anew.
+    fn change_one(&mut self) -> ServerEntry {
+        let place = self.random.below(self.servers.len() as u64) as usize;
+        let draw = self.random.below(8);
+        let now = Duration::from_micros(self.now_us);
+        let server = &mut self.servers[place];
+        let listed = match draw {
+            0 => ServerState::Draining,
+            1 => ServerState::Gone,
+            _ => ServerState::Ready,
+        };
+        if draw > 4 {
+            server.entry.started = Some(now);
+            server.behaviour = Behaviour::Healthy;
+        }
+        server.entry.state = listed;
+        server.listed = listed != ServerState::Gone;
+        server.entry
+    }
+
+    /// Events that no well-behaved host sends, or that the balancer takes no notice of.
+    fn odd_event(&mut self) {
+        let id = RequestId(self.random.below(self.next_request + 2));
+        let server = ServerId(self.random.below(60));
+        match self.random.below(9) {
+            0 => self.handle(Event::Peer { from: 1, data: vec![1, 2, 3] }),
+            1 => self.handle(Event::Timer { token: id.0 }),
+            2 => self.handle(Event::Arrived { id, spent: false }),
+            3 => self.handle(Event::Started { id, attempt: 9, server, report: None }),
+            4 => self.handle(Event::AttemptEnded(AttemptEnd {
+                id,
+                attempt: 7,
+                server,
+                outcome: Outcome::Reset,
+                elapsed: Duration::from_millis(5),
+                finished: false,
+                spent: false,
+                report: Some(LoadReport::default()),
+            })),
+            5 => self.handle(Event::Probed(ProbeEnd {
+                server,
+                outcome: Outcome::ConnectFailed,
+                elapsed: Duration::from_millis(900),
+                report: None,
+            })),
+            6 => {
+                let unlisted = ServerEntry { id: ServerId(1_000_000), ..ServerEntry::default() };
+                self.handle(Event::List { kind: ListKind::Changes, entries: vec![unlisted] });
+            }
+            7 => {
+                // A clock that steps back.
+                let now_us = self.now_us;
+                self.now_us = now_us.saturating_sub(3_000);
+                self.handle(Event::Timer { token: id.0 });
+                self.now_us = now_us;
+            }
+            _ => self.handle(Event::ClientGone { id: RequestId(self.next_request + 1) }),
+        }
+        let after = self.random.between(100_000, 2_000_000);
+        self.schedule(after, Due::OddEvent);
+    }
+}
