--- a/crates/benchlink/tests/adapter.rs
+++ b/crates/benchlink/tests/adapter.rs
@@ -146,3 +146,30 @@
     let output = run(&frame);
     assert!(String::from_utf8_lossy(&output.stderr).contains("batch 1: 0 of 4294967295 bytes"));
 }
+
+/// All bytes of the replies to batches of every kind of event, as hexadecimal digits.
+#[test]
+fn replies_keep_their_bytes() {
+    let settings = SETTINGS.as_bytes();
+    let start = Batch::new().spawn(1, settings).list(1, 2).spawn(2, settings).list(2, 3).frame(1);
+    let requests = (1..12).fold(Batch::new(), |batch, id| batch.request(1 + id as u16 % 2, id)).frame(2);
+    // Request 1 of instance 2 is served, 2 of instance 1 fails, a timer is due, a client leaves.
+    let elapsed = 20f64.to_be_bytes();
+    let end = |id: u64, outcome: u8| {
+        let mut fields = id.to_be_bytes().to_vec();
+        fields.extend([0, 10, 0, 0, 1, 0, 0, outcome]);
+        fields.extend(elapsed);
+        fields.extend([0, 0]);
+        fields
+    };
+    let ends = Batch::new()
+        .record(5, 2, &[&end(1, 1)])
+        .record(5, 1, &[&end(2, 2)])
+        .record(7, 1, &[&4u64.to_be_bytes()])
+        .record(6, 2, &[&3u64.to_be_bytes()])
+        .frame(30);
+    let output = run(&[start, requests, ends].concat());
+    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    let hex: String = output.stdout.iter().map(|byte| format!("{byte:02x}")).collect();
+    assert_eq!(hex, include_str!("golden/replies.hex").trim());
+}
--- a/crates/hillpick/tests/characterization.rs
+++ b/crates/hillpick/tests/characterization.rs
@@ -26,7 +26,8 @@
 /// The lines of all seeds, in their order.
 fn lines() -> Vec<String> {
     let mut lines: Vec<(u64, String)> = std::thread::scope(|scope| {
-        let play_part = |part: u64| move || (part..SEEDS).step_by(THREADS as usize).map(|s| (s, line(s))).collect();
+        let play_part =
+            |part: u64| move || (part..SEEDS).step_by(THREADS as usize).map(|s| (s, line(s))).collect();
         let parts: Vec<_> = (0..THREADS).map(|part| scope.spawn(play_part(part))).collect();
         parts.into_iter().flat_map(|part| -> Vec<_> { part.join().expect("a sequence that plays") }).collect()
     });
--- a/crates/hillpick/tests/characterization/conditions.rs
+++ b/crates/hillpick/tests/characterization/conditions.rs
@@ -109,7 +109,9 @@
         3 => settings.classes.push(class(random)),
         4 => settings.tenants.push(tenant(random)),
         5 => settings.nodes = (settings.node + 1).max(random.pick(&[1, 3, 30, 300])),
-        _ => settings.reports = random.pick(&[ReportSource::Answers, ReportSource::Probes, ReportSource::None]),
+        _ => {
+            settings.reports = random.pick(&[ReportSource::Answers, ReportSource::Probes, ReportSource::None])
+        }
     }
 }
 
--- /dev/null
+++ b/crates/peers/tests/golden.rs
@@ -0,0 +1,78 @@
+//! Golden bytes of the messages between members: what goes over the wire keeps its form whatever the code calls it.
+
+use prost::Message;
+use sillward_peers::words::{AboutWords, Frame, Kind, Sync, Told, Update};
+
+/// Fails where a message's bytes are not those of the fixture, or do not read as what they were written from.
+fn holds<M: Message + Default + PartialEq>(message: &M, fixture: &str) {
+    let bytes = message.encode_to_vec();
+    let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+    assert_eq!(hex, fixture.trim());
+    assert!(M::decode(bytes.as_slice()).is_ok_and(|read| read == *message));
+}
+
+fn update(state: u32) -> Update {
+    Update {
+        name: "n7".to_owned(),
+        address: vec![127, 0, 0, 1, 0x1f, 0x0a],
+        epoch: 3,
+        salt: 0xfeed_beef,
+        word: 2,
+        state,
+        by: 0x1234,
+    }
+}
+
+fn told() -> Told {
+    Told {
+        name: "n7".to_owned(),
+        epoch: 3,
+        salt: 0xfeed_beef,
+        key: "about".to_owned(),
+        version: 4,
+        value: vec![1, 2, 3],
+    }
+}
+
+#[test]
+fn frames_of_every_kind_keep_their_bytes() {
+    let kinds = [Kind::Gossip, Kind::Ping, Kind::Ack, Kind::Favour, Kind::Nack, Kind::Join, Kind::Welcome];
+    let fixtures = include_str!("golden/frames.hex").lines();
+    assert_eq!(fixtures.clone().count(), kinds.len());
+    for (kind, fixture) in kinds.into_iter().zip(fixtures) {
+        let frame = Frame {
+            kind: kind as i32,
+            number: 77,
+            about: Some(update(1)),
+            updates: (0..4).map(update).collect(),
+            values: vec![told()],
+            print: 0x0bad_cafe,
+        };
+        holds(&frame, fixture);
+    }
+}
+
+#[test]
+fn the_steps_of_anti_entropy_keep_their_bytes() {
+    let sync = Sync {
+        step: 3,
+        prints: vec![1, 0xffff_ffff],
+        parts: 0x8000_0000_0000_0001,
+        updates: vec![update(0)],
+        values: vec![told()],
+        stand: vec![5, 6],
+        wants: vec![7],
+    };
+    holds(&sync, include_str!("golden/sync.hex"));
+}
+
+#[test]
+fn what_a_member_tells_of_itself_keeps_its_bytes() {
+    let about = AboutWords {
+        zone: "tembalang".to_owned(),
+        region: "java".to_owned(),
+        build: "0.1.0".to_owned(),
+        speaks: vec!["rules1".to_owned(), "outcomes1".to_owned()],
+    };
+    holds(&about, include_str!("golden/about.hex"));
+}
