--- a/crates/assembly/src/agreement.rs
+++ b/crates/assembly/src/agreement.rs
@@ -1,7 +1,7 @@
 //! The settings on which the fleet agrees, laid over those of this node's own file.
 
-use hillpick::Repeat;
-use hillpick::settings::Site;
+use sillward_balancer::Repeat;
+use sillward_balancer::settings::Site;
 use hyper::{Method, StatusCode};
 use sillward_admin::{Posted, Reply, Route};
 use sillward_agreement::Terms as Times;
--- a/crates/assembly/src/lib.rs
+++ b/crates/assembly/src/lib.rs
@@ -12,7 +12,7 @@
 mod pages;
 mod sources;
 
-use hillpick::settings::Site;
+use sillward_balancer::settings::Site;
 use sillward_config::Config;
 use sillward_core::{Backends, Budget, Dispatch, Gauges, Intake, Lapse, Live, Message, Node, Reports};
 use sillward_council::Council;
--- a/crates/assembly/src/outcomes.rs
+++ b/crates/assembly/src/outcomes.rs
@@ -1,7 +1,7 @@
 //! What this node sees, counted and told to its fleet, and what all see, read from it. A loop of its own carries it; the node
 //! only adds to counts, and waits for nobody.
 
-use hillpick::{Outcome, ServerId};
+use sillward_balancer::{Outcome, ServerId};
 use hyper::Method;
 use serde_json::json;
 use sillward_admin::{Reply, Route};
--- a/crates/assembly/src/pages.rs
+++ b/crates/assembly/src/pages.rs
@@ -1,6 +1,6 @@
 //! What operators see: plain JSON.
 
-use hillpick::ServerState;
+use sillward_balancer::ServerState;
 use sillward_membership::{Membership, Standing};
 use sillward_seam::Clock;
 use std::cell::RefCell;
--- a/crates/hillpick/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -1,4 +1,4 @@
-//! Every decision of hillpick. Types, events and actions are in `src/interface.rs`; what a node
+//! Every decision of sillward_balancer. Types, events and actions are in `src/interface.rs`; what a node
 //! remembers of servers and requests in `src/state.rs`; departures from the paper in `README.md`.
 
 mod admission;
--- a/crates/hillpick/tests/characterization/conditions.rs
+++ b/crates/balancer/tests/characterization/conditions.rs
@@ -1,7 +1,7 @@
 //! What a sequence is played under: settings and the simulated fleet, drawn from the seed.
 
 use super::random::Random;
-use hillpick::*;
+use sillward_balancer::*;
 use std::time::Duration;
 
 fn ms(ms: u64) -> Duration {
--- a/crates/hillpick/tests/characterization/encoding.rs
+++ b/crates/balancer/tests/characterization/encoding.rs
@@ -1,6 +1,6 @@
 //! Actions as numbers: the digests depend on what is decided and not on what anything is called.
 
-use hillpick::Action;
+use sillward_balancer::Action;
 use std::time::Duration;
 
 /// Stands for what is absent.
--- a/crates/hillpick/tests/characterization/sequence.rs
+++ b/crates/balancer/tests/characterization/sequence.rs
@@ -3,7 +3,7 @@
 use super::conditions::{self, Behaviour, SimulatedServer};
 use super::encoding::Digest;
 use super::random::Random;
-use hillpick::*;
+use sillward_balancer::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/hillpick/tests/cold_sums.rs
+++ b/crates/balancer/tests/cold_sums.rs
@@ -3,7 +3,7 @@
 //! A cold server falls when the calls of a judged time, of all nodes together, are more than N + 2 root of N + 2, N being
 //! what the settings allow it then. Counted here from what the servers were sent, by an account of its own.
 
-use hillpick::*;
+use sillward_balancer::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
--- a/crates/hillpick/tests/decisions.rs
+++ b/crates/balancer/tests/decisions.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use hillpick::*;
+use sillward_balancer::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use world::*;
--- a/crates/hillpick/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use hillpick::*;
+use sillward_balancer::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 use world::*;
--- a/crates/hillpick/tests/troubles.rs
+++ b/crates/balancer/tests/troubles.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use hillpick::*;
+use sillward_balancer::*;
 use world::*;
 
 /// What came of a stretch of requests.
--- a/crates/hillpick/tests/world/mod.rs
+++ b/crates/balancer/tests/world/mod.rs
@@ -2,7 +2,7 @@
 //! four rules with bookkeeping of its own.
 #![allow(dead_code)] // each test file uses its own part of this
 
-use hillpick::*;
+use sillward_balancer::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -4,8 +4,8 @@
 
 mod wire;
 
-use hillpick::settings::{self, Column};
-use hillpick::{Balancer, Event};
+use sillward_balancer::settings::{self, Column};
+use sillward_balancer::{Balancer, Event};
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Read, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -31,7 +31,7 @@
         now: Duration,
         mut event: Event,
         raw: Option<RawReport>,
-    ) -> Result<Vec<hillpick::Action>, String> {
+    ) -> Result<Vec<sillward_balancer::Action>, String> {
         let report = raw.map(|raw| named_report(raw, &self.columns));
         match &mut event {
             Event::AttemptEnded(end) => end.report = report,
--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -1,7 +1,7 @@
 //! The simulator's frames: batches of events in, one reply with actions for each.
 
-use hillpick::settings::{Column, millis};
-use hillpick::{
+use sillward_balancer::settings::{Column, millis};
+use sillward_balancer::{
     Action, AttemptEnd, Event, ListKind, LoadReport, NewRequest, Outcome, ProbeEnd, RequestId, ServerEntry,
     ServerId, ServerState,
 };
--- a/crates/benchlink/src/wire_tests.rs
+++ b/crates/benchlink/src/wire_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use hillpick::{AttemptEnd, ProbeEnd};
+use sillward_balancer::{AttemptEnd, ProbeEnd};
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(|b| !b.is_ascii_whitespace()).collect();
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
 //! What a node is told at its start: the file that `PROXY_CONFIG` names.
 #![forbid(unsafe_code)]
 
-use hillpick::settings::{self, Site};
+use sillward_balancer::settings::{self, Site};
 use serde::Deserialize;
 use serde_json::Value;
 use serde_json::value::RawValue;
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -1,8 +1,8 @@
 //! Attempts and probes, and what a backend protocol is to the node.
 
 use crate::{Call, Content, News, Rest};
-use hillpick::settings::Site;
-use hillpick::{LoadReport, Outcome, RequestId, ServerId};
+use sillward_balancer::settings::Site;
+use sillward_balancer::{LoadReport, Outcome, RequestId, ServerId};
 use std::cell::Cell;
 use std::pin::Pin;
 use std::rc::Rc;
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -1,8 +1,8 @@
 //! Several backend protocols side by side: each backend speaks the one of its machine kind.
 
 use crate::{Attempt, Backend, Backends, Ended, News, Stop, Task};
-use hillpick::settings::Site;
-use hillpick::{ListKind, LoadReport, Outcome, ServerId, ServerState};
+use sillward_balancer::settings::Site;
+use sillward_balancer::{ListKind, LoadReport, Outcome, ServerId, ServerState};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -82,7 +82,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use hillpick::ServerEntry;
+    use sillward_balancer::ServerEntry;
 
     /// A list, as numbers and states.
     type Listed = (ListKind, Vec<(u64, ServerState)>);
--- a/crates/core/src/intake.rs
+++ b/crates/core/src/intake.rs
@@ -1,7 +1,7 @@
 //! The way from a front to the node, for one request at a time.
 
 use crate::{Answer, Call, Message};
-use hillpick::{NewRequest, RequestId};
+use sillward_balancer::{NewRequest, RequestId};
 use sillward_seam::Clock;
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -44,9 +44,9 @@
     /// A request that a front has taken.
     Request(Box<Taken>),
     /// A client has left before its answer.
-    ClientGone(hillpick::RequestId),
+    ClientGone(sillward_balancer::RequestId),
     /// The last byte of a request has come whose body went on while it came: at that time.
-    Arrived(hillpick::RequestId, std::time::Duration),
+    Arrived(sillward_balancer::RequestId, std::time::Duration),
     /// The first bytes of a long answer are there.
     Started(Started),
     /// An attempt has ended.
@@ -56,7 +56,7 @@
     /// News of the list of backends.
     List(News),
     /// The settings have changed; the generation, where a [`Lapse`] says whether they may be acted on.
-    Settings(std::rc::Rc<hillpick::settings::Site>, u64),
+    Settings(std::rc::Rc<sillward_balancer::settings::Site>, u64),
     /// Somebody asks how many backends are listed, and how many of them are avoided.
     View(tokio::sync::oneshot::Sender<sillward_metrics::View>),
 }
--- a/crates/core/src/live.rs
+++ b/crates/core/src/live.rs
@@ -1,6 +1,6 @@
 //! The settings that hold now, for all who read requests and lists by them.
 
-use hillpick::settings::Site;
+use sillward_balancer::settings::Site;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/core/src/news.rs
+++ b/crates/core/src/news.rs
@@ -1,6 +1,6 @@
 //! What the node is told of the list of backends, and what it asks of whoever keeps that list.
 
-use hillpick::{ListKind, ServerEntry};
+use sillward_balancer::{ListKind, ServerEntry};
 use std::net::SocketAddr;
 
 /// A line of the list, and where that backend listens.
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -3,8 +3,8 @@
 
 use crate::{Answer, Attempt, Backends, Call, Ended, Message, Order, ProbeEnded, Started, Stop, Taken};
 use crate::{Lapse, Witness};
-use hillpick::settings::Site;
-use hillpick::*;
+use sillward_balancer::settings::Site;
+use sillward_balancer::*;
 use sillward_log::{log, log_peer};
 use sillward_metrics::{Counters, End, InProgress, View};
 use sillward_seam::Clock;
--- a/crates/core/src/report.rs
+++ b/crates/core/src/report.rs
@@ -1,8 +1,8 @@
 //! Load reports as text, whichever protocol carries them.
 
 use crate::Live;
-use hillpick::settings::Column;
-use hillpick::{LoadReport, ReportSource};
+use sillward_balancer::settings::Column;
+use sillward_balancer::{LoadReport, ReportSource};
 use std::rc::Rc;
 
 /// Which load reports a site has, and from where.
--- a/crates/core/src/witness.rs
+++ b/crates/core/src/witness.rs
@@ -1,6 +1,6 @@
 //! Whoever counts what the node does. It decides nothing and is told nothing that the module is not.
 
-use hillpick::{Outcome, ServerId};
+use sillward_balancer::{Outcome, ServerId};
 use std::time::Duration;
 
 /// Hears what happens in the node's own loop, so it has to be quick.
--- a/crates/etcd/src/source.rs
+++ b/crates/etcd/src/source.rs
@@ -7,7 +7,7 @@
 };
 use crate::session::{Session, Times, Wish};
 use bytes::Bytes;
-use hillpick::ServerId;
+use sillward_balancer::ServerId;
 use sillward_core::{Backend, Live};
 use sillward_hub::Telling;
 use sillward_log::{log, log_peer};
--- a/crates/http1/src/backend.rs
+++ b/crates/http1/src/backend.rs
@@ -3,8 +3,8 @@
 use crate::outgoing::{Outgoing, Written};
 use crate::socket::Socket;
 use bytes::{Bytes, BytesMut};
-use hillpick::settings::Site;
-use hillpick::{LoadReport, Outcome, ServerId};
+use sillward_balancer::settings::Site;
+use sillward_balancer::{LoadReport, Outcome, ServerId};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::{self, SendRequest};
--- a/crates/http1/src/backend/tests.rs
+++ b/crates/http1/src/backend/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use hillpick::{ListKind, RequestId, ServerEntry, ServerState};
+use sillward_balancer::{ListKind, RequestId, ServerEntry, ServerState};
 use sillward_core::{Call, Live};
 use sillward_pool::Sockets;
 use sillward_seam::Clock;
@@ -34,7 +34,7 @@
             let read = Stream::new(stream).0.read(&mut sent).await.unwrap_or_default();
             String::from_utf8_lossy(&sent[..read]).into_owned()
         });
-        let reports = Reports::new(Live::new(hillpick::settings::parse(SITE).expect("settings")));
+        let reports = Reports::new(Live::new(sillward_balancer::settings::parse(SITE).expect("settings")));
         let backends = Backend::new(pool.clone(), Budget::new(1 << 20), reports, Counters::new());
         let ended = backends.attempt(attempt, stopped).await;
         pool.close_idle(SERVER);
--- a/crates/http1/src/front.rs
+++ b/crates/http1/src/front.rs
@@ -6,7 +6,7 @@
 use crate::request::{self, Arriving, Bad, First};
 use crate::socket::Socket;
 use bytes::Bytes;
-use hillpick::{NewRequest, Repeat};
+use sillward_balancer::{NewRequest, Repeat};
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
 use hyper::server::conn::http1;
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -2,8 +2,8 @@
 
 use crate::heads::Heads;
 use bytes::{Bytes, BytesMut};
-use hillpick::Repeat;
-use hillpick::settings::Site;
+use sillward_balancer::Repeat;
+use sillward_balancer::settings::Site;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderValue, TRANSFER_ENCODING};
--- a/crates/hub/src/lib.rs
+++ b/crates/hub/src/lib.rs
@@ -1,7 +1,7 @@
 //! Carries what sources tell to the membership module, and what that comes to on to the node. Decides nothing.
 #![forbid(unsafe_code)]
 
-use hillpick::{ListKind, ServerId};
+use sillward_balancer::{ListKind, ServerId};
 use sillward_core::{Backend, Message, News};
 use sillward_membership::{Line, Membership};
 use sillward_seam::Clock;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -11,7 +11,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-use hillpick::{ServerEntry, ServerId, ServerState};
+use sillward_balancer::{ServerEntry, ServerId, ServerState};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/membership/tests/merging.rs
+++ b/crates/membership/tests/merging.rs
@@ -1,6 +1,6 @@
 //! What sources say and what it comes to: pairs of words, random histories against a plain model, and the guard.
 
-use hillpick::{ServerEntry, ServerId, ServerState};
+use sillward_balancer::{ServerEntry, ServerId, ServerState};
 use proptest::prelude::*;
 use sillward_membership::{Guard, Line, Membership, Standing};
 use std::collections::BTreeMap;
--- a/crates/operator/src/etcd.rs
+++ b/crates/operator/src/etcd.rs
@@ -1,7 +1,7 @@
 //! The table `[etcd]`.
 
 use crate::reader::Section;
-use hillpick::settings::Site;
+use sillward_balancer::settings::Site;
 use sillward_etcd::{Terms, Times};
 use sillward_membership::Guard;
 use std::time::Duration;
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -14,7 +14,7 @@
 pub use fleet::FleetTerms;
 pub use reader::Fault;
 
-use hillpick::settings::Site;
+use sillward_balancer::settings::Site;
 use reader::Reader;
 use sillward_membership::Guard;
 use sillward_thrift::{BackendTerms, FrontTerms};
--- a/crates/operator/src/thrift.rs
+++ b/crates/operator/src/thrift.rs
@@ -2,8 +2,8 @@
 
 use crate::Operator;
 use crate::reader::Section;
-use hillpick::Repeat;
-use hillpick::settings::Site;
+use sillward_balancer::Repeat;
+use sillward_balancer::settings::Site;
 use sillward_thrift::wire::{Bounds, Encoding};
 use sillward_thrift::{BackendTerms, FrontTerms, HttpCall, Method, Order, TurnedAway};
 use std::time::Duration;
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -2,8 +2,8 @@
 //! Knows no protocol: what carries a request over a connection is a [`Protocol`] of its own.
 #![forbid(unsafe_code)]
 
-use hillpick::settings::Site;
-use hillpick::{ListKind, Outcome, ServerId, ServerState};
+use sillward_balancer::settings::Site;
+use sillward_balancer::{ListKind, Outcome, ServerId, ServerState};
 use sillward_core::{Backend, News};
 use sillward_log::log_peer;
 use sillward_seam::net::TcpStream;
--- a/crates/pool/src/tests.rs
+++ b/crates/pool/src/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use hillpick::ServerEntry;
+use sillward_balancer::ServerEntry;
 use sillward_seam::net::TcpListener;
 use sillward_seam::task::{block_on, yield_now};
 
--- a/crates/roster/src/entries.rs
+++ b/crates/roster/src/entries.rs
@@ -1,7 +1,7 @@
 //! The form in which discovery writes lists and their entries.
 
-use hillpick::settings::{Site, millis};
-use hillpick::{ServerEntry, ServerId, ServerState};
+use sillward_balancer::settings::{Site, millis};
+use sillward_balancer::{ServerEntry, ServerId, ServerState};
 use serde::Deserialize;
 use serde_json::Value;
 use sillward_core::Backend;
--- a/crates/roster/src/lib.rs
+++ b/crates/roster/src/lib.rs
@@ -12,7 +12,7 @@
 
 use bytes::Bytes;
 use entries::List;
-use hillpick::ListKind;
+use sillward_balancer::ListKind;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
--- a/crates/simulation/src/plants.rs
+++ b/crates/simulation/src/plants.rs
@@ -4,8 +4,8 @@
 use crate::dice::Dice;
 use crate::net::Net;
 use crate::script::Script;
-use hillpick::settings::Site;
-use hillpick::{LoadReport, Outcome, ServerId};
+use sillward_balancer::settings::Site;
+use sillward_balancer::{LoadReport, Outcome, ServerId};
 use sillward_assembly::Wrap;
 use sillward_core::{Attempt, Backends, Ended, News, Stop, Task};
 use std::cell::{Cell, RefCell};
--- a/crates/thrift/src/backend.rs
+++ b/crates/thrift/src/backend.rs
@@ -11,8 +11,8 @@
 };
 use crate::{BINARY, COMPACT};
 use bytes::Bytes;
-use hillpick::settings::Site;
-use hillpick::{LoadReport, Outcome, ServerId};
+use sillward_balancer::settings::Site;
+use sillward_balancer::{LoadReport, Outcome, ServerId};
 use sillward_core::{
     Attempt, Backends, Budget, Call, Content, Ended, Exchanged, Form, News, PROBE_TIMEOUT, READ_BUFFER,
     Reports, Stop, Task, run,
--- a/crates/thrift/src/calls.rs
+++ b/crates/thrift/src/calls.rs
@@ -9,8 +9,8 @@
 };
 use crate::{BINARY, COMPACT};
 use bytes::Bytes;
-use hillpick::settings::Site;
-use hillpick::{NewRequest, Repeat};
+use sillward_balancer::settings::Site;
+use sillward_balancer::{NewRequest, Repeat};
 use sillward_core::{Answer, Call, Content, Judge, key_number};
 use std::cell::Cell;
 use std::hash::{DefaultHasher, Hash, Hasher};
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,7 +6,7 @@
 mod ctl;
 
 use clap::{Parser, Subcommand};
-use hillpick::settings::Site;
+use sillward_balancer::settings::Site;
 use sillward_assembly::{Controls, fit};
 use sillward_config::Config;
 use sillward_log::log;
--- a/tests/seam.rs
+++ b/tests/seam.rs
@@ -38,7 +38,7 @@
 const ALLOWED: [(&str, &str); 9] = [
     ("assembly", "watch::channel"),
     ("src", "watch::channel"),
-    ("hillpick", "rand_pcg"),
+    ("balancer", "rand_pcg"),
     ("outcomes", "rand_pcg"),
     ("peers", "rand_pcg"),
     ("config", "std::env"),
@@ -122,7 +122,7 @@
         let (_, after) = manifest.split_once("[dependencies]").expect("dependencies");
         let names = after.lines().take_while(|line| !line.starts_with('[')).filter_map(|line| {
             let name = line.split(['.', ' ', '=']).next()?;
-            if name == "hillpick" { Some(name) } else { name.strip_prefix("sillward-") }
+            name.strip_prefix("sillward-")
         });
         all.insert(package, names.map(str::to_owned).collect());
     }
@@ -146,9 +146,9 @@
         seen
     };
     let set = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect::<BTreeSet<_>>();
-    assert_eq!(reach("hillpick"), set(&[]));
-    assert_eq!(reach("membership"), set(&["hillpick"]));
-    assert_eq!(reach("core"), set(&["hillpick", "log", "metrics", "seam"]));
+    assert_eq!(reach("balancer"), set(&[]));
+    assert_eq!(reach("membership"), set(&["balancer"]));
+    assert_eq!(reach("core"), set(&["balancer", "log", "metrics", "seam"]));
     assert_eq!((reach("lifecycle"), reach("handover")), (set(&[]), set(&[])));
     assert_eq!((reach("peers"), reach("rules")), (set(&[]), set(&[])));
     assert_eq!(reach("agreement"), set(&["peers", "rules"]));
