--- a/crates/benchlink/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -92,7 +92,7 @@
     match run(&mut BufReader::with_capacity(1 << 16, io::stdin().lock()), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
-            eprintln!("hillpick-benchlink: {what}");
+            eprintln!("sillward-simulator-adapter: {what}");
             ExitCode::FAILURE
         }
     }
--- a/crates/benchlink/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -7,7 +7,7 @@
     "Idempotency": "free", "Unheard": true}]}"#;
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_hillpick-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_sillward-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -133,7 +133,7 @@
         let output = run(&input);
         let said = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{expected}");
-        assert!(said.starts_with(&format!("hillpick-benchlink: {expected}")), "{said}");
+        assert!(said.starts_with(&format!("sillward-simulator-adapter: {expected}")), "{said}");
         assert_eq!(said.lines().count(), 1, "{said}");
         replies(&output.stdout);
     }
