--- a/crates/assembly/src/agreement.rs
+++ b/crates/assembly/src/agreement.rs
@@ -6,7 +6,7 @@
 use sillward_admin::{Posted, Reply, Route};
 use sillward_agreement::Terms as Times;
 use sillward_config::Config;
-use sillward_core::{Lapse, Live};
+use sillward_forwarding::{Lapse, Live};
 use sillward_council::{Council, Terms};
 use sillward_links::Fleet;
 use sillward_operator::AgreementTerms;
--- a/crates/assembly/src/control.rs
+++ b/crates/assembly/src/control.rs
@@ -2,7 +2,7 @@
 
 use hyper::{Method, StatusCode};
 use sillward_admin::{Answering, Reply, Route};
-use sillward_core::Message;
+use sillward_forwarding::Message;
 use sillward_lifecycle::{Event, Said};
 use sillward_listener::Life;
 use sillward_log::log;
--- a/crates/assembly/src/fronts.rs
+++ b/crates/assembly/src/fronts.rs
@@ -5,7 +5,7 @@
 use hyper::Method;
 use sillward_admin::{Admin, Posted, Reply, Route};
 use sillward_config::Config;
-use sillward_core::{Budget, Intake, Live, Message};
+use sillward_forwarding::{Budget, Intake, Live, Message};
 use sillward_council::Council;
 use sillward_handover::Holding;
 use sillward_links::Fleet;
--- a/crates/assembly/src/handover.rs
+++ b/crates/assembly/src/handover.rs
@@ -1,7 +1,7 @@
 //! Two processes of one node side by side: carries what each holds to the other, and what that comes to to the parts that
 //! hold it. Decides nothing.
 
-use sillward_core::{Budget, Lease};
+use sillward_forwarding::{Budget, Lease};
 use sillward_handover::{Event, Holding, LONGEST_LINE, Shares, line, read};
 use sillward_listener::Door;
 use sillward_log::{log, log_peer};
--- a/crates/assembly/src/lib.rs
+++ b/crates/assembly/src/lib.rs
@@ -14,7 +14,7 @@
 
 use sillward_balancer::settings::Site;
 use sillward_config::Config;
-use sillward_core::{Backends, Budget, Dispatch, Gauges, Intake, Lapse, Live, Message, Node, Reports};
+use sillward_forwarding::{Backends, Budget, Dispatch, Gauges, Intake, Lapse, Live, Message, Node, Reports};
 use sillward_council::Council;
 use sillward_listener::{Door, Life};
 use sillward_log::log;
@@ -183,7 +183,7 @@
         counters.clone(),
     )
     .lapsing(council.is_some().then(|| lapse.clone()))
-    .witnessed(told.clone().map(|told| told as Rc<dyn sillward_core::Witness>));
+    .witnessed(told.clone().map(|told| told as Rc<dyn sillward_forwarding::Witness>));
     let (gauges, budgeted, open) = (node.gauges(), budget.clone(), sockets.clone());
     shown(Insight {
         gauges,
--- a/crates/assembly/src/outcomes.rs
+++ b/crates/assembly/src/outcomes.rs
@@ -5,7 +5,7 @@
 use hyper::Method;
 use serde_json::json;
 use sillward_admin::{Reply, Route};
-use sillward_core::{Live, Witness};
+use sillward_forwarding::{Live, Witness};
 use sillward_links::Fleet;
 use sillward_links::outbox::Posted;
 use sillward_outcomes::{Action, Backend, Cell, Class, End, Spread, Terms};
--- a/crates/assembly/src/sources.rs
+++ b/crates/assembly/src/sources.rs
@@ -1,7 +1,7 @@
 //! Who tells the node of its backends: the roster, and etcd beside it where the operator file names one.
 
 use sillward_config::Config;
-use sillward_core::{Live, Message};
+use sillward_forwarding::{Live, Message};
 use sillward_etcd::{Etcd, Terms};
 use sillward_hub::Hub;
 use sillward_membership::{Guard, Membership};
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use serde_json::value::RawValue;
-use sillward_core::READ_BUFFER;
+use sillward_forwarding::READ_BUFFER;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
--- a/crates/etcd/src/source.rs
+++ b/crates/etcd/src/source.rs
@@ -8,7 +8,7 @@
 use crate::session::{Session, Times, Wish};
 use bytes::Bytes;
 use sillward_balancer::ServerId;
-use sillward_core::{Backend, Live};
+use sillward_forwarding::{Backend, Live};
 use sillward_hub::Telling;
 use sillward_log::{log, log_peer};
 use sillward_seam::time::{Instant, sleep, timeout};
--- a/crates/http1/src/ahead.rs
+++ b/crates/http1/src/ahead.rs
@@ -5,7 +5,7 @@
 use crate::heads::Heads;
 use crate::socket::{CHUNK, Watch, with_chunk};
 use bytes::{Buf, BytesMut};
-use sillward_core::{Budget, Lease};
+use sillward_forwarding::{Budget, Lease};
 use sillward_listener::Client;
 use sillward_seam::Stream;
 use std::cell::RefCell;
--- a/crates/http1/src/backend.rs
+++ b/crates/http1/src/backend.rs
@@ -11,7 +11,7 @@
 use hyper::header::{CONNECTION, CONTENT_TYPE, HOST, HeaderMap, HeaderValue, TRANSFER_ENCODING};
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, Request, Response, StatusCode};
-use sillward_core::{
+use sillward_forwarding::{
     Attempt, BODY_LIMIT, Backends, Broken, Budget, Content, Ended, Exchanged, Form, News, PROBE_TIMEOUT,
     READ_BUFFER, Reports, Rest, Started, Stop, Task, WHOLE_ANSWER, run,
 };
--- a/crates/http1/src/backend/tests.rs
+++ b/crates/http1/src/backend/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use sillward_balancer::{ListKind, RequestId, ServerEntry, ServerState};
-use sillward_core::{Call, Live};
+use sillward_forwarding::{Call, Live};
 use sillward_pool::Sockets;
 use sillward_seam::Clock;
 use sillward_seam::net::TcpListener;
@@ -19,7 +19,7 @@
         let pool = Pool::start(Clock::start(), Http1, terms, Sockets::new(10));
         let entry = ServerEntry { id: SERVER, state: ServerState::Ready, ..ServerEntry::default() };
         let address = listener.local_addr().expect("its address");
-        let news = |kind| News { kind, backends: vec![sillward_core::Backend { entry, address }] };
+        let news = |kind| News { kind, backends: vec![sillward_forwarding::Backend { entry, address }] };
         pool.update(&news(ListKind::Full), pool.clock.now());
         let now = pool.clock.now();
         let call = Rc::into_inner(empty(now)).expect("nobody else's");
--- a/crates/http1/src/front.rs
+++ b/crates/http1/src/front.rs
@@ -12,7 +12,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode, Version};
-use sillward_core::{Answer, Budget, Call, Coming, Content, Feed, Intake, Live, READ_BUFFER};
+use sillward_forwarding::{Answer, Budget, Call, Coming, Content, Feed, Intake, Live, READ_BUFFER};
 use sillward_listener::{Client, Door, LINGER, Life, READ_PAST, Serve};
 use sillward_log::log_peer;
 use sillward_metrics::{Counters, End};
--- a/crates/http1/src/outgoing.rs
+++ b/crates/http1/src/outgoing.rs
@@ -4,7 +4,7 @@
 use crate::socket::Watch;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
-use sillward_core::{Call, Flow, Rest};
+use sillward_forwarding::{Call, Flow, Rest};
 use sillward_metrics::Counters;
 use std::cell::{Cell, RefCell};
 use std::io;
--- a/crates/http1/src/reply.rs
+++ b/crates/http1/src/reply.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
-use sillward_core::Rest;
+use sillward_forwarding::Rest;
 use std::io;
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -10,7 +10,7 @@
 use hyper::http::request::Parts;
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, StatusCode};
-use sillward_core::{BODY_LIMIT, Budget, KEPT_BODY, READ_BUFFER, WHOLE_ANSWER, key_number};
+use sillward_forwarding::{BODY_LIMIT, Budget, KEPT_BODY, READ_BUFFER, WHOLE_ANSWER, key_number};
 use sillward_log::log_peer;
 use sillward_seam::time::{Instant, timeout, timeout_at};
 use std::time::Duration;
--- a/crates/hub/src/lib.rs
+++ b/crates/hub/src/lib.rs
@@ -2,7 +2,7 @@
 #![forbid(unsafe_code)]
 
 use sillward_balancer::{ListKind, ServerId};
-use sillward_core::{Backend, Message, News};
+use sillward_forwarding::{Backend, Message, News};
 use sillward_membership::{Line, Membership};
 use sillward_seam::Clock;
 use sillward_seam::time::{Instant, sleep_until};
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -4,7 +4,7 @@
 
 use sillward_balancer::settings::Site;
 use sillward_balancer::{ListKind, Outcome, ServerId, ServerState};
-use sillward_core::{Backend, News};
+use sillward_forwarding::{Backend, News};
 use sillward_log::log_peer;
 use sillward_seam::net::TcpStream;
 use sillward_seam::task::spawn_local;
--- a/crates/roster/src/entries.rs
+++ b/crates/roster/src/entries.rs
@@ -4,7 +4,7 @@
 use sillward_balancer::{ServerEntry, ServerId, ServerState};
 use serde::Deserialize;
 use serde_json::Value;
-use sillward_core::Backend;
+use sillward_forwarding::Backend;
 use std::net::SocketAddr;
 
 /// A list, or what changed of it, with its entries as they came: one that can't be read takes no other with it.
--- a/crates/roster/src/lib.rs
+++ b/crates/roster/src/lib.rs
@@ -20,7 +20,7 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use lines::{Item, LIST_LIMIT, Lines};
-use sillward_core::{Backend, Live, Message, News, Order};
+use sillward_forwarding::{Backend, Live, Message, News, Order};
 use sillward_log::{log, log_peer};
 use sillward_seam::net::TcpStream;
 use sillward_seam::random::Random;
--- a/crates/simulation/src/plants.rs
+++ b/crates/simulation/src/plants.rs
@@ -7,7 +7,7 @@
 use sillward_balancer::settings::Site;
 use sillward_balancer::{LoadReport, Outcome, ServerId};
 use sillward_assembly::Wrap;
-use sillward_core::{Attempt, Backends, Ended, News, Stop, Task};
+use sillward_forwarding::{Attempt, Backends, Ended, News, Stop, Task};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/thrift/src/backend.rs
+++ b/crates/thrift/src/backend.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use sillward_balancer::settings::Site;
 use sillward_balancer::{LoadReport, Outcome, ServerId};
-use sillward_core::{
+use sillward_forwarding::{
     Attempt, Backends, Budget, Call, Content, Ended, Exchanged, Form, News, PROBE_TIMEOUT, READ_BUFFER,
     Reports, Stop, Task, run,
 };
--- a/crates/thrift/src/calls.rs
+++ b/crates/thrift/src/calls.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use sillward_balancer::settings::Site;
 use sillward_balancer::{NewRequest, Repeat};
-use sillward_core::{Answer, Call, Content, Judge, key_number};
+use sillward_forwarding::{Answer, Call, Content, Judge, key_number};
 use std::cell::Cell;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
--- a/crates/thrift/src/front.rs
+++ b/crates/thrift/src/front.rs
@@ -5,7 +5,7 @@
 use crate::terms::{FrontTerms, Order};
 use crate::wire::{Encoding, ExceptionKind, FrameReader, NotFramed, Step, exception, read_head};
 use bytes::Bytes;
-use sillward_core::{Answer, Budget, Intake, Lease, Live, READ_BUFFER};
+use sillward_forwarding::{Answer, Budget, Intake, Lease, Live, READ_BUFFER};
 use sillward_listener::{Client, Door, READ_TIMEOUT, Serve};
 use sillward_log::log_peer;
 use sillward_seam::Stream;
--- a/crates/thrift/src/lib.rs
+++ b/crates/thrift/src/lib.rs
@@ -12,7 +12,7 @@
 pub use front::Front;
 pub use terms::{BackendTerms, FrontTerms, HttpCall, Method, Order, TurnedAway};
 
-use sillward_core::Form;
+use sillward_forwarding::Form;
 
 /// A message in the binary encoding. Its name is the media type of Thrift over HTTP.
 pub const BINARY: Form = Form("application/vnd.apache.thrift.binary");
