--- a/crates/assembly/src/sources.rs
+++ b/crates/assembly/src/sources.rs
@@ -5,7 +5,7 @@
 use sillward_etcd::{Etcd, Terms};
 use sillward_hub::Hub;
 use sillward_membership::{Guard, Membership};
-use sillward_roster::Discovery;
+use sillward_discovery::Discovery;
 use sillward_seam::Clock;
 use sillward_seam::task::spawn_local;
 use std::cell::RefCell;
--- a/crates/roster/tests/lines.rs
+++ b/crates/discovery/tests/lines.rs
@@ -1,6 +1,6 @@
 //! A watch's bytes come cut anywhere; what they say does not depend on that.
 
-use sillward_roster::lines::{Item, Lines};
+use sillward_discovery::lines::{Item, Lines};
 
 /// What all of it comes to, fed in pieces of that size, in words.
 fn said(text: &str, piece: usize) -> Vec<String> {
--- a/crates/etcd/src/source.rs
+++ b/crates/etcd/src/source.rs
@@ -169,7 +169,7 @@
     }
 
     async fn put(&mut self, key: Bytes, value: &[u8]) {
-        let backend = match sillward_roster::read_entry(&self.live.get(), value) {
+        let backend = match sillward_discovery::read_entry(&self.live.get(), value) {
             Ok(backend) => backend,
             Err(e) => {
                 let name = String::from_utf8_lossy(&key).into_owned();
--- a/tests/seam.rs
+++ b/tests/seam.rs
@@ -157,7 +157,7 @@
     assert_eq!(reach("links"), set(&["log", "peers", "seam"]));
     assert!(!reach("pool").contains("http1") && !reach("pool").contains("thrift"));
     assert!(!reach("thrift").contains("http1") && !reach("http1").contains("thrift"));
-    assert!(!reach("roster").contains("pool"));
+    assert!(!reach("discovery").contains("pool"));
 }
 
 /// No two files of a package import each other, directly or by way of others.
