--- a/crates/assembly/src/fronts.rs
+++ b/crates/assembly/src/fronts.rs
@@ -11,7 +11,7 @@
 use sillward_links::Fleet;
 use sillward_listener::{Door, Hold, Life};
 use sillward_log::log;
-use sillward_membership::Membership;
+use sillward_endpoints::Membership;
 use sillward_metrics::Counters;
 use sillward_pool::Sockets;
 use sillward_seam::Clock;
--- a/crates/assembly/src/pages.rs
+++ b/crates/assembly/src/pages.rs
@@ -1,7 +1,7 @@
 //! What operators see: plain JSON.
 
 use sillward_balancer::ServerState;
-use sillward_membership::{Membership, Standing};
+use sillward_endpoints::{Membership, Standing};
 use sillward_seam::Clock;
 use std::cell::RefCell;
 use std::fmt::Write;
--- a/crates/assembly/src/sources.rs
+++ b/crates/assembly/src/sources.rs
@@ -4,7 +4,7 @@
 use sillward_forwarding::{Live, Message};
 use sillward_etcd::{Etcd, Terms};
 use sillward_hub::Hub;
-use sillward_membership::{Guard, Membership};
+use sillward_endpoints::{Guard, Membership};
 use sillward_discovery::Discovery;
 use sillward_seam::Clock;
 use sillward_seam::task::spawn_local;
--- a/crates/membership/tests/merging.rs
+++ b/crates/endpoints/tests/merging.rs
@@ -2,7 +2,7 @@
 
 use sillward_balancer::{ServerEntry, ServerId, ServerState};
 use proptest::prelude::*;
-use sillward_membership::{Guard, Line, Membership, Standing};
+use sillward_endpoints::{Guard, Line, Membership, Standing};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/hub/src/lib.rs
+++ b/crates/hub/src/lib.rs
@@ -3,7 +3,7 @@
 
 use sillward_balancer::{ListKind, ServerId};
 use sillward_forwarding::{Backend, Message, News};
-use sillward_membership::{Line, Membership};
+use sillward_endpoints::{Line, Membership};
 use sillward_seam::Clock;
 use sillward_seam::time::{Instant, sleep_until};
 use std::cell::{Cell, RefCell};
--- a/crates/operator/src/etcd.rs
+++ b/crates/operator/src/etcd.rs
@@ -3,7 +3,7 @@
 use crate::reader::Section;
 use sillward_balancer::settings::Site;
 use sillward_etcd::{Terms, Times};
-use sillward_membership::Guard;
+use sillward_endpoints::Guard;
 use std::time::Duration;
 
 pub fn read(section: &Section<'_>, site: Option<&Site>) -> Option<(Terms, Guard)> {
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -16,7 +16,7 @@
 
 use sillward_balancer::settings::Site;
 use reader::Reader;
-use sillward_membership::Guard;
+use sillward_endpoints::Guard;
 use sillward_thrift::{BackendTerms, FrontTerms};
 use std::net::SocketAddr;
 
--- a/tests/seam.rs
+++ b/tests/seam.rs
@@ -147,7 +147,7 @@
     };
     let set = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect::<BTreeSet<_>>();
     assert_eq!(reach("balancer"), set(&[]));
-    assert_eq!(reach("membership"), set(&["balancer"]));
+    assert_eq!(reach("endpoints"), set(&["balancer"]));
     assert_eq!(reach("forwarding"), set(&["balancer", "log", "metrics", "seam"]));
     assert_eq!((reach("lifecycle"), reach("handover")), (set(&[]), set(&[])));
     assert_eq!((reach("peers"), reach("rules")), (set(&[]), set(&[])));
