--- a/crates/assembly/src/sources.rs
+++ b/crates/assembly/src/sources.rs
@@ -3,7 +3,7 @@
 use sillward_config::Config;
 use sillward_forwarding::{Live, Message};
 use sillward_etcd::{Etcd, Terms};
-use sillward_hub::Hub;
+use sillward_endpoint_updates::Hub;
 use sillward_endpoints::{Guard, Membership};
 use sillward_discovery::Discovery;
 use sillward_seam::Clock;
--- a/crates/etcd/src/source.rs
+++ b/crates/etcd/src/source.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use sillward_balancer::ServerId;
 use sillward_forwarding::{Backend, Live};
-use sillward_hub::Telling;
+use sillward_endpoint_updates::Telling;
 use sillward_log::{log, log_peer};
 use sillward_seam::time::{Instant, sleep, timeout};
 use std::collections::{BTreeMap, VecDeque};
