--- a/crates/agreement/src/rights.rs
+++ b/crates/agreement/src/rights.rs
@@ -8,7 +8,7 @@
 
 use crate::words::{Answer, Ask};
 use crate::{Plant, Terms, majority};
-use sillward_peers::Name;
+use sillward_membership::Name;
 use sillward_rules::Standing;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
--- a/crates/agreement/src/voter.rs
+++ b/crates/agreement/src/voter.rs
@@ -7,7 +7,7 @@
 use crate::{Plant, Terms, majority};
 use omnipaxos::messages::Message;
 use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
-use sillward_peers::Name;
+use sillward_membership::Name;
 use sillward_rules::{History, MOST_WHY, Rules, Version};
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
--- a/crates/agreement/tests/world/mod.rs
+++ b/crates/agreement/tests/world/mod.rs
@@ -8,7 +8,7 @@
 use sillward_agreement::voter::{self, Stands, Voter};
 use sillward_agreement::words::{Answer, Ask, Proposal, Sealed};
 use sillward_agreement::{Terms, voter::Event};
-use sillward_peers::Name;
+use sillward_membership::Name;
 use sillward_rules::{Key, Reading, Rules, Value, Version};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
--- a/crates/assembly/src/agreement.rs
+++ b/crates/assembly/src/agreement.rs
@@ -10,7 +10,7 @@
 use sillward_council::{Council, Terms};
 use sillward_links::Fleet;
 use sillward_operator::AgreementTerms;
-use sillward_peers::Name;
+use sillward_membership::Name;
 use sillward_rules::{Key, Reading, Repeat as Agreed, Rules, Value, Version};
 use sillward_seam::Clock;
 use sillward_seam::task::spawn_local;
--- a/crates/assembly/src/fleet.rs
+++ b/crates/assembly/src/fleet.rs
@@ -5,7 +5,7 @@
 use sillward_links::{Fleet, Terms};
 use sillward_log::log;
 use sillward_operator::FleetTerms;
-use sillward_peers::{About, Name};
+use sillward_membership::{About, Name};
 use sillward_seam::task::spawn_local;
 use sillward_seam::{Clock, files};
 use std::rc::Rc;
@@ -88,7 +88,7 @@
 }
 
 #[cfg(not(feature = "faults"))]
-fn planted(peers: sillward_peers::Terms) -> sillward_peers::Terms {
+fn planted(peers: sillward_membership::Terms) -> sillward_membership::Terms {
     peers
 }
 
@@ -99,15 +99,15 @@
 }
 
 #[cfg(feature = "faults")]
-fn planted(peers: sillward_peers::Terms) -> sillward_peers::Terms {
-    use sillward_peers::Plant;
+fn planted(peers: sillward_membership::Terms) -> sillward_membership::Terms {
+    use sillward_membership::Plant;
     let plant = match sillward_seam::told("SILLWARD_FAULT_PLANT").as_deref() {
         Some("no-incarnation") => Some(Plant::NoIncarnation),
         Some("one-way-blind") => Some(Plant::OneWayBlind),
         Some("never-forget") => Some(Plant::NeverForget),
         _ => None,
     };
-    sillward_peers::Terms { plant, ..peers }
+    sillward_membership::Terms { plant, ..peers }
 }
 
 /// Starts the member; it says goodbye when `stop` is over.
--- a/crates/assembly/src/lib.rs
+++ b/crates/assembly/src/lib.rs
@@ -107,7 +107,7 @@
 /// There is no `[agreement]`, this node is no voter, or its folder is founded already.
 pub fn found(config: &Config, operator: &Operator) -> Result<String, String> {
     let terms = operator.agreement.as_ref().ok_or("the operator file has no [agreement]")?;
-    let name = sillward_peers::Name::new(&config.name).ok_or("this node's name can't be a member's")?;
+    let name = sillward_membership::Name::new(&config.name).ok_or("this node's name can't be a member's")?;
     sillward_council::found(&agreement::terms(config, terms)?, &name)
 }
 
--- a/crates/assembly/src/outcomes.rs
+++ b/crates/assembly/src/outcomes.rs
@@ -9,7 +9,7 @@
 use sillward_links::Fleet;
 use sillward_links::outbox::Posted;
 use sillward_outcomes::{Action, Backend, Cell, Class, End, Spread, Terms};
-use sillward_peers::{Life, Name};
+use sillward_membership::{Life, Name};
 use sillward_seam::task::spawn_local;
 use sillward_seam::time::{sleep_until, timeout_at};
 use sillward_seam::{Clock, random};
--- a/crates/council/src/lib.rs
+++ b/crates/council/src/lib.rs
@@ -14,7 +14,7 @@
 use sillward_links::Fleet;
 use sillward_links::outbox::Posted;
 use sillward_log::log;
-use sillward_peers::{Name, State};
+use sillward_membership::{Name, State};
 use sillward_rules::{History, Key, Reading, Rules, Standing, Version};
 use sillward_seam::task::spawn_local;
 use sillward_seam::time::sleep_until;
--- a/crates/ground/src/relays.rs
+++ b/crates/ground/src/relays.rs
@@ -4,7 +4,7 @@
 use crate::history::History;
 use serde_json::json;
 use sillward_links::envelope::{Envelopes, Sealed};
-use sillward_peers::Life;
+use sillward_membership::Life;
 use standins::random::Random;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
--- a/crates/links/src/envelope.rs
+++ b/crates/links/src/envelope.rs
@@ -5,8 +5,8 @@
 //! a key derived from the fleet's, cut to 16 bytes: who does not have the key guesses one in 2^128.
 
 use prost::Message;
-use sillward_peers::words::{self, Frame};
-use sillward_peers::{Life, Name};
+use sillward_membership::words::{self, Frame};
+use sillward_membership::{Life, Name};
 use std::net::{IpAddr, SocketAddr};
 
 /// The version of the envelope. Another one is counted and dropped; what is added within one is skipped by who does not
--- a/crates/links/src/guard.rs
+++ b/crates/links/src/guard.rs
@@ -1,7 +1,7 @@
 //! What a node lets in: each number of a life once, so much of each member, so much of all. No I/O, bounded memory.
 
 use crate::envelope::Dropped;
-use sillward_peers::{Life, Name};
+use sillward_membership::{Life, Name};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/links/src/lib.rs
+++ b/crates/links/src/lib.rs
@@ -1,5 +1,5 @@
 //! What carries the fleet's frames and longer state: datagrams for frames, a connection a pair at need for the rest. What
-//! they say is decided by [`sillward_peers`]; what is let in, by [`guard`] and [`envelope`].
+//! they say is decided by [`sillward_membership`]; what is let in, by [`guard`] and [`envelope`].
 //!
 //! Other parts of the node write values and post messages here, and open no sockets of their own.
 #![forbid(unsafe_code)]
@@ -20,8 +20,8 @@
 use prost::Message;
 use session::Long;
 use sillward_log::{log, log_peer};
-use sillward_peers::words::Sync;
-use sillward_peers::{About, Action, Event, Life, Me, Name, Peers, Standing, SyncStep};
+use sillward_membership::words::Sync;
+use sillward_membership::{About, Action, Event, Life, Me, Name, Peers, Standing, SyncStep};
 use sillward_seam::net::{TcpListener, UdpSocket};
 use sillward_seam::task::{JoinSet, spawn_local};
 use sillward_seam::time::{Instant, sleep_until};
@@ -70,7 +70,7 @@
     /// Where it remembers its last life.
     pub folder: Option<PathBuf>,
     /// Times and bounds of membership; how long a frame may be is filled in.
-    pub peers: sillward_peers::Terms,
+    pub peers: sillward_membership::Terms,
 }
 
 type Hearer = Rc<dyn Fn(&Name, Life, &[u8])>;
@@ -170,7 +170,7 @@
         let (about, seeds) = (terms.about, terms.seeds);
         let me = Me { name: terms.name.clone(), address, about, seeds };
         let most = terms.peers.most;
-        let peers = Peers::new(sillward_peers::Terms { frame: room, ..terms.peers }, me, epoch, seed, now);
+        let peers = Peers::new(sillward_membership::Terms { frame: room, ..terms.peers }, me, epoch, seed, now);
         let kept = Rc::new(Cell::new(None));
         let keep = terms.folder.map(|folder| {
             let (keep, lives) = mpsc::unbounded_channel();
@@ -285,7 +285,7 @@
         }
     }
 
-    fn numbered(&self, to: u32, frame: sillward_peers::words::Frame) -> Sealed {
+    fn numbered(&self, to: u32, frame: sillward_membership::words::Frame) -> Sealed {
         let peers = self.peers.borrow();
         let (life, number) = self.number.get();
         let number = if life == peers.life() { number + 1 } else { 1 };
--- a/crates/links/src/link.rs
+++ b/crates/links/src/link.rs
@@ -4,7 +4,7 @@
 use crate::session::{Channel, Hello, Long, MOST, Way};
 use crate::{Fleet, IDLE, PATIENCE};
 use prost::Message;
-use sillward_peers::{Life, Name};
+use sillward_membership::{Life, Name};
 use sillward_seam::net::TcpStream;
 use sillward_seam::random::entropy;
 use sillward_seam::time::{sleep, timeout};
--- a/crates/links/src/memory.rs
+++ b/crates/links/src/memory.rs
@@ -1,6 +1,6 @@
 //! What the folder remembers: the epoch of the last life. A file that is torn, spoilt or another node's counts as lost.
 
-use sillward_peers::Name;
+use sillward_membership::Name;
 
 /// The longest file that is read, in bytes.
 pub const MOST: u64 = 256;
--- a/crates/links/src/page.rs
+++ b/crates/links/src/page.rs
@@ -3,7 +3,7 @@
 use crate::Fleet;
 use crate::envelope::Dropped;
 use serde_json::{Value, json};
-use sillward_peers::{Standing, State};
+use sillward_membership::{Standing, State};
 use std::rc::Rc;
 use std::time::Duration;
 
--- a/crates/links/src/session.rs
+++ b/crates/links/src/session.rs
@@ -7,7 +7,7 @@
 
 use crate::envelope::Keys;
 use prost::Message;
-use sillward_peers::{Life, Name};
+use sillward_membership::{Life, Name};
 
 /// The longest message, in bytes.
 pub const MOST: usize = 64 * 1024;
--- a/crates/links/tests/golden.rs
+++ b/crates/links/tests/golden.rs
@@ -4,8 +4,8 @@
 use sillward_links::envelope::{Envelopes, Keys, Sealed};
 use sillward_links::memory;
 use sillward_links::session::{Channel, Hello, Long, Way};
-use sillward_peers::words::{Frame, Kind};
-use sillward_peers::{Life, Name};
+use sillward_membership::words::{Frame, Kind};
+use sillward_membership::{Life, Name};
 
 const SECRET: &[u8] = b"a key that both ends of the test have";
 
--- a/crates/links/tests/wire.rs
+++ b/crates/links/tests/wire.rs
@@ -8,8 +8,8 @@
 use sillward_links::memory;
 use sillward_links::outbox::{self, Outbox, Posted};
 use sillward_links::session::{Channel, Hello, Way};
-use sillward_peers::words::{Frame, Kind, Told, Update};
-use sillward_peers::{Life, Name};
+use sillward_membership::words::{Frame, Kind, Told, Update};
+use sillward_membership::{Life, Name};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
--- a/crates/peers/tests/fleets.rs
+++ b/crates/membership/tests/fleets.rs
@@ -3,8 +3,8 @@
 
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
-use sillward_peers::words::{Frame, Kind, Sync, Told, Update};
-use sillward_peers::{About, Action, Event, Life, Me, Name, Peers, Standing, State, SyncStep, Terms};
+use sillward_membership::words::{Frame, Kind, Sync, Told, Update};
+use sillward_membership::{About, Action, Event, Life, Me, Name, Peers, Standing, State, SyncStep, Terms};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/peers/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Golden bytes of the messages between members: what goes over the wire keeps its form whatever the code calls it.
 
 use prost::Message;
-use sillward_peers::words::{AboutWords, Frame, Kind, Sync, Told, Update};
+use sillward_membership::words::{AboutWords, Frame, Kind, Sync, Told, Update};
 
 /// Fails where a message's bytes are not those of the fixture, or do not read as what they were written from.
 fn holds<M: Message + Default + PartialEq>(message: &M, fixture: &str) {
--- a/crates/operator/src/fleet.rs
+++ b/crates/operator/src/fleet.rs
@@ -27,7 +27,7 @@
     /// The most bytes of a frame with its envelope.
     pub frame_bytes: usize,
     /// Times and bounds.
-    pub peers: sillward_peers::Terms,
+    pub peers: sillward_membership::Terms,
 }
 
 /// The longest zone and region, in bytes: both must fit one value with the build and what the node speaks.
@@ -71,11 +71,11 @@
         text.to_owned()
     };
     let (zone, region) = (place("zone"), place("region"));
-    let usual = sillward_peers::Terms::default();
+    let usual = sillward_membership::Terms::default();
     let ms = |name, least, most, usual: Duration| {
         section.number(name, least, most).map_or(usual, |ms| Duration::from_millis(ms as u64))
     };
-    let peers = sillward_peers::Terms {
+    let peers = sillward_membership::Terms {
         probe: ms("probe_ms", 50, 60_000, usual.probe),
         least_wait: ms("wait_ms", 5, 10_000, usual.least_wait),
         suspicion: ms("suspicion_ms", 200, 600_000, usual.suspicion),
--- a/crates/outcomes/src/spread.rs
+++ b/crates/outcomes/src/spread.rs
@@ -14,7 +14,7 @@
 use prost::Message;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
-use sillward_peers::{Life, Name};
+use sillward_membership::{Life, Name};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
--- a/crates/outcomes/src/terms.rs
+++ b/crates/outcomes/src/terms.rs
@@ -1,6 +1,6 @@
 //! Times and bounds, and what several parts name.
 
-use sillward_peers::{Life, Name};
+use sillward_membership::{Life, Name};
 use std::time::Duration;
 
 /// A mistake, planted by the build that has them.
--- a/crates/outcomes/src/view.rs
+++ b/crates/outcomes/src/view.rs
@@ -7,7 +7,7 @@
 use crate::counts::{Backend, Cell, Class, Counts, Tally};
 use crate::sketch::Sketch;
 use crate::terms::{Plant, Sum};
-use sillward_peers::{Life, Name};
+use sillward_membership::{Life, Name};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/outcomes/tests/parts.rs
+++ b/crates/outcomes/tests/parts.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use sillward_outcomes::words::{MOST, pack, unpack};
 use sillward_outcomes::{Asked, Backend, Cell, Class, Counts, Sketch, Spread, Tally, Terms};
-use sillward_peers::{Life, Name};
+use sillward_membership::{Life, Name};
 use std::time::Duration;
 
 fn sketches() -> impl Strategy<Value = Sketch> {
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -8,7 +8,7 @@
 use crate::trace::Trace;
 use sillward_links::envelope::Keys;
 use sillward_links::{Fleet, Terms};
-use sillward_peers::{About, Life, Name, Standing, State};
+use sillward_membership::{About, Life, Name, Standing, State};
 use sillward_seam::time::sleep;
 use sillward_seam::{Clock, task};
 use std::cell::RefCell;
@@ -101,7 +101,7 @@
             frame_bytes: self.size.frame_bytes,
             links: 128,
             folder: Some("fleet".into()),
-            peers: sillward_peers::Terms::default(),
+            peers: sillward_membership::Terms::default(),
         };
         self.net.with(member.host, |machine| machine.dying = false);
         let (slot, net) = (member.fleet.clone(), self.net.clone());
--- a/tests/seam.rs
+++ b/tests/seam.rs
@@ -40,7 +40,7 @@
     ("src", "watch::channel"),
     ("balancer", "rand_pcg"),
     ("outcomes", "rand_pcg"),
-    ("peers", "rand_pcg"),
+    ("membership", "rand_pcg"),
     ("config", "std::env"),
     ("config", "std::fs"),
     ("src", "std::fs"),
@@ -150,11 +150,11 @@
     assert_eq!(reach("endpoints"), set(&["balancer"]));
     assert_eq!(reach("forwarding"), set(&["balancer", "log", "metrics", "seam"]));
     assert_eq!((reach("lifecycle"), reach("handover")), (set(&[]), set(&[])));
-    assert_eq!((reach("peers"), reach("rules")), (set(&[]), set(&[])));
-    assert_eq!(reach("agreement"), set(&["peers", "rules"]));
-    assert_eq!(reach("outcomes"), set(&["peers"]));
-    assert_eq!(reach("council"), set(&["agreement", "links", "log", "peers", "rules", "seam"]));
-    assert_eq!(reach("links"), set(&["log", "peers", "seam"]));
+    assert_eq!((reach("membership"), reach("rules")), (set(&[]), set(&[])));
+    assert_eq!(reach("agreement"), set(&["membership", "rules"]));
+    assert_eq!(reach("outcomes"), set(&["membership"]));
+    assert_eq!(reach("council"), set(&["agreement", "links", "log", "membership", "rules", "seam"]));
+    assert_eq!(reach("links"), set(&["log", "membership", "seam"]));
     assert!(!reach("pool").contains("http1") && !reach("pool").contains("thrift"));
     assert!(!reach("thrift").contains("http1") && !reach("http1").contains("thrift"));
     assert!(!reach("discovery").contains("pool"));
