--- a/crates/assembly/src/agreement.rs
+++ b/crates/assembly/src/agreement.rs
@@ -8,7 +8,7 @@
 use sillward_config::Config;
 use sillward_forwarding::{Lapse, Live};
 use sillward_council::{Council, Terms};
-use sillward_links::Fleet;
+use sillward_peer_transport::Fleet;
 use sillward_operator::AgreementTerms;
 use sillward_membership::Name;
 use sillward_rules::{Key, Reading, Repeat as Agreed, Rules, Value, Version};
--- a/crates/assembly/src/fleet.rs
+++ b/crates/assembly/src/fleet.rs
@@ -1,8 +1,8 @@
 //! The fleet that the node is a member of, where the operator file names one.
 
 use sillward_config::Config;
-use sillward_links::envelope::Keys;
-use sillward_links::{Fleet, Terms};
+use sillward_peer_transport::envelope::Keys;
+use sillward_peer_transport::{Fleet, Terms};
 use sillward_log::log;
 use sillward_operator::FleetTerms;
 use sillward_membership::{About, Name};
--- a/crates/assembly/src/fronts.rs
+++ b/crates/assembly/src/fronts.rs
@@ -8,7 +8,7 @@
 use sillward_forwarding::{Budget, Intake, Live, Message};
 use sillward_council::Council;
 use sillward_handover::Holding;
-use sillward_links::Fleet;
+use sillward_peer_transport::Fleet;
 use sillward_listener::{Door, Hold, Life};
 use sillward_log::log;
 use sillward_endpoints::Membership;
@@ -125,7 +125,7 @@
                 page("/admin/membership/sources", pages::sources),
             ];
             all.extend(fleet.clone().map(|fleet| {
-                let page = move || Reply::json(sillward_links::page::fleet(&fleet));
+                let page = move || Reply::json(sillward_peer_transport::page::fleet(&fleet));
                 Route::new(Method::GET, "/admin/fleet", page)
             }));
             all.extend(council.iter().map(|council| agreement::page(council, &self.live)));
--- a/crates/ground/src/fleet.rs
+++ b/crates/ground/src/fleet.rs
@@ -5,7 +5,7 @@
 use crate::relays::Relays;
 use crate::script::{Fault, Folder, Places, What};
 use serde_json::{Value, json};
-use sillward_links::envelope::{Envelopes, Keys, Sealed};
+use sillward_peer_transport::envelope::{Envelopes, Keys, Sealed};
 use sillward_membership::words::{Frame, Update};
 use sillward_membership::{Life, Name};
 use standins::peers::{Backend, Client, Discovery, Reply, config, entry_in, list, ok, settings};
--- a/crates/ground/src/relays.rs
+++ b/crates/ground/src/relays.rs
@@ -3,7 +3,7 @@
 
 use crate::history::History;
 use serde_json::json;
-use sillward_links::envelope::{Envelopes, Sealed};
+use sillward_peer_transport::envelope::{Envelopes, Sealed};
 use sillward_membership::Life;
 use standins::random::Random;
 use std::cmp::Reverse;
--- a/crates/links/tests/golden.rs
+++ b/crates/peer-transport/tests/golden.rs
@@ -1,9 +1,9 @@
 //! Golden bytes of envelopes, of a link's messages and of the file that keeps the last incarnation.
 
 use prost::Message;
-use sillward_links::envelope::{Envelopes, Keys, Sealed};
-use sillward_links::memory;
-use sillward_links::session::{Channel, Hello, Long, Way};
+use sillward_peer_transport::envelope::{Envelopes, Keys, Sealed};
+use sillward_peer_transport::memory;
+use sillward_peer_transport::session::{Channel, Hello, Long, Way};
 use sillward_membership::words::{Frame, Kind};
 use sillward_membership::{Life, Name};
 
--- a/crates/links/tests/wire.rs
+++ b/crates/peer-transport/tests/wire.rs
@@ -3,11 +3,11 @@
 
 use proptest::prelude::*;
 use prost::Message;
-use sillward_links::envelope::{Dropped, Envelopes, Keys, Sealed};
-use sillward_links::guard::Guard;
-use sillward_links::memory;
-use sillward_links::outbox::{self, Outbox, Posted};
-use sillward_links::session::{Channel, Hello, Way};
+use sillward_peer_transport::envelope::{Dropped, Envelopes, Keys, Sealed};
+use sillward_peer_transport::guard::Guard;
+use sillward_peer_transport::memory;
+use sillward_peer_transport::outbox::{self, Outbox, Posted};
+use sillward_peer_transport::session::{Channel, Hello, Way};
 use sillward_membership::words::{Frame, Kind, Told, Update};
 use sillward_membership::{Life, Name};
 use std::collections::BTreeSet;
