--- a/crates/agreement/src/kept.rs
+++ b/crates/agreement/src/kept.rs
@@ -6,7 +6,7 @@
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::{Entry, Snapshot, StopSign, Storage, StorageOp, StorageResult};
 use serde::{Deserialize, Serialize};
-use sillward_rules::History;
+use sillward_fleet_settings::History;
 use std::cell::RefCell;
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/agreement/src/node.rs
+++ b/crates/agreement/src/node.rs
@@ -3,7 +3,7 @@
 use crate::Terms;
 use crate::rights::Holder;
 use crate::words::{Answer, Ask};
-use sillward_rules::{History, Standing, Version};
+use sillward_fleet_settings::{History, Standing, Version};
 use std::time::Duration;
 
 /// Between two tries to get versions that are known of.
--- a/crates/agreement/src/rights.rs
+++ b/crates/agreement/src/rights.rs
@@ -9,7 +9,7 @@
 use crate::words::{Answer, Ask};
 use crate::{Plant, Terms, majority};
 use sillward_membership::Name;
-use sillward_rules::Standing;
+use sillward_fleet_settings::Standing;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
--- a/crates/agreement/src/voter.rs
+++ b/crates/agreement/src/voter.rs
@@ -8,7 +8,7 @@
 use omnipaxos::messages::Message;
 use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
 use sillward_membership::Name;
-use sillward_rules::{History, MOST_WHY, Rules, Version};
+use sillward_fleet_settings::{History, MOST_WHY, Rules, Version};
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
--- a/crates/agreement/src/words.rs
+++ b/crates/agreement/src/words.rs
@@ -1,7 +1,7 @@
 //! What is said between nodes and voters, as it goes over the wire.
 
 use serde::{Deserialize, Serialize};
-use sillward_rules::Version;
+use sillward_fleet_settings::Version;
 
 /// A node asks for the right to act.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
--- a/crates/agreement/tests/fleet.rs
+++ b/crates/agreement/tests/fleet.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use sillward_agreement::{Plant, Terms};
-use sillward_rules::{Key, Repeat, Rules, Value};
+use sillward_fleet_settings::{Key, Repeat, Rules, Value};
 use std::time::Duration;
 use world::{Disk, Fault, World, ms};
 
--- a/crates/agreement/tests/golden.rs
+++ b/crates/agreement/tests/golden.rs
@@ -5,7 +5,7 @@
 use prost::Message;
 use sillward_agreement::kept::{Base, Kept, Memory};
 use sillward_agreement::words::{Answer, Ask, Between, Fetch, Long, Proposal, Sealed, Ticket, Word};
-use sillward_rules::{Key, Repeat, Rules, Value, Version};
+use sillward_fleet_settings::{Key, Repeat, Rules, Value, Version};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
--- a/crates/agreement/tests/world/mod.rs
+++ b/crates/agreement/tests/world/mod.rs
@@ -9,7 +9,7 @@
 use sillward_agreement::words::{Answer, Ask, Proposal, Sealed};
 use sillward_agreement::{Terms, voter::Event};
 use sillward_membership::Name;
-use sillward_rules::{Key, Reading, Rules, Value, Version};
+use sillward_fleet_settings::{Key, Reading, Rules, Value, Version};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
--- a/crates/assembly/src/agreement.rs
+++ b/crates/assembly/src/agreement.rs
@@ -11,7 +11,7 @@
 use sillward_peer_transport::Fleet;
 use sillward_operator::AgreementTerms;
 use sillward_membership::Name;
-use sillward_rules::{Key, Reading, Repeat as Agreed, Rules, Value, Version};
+use sillward_fleet_settings::{Key, Reading, Repeat as Agreed, Rules, Value, Version};
 use sillward_seam::Clock;
 use sillward_seam::task::spawn_local;
 use std::rc::Rc;
@@ -137,7 +137,7 @@
 }
 
 /// What of a change clashes with this node's own settings, a line each.
-pub fn clashes(site: &Site, rules: &sillward_rules::Rules) -> Vec<String> {
+pub fn clashes(site: &Site, rules: &sillward_fleet_settings::Rules) -> Vec<String> {
     let unknown = rules.iter().filter_map(|(key, value)| {
         if let (Key::Repeat(class), Value::Repeat(Agreed::Keyed(_))) = (key, value) {
             let terms = site.class(class).and_then(|place| site.settings.classes.get(place));
--- a/crates/council/src/lib.rs
+++ b/crates/council/src/lib.rs
@@ -15,7 +15,7 @@
 use sillward_peer_transport::outbox::Posted;
 use sillward_log::log;
 use sillward_membership::{Name, State};
-use sillward_rules::{History, Key, Reading, Rules, Standing, Version};
+use sillward_fleet_settings::{History, Key, Reading, Rules, Standing, Version};
 use sillward_seam::task::spawn_local;
 use sillward_seam::time::sleep_until;
 use sillward_seam::{Clock, files, random};
@@ -457,7 +457,7 @@
             // Of whom nothing is known yet, nothing is held against it: it goes by the careful reading if it must.
             let blind = living.filter(|member| {
                 let speaks = &member.about.speaks;
-                !speaks.is_empty() && !speaks.iter().any(|word| word == sillward_rules::SPEAKS)
+                !speaks.is_empty() && !speaks.iter().any(|word| word == sillward_fleet_settings::SPEAKS)
             });
             blind.map(|member| format!("{} (build {})", member.name.as_str(), member.about.build)).collect()
         });
--- a/crates/rules/tests/readings.rs
+++ b/crates/fleet-settings/tests/readings.rs
@@ -1,7 +1,7 @@
 //! What is read of a key that several versions name, or none, or that nobody may act on.
 
 use proptest::prelude::*;
-use sillward_rules::{History, Key, MOST_KEPT, Repeat, Rules, Standing, Taken, Value, Version, differences};
+use sillward_fleet_settings::{History, Key, MOST_KEPT, Repeat, Rules, Standing, Taken, Value, Version, differences};
 
 fn class() -> Key {
     Key::Repeat("tally-correct".to_owned())
--- a/crates/ground/src/settings.rs
+++ b/crates/ground/src/settings.rs
@@ -10,7 +10,7 @@
 use crate::relays::Way;
 use crate::script::{Fault, Folder, What, Which};
 use serde_json::{Value, json};
-use sillward_rules::{Key, Repeat, Rules, Value as Held};
+use sillward_fleet_settings::{Key, Repeat, Rules, Value as Held};
 use standins::peers::Client;
 use standins::random::Random;
 use std::collections::BTreeMap;
--- a/crates/operator/src/agreement.rs
+++ b/crates/operator/src/agreement.rs
@@ -2,7 +2,7 @@
 
 use crate::Fault;
 use crate::reader::{Reader, Section};
-use sillward_rules::{Key, Repeat, Rules, Value};
+use sillward_fleet_settings::{Key, Repeat, Rules, Value};
 use std::path::PathBuf;
 use std::time::Duration;
 
--- a/src/ctl.rs
+++ b/src/ctl.rs
@@ -2,7 +2,7 @@
 
 use clap::{Args, Subcommand};
 use serde_json::Value;
-use sillward_rules::{Rules, differences};
+use sillward_fleet_settings::{Rules, differences};
 use sillward_seam::Stream;
 use sillward_seam::net::TcpStream;
 use sillward_seam::random;
@@ -288,7 +288,7 @@
         Settings::Diff { from, to } => {
             let page = look(admin).await?;
             let all = differences(&held(&page, *from)?, &held(&page, *to)?);
-            let line = |d: &sillward_rules::Difference| {
+            let line = |d: &sillward_fleet_settings::Difference| {
                 let word = if d.contradicts { "contradicts" } else { "holds at once" };
                 format!("{}: {} -> {} ({word})", d.key, d.from, d.to)
             };
