--- a/crates/assembly/src/agreement.rs
+++ b/crates/assembly/src/agreement.rs
@@ -4,7 +4,7 @@
 use sillward_balancer::settings::Site;
 use hyper::{Method, StatusCode};
 use sillward_admin::{Posted, Reply, Route};
-use sillward_agreement::Terms as Times;
+use sillward_consensus::Terms as Times;
 use sillward_config::Config;
 use sillward_forwarding::{Lapse, Live};
 use sillward_council::{Council, Terms};
@@ -56,7 +56,7 @@
 
 #[cfg(feature = "faults")]
 fn planted(times: Times) -> Times {
-    use sillward_agreement::Plant;
+    use sillward_consensus::Plant;
     let plant = match sillward_seam::told("SILLWARD_FAULT_PLANT").as_deref() {
         Some("from-arrival") => Some(Plant::FromArrival),
         Some("no-sync") => Some(Plant::NoSync),
--- a/crates/agreement/tests/fleet.rs
+++ b/crates/consensus/tests/fleet.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use sillward_agreement::{Plant, Terms};
+use sillward_consensus::{Plant, Terms};
 use sillward_fleet_settings::{Key, Repeat, Rules, Value};
 use std::time::Duration;
 use world::{Disk, Fault, World, ms};
--- a/crates/agreement/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -3,8 +3,8 @@
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::{Snapshot, Storage, StorageOp};
 use prost::Message;
-use sillward_agreement::kept::{Base, Kept, Memory};
-use sillward_agreement::words::{Answer, Ask, Between, Fetch, Long, Proposal, Sealed, Ticket, Word};
+use sillward_consensus::kept::{Base, Kept, Memory};
+use sillward_consensus::words::{Answer, Ask, Between, Fetch, Long, Proposal, Sealed, Ticket, Word};
 use sillward_fleet_settings::{Key, Repeat, Rules, Value, Version};
 
 fn hex(bytes: &[u8]) -> String {
--- a/crates/agreement/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -1,12 +1,12 @@
-//! The rights of [`sillward_agreement::rights`], over all orders at a small size: three voters, some nodes, one version that
+//! The rights of [`sillward_consensus::rights`], over all orders at a small size: three voters, some nodes, one version that
 //! contradicts the one in force. A voter's consent counts as soon as it would give it, to whomever: as if there were other
 //! nodes without number that act on the new version the moment they may. Whatever was sent may come at any time, any number of times or never, before or after a
 //! voter's restart; a node does nothing for as long as it likes; one clock lags behind by a tick, as far as the drift that is
 //! stated.
 
-use sillward_agreement::rights::{Granter, Holder};
-use sillward_agreement::words::{Answer, Ask};
-use sillward_agreement::{Plant, Terms};
+use sillward_consensus::rights::{Granter, Holder};
+use sillward_consensus::words::{Answer, Ask};
+use sillward_consensus::{Plant, Terms};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
--- a/crates/agreement/tests/parts.rs
+++ b/crates/consensus/tests/parts.rs
@@ -1,9 +1,9 @@
 //! Parts by themselves: a voter's file, and rights where answers are lost.
 
-use sillward_agreement::kept::Kept;
-use sillward_agreement::rights::{Granter, Holder};
-use sillward_agreement::words::Ask;
-use sillward_agreement::{Plant, Terms, majority};
+use sillward_consensus::kept::Kept;
+use sillward_consensus::rights::{Granter, Holder};
+use sillward_consensus::words::Ask;
+use sillward_consensus::{Plant, Terms, majority};
 use std::time::Duration;
 
 const LOG: u64 = 7;
--- a/crates/agreement/tests/world/mod.rs
+++ b/crates/consensus/tests/world/mod.rs
@@ -3,11 +3,11 @@
 
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
-use sillward_agreement::kept::Kept;
-use sillward_agreement::node::{self, Node};
-use sillward_agreement::voter::{self, Stands, Voter};
-use sillward_agreement::words::{Answer, Ask, Proposal, Sealed};
-use sillward_agreement::{Terms, voter::Event};
+use sillward_consensus::kept::Kept;
+use sillward_consensus::node::{self, Node};
+use sillward_consensus::voter::{self, Stands, Voter};
+use sillward_consensus::words::{Answer, Ask, Proposal, Sealed};
+use sillward_consensus::{Terms, voter::Event};
 use sillward_membership::Name;
 use sillward_fleet_settings::{Key, Reading, Rules, Value, Version};
 use std::cmp::Reverse;
--- a/crates/council/src/lib.rs
+++ b/crates/council/src/lib.rs
@@ -1,4 +1,4 @@
-//! What carries the agreement between the fleet's processes and to the disk: [`sillward_agreement`] decides, this does. One
+//! What carries the agreement between the fleet's processes and to the disk: [`sillward_consensus`] decides, this does. One
 //! loop takes all that comes, in its order; nothing is decided where it comes in.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -6,11 +6,11 @@
 pub mod page;
 
 use prost::Message;
-use sillward_agreement::Terms as Times;
-use sillward_agreement::kept::{FILE, Kept, MOST};
-use sillward_agreement::node::{self, Node};
-use sillward_agreement::voter::{self, MOST_PROPOSAL, Voter};
-use sillward_agreement::words::{Answer, Ask, Fetch, Long, Proposal, Sealed, Word};
+use sillward_consensus::Terms as Times;
+use sillward_consensus::kept::{FILE, Kept, MOST};
+use sillward_consensus::node::{self, Node};
+use sillward_consensus::voter::{self, MOST_PROPOSAL, Voter};
+use sillward_consensus::words::{Answer, Ask, Fetch, Long, Proposal, Sealed, Word};
 use sillward_peer_transport::Fleet;
 use sillward_peer_transport::outbox::Posted;
 use sillward_log::log;
--- a/crates/council/src/page.rs
+++ b/crates/council/src/page.rs
@@ -2,7 +2,7 @@
 
 use crate::Council;
 use serde_json::{Value, json};
-use sillward_agreement::voter::Stands;
+use sillward_consensus::voter::Stands;
 use sillward_fleet_settings::Key;
 
 /// The page; `more` are keys that the node's own file names.
