--- a/crates/assembly/src/agreement.rs
+++ b/crates/assembly/src/agreement.rs
@@ -7,7 +7,7 @@
 use sillward_consensus::Terms as Times;
 use sillward_config::Config;
 use sillward_forwarding::{Lapse, Live};
-use sillward_council::{Council, Terms};
+use sillward_consensus_io::{Council, Terms};
 use sillward_peer_transport::Fleet;
 use sillward_operator::AgreementTerms;
 use sillward_membership::Name;
@@ -157,7 +157,7 @@
 /// What is agreed on, for operators.
 pub fn page(council: &Rc<Council>, live: &Rc<Live>) -> Route {
     let (council, live) = (council.clone(), live.clone());
-    let text = move || Reply::json(sillward_council::page::settings(&council, &keys(&live.get())));
+    let text = move || Reply::json(sillward_consensus_io::page::settings(&council, &keys(&live.get())));
     Route::new(Method::GET, "/admin/settings", text)
 }
 
--- a/crates/assembly/src/fronts.rs
+++ b/crates/assembly/src/fronts.rs
@@ -6,7 +6,7 @@
 use sillward_admin::{Admin, Posted, Reply, Route};
 use sillward_config::Config;
 use sillward_forwarding::{Budget, Intake, Live, Message};
-use sillward_council::Council;
+use sillward_consensus_io::Council;
 use sillward_handover::Holding;
 use sillward_peer_transport::Fleet;
 use sillward_listener::{Door, Hold, Life};
--- a/crates/assembly/src/lib.rs
+++ b/crates/assembly/src/lib.rs
@@ -15,7 +15,7 @@
 use sillward_balancer::settings::Site;
 use sillward_config::Config;
 use sillward_forwarding::{Backends, Budget, Dispatch, Gauges, Intake, Lapse, Live, Message, Node, Reports};
-use sillward_council::Council;
+use sillward_consensus_io::Council;
 use sillward_listener::{Door, Life};
 use sillward_log::log;
 use sillward_metrics::Counters;
@@ -53,7 +53,7 @@
     /// The fleet, where the node is a member of one.
     pub fleet: Option<Rc<sillward_peer_transport::Fleet>>,
     /// The agreement, where the node takes part in one.
-    pub council: Option<Rc<sillward_council::Council>>,
+    pub council: Option<Rc<sillward_consensus_io::Council>>,
 }
 
 /// Stands between the node and its backends' protocols. The program has none; the simulation plants faults so.
@@ -101,14 +101,14 @@
     if faults.is_empty() { Ok(()) } else { Err(faults.join("\n")) }
 }
 
-/// Founds this voter's folder, once and on purpose: see [`sillward_council::found`].
+/// Founds this voter's folder, once and on purpose: see [`sillward_consensus_io::found`].
 ///
 /// # Errors
 /// There is no `[agreement]`, this node is no voter, or its folder is founded already.
 pub fn found(config: &Config, operator: &Operator) -> Result<String, String> {
     let terms = operator.agreement.as_ref().ok_or("the operator file has no [agreement]")?;
     let name = sillward_membership::Name::new(&config.name).ok_or("this node's name can't be a member's")?;
-    sillward_council::found(&agreement::terms(config, terms)?, &name)
+    sillward_consensus_io::found(&agreement::terms(config, terms)?, &name)
 }
 
 /// Runs a node until it is told to stop and has ended in good order. `shown` is called once, when its parts stand.
--- a/tests/seam.rs
+++ b/tests/seam.rs
@@ -153,7 +153,7 @@
     assert_eq!((reach("membership"), reach("fleet-settings")), (set(&[]), set(&[])));
     assert_eq!(reach("consensus"), set(&["membership", "fleet-settings"]));
     assert_eq!(reach("outcomes"), set(&["membership"]));
-    assert_eq!(reach("council"), set(&["consensus", "peer-transport", "log", "membership", "fleet-settings", "seam"]));
+    assert_eq!(reach("consensus-io"), set(&["consensus", "peer-transport", "log", "membership", "fleet-settings", "seam"]));
     assert_eq!(reach("peer-transport"), set(&["log", "membership", "seam"]));
     assert!(!reach("pool").contains("http1") && !reach("pool").contains("thrift"));
     assert!(!reach("thrift").contains("http1") && !reach("http1").contains("thrift"));
