--- a/crates/assembly/src/outcomes.rs
+++ b/crates/assembly/src/outcomes.rs
@@ -8,7 +8,7 @@
 use sillward_forwarding::{Live, Witness};
 use sillward_peer_transport::Fleet;
 use sillward_peer_transport::outbox::Posted;
-use sillward_outcomes::{Action, Backend, Cell, Class, End, Spread, Terms};
+use sillward_outcome_stats::{Action, Backend, Cell, Class, End, Spread, Terms};
 use sillward_membership::{Life, Name};
 use sillward_seam::task::spawn_local;
 use sillward_seam::time::{sleep_until, timeout_at};
--- a/crates/operator/src/outcomes.rs
+++ b/crates/operator/src/outcomes.rs
@@ -1,7 +1,7 @@
 //! The table `[outcomes]`.
 
 use crate::reader::Section;
-use sillward_outcomes::Terms;
+use sillward_outcome_stats::Terms;
 use std::time::Duration;
 
 pub fn read(section: &Section<'_>) -> Terms {
--- a/crates/outcomes/tests/fleet.rs
+++ b/crates/outcome-stats/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use sillward_outcomes::{Backend, Cell, Plant, Terms};
+use sillward_outcome_stats::{Backend, Cell, Plant, Terms};
 use std::time::Duration;
 use world::*;
 
--- a/crates/outcomes/tests/golden.rs
+++ b/crates/outcome-stats/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Golden bytes of the statistics that nodes tell each other.
 
 use prost::Message;
-use sillward_outcomes::words::{Answer, Ask, Said, Told, mark, pack, unpack};
-use sillward_outcomes::{Asked, Backend, Cell, Class, Counts, Tally};
+use sillward_outcome_stats::words::{Answer, Ask, Said, Told, mark, pack, unpack};
+use sillward_outcome_stats::{Asked, Backend, Cell, Class, Counts, Tally};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
--- a/crates/outcomes/tests/parts.rs
+++ b/crates/outcome-stats/tests/parts.rs
@@ -1,8 +1,8 @@
 //! Counts, sketches and boards add up in any order; whatever is read from others is read or dropped, and never more.
 
 use proptest::prelude::*;
-use sillward_outcomes::words::{MOST, pack, unpack};
-use sillward_outcomes::{Asked, Backend, Cell, Class, Counts, Sketch, Spread, Tally, Terms};
+use sillward_outcome_stats::words::{MOST, pack, unpack};
+use sillward_outcome_stats::{Asked, Backend, Cell, Class, Counts, Sketch, Spread, Tally, Terms};
 use sillward_membership::{Life, Name};
 use std::time::Duration;
 
@@ -155,8 +155,8 @@
     let asked = spread.turn(now, life, [(&other, life)].into_iter());
     assert_eq!(asked.len(), 1);
     use prost::Message;
-    let answer = sillward_outcomes::words::Answer { number: 1, ..Default::default() };
-    let said = sillward_outcomes::words::Said { ask: None, answer: Some(answer) };
+    let answer = sillward_outcome_stats::words::Answer { number: 1, ..Default::default() };
+    let said = sillward_outcome_stats::words::Said { ask: None, answer: Some(answer) };
     spread.heard(now, &other, life, &said.encode_to_vec());
     assert!(spread.fresh() <= window && spread.view(now).share.living == 2);
 }
@@ -179,7 +179,7 @@
 #[test]
 fn a_word_that_nobody_asked_for_is_not_believed() {
     use prost::Message;
-    use sillward_outcomes::words::{Answer, Said, Told};
+    use sillward_outcome_stats::words::{Answer, Said, Told};
     let (me, other) = (Name::new("a").expect("a name"), Name::new("b").expect("a name"));
     let (life, now) = (Life { epoch: 1, salt: 7 }, Duration::from_secs(5));
     let mut spread = Spread::new(Terms::default(), me, life, 1, now);
--- a/crates/outcomes/tests/world/mod.rs
+++ b/crates/outcome-stats/tests/world/mod.rs
@@ -4,7 +4,7 @@
 
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
-use sillward_outcomes::{Action, Backend, Cell, Class, End, Plant, Spread, Terms, View};
+use sillward_outcome_stats::{Action, Backend, Cell, Class, End, Plant, Spread, Terms, View};
 use sillward_membership::{Life, Name};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/tests/seam.rs
+++ b/tests/seam.rs
@@ -39,7 +39,7 @@
     ("assembly", "watch::channel"),
     ("src", "watch::channel"),
     ("balancer", "rand_pcg"),
-    ("outcomes", "rand_pcg"),
+    ("outcome-stats", "rand_pcg"),
     ("membership", "rand_pcg"),
     ("config", "std::env"),
     ("config", "std::fs"),
@@ -152,7 +152,7 @@
     assert_eq!((reach("lifecycle"), reach("handover")), (set(&[]), set(&[])));
     assert_eq!((reach("membership"), reach("fleet-settings")), (set(&[]), set(&[])));
     assert_eq!(reach("consensus"), set(&["membership", "fleet-settings"]));
-    assert_eq!(reach("outcomes"), set(&["membership"]));
+    assert_eq!(reach("outcome-stats"), set(&["membership"]));
     assert_eq!(reach("consensus-io"), set(&["consensus", "peer-transport", "log", "membership", "fleet-settings", "seam"]));
     assert_eq!(reach("peer-transport"), set(&["log", "membership", "seam"]));
     assert!(!reach("pool").contains("http1") && !reach("pool").contains("thrift"));
