--- a/crates/assembly/src/fronts.rs
+++ b/crates/assembly/src/fronts.rs
@@ -7,7 +7,7 @@
 use sillward_config::Config;
 use sillward_forwarding::{Budget, Intake, Live, Message};
 use sillward_consensus_io::Council;
-use sillward_handover::Holding;
+use sillward_hot_restart::Holding;
 use sillward_peer_transport::Fleet;
 use sillward_listener::{Door, Hold, Life};
 use sillward_log::log;
--- a/crates/assembly/src/handover.rs
+++ b/crates/assembly/src/handover.rs
@@ -2,7 +2,7 @@
 //! hold it. Decides nothing.
 
 use sillward_forwarding::{Budget, Lease};
-use sillward_handover::{Event, Holding, LONGEST_LINE, Shares, line, read};
+use sillward_hot_restart::{Event, Holding, LONGEST_LINE, Shares, line, read};
 use sillward_listener::Door;
 use sillward_log::{log, log_peer};
 use sillward_pool::Sockets;
--- a/crates/handover/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Golden text of the line that an older process of a node writes to the newer one.
 
-use sillward_handover::{Holding, line, read};
+use sillward_hot_restart::{Holding, line, read};
 
 #[test]
 fn the_line_of_what_is_held_keeps_its_text() {
--- a/tests/seam.rs
+++ b/tests/seam.rs
@@ -149,7 +149,7 @@
     assert_eq!(reach("balancer"), set(&[]));
     assert_eq!(reach("endpoints"), set(&["balancer"]));
     assert_eq!(reach("forwarding"), set(&["balancer", "log", "metrics", "seam"]));
-    assert_eq!((reach("lifecycle"), reach("handover")), (set(&[]), set(&[])));
+    assert_eq!((reach("lifecycle"), reach("hot-restart")), (set(&[]), set(&[])));
     assert_eq!((reach("membership"), reach("fleet-settings")), (set(&[]), set(&[])));
     assert_eq!(reach("consensus"), set(&["membership", "fleet-settings"]));
     assert_eq!(reach("outcome-stats"), set(&["membership"]));
