--- a/crates/assembly/src/agreement.rs
+++ b/crates/assembly/src/agreement.rs
@@ -12,8 +12,8 @@
 use sillward_operator::AgreementTerms;
 use sillward_membership::Name;
 use sillward_fleet_settings::{Key, Reading, Repeat as Agreed, Rules, Value, Version};
-use sillward_seam::Clock;
-use sillward_seam::task::spawn_local;
+use sillward_runtime::Clock;
+use sillward_runtime::task::spawn_local;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Notify;
@@ -57,7 +57,7 @@
 #[cfg(feature = "faults")]
 fn planted(times: Times) -> Times {
     use sillward_consensus::Plant;
-    let plant = match sillward_seam::told("SILLWARD_FAULT_PLANT").as_deref() {
+    let plant = match sillward_runtime::told("SILLWARD_FAULT_PLANT").as_deref() {
         Some("from-arrival") => Some(Plant::FromArrival),
         Some("no-sync") => Some(Plant::NoSync),
         Some("skip-wait") => Some(Plant::SkipWait),
--- a/crates/assembly/src/fleet.rs
+++ b/crates/assembly/src/fleet.rs
@@ -6,8 +6,8 @@
 use sillward_log::log;
 use sillward_operator::FleetTerms;
 use sillward_membership::{About, Name};
-use sillward_seam::task::spawn_local;
-use sillward_seam::{Clock, files};
+use sillward_runtime::task::spawn_local;
+use sillward_runtime::{Clock, files};
 use std::rc::Rc;
 
 /// The shortest and the longest key, in bytes.
@@ -95,13 +95,13 @@
 /// The ground tells one build from another by this.
 #[cfg(feature = "faults")]
 fn build() -> String {
-    sillward_seam::told("SILLWARD_FAULT_BUILD").unwrap_or_else(|| env!("CARGO_PKG_VERSION").to_owned())
+    sillward_runtime::told("SILLWARD_FAULT_BUILD").unwrap_or_else(|| env!("CARGO_PKG_VERSION").to_owned())
 }
 
 #[cfg(feature = "faults")]
 fn planted(peers: sillward_membership::Terms) -> sillward_membership::Terms {
     use sillward_membership::Plant;
-    let plant = match sillward_seam::told("SILLWARD_FAULT_PLANT").as_deref() {
+    let plant = match sillward_runtime::told("SILLWARD_FAULT_PLANT").as_deref() {
         Some("no-incarnation") => Some(Plant::NoIncarnation),
         Some("one-way-blind") => Some(Plant::OneWayBlind),
         Some("never-forget") => Some(Plant::NeverForget),
--- a/crates/assembly/src/handover/tests.rs
+++ b/crates/assembly/src/handover/tests.rs
@@ -1,8 +1,8 @@
 //! Words between two processes where one of them does not read.
 
 use super::*;
-use sillward_seam::task::block_on;
-use sillward_seam::time::Instant;
+use sillward_runtime::task::block_on;
+use sillward_runtime::time::Instant;
 
 /// Only ends a test that has gone wrong.
 const PATIENCE: Duration = Duration::from_secs(10);
--- a/crates/assembly/src/pages.rs
+++ b/crates/assembly/src/pages.rs
@@ -2,7 +2,7 @@
 
 use sillward_balancer::ServerState;
 use sillward_endpoints::{Membership, Standing};
-use sillward_seam::Clock;
+use sillward_runtime::Clock;
 use std::cell::RefCell;
 use std::fmt::Write;
 use std::rc::Rc;
--- a/crates/endpoint-updates/src/lib.rs
+++ b/crates/endpoint-updates/src/lib.rs
@@ -4,8 +4,8 @@
 use sillward_balancer::{ListKind, ServerId};
 use sillward_forwarding::{Backend, Message, News};
 use sillward_endpoints::{Line, Membership};
-use sillward_seam::Clock;
-use sillward_seam::time::{Instant, sleep_until};
+use sillward_runtime::Clock;
+use sillward_runtime::time::{Instant, sleep_until};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/etcd/src/grpc.rs
+++ b/crates/etcd/src/grpc.rs
@@ -4,8 +4,8 @@
 use h2::client::SendRequest;
 use h2::{RecvStream, SendStream};
 use http::{HeaderMap, HeaderValue, Request};
-use sillward_seam::net::TcpStream;
-use sillward_seam::task::{JoinHandle, spawn_local};
+use sillward_runtime::net::TcpStream;
+use sillward_runtime::task::{JoinHandle, spawn_local};
 use std::net::SocketAddr;
 
 /// The largest message that is taken: a page of the list is far below.
--- a/crates/etcd/src/session.rs
+++ b/crates/etcd/src/session.rs
@@ -6,7 +6,7 @@
 
 use crate::proto::{EventType, KeyValue, RangeResponse, WatchResponse};
 use bytes::Bytes;
-use sillward_seam::random::Random;
+use sillward_runtime::random::Random;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/forwarding/src/intake.rs
+++ b/crates/forwarding/src/intake.rs
@@ -2,7 +2,7 @@
 
 use crate::{Answer, Call, Message};
 use sillward_balancer::{NewRequest, RequestId};
-use sillward_seam::Clock;
+use sillward_runtime::Clock;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/http1/src/ahead.rs
+++ b/crates/http1/src/ahead.rs
@@ -7,7 +7,7 @@
 use bytes::{Buf, BytesMut};
 use sillward_forwarding::{Budget, Lease};
 use sillward_listener::Client;
-use sillward_seam::Stream;
+use sillward_runtime::Stream;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::task::{Context, Poll};
--- a/crates/http1/src/backend.rs
+++ b/crates/http1/src/backend.rs
@@ -18,9 +18,9 @@
 use sillward_log::log_peer;
 use sillward_metrics::Counters;
 use sillward_pool::{Connection, Pool, Protocol, Terms};
-use sillward_seam::Stream;
-use sillward_seam::task::{AbortHandle, spawn_local};
-use sillward_seam::time::{Instant, Sleep, sleep, timeout, timeout_at};
+use sillward_runtime::Stream;
+use sillward_runtime::task::{AbortHandle, spawn_local};
+use sillward_runtime::time::{Instant, Sleep, sleep, timeout, timeout_at};
 use std::cell::{Cell, RefCell};
 use std::io::{self, ErrorKind::InvalidData, ErrorKind::InvalidInput};
 use std::net::SocketAddr;
--- a/crates/http1/src/backend/tests.rs
+++ b/crates/http1/src/backend/tests.rs
@@ -2,9 +2,9 @@
 use sillward_balancer::{ListKind, RequestId, ServerEntry, ServerState};
 use sillward_forwarding::{Call, Live};
 use sillward_pool::Sockets;
-use sillward_seam::Clock;
-use sillward_seam::net::TcpListener;
-use sillward_seam::task::block_on;
+use sillward_runtime::Clock;
+use sillward_runtime::net::TcpListener;
+use sillward_runtime::task::block_on;
 
 const SITE: &[u8] = br#"{"Classes":[{"Name":"submit","Target":1,"GiveUp":1,"Idempotency":"free"}]}"#;
 const SERVER: ServerId = ServerId(1);
--- a/crates/http1/src/front.rs
+++ b/crates/http1/src/front.rs
@@ -16,9 +16,9 @@
 use sillward_listener::{Client, Door, LINGER, Life, READ_PAST, Serve};
 use sillward_log::log_peer;
 use sillward_metrics::{Counters, End};
-use sillward_seam::Stream;
-use sillward_seam::task::spawn_local;
-use sillward_seam::time::Instant;
+use sillward_runtime::Stream;
+use sillward_runtime::task::spawn_local;
+use sillward_runtime::time::Instant;
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
 use std::convert::Infallible;
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -12,7 +12,7 @@
 use hyper::{Method, StatusCode};
 use sillward_forwarding::{BODY_LIMIT, Budget, KEPT_BODY, READ_BUFFER, WHOLE_ANSWER, key_number};
 use sillward_log::log_peer;
-use sillward_seam::time::{Instant, timeout, timeout_at};
+use sillward_runtime::time::{Instant, timeout, timeout_at};
 use std::time::Duration;
 
 const LONGEST_BUDGET_MS: u64 = 600_000;
--- a/crates/http1/src/socket.rs
+++ b/crates/http1/src/socket.rs
@@ -1,7 +1,7 @@
 //! The seam's stream, as hyper reads and writes it.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
-use sillward_seam::Stream;
+use sillward_runtime::Stream;
 use std::cell::RefCell;
 use std::io;
 use std::pin::Pin;
--- a/crates/listener/src/lib.rs
+++ b/crates/listener/src/lib.rs
@@ -4,10 +4,10 @@
 
 use sillward_lifecycle::{Event, Lifecycle, Said, Terms};
 use sillward_log::{log, log_peer};
-use sillward_seam::net::{TcpListener, TcpStream};
-use sillward_seam::task::spawn_local;
-use sillward_seam::time::{Instant, sleep, timeout, timeout_at};
-use sillward_seam::{Clock, Handle, Stream};
+use sillward_runtime::net::{TcpListener, TcpStream};
+use sillward_runtime::task::spawn_local;
+use sillward_runtime::time::{Instant, sleep, timeout, timeout_at};
+use sillward_runtime::{Clock, Handle, Stream};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -3,8 +3,8 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-use sillward_seam::time::Instant;
-use sillward_seam::world;
+use sillward_runtime::time::Instant;
+use sillward_runtime::world;
 use std::cell::Cell;
 use std::fmt::Display;
 use std::io::{self, Write};
--- a/crates/pool/src/tests.rs
+++ b/crates/pool/src/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use sillward_balancer::ServerEntry;
-use sillward_seam::net::TcpListener;
-use sillward_seam::task::{block_on, yield_now};
+use sillward_runtime::net::TcpListener;
+use sillward_runtime::task::{block_on, yield_now};
 
 const SERVER: ServerId = ServerId(1);
 
--- a/crates/simulation/src/dice.rs
+++ b/crates/simulation/src/dice.rs
@@ -1,7 +1,7 @@
 //! Random choices. Every party has dice of its own, made from the run's seed and its own number, so that taking one
 //! party out of a script leaves the others' throws as they were.
 
-use sillward_seam::random::Random;
+use sillward_runtime::random::Random;
 use std::ops::Range;
 
 /// Dice from a seed.
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -6,7 +6,7 @@
 use crate::parties::nodes::{Nodes, UNIX};
 use crate::parties::roster::{Line, Roster, State};
 use crate::script::{Fault, Script, What};
-use sillward_seam::time::{sleep, sleep_until};
+use sillward_runtime::time::{sleep, sleep_until};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/simulation/src/net.rs
+++ b/crates/simulation/src/net.rs
@@ -10,8 +10,8 @@
 
 use crate::dice::Dice;
 use crate::trace::Trace;
-use sillward_seam::time::{Instant, sleep_until};
-use sillward_seam::world::{self, Dial, World};
+use sillward_runtime::time::{Instant, sleep_until};
+use sillward_runtime::world::{self, Dial, World};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{self, ErrorKind};
--- a/crates/simulation/src/net/datagrams.rs
+++ b/crates/simulation/src/net/datagrams.rs
@@ -3,7 +3,7 @@
 use super::{Event, Host, Inner, Net, wake};
 use crate::dice::Dice;
 use crate::trace::Trace;
-use sillward_seam::world::{self, Datagram};
+use sillward_runtime::world::{self, Datagram};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
--- a/crates/simulation/src/parties/boxes.rs
+++ b/crates/simulation/src/parties/boxes.rs
@@ -5,7 +5,7 @@
 use crate::net::{Host, Listener, Net, Socket};
 use crate::parties::speech::{self, Inbox, call_in};
 use crate::script::{BackendPlan, COLD_SHARE, Script, WARM_MS};
-use sillward_seam::time::{sleep, timeout};
+use sillward_runtime::time::{sleep, timeout};
 use sillward_thrift::names::told;
 use sillward_thrift::wire::{Bounds, read_head};
 use std::cell::{Cell, RefCell};
--- a/crates/simulation/src/parties/clients.rs
+++ b/crates/simulation/src/parties/clients.rs
@@ -7,7 +7,7 @@
 use crate::parties::nodes::Nodes;
 use crate::parties::speech::{Inbox, call_in, find, thrift_call};
 use crate::script::{CLASSES, Manner, RequestPlan, Script};
-use sillward_seam::time::{sleep, sleep_until, timeout};
+use sillward_runtime::time::{sleep, sleep_until, timeout};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/simulation/src/parties/etcd.rs
+++ b/crates/simulation/src/parties/etcd.rs
@@ -13,7 +13,7 @@
     WatchWish,
 };
 use sillward_etcd::{Frames, framed};
-use sillward_seam::time::sleep_until;
+use sillward_runtime::time::sleep_until;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/simulation/src/parties/nodes.rs
+++ b/crates/simulation/src/parties/nodes.rs
@@ -239,7 +239,7 @@
         place.told.set(Some(self.net.now()));
         let _ = run.stop.send(true);
         let in_time =
-            sillward_seam::time::timeout(patience, run.ended.wait_for(|ended| *ended)).await.is_ok();
+            sillward_runtime::time::timeout(patience, run.ended.wait_for(|ended| *ended)).await.is_ok();
         if !in_time {
             place.killed.set(Some(self.net.now()));
             run.process.abort();
--- a/crates/simulation/src/parties/roster.rs
+++ b/crates/simulation/src/parties/roster.rs
@@ -6,7 +6,7 @@
 use crate::ledger::Ledger;
 use crate::net::{Net, Socket};
 use crate::parties::speech::Inbox;
-use sillward_seam::time::{sleep_until, timeout};
+use sillward_runtime::time::{sleep_until, timeout};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/simulation/src/plants.rs
+++ b/crates/simulation/src/plants.rs
@@ -66,10 +66,10 @@
     Some(Box::new(move |inner| {
         if plant == Plant::Busy {
             let (net, due) = (net.clone(), Duration::from_millis(900));
-            sillward_seam::task::spawn_local(async move {
-                sillward_seam::time::sleep_until(net.at(due)).await;
+            sillward_runtime::task::spawn_local(async move {
+                sillward_runtime::time::sleep_until(net.at(due)).await;
                 loop {
-                    sillward_seam::task::yield_now().await;
+                    sillward_runtime::task::yield_now().await;
                 }
             });
         }
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -12,7 +12,7 @@
 use crate::plants::Plant;
 use crate::script::{NEVER, Script};
 use crate::trace::Trace;
-use sillward_seam::time::{sleep, timeout};
+use sillward_runtime::time::{sleep, timeout};
 use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
--- a/crates/simulation/src/scoped.rs
+++ b/crates/simulation/src/scoped.rs
@@ -1,6 +1,6 @@
 //! A program in a world of its own: its tasks see that world, and end with it.
 
-use sillward_seam::world::{World, within};
+use sillward_runtime::world::{World, within};
 use std::cell::Cell;
 use std::future::Future;
 use std::pin::Pin;
--- a/crates/simulation/tests/network.rs
+++ b/crates/simulation/tests/network.rs
@@ -1,6 +1,6 @@
 //! The simulated network behaves as the kernel's: order, limits, ends and resets.
 
-use sillward_seam::time::timeout;
+use sillward_runtime::time::timeout;
 use sillward_simulation::net::{Host, Net, Socket};
 use sillward_simulation::trace::Trace;
 use std::io::ErrorKind;
--- a/crates/thrift/src/backend.rs
+++ b/crates/thrift/src/backend.rs
@@ -20,8 +20,8 @@
 use sillward_log::log_peer;
 use sillward_metrics::Counters;
 use sillward_pool::{Pool, Protocol, Terms};
-use sillward_seam::Stream;
-use sillward_seam::time::timeout;
+use sillward_runtime::Stream;
+use sillward_runtime::time::timeout;
 use std::cell::Cell;
 use std::io;
 use std::rc::Rc;
--- a/src/ctl.rs
+++ b/src/ctl.rs
@@ -3,10 +3,10 @@
 use clap::{Args, Subcommand};
 use serde_json::Value;
 use sillward_fleet_settings::{Rules, differences};
-use sillward_seam::Stream;
-use sillward_seam::net::TcpStream;
-use sillward_seam::random;
-use sillward_seam::time::{Instant, sleep, timeout};
+use sillward_runtime::Stream;
+use sillward_runtime::net::TcpStream;
+use sillward_runtime::random;
+use sillward_runtime::time::{Instant, sleep, timeout};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::path::PathBuf;
--- a/tests/seam.rs
+++ b/tests/seam.rs
@@ -1,4 +1,4 @@
-//! Time, sockets, signals and random numbers come to the program through `crates/seam` alone, packages import
+//! Time, sockets, signals and random numbers come to the program through `crates/runtime` alone, packages import
 //! one way only, and the core knows no protocol: read off the sources and manifests.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -81,7 +81,7 @@
 #[test]
 fn nothing_reaches_past_the_seam() {
     let mut past = Vec::new();
-    for (package, files) in packages().into_iter().filter(|(package, _)| package != "seam") {
+    for (package, files) in packages().into_iter().filter(|(package, _)| package != "runtime") {
         for file in files {
             let text = fs::read_to_string(&file).expect("a source");
             let mut lines = text.lines().enumerate().filter(|(_, line)| !line.trim_start().starts_with("//"));
@@ -148,13 +148,13 @@
     let set = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect::<BTreeSet<_>>();
     assert_eq!(reach("balancer"), set(&[]));
     assert_eq!(reach("endpoints"), set(&["balancer"]));
-    assert_eq!(reach("forwarding"), set(&["balancer", "log", "metrics", "seam"]));
+    assert_eq!(reach("forwarding"), set(&["balancer", "log", "metrics", "runtime"]));
     assert_eq!((reach("lifecycle"), reach("hot-restart")), (set(&[]), set(&[])));
     assert_eq!((reach("membership"), reach("fleet-settings")), (set(&[]), set(&[])));
     assert_eq!(reach("consensus"), set(&["membership", "fleet-settings"]));
     assert_eq!(reach("outcome-stats"), set(&["membership"]));
-    assert_eq!(reach("consensus-io"), set(&["consensus", "peer-transport", "log", "membership", "fleet-settings", "seam"]));
-    assert_eq!(reach("peer-transport"), set(&["log", "membership", "seam"]));
+    assert_eq!(reach("consensus-io"), set(&["consensus", "peer-transport", "log", "membership", "fleet-settings", "runtime"]));
+    assert_eq!(reach("peer-transport"), set(&["log", "membership", "runtime"]));
     assert!(!reach("pool").contains("http1") && !reach("pool").contains("thrift"));
     assert!(!reach("thrift").contains("http1") && !reach("http1").contains("thrift"));
     assert!(!reach("discovery").contains("pool"));
