--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -9,7 +9,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Response, StatusCode};
 use sillward_http1::Socket;
-use sillward_log::log_peer;
+use sillward_logging::log_peer;
 use sillward_runtime::Stream;
 use sillward_runtime::net::{TcpListener, TcpStream};
 use sillward_runtime::task::{AbortHandle, spawn_local};
--- a/crates/assembly/src/control.rs
+++ b/crates/assembly/src/control.rs
@@ -5,7 +5,7 @@
 use sillward_forwarding::Message;
 use sillward_lifecycle::{Event, Said};
 use sillward_listener::Life;
-use sillward_log::log;
+use sillward_logging::log;
 use sillward_metrics::{Counters, View};
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
--- a/crates/assembly/src/fleet.rs
+++ b/crates/assembly/src/fleet.rs
@@ -3,7 +3,7 @@
 use sillward_config::Config;
 use sillward_peer_transport::envelope::Keys;
 use sillward_peer_transport::{Fleet, Terms};
-use sillward_log::log;
+use sillward_logging::log;
 use sillward_operator::FleetTerms;
 use sillward_membership::{About, Name};
 use sillward_runtime::task::spawn_local;
--- a/crates/assembly/src/fronts.rs
+++ b/crates/assembly/src/fronts.rs
@@ -10,7 +10,7 @@
 use sillward_hot_restart::Holding;
 use sillward_peer_transport::Fleet;
 use sillward_listener::{Door, Hold, Life};
-use sillward_log::log;
+use sillward_logging::log;
 use sillward_endpoints::Membership;
 use sillward_metrics::Counters;
 use sillward_pool::Sockets;
--- a/crates/assembly/src/handover.rs
+++ b/crates/assembly/src/handover.rs
@@ -4,7 +4,7 @@
 use sillward_forwarding::{Budget, Lease};
 use sillward_hot_restart::{Event, Holding, LONGEST_LINE, Shares, line, read};
 use sillward_listener::Door;
-use sillward_log::{log, log_peer};
+use sillward_logging::{log, log_peer};
 use sillward_pool::Sockets;
 use sillward_runtime::local::{LocalListener, LocalStream};
 use sillward_runtime::time::{sleep, timeout};
--- a/crates/assembly/src/lib.rs
+++ b/crates/assembly/src/lib.rs
@@ -17,7 +17,7 @@
 use sillward_forwarding::{Backends, Budget, Dispatch, Gauges, Intake, Lapse, Live, Message, Node, Reports};
 use sillward_consensus_io::Council;
 use sillward_listener::{Door, Life};
-use sillward_log::log;
+use sillward_logging::log;
 use sillward_metrics::Counters;
 use sillward_operator::Operator;
 use sillward_pool::{Pool, Sockets, Terms};
--- a/crates/consensus-io/src/lib.rs
+++ b/crates/consensus-io/src/lib.rs
@@ -13,7 +13,7 @@
 use sillward_consensus::words::{Answer, Ask, Fetch, Long, Proposal, Sealed, Word};
 use sillward_peer_transport::Fleet;
 use sillward_peer_transport::outbox::Posted;
-use sillward_log::log;
+use sillward_logging::log;
 use sillward_membership::{Name, State};
 use sillward_fleet_settings::{History, Key, Reading, Rules, Standing, Version};
 use sillward_runtime::task::spawn_local;
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -21,7 +21,7 @@
 use hyper_util::rt::TokioIo;
 use lines::{Item, LIST_LIMIT, Lines};
 use sillward_forwarding::{Backend, Live, Message, News, Order};
-use sillward_log::{log, log_peer};
+use sillward_logging::{log, log_peer};
 use sillward_runtime::net::TcpStream;
 use sillward_runtime::random::Random;
 use sillward_runtime::task::{JoinHandle, spawn_local};
--- a/crates/etcd/src/source.rs
+++ b/crates/etcd/src/source.rs
@@ -10,7 +10,7 @@
 use sillward_balancer::ServerId;
 use sillward_forwarding::{Backend, Live};
 use sillward_endpoint_updates::Telling;
-use sillward_log::{log, log_peer};
+use sillward_logging::{log, log_peer};
 use sillward_runtime::time::{Instant, sleep, timeout};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
--- a/crates/forwarding/src/node.rs
+++ b/crates/forwarding/src/node.rs
@@ -5,7 +5,7 @@
 use crate::{Lapse, Witness};
 use sillward_balancer::settings::Site;
 use sillward_balancer::*;
-use sillward_log::{log, log_peer};
+use sillward_logging::{log, log_peer};
 use sillward_metrics::{Counters, End, InProgress, View};
 use sillward_runtime::Clock;
 use sillward_runtime::task::spawn_local;
--- a/crates/http1/src/backend.rs
+++ b/crates/http1/src/backend.rs
@@ -15,7 +15,7 @@
     Attempt, BODY_LIMIT, Backends, Broken, Budget, Content, Ended, Exchanged, Form, News, PROBE_TIMEOUT,
     READ_BUFFER, Reports, Rest, Started, Stop, Task, WHOLE_ANSWER, run,
 };
-use sillward_log::log_peer;
+use sillward_logging::log_peer;
 use sillward_metrics::Counters;
 use sillward_pool::{Connection, Pool, Protocol, Terms};
 use sillward_runtime::Stream;
--- a/crates/http1/src/front.rs
+++ b/crates/http1/src/front.rs
@@ -14,7 +14,7 @@
 use hyper::{Request, Response, StatusCode, Version};
 use sillward_forwarding::{Answer, Budget, Call, Coming, Content, Feed, Intake, Live, READ_BUFFER};
 use sillward_listener::{Client, Door, LINGER, Life, READ_PAST, Serve};
-use sillward_log::log_peer;
+use sillward_logging::log_peer;
 use sillward_metrics::{Counters, End};
 use sillward_runtime::Stream;
 use sillward_runtime::task::spawn_local;
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -11,7 +11,7 @@
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, StatusCode};
 use sillward_forwarding::{BODY_LIMIT, Budget, KEPT_BODY, READ_BUFFER, WHOLE_ANSWER, key_number};
-use sillward_log::log_peer;
+use sillward_logging::log_peer;
 use sillward_runtime::time::{Instant, timeout, timeout_at};
 use std::time::Duration;
 
--- a/crates/listener/src/lib.rs
+++ b/crates/listener/src/lib.rs
@@ -3,7 +3,7 @@
 #![forbid(unsafe_code)]
 
 use sillward_lifecycle::{Event, Lifecycle, Said, Terms};
-use sillward_log::{log, log_peer};
+use sillward_logging::{log, log_peer};
 use sillward_runtime::net::{TcpListener, TcpStream};
 use sillward_runtime::task::spawn_local;
 use sillward_runtime::time::{Instant, sleep, timeout, timeout_at};
--- a/crates/peer-transport/src/lib.rs
+++ b/crates/peer-transport/src/lib.rs
@@ -19,7 +19,7 @@
 use outbox::Posted;
 use prost::Message;
 use session::Long;
-use sillward_log::{log, log_peer};
+use sillward_logging::{log, log_peer};
 use sillward_membership::words::Sync;
 use sillward_membership::{About, Action, Event, Life, Me, Name, Peers, Standing, SyncStep};
 use sillward_runtime::net::{TcpListener, UdpSocket};
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -5,7 +5,7 @@
 use sillward_balancer::settings::Site;
 use sillward_balancer::{ListKind, Outcome, ServerId, ServerState};
 use sillward_forwarding::{Backend, News};
-use sillward_log::log_peer;
+use sillward_logging::log_peer;
 use sillward_runtime::net::TcpStream;
 use sillward_runtime::task::spawn_local;
 use sillward_runtime::time::{Instant, sleep, sleep_until, timeout, timeout_at};
--- a/crates/thrift/src/backend.rs
+++ b/crates/thrift/src/backend.rs
@@ -17,7 +17,7 @@
     Attempt, Backends, Budget, Call, Content, Ended, Exchanged, Form, News, PROBE_TIMEOUT, READ_BUFFER,
     Reports, Stop, Task, run,
 };
-use sillward_log::log_peer;
+use sillward_logging::log_peer;
 use sillward_metrics::Counters;
 use sillward_pool::{Pool, Protocol, Terms};
 use sillward_runtime::Stream;
--- a/crates/thrift/src/front.rs
+++ b/crates/thrift/src/front.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use sillward_forwarding::{Answer, Budget, Intake, Lease, Live, READ_BUFFER};
 use sillward_listener::{Client, Door, READ_TIMEOUT, Serve};
-use sillward_log::log_peer;
+use sillward_logging::log_peer;
 use sillward_runtime::Stream;
 use sillward_runtime::random::Random;
 use sillward_runtime::task::{JoinSet, spawn_local};
--- a/src/main.rs
+++ b/src/main.rs
@@ -9,7 +9,7 @@
 use sillward_balancer::settings::Site;
 use sillward_assembly::{Controls, fit};
 use sillward_config::Config;
-use sillward_log::log;
+use sillward_logging::log;
 use sillward_operator::Operator;
 use sillward_runtime::signal::{Signal, SignalKind, signal};
 use sillward_runtime::task::{block_on, spawn_local};
@@ -68,7 +68,7 @@
     if let Err(what) = &ended {
         what.lines().for_each(log);
     }
-    sillward_log::flush();
+    sillward_logging::flush();
     if ended.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
--- a/tests/seam.rs
+++ b/tests/seam.rs
@@ -44,7 +44,7 @@
     ("config", "std::env"),
     ("config", "std::fs"),
     ("src", "std::fs"),
-    ("log", "std::thread"),
+    ("logging", "std::thread"),
 ];
 
 fn root() -> &'static Path {
@@ -148,13 +148,13 @@
     let set = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect::<BTreeSet<_>>();
     assert_eq!(reach("balancer"), set(&[]));
     assert_eq!(reach("endpoints"), set(&["balancer"]));
-    assert_eq!(reach("forwarding"), set(&["balancer", "log", "metrics", "runtime"]));
+    assert_eq!(reach("forwarding"), set(&["balancer", "logging", "metrics", "runtime"]));
     assert_eq!((reach("lifecycle"), reach("hot-restart")), (set(&[]), set(&[])));
     assert_eq!((reach("membership"), reach("fleet-settings")), (set(&[]), set(&[])));
     assert_eq!(reach("consensus"), set(&["membership", "fleet-settings"]));
     assert_eq!(reach("outcome-stats"), set(&["membership"]));
-    assert_eq!(reach("consensus-io"), set(&["consensus", "peer-transport", "log", "membership", "fleet-settings", "runtime"]));
-    assert_eq!(reach("peer-transport"), set(&["log", "membership", "runtime"]));
+    assert_eq!(reach("consensus-io"), set(&["consensus", "peer-transport", "logging", "membership", "fleet-settings", "runtime"]));
+    assert_eq!(reach("peer-transport"), set(&["logging", "membership", "runtime"]));
     assert!(!reach("pool").contains("http1") && !reach("pool").contains("thrift"));
     assert!(!reach("thrift").contains("http1") && !reach("http1").contains("thrift"));
     assert!(!reach("discovery").contains("pool"));
