--- a/crates/assembly/src/agreement.rs
+++ b/crates/assembly/src/agreement.rs
@@ -5,7 +5,7 @@
 use hyper::{Method, StatusCode};
 use sillward_admin::{Posted, Reply, Route};
 use sillward_consensus::Terms as Times;
-use sillward_config::Config;
+use sillward_node_config::Config;
 use sillward_forwarding::{Lapse, Live};
 use sillward_consensus_io::{Council, Terms};
 use sillward_peer_transport::Fleet;
--- a/crates/assembly/src/fleet.rs
+++ b/crates/assembly/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The fleet that the node is a member of, where the operator file names one.
 
-use sillward_config::Config;
+use sillward_node_config::Config;
 use sillward_peer_transport::envelope::Keys;
 use sillward_peer_transport::{Fleet, Terms};
 use sillward_logging::log;
--- a/crates/assembly/src/fronts.rs
+++ b/crates/assembly/src/fronts.rs
@@ -4,7 +4,7 @@
 use crate::{agreement, control, outcomes, pages};
 use hyper::Method;
 use sillward_admin::{Admin, Posted, Reply, Route};
-use sillward_config::Config;
+use sillward_node_config::Config;
 use sillward_forwarding::{Budget, Intake, Live, Message};
 use sillward_consensus_io::Council;
 use sillward_hot_restart::Holding;
--- a/crates/assembly/src/lib.rs
+++ b/crates/assembly/src/lib.rs
@@ -13,7 +13,7 @@
 mod sources;
 
 use sillward_balancer::settings::Site;
-use sillward_config::Config;
+use sillward_node_config::Config;
 use sillward_forwarding::{Backends, Budget, Dispatch, Gauges, Intake, Lapse, Live, Message, Node, Reports};
 use sillward_consensus_io::Council;
 use sillward_listener::{Door, Life};
--- a/crates/assembly/src/sources.rs
+++ b/crates/assembly/src/sources.rs
@@ -1,6 +1,6 @@
 //! Who tells the node of its backends: the roster, and etcd beside it where the operator file names one.
 
-use sillward_config::Config;
+use sillward_node_config::Config;
 use sillward_forwarding::{Live, Message};
 use sillward_etcd::{Etcd, Terms};
 use sillward_endpoint_updates::Hub;
--- a/crates/simulation/src/parties/nodes.rs
+++ b/crates/simulation/src/parties/nodes.rs
@@ -6,7 +6,7 @@
 use crate::scoped::Scoped;
 use crate::script::{COLD_SHARE, Script, WARM_MS, WINDOW_MS};
 use sillward_assembly::{Controls, Insight, Wrap};
-use sillward_config::Config;
+use sillward_node_config::Config;
 use sillward_operator::Operator;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
--- a/src/main.rs
+++ b/src/main.rs
@@ -8,7 +8,7 @@
 use clap::{Parser, Subcommand};
 use sillward_balancer::settings::Site;
 use sillward_assembly::{Controls, fit};
-use sillward_config::Config;
+use sillward_node_config::Config;
 use sillward_logging::log;
 use sillward_operator::Operator;
 use sillward_runtime::signal::{Signal, SignalKind, signal};
--- a/tests/seam.rs
+++ b/tests/seam.rs
@@ -41,8 +41,8 @@
     ("balancer", "rand_pcg"),
     ("outcome-stats", "rand_pcg"),
     ("membership", "rand_pcg"),
-    ("config", "std::env"),
-    ("config", "std::fs"),
+    ("node-config", "std::env"),
+    ("node-config", "std::fs"),
     ("src", "std::fs"),
     ("logging", "std::thread"),
 ];
