--- a/crates/assembly/src/agreement.rs
+++ b/crates/assembly/src/agreement.rs
@@ -9,7 +9,7 @@
 use sillward_forwarding::{Lapse, Live};
 use sillward_consensus_io::{Council, Terms};
 use sillward_peer_transport::Fleet;
-use sillward_operator::AgreementTerms;
+use sillward_operator_config::AgreementTerms;
 use sillward_membership::Name;
 use sillward_fleet_settings::{Key, Reading, Repeat as Agreed, Rules, Value, Version};
 use sillward_runtime::Clock;
--- a/crates/assembly/src/fleet.rs
+++ b/crates/assembly/src/fleet.rs
@@ -4,7 +4,7 @@
 use sillward_peer_transport::envelope::Keys;
 use sillward_peer_transport::{Fleet, Terms};
 use sillward_logging::log;
-use sillward_operator::FleetTerms;
+use sillward_operator_config::FleetTerms;
 use sillward_membership::{About, Name};
 use sillward_runtime::task::spawn_local;
 use sillward_runtime::{Clock, files};
--- a/crates/assembly/src/lib.rs
+++ b/crates/assembly/src/lib.rs
@@ -19,7 +19,7 @@
 use sillward_listener::{Door, Life};
 use sillward_logging::log;
 use sillward_metrics::Counters;
-use sillward_operator::Operator;
+use sillward_operator_config::Operator;
 use sillward_pool::{Pool, Sockets, Terms};
 use sillward_runtime::Clock;
 use sillward_runtime::task::spawn_local;
--- a/crates/simulation/src/parties/nodes.rs
+++ b/crates/simulation/src/parties/nodes.rs
@@ -7,7 +7,7 @@
 use crate::script::{COLD_SHARE, Script, WARM_MS, WINDOW_MS};
 use sillward_assembly::{Controls, Insight, Wrap};
 use sillward_node_config::Config;
-use sillward_operator::Operator;
+use sillward_operator_config::Operator;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -335,7 +335,7 @@
                  keep_alive_ms = 900\nfirst_pause_ms = 20\nlongest_pause_ms = 400\nresync_ms = 5000"
             );
         }
-        sillward_operator::parse("operator.toml", &text, Some(&config.site)).map_err(|faults| {
+        sillward_operator_config::parse("operator.toml", &text, Some(&config.site)).map_err(|faults| {
             let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
             faults.join("; ")
         })
--- a/src/ctl.rs
+++ b/src/ctl.rs
@@ -267,7 +267,7 @@
 fn file(path: &Path) -> Result<Rules, String> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {name}: {e}"))?;
-    sillward_operator::rules(&name, &text)
+    sillward_operator_config::rules(&name, &text)
         .map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -10,7 +10,7 @@
 use sillward_assembly::{Controls, fit};
 use sillward_node_config::Config;
 use sillward_logging::log;
-use sillward_operator::Operator;
+use sillward_operator_config::Operator;
 use sillward_runtime::signal::{Signal, SignalKind, signal};
 use sillward_runtime::task::{block_on, spawn_local};
 use std::net::SocketAddr;
@@ -77,7 +77,7 @@
     let Some(path) = path else { return Ok(Operator::default()) };
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {name}: {e}"))?;
-    sillward_operator::parse(&name, &text, site).map_err(|faults| {
+    sillward_operator_config::parse(&name, &text, site).map_err(|faults| {
         let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
         lines.join("\n")
     })
