--- a/crates/simulation/src/parties/nodes.rs
+++ b/crates/simulation/src/parties/nodes.rs
@@ -5,7 +5,7 @@
 use crate::plants::{Plant, Reloads, planted};
 use crate::scoped::Scoped;
 use crate::script::{COLD_SHARE, Script, WARM_MS, WINDOW_MS};
-use sillward_assembly::{Controls, Insight, Wrap};
+use sillward_app::{Controls, Insight, Wrap};
 use sillward_node_config::Config;
 use sillward_operator_config::Operator;
 use std::cell::{Cell, RefCell};
@@ -178,7 +178,7 @@
         let started = self.config(node).and_then(|config| Ok((self.operator(node, &config)?, config)));
         if let Ok((operator, config)) = &started {
             let thrift = if operator.thrift.is_some() { config.client_connections / 2 } else { 0 };
-            let fleet = sillward_assembly::fleet_connections(config, operator);
+            let fleet = sillward_app::fleet_connections(config, operator);
             place.room.set(config.client_connections - thrift - fleet);
         }
         let wrap = self.plant.and_then(|plant| planted(plant, &self.script, node, &self.net, &place.reloads));
@@ -186,7 +186,7 @@
         let shown = move |insight| drop(own.places[node].insight.replace(Some(insight)));
         let program = async move {
             let (operator, config) = started?;
-            sillward_assembly::run(config, operator, controls, wrap as Option<Wrap>, shown).await
+            sillward_app::run(config, operator, controls, wrap as Option<Wrap>, shown).await
         };
         let now: Rc<dyn Fn() -> Duration> = Rc::new(move || net.now());
         let program = Scoped::new(self.net.world(place.host, UNIX), program, now);
--- a/crates/simulation/src/plants.rs
+++ b/crates/simulation/src/plants.rs
@@ -6,7 +6,7 @@
 use crate::script::Script;
 use sillward_balancer::settings::Site;
 use sillward_balancer::{LoadReport, Outcome, ServerId};
-use sillward_assembly::Wrap;
+use sillward_app::Wrap;
 use sillward_forwarding::{Attempt, Backends, Ended, News, Stop, Task};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,5 @@
 //! One real node: clients on one side, backends and discovery on the other, the decision module between.
-//! This file reads arguments, configuration and signals; `crates/assembly` puts the node together.
+//! This file reads arguments, configuration and signals; `crates/app` puts the node together.
 #![forbid(unsafe_code)]
 
 #[path = "ctl.rs"]
@@ -7,7 +7,7 @@
 
 use clap::{Parser, Subcommand};
 use sillward_balancer::settings::Site;
-use sillward_assembly::{Controls, fit};
+use sillward_app::{Controls, fit};
 use sillward_node_config::Config;
 use sillward_logging::log;
 use sillward_operator_config::Operator;
@@ -90,7 +90,7 @@
 fn found(operator: &Path) -> Result<String, String> {
     let config = Config::from_env()?;
     let operator = read_operator(Some(operator), Some(&config.site))?;
-    sillward_assembly::found(&config, &operator)
+    sillward_app::found(&config, &operator)
 }
 
 fn said(answered: Result<String, String>) -> ExitCode {
@@ -135,7 +135,7 @@
     spawn_local(reloads(hang_up, again));
     spawn_local(ends(terminate, interrupt, end));
     let controls = Controls { reload, read: Box::new(Config::from_env), stop };
-    sillward_assembly::run(config, operator, controls, None, drop).await
+    sillward_app::run(config, operator, controls, None, drop).await
 }
 
 /// Passes SIGHUP on. Those that come while one waits are one with it.
--- a/tests/seam.rs
+++ b/tests/seam.rs
@@ -36,7 +36,7 @@
 /// writer is a thread on purpose, and writes nothing where a world stands beneath. A `watch` wakes several tasks in an
 /// order drawn by lot: these have one that waits.
 const ALLOWED: [(&str, &str); 9] = [
-    ("assembly", "watch::channel"),
+    ("app", "watch::channel"),
     ("src", "watch::channel"),
     ("balancer", "rand_pcg"),
     ("outcome-stats", "rand_pcg"),
