--- a/crates/ground/src/fleet.rs
+++ b/crates/ground/src/fleet.rs
@@ -8,8 +8,8 @@
 use sillward_peer_transport::envelope::{Envelopes, Keys, Sealed};
 use sillward_membership::words::{Frame, Update};
 use sillward_membership::{Life, Name};
-use standins::peers::{Backend, Client, Discovery, Reply, config, entry_in, list, ok, settings};
-use standins::random::Random;
+use sillward_test_servers::peers::{Backend, Client, Discovery, Reply, config, entry_in, list, ok, settings};
+use sillward_test_servers::random::Random;
 use std::net::{IpAddr, Ipv4Addr, UdpSocket};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -549,7 +549,7 @@
             }
             let Some((_, open)) = &mut client else { continue };
             let (t_us, begun) = (self.history.now_us(), Instant::now());
-            let sent = open.try_send("GET /read/1f", &standins::peers::common(1_500));
+            let sent = open.try_send("GET /read/1f", &sillward_test_servers::peers::common(1_500));
             let status = sent.then(|| open.answer()).flatten().map_or(0, |answer| answer.status());
             if status == 0 {
                 client = None;
--- a/crates/ground/src/relays.rs
+++ b/crates/ground/src/relays.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use sillward_peer_transport::envelope::{Envelopes, Sealed};
 use sillward_membership::Life;
-use standins::random::Random;
+use sillward_test_servers::random::Random;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::io::{Read, Write};
--- a/crates/ground/src/script.rs
+++ b/crates/ground/src/script.rs
@@ -2,7 +2,7 @@
 
 use crate::relays::Way;
 use serde::{Deserialize, Serialize};
-use standins::random::Random;
+use sillward_test_servers::random::Random;
 use std::collections::BTreeSet;
 
 /// What becomes of a process's folder while it is down.
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -1,4 +1,4 @@
-//! The rig's command line: `cargo run --release -p rig -- SCENARIO --seed N [--plant FAULT]`.
+//! The rig's command line: `cargo run --release -p sillward-scenarios -- SCENARIO --seed N [--plant FAULT]`.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand, ValueEnum};
