--- a/crates/rig/src/scenario/fleet.rs
+++ b/crates/rig/src/scenario/fleet.rs
@@ -1,9 +1,9 @@
 //! Fleets of processes on the ground.
 
-use ground::fleet::{Options as Ground, beside};
-use ground::members::{self, Play};
-use ground::script::{Fault, Folder, KINDS, Places, What, Which, read};
-use ground::{outcomes, settings};
+use sillward_test_cluster::fleet::{Options as Ground, beside};
+use sillward_test_cluster::members::{self, Play};
+use sillward_test_cluster::script::{Fault, Folder, KINDS, Places, What, Which, read};
+use sillward_test_cluster::{outcomes, settings};
 use std::path::PathBuf;
 
 /// See [`Ground`].
--- a/crates/rig/src/scenario/plain.rs
+++ b/crates/rig/src/scenario/plain.rs
@@ -3,8 +3,8 @@
 
 use super::figure;
 use crate::peers::{self, Backend, Client, Discovery, Node, config, entry_in, list, ok, settings};
-use ground::fleet::{Fleet, Options as Ground, beside};
-use ground::script::Places;
+use sillward_test_cluster::fleet::{Fleet, Options as Ground, beside};
+use sillward_test_cluster::script::Places;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::thread::{sleep, spawn};
--- a/crates/rig/src/scenario/plants.rs
+++ b/crates/rig/src/scenario/plants.rs
@@ -34,7 +34,7 @@
         &["has not forgotten"],
     ),
     planted(
-        "fleet members --seed 1 --faults crates/ground/scripts/rolling.jsonl --plant unreadable",
+        "fleet members --seed 1 --faults testing/cluster/scripts/rolling.jsonl --plant unreadable",
         &["they do not agree"],
     ),
     planted(
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,10 +1,10 @@
 //! Fleets of the program's own processes on the ground: the hard cases of membership, each a script. Every case has at least
 //! five processes, and its checks read what was done and what relays and callers saw.
 
-use ground::fleet::{Options, beside};
-use ground::members::{self, Play, Verdict};
-use ground::outcomes;
-use ground::script::{Fault, Folder, Places, What, Which};
+use sillward_test_cluster::fleet::{Options, beside};
+use sillward_test_cluster::members::{self, Play, Verdict};
+use sillward_test_cluster::outcomes;
+use sillward_test_cluster::script::{Fault, Folder, Places, What, Which};
 use rig::peers::{Node, config, settings};
 use std::path::PathBuf;
 use std::process::Command;
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,8 +1,8 @@
 //! Settings on which processes of the program agree: what an operator types and reads, and what holds when voters are gone.
 
-use ground::fleet::{Agreed, Fleet, Options, beside};
-use ground::script::Places;
-use ground::settings::{self, Play};
+use sillward_test_cluster::fleet::{Agreed, Fleet, Options, beside};
+use sillward_test_cluster::script::Places;
+use sillward_test_cluster::settings::{self, Play};
 use rig::peers::{config, settings as platform};
 use std::process::Command;
 use std::sync::Arc;
