--- a/crates/runtime/src/world.rs
+++ b/crates/runtime/src/world.rs
@@ -1,5 +1,5 @@
 //! What may stand beneath in place of the system: a world of its own with time, sockets and a network. The program
-//! never makes one; `crates/simulation` does. Where none stands, nothing but a look at a thread-local is paid, and that
+//! never makes one; `testing/simulation` does. Where none stands, nothing but a look at a thread-local is paid, and that
 //! only where something is opened or started.
 
 use std::cell::RefCell;
