--- a/crates/rig/src/main.rs
+++ b/testing/scenarios/src/main.rs
@@ -2,8 +2,8 @@
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand, ValueEnum};
-use rig::scenario::{self, demo, etcd, few, fleet, load, night, pages, plain, plants, sizes, thrift};
-use rig::tally::{BINARY, Caller, End, origin};
+use sillward_scenarios::scenario::{self, demo, etcd, few, fleet, load, night, pages, plain, plants, sizes, thrift};
+use sillward_scenarios::tally::{BINARY, Caller, End, origin};
 use sillward_thrift::wire::Encoding;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -291,7 +291,7 @@
         What::Sizes { nodes, seeds, rounds, frame_bytes } => {
             sizes::run(&sizes::Options { nodes, seeds, rounds, frame_bytes })
         }
-        What::Put { into: PutInto::Etcd { to, key, value } } => match rig::etcd::put(to, &key, &value) {
+        What::Put { into: PutInto::Etcd { to, key, value } } => match sillward_scenarios::etcd::put(to, &key, &value) {
             Ok(revision) => {
                 println!("revision {revision}");
                 0
@@ -315,7 +315,7 @@
             }
         }
         What::Serve { stand_in: StandIn::Etcd { listen } } => {
-            let etcd = rig::etcd::Etcd::start_with(listen, None);
+            let etcd = sillward_scenarios::etcd::Etcd::start_with(listen, None);
             println!("an etcd listens on {}", etcd.address);
             loop {
                 std::thread::park();
--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -1,6 +1,6 @@
 //! Long bodies, slow peers and all forms of HTTP/1.1, over loopback sockets and byte by byte.
 
-use rig::peers::*;
+use sillward_scenarios::peers::*;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,6 +1,6 @@
 //! Bad clients beside good ones, over loopback sockets.
 
-use rig::peers::*;
+use sillward_scenarios::peers::*;
 use std::sync::Mutex;
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,6 +1,6 @@
 //! What discovery has is told in time, whatever calls to it failed: over loopback sockets, each failure forced.
 
-use rig::peers::*;
+use sillward_scenarios::peers::*;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 use std::thread::scope;
--- a/tests/etcd.rs
+++ b/tests/etcd.rs
@@ -1,7 +1,7 @@
 //! Membership from etcd beside the roster, at the real node: compaction, silence, restarts, and what is told then.
 
-use rig::etcd::{Etcd, Manner, operator};
-use rig::peers::{Backend, Discovery, Node, Watch, config, entry, list, ok, settings, until};
+use sillward_scenarios::etcd::{Etcd, Manner, operator};
+use sillward_scenarios::peers::{Backend, Discovery, Node, Watch, config, entry, list, ok, settings, until};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -73,7 +73,7 @@
     }
 
     fn page(&self) -> String {
-        let mut client = rig::peers::Client::connect(self.node.admin.expect("a listener for operators"));
+        let mut client = sillward_scenarios::peers::Client::connect(self.node.admin.expect("a listener for operators"));
         let answer = client.ask("GET /admin/membership", "", b"");
         assert_eq!(answer.status(), 200);
         String::from_utf8(answer.body).expect("JSON")
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,7 +5,7 @@
 use sillward_test_cluster::members::{self, Play, Verdict};
 use sillward_test_cluster::outcomes;
 use sillward_test_cluster::script::{Fault, Folder, Places, What, Which};
-use rig::peers::{Node, config, settings};
+use sillward_scenarios::peers::{Node, config, settings};
 use std::path::PathBuf;
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -163,7 +163,7 @@
 /// Off is off: without the table nothing listens, and there is no page.
 #[test]
 fn without_the_table_there_is_no_fleet() {
-    let discovery = rig::peers::Discovery::start();
+    let discovery = sillward_scenarios::peers::Discovery::start();
     let config = config(discovery.address, &settings(1_000, ""), 256);
     let node = Node::start_with(&config, "[admin]\nlisten = \"127.0.0.1:0\"\n");
     assert_eq!(node.operate("GET /admin/fleet").0, 404);
@@ -197,7 +197,7 @@
         free.local_addr().expect("its address")
     };
     let at = [free(), free()];
-    let discovery = rig::peers::Discovery::start();
+    let discovery = sillward_scenarios::peers::Discovery::start();
     let start = |i: usize, fleet: &str| {
         let config = config(discovery.address, &settings(1_000, ""), 256);
         let config = config.replace("\"name\":\"n0\"", &format!("\"name\":\"n{i}\""));
@@ -213,7 +213,7 @@
     };
     let nodes = [start(0, "jateng"), start(1, "diy")];
     let page = |i: usize| nodes[i].operate("GET /admin/fleet").1;
-    rig::peers::until(|| (0..2).all(|i| !page(i).contains("\"fleet\":0")), "frames of the other fleet");
+    sillward_scenarios::peers::until(|| (0..2).all(|i| !page(i).contains("\"fleet\":0")), "frames of the other fleet");
     for page in [page(0), page(1)] {
         assert!(page.contains("\"members\":[]") && page.contains("\"standing\":\"asking\""), "{page}");
     }
--- a/tests/http_interop.rs
+++ b/tests/http_interop.rs
@@ -1,7 +1,7 @@
 //! HTTP libraries that nobody here wrote, with the node between them: `ureq` as a client, `tiny_http` as a backend.
 //! The peers of all other tests write what their authors believe HTTP to be.
 
-use rig::peers::{self, Discovery, Node, Watch, config, entry, settings};
+use sillward_scenarios::peers::{self, Discovery, Node, Watch, config, entry, settings};
 use std::net::SocketAddr;
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread::spawn;
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -1,6 +1,6 @@
 //! The real node over loopback sockets: each test is one failure, seen by a peer.
 
-use rig::peers::*;
+use sillward_scenarios::peers::*;
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::mpsc::channel;
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -1,6 +1,6 @@
 //! Daily operation over loopback sockets: what operators call, read and change while the node serves.
 
-use rig::peers::*;
+use sillward_scenarios::peers::*;
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::sync::Arc;
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -1,7 +1,7 @@
 //! What comes between two lines: a client that leaves, a connection that closes, an answer that comes late. Over loopback
 //! sockets, each crossing forced by a peer that holds something back.
 
-use rig::peers::*;
+use sillward_scenarios::peers::*;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::Mutex;
--- a/tests/seam.rs
+++ b/tests/seam.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 /// Not part of the program: the simulator's adapter reads its wire, and the rig plays the world outside.
-const OUTSIDE: &[&str] = &["simulator-adapter", "rig"];
+const OUTSIDE: &[&str] = &["simulator-adapter"];
 /// What reaches past the seam.
 const PAST: [&str; 21] = [
     "tokio::time",
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -3,7 +3,7 @@
 use sillward_test_cluster::fleet::{Agreed, Fleet, Options, beside};
 use sillward_test_cluster::script::Places;
 use sillward_test_cluster::settings::{self, Play};
-use rig::peers::{config, settings as platform};
+use sillward_scenarios::peers::{config, settings as platform};
 use std::process::Command;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -1,7 +1,7 @@
 //! Nothing in the program or the deploy file is fitted to one deployment: the sites in `deploy/sites` are served by their own
 //! settings alone, and no name of a deployment stands in what ships.
 
-use rig::peers::*;
+use sillward_scenarios::peers::*;
 use std::fs;
 use std::path::{Path, PathBuf};
 use toml::{Table, Value};
--- a/tests/thrift.rs
+++ b/tests/thrift.rs
@@ -1,9 +1,9 @@
 //! Thrift callers and tally boxes at the real node, over loopback sockets: each test is one failure, seen by a peer.
 
-use rig::peers::{
+use sillward_scenarios::peers::{
     self, Backend, Discovery, Node, Watch, config, config_with, entry_of, list, settings, until,
 };
-use rig::tally::{
+use sillward_scenarios::tally::{
     Answer, BINARY, BOTH, Caller, End, Reply, Seen, Tally, Value, ok, operator, origin, read_answer,
 };
 use sillward_thrift::wire::{Encoding, Kind};
@@ -510,13 +510,13 @@
                 let (kept, saw) = (kept.clone(), saw.clone());
                 let late = late.lock().expect("it").clone();
                 std::thread::spawn(move || {
-                    while let Ok(Some(bytes)) = rig::tally::read_frame(&mut stream) {
+                    while let Ok(Some(bytes)) = sillward_scenarios::tally::read_frame(&mut stream) {
                         saw.fetch_add(1, Ordering::SeqCst);
                         let message = sillward_thrift::wire::read_head(&bytes, &Default::default());
                         let head = message.expect("a head").head;
                         let reply = |seqid, text: &str| {
                             let head = sillward_thrift::wire::Head { kind: Kind::Reply, seqid, ..head };
-                            rig::tally::message(encoding, head, &[(0, text.into())])
+                            sillward_scenarios::tally::message(encoding, head, &[(0, text.into())])
                         };
                         stream.write_all(&reply(head.seqid, "good")).expect("written");
                         let handle = stream.try_clone().expect("a handle");
@@ -571,7 +571,7 @@
             let bounds = Default::default();
             let call = sillward_thrift::wire::read_head(&message.body, &bounds).expect("a message");
             let head = sillward_thrift::wire::Head { kind: Kind::Reply, ..call.head };
-            let reply = rig::tally::message(call.encoding, head, &[(0, "by HTTP".into())]);
+            let reply = sillward_scenarios::tally::message(call.encoding, head, &[(0, "by HTTP".into())]);
             peers::Reply::Answer("200 OK", "", reply[4..].to_vec())
         });
         let discovery = Discovery::start();
@@ -778,7 +778,7 @@
 
 fn replied(name: &str, seqid: i32, encoding: Encoding) -> Vec<u8> {
     let head = sillward_thrift::wire::Head { kind: Kind::Reply, name, seqid };
-    rig::tally::message(encoding, head, &[(0, "spoilt".into())]).split_off(4)
+    sillward_scenarios::tally::message(encoding, head, &[(0, "spoilt".into())]).split_off(4)
 }
 
 // ---- Hard case 5: sizes -------------------------------------------------------------------------
--- a/tests/thrift_matrix.rs
+++ b/tests/thrift_matrix.rs
@@ -9,8 +9,8 @@
 #[path = "../crates/thrift/tests/values/mod.rs"]
 mod values;
 
-use rig::peers::{self, Discovery, Node, Watch, config, entry_of, settings, until};
-use rig::tally::{operator_backend, read_frame};
+use sillward_scenarios::peers::{self, Discovery, Node, Watch, config, entry_of, settings, until};
+use sillward_scenarios::tally::{operator_backend, read_frame};
 use sillward_thrift::wire::{Encoding, Head, Kind, frame};
 use std::collections::BTreeMap;
 use std::fmt::Debug;
