--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -39,17 +39,29 @@
 impl Reply {
     /// A yes.
     pub fn yes(text: impl Into<String>) -> Self {
-        Reply { status: StatusCode::OK, content_type: "text/plain", text: text.into() }
+        Reply {
+            status: StatusCode::OK,
+            content_type: "text/plain",
+            text: text.into(),
+        }
     }
 
     /// A no, and why.
     pub fn no(status: StatusCode, text: impl Into<String>) -> Self {
-        Reply { status, content_type: "text/plain", text: text.into() }
+        Reply {
+            status,
+            content_type: "text/plain",
+            text: text.into(),
+        }
     }
 
     /// JSON.
     pub fn json(text: String) -> Self {
-        Reply { status: StatusCode::OK, content_type: "application/json", text }
+        Reply {
+            status: StatusCode::OK,
+            content_type: "application/json",
+            text,
+        }
     }
 }
 
@@ -78,7 +90,11 @@
     /// A call whose answer is there at once.
     pub fn new(method: Method, path: &'static str, answer: impl Fn() -> Reply + 'static) -> Self {
         let answer = move || -> Answering { Box::pin(std::future::ready(answer())) };
-        Route { method, path, answer: Box::new(answer) }
+        Route {
+            method,
+            path,
+            answer: Box::new(answer),
+        }
     }
 }
 
@@ -91,7 +107,11 @@
 
 impl Admin {
     pub fn new(routes: Vec<Route>, posted: Vec<Posted>) -> Rc<Self> {
-        Rc::new(Admin { routes, posted, callers: RefCell::default() })
+        Rc::new(Admin {
+            routes,
+            posted,
+            callers: RefCell::default(),
+        })
     }
 
     /// Answers calls for as long as it is polled.
@@ -122,20 +142,26 @@
     }
 
     async fn serve(&self, stream: Stream) {
-        let service = service_fn(|request: hyper::Request<hyper::body::Incoming>| async move {
-            let posted = self.posted.iter().find(|posted| posted.path == request.uri().path());
-            if let (Some(posted), &Method::POST) = (posted, request.method()) {
-                let body = Limited::new(request.into_body(), MOST_BODY).collect().await;
-                let reply = match body {
-                    Ok(body) => (posted.answer)(&body.to_bytes()),
-                    Err(_) => {
-                        Reply::no(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long, or was cut off\n")
-                    }
-                };
-                return Ok::<_, Infallible>(response(reply));
-            }
-            Ok::<_, Infallible>(self.answer(request.method(), request.uri().path()).await)
-        });
+        let service = service_fn(
+            |request: hyper::Request<hyper::body::Incoming>| async move {
+                let posted = self
+                    .posted
+                    .iter()
+                    .find(|posted| posted.path == request.uri().path());
+                if let (Some(posted), &Method::POST) = (posted, request.method()) {
+                    let body = Limited::new(request.into_body(), MOST_BODY).collect().await;
+                    let reply = match body {
+                        Ok(body) => (posted.answer)(&body.to_bytes()),
+                        Err(_) => Reply::no(
+                            StatusCode::PAYLOAD_TOO_LARGE,
+                            "the body is too long, or was cut off\n",
+                        ),
+                    };
+                    return Ok::<_, Infallible>(response(reply));
+                }
+                Ok::<_, Infallible>(self.answer(request.method(), request.uri().path()).await)
+            },
+        );
         // An end, or bytes that make no sense: either is the caller's own.
         let _ = http1::Builder::new()
             .header_read_timeout(None)
@@ -146,7 +172,11 @@
     }
 
     async fn answer(&self, method: &Method, path: &str) -> Response<Full<Bytes>> {
-        let mut at = self.routes.iter().filter(|route| route.path == path).peekable();
+        let mut at = self
+            .routes
+            .iter()
+            .filter(|route| route.path == path)
+            .peekable();
         let allowed = at.peek().map(|route| route.method.clone());
         let reply = match (at.find(|route| route.method == *method), &allowed) {
             (Some(route), _) => (route.answer)().await,
@@ -167,6 +197,8 @@
 fn response(reply: Reply) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(reply.text)));
     *response.status_mut() = reply.status;
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(reply.content_type));
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static(reply.content_type));
     response
 }
--- a/crates/app/src/agreement.rs
+++ b/crates/app/src/agreement.rs
@@ -1,17 +1,17 @@
 //! The settings on which the fleet agrees, laid over those of this node's own file.
 
-use sillward_balancer::Repeat;
-use sillward_balancer::settings::Site;
 use hyper::{Method, StatusCode};
 use sillward_admin::{Posted, Reply, Route};
+use sillward_balancer::Repeat;
+use sillward_balancer::settings::Site;
 use sillward_consensus::Terms as Times;
-use sillward_node_config::Config;
-use sillward_forwarding::{Lapse, Live};
 use sillward_consensus_io::{Council, Terms};
-use sillward_peer_transport::Fleet;
-use sillward_operator_config::AgreementTerms;
-use sillward_membership::Name;
 use sillward_fleet_settings::{Key, Reading, Repeat as Agreed, Rules, Value, Version};
+use sillward_forwarding::{Lapse, Live};
+use sillward_membership::Name;
+use sillward_node_config::Config;
+use sillward_operator_config::AgreementTerms;
+use sillward_peer_transport::Fleet;
 use sillward_runtime::Clock;
 use sillward_runtime::task::spawn_local;
 use std::rc::Rc;
@@ -28,7 +28,11 @@
 /// All that is wrong, with the operator file's keys.
 pub fn terms(config: &Config, agreement: &AgreementTerms) -> Result<Terms, String> {
     let mut faults = Vec::new();
-    let voters: Vec<Option<Name>> = agreement.voters.iter().map(|name| Name::new(name)).collect();
+    let voters: Vec<Option<Name>> = agreement
+        .voters
+        .iter()
+        .map(|name| Name::new(name))
+        .collect();
     if voters.iter().any(Option::is_none) {
         faults.push(format!(
             "agreement.voters: a name has 1 to {} bytes and no control characters",
@@ -94,7 +98,11 @@
 
 /// The keys that a node's own settings have, whether a version names them or not: one that is not known may.
 pub fn keys(site: &Site) -> Vec<Key> {
-    let live = site.class_names.iter().zip(&site.live_classes).filter(|(_, live)| **live);
+    let live = site
+        .class_names
+        .iter()
+        .zip(&site.live_classes)
+        .filter(|(_, live)| **live);
     let classes = live.map(|(name, _)| Key::Repeat(name.clone()));
     classes.chain([Key::Attempts, Key::Hedges]).collect()
 }
@@ -111,17 +119,22 @@
             (Key::Repeat(_), Value::Repeat(repeat), Some(class)) => {
                 class.repeat = match (class.repeat, repeat) {
                     (_, Agreed::Safe) => Repeat::Safe,
-                    (Repeat::Keyed { scope, .. }, Agreed::Keyed(ms)) => {
-                        Repeat::Keyed { scope, window: Duration::from_millis(*ms) }
-                    }
+                    (Repeat::Keyed { scope, .. }, Agreed::Keyed(ms)) => Repeat::Keyed {
+                        scope,
+                        window: Duration::from_millis(*ms),
+                    },
                     // Callers of a class that the file does not call keyed send no keys.
                     _ => Repeat::Unsafe,
                 };
             }
             (Key::Aim(_), Value::Ms(ms), Some(class)) => class.aim = Duration::from_millis(*ms),
-            (Key::Deadline(_), Value::Ms(ms), Some(class)) => class.deadline = Duration::from_millis(*ms),
+            (Key::Deadline(_), Value::Ms(ms), Some(class)) => {
+                class.deadline = Duration::from_millis(*ms)
+            }
             (Key::Attempts, Value::Count(count), _) => site.settings.limits.max_attempts = *count,
-            (Key::Hedges, Value::Is(allowed), _) => site.settings.limits.parallel_attempts = *allowed,
+            (Key::Hedges, Value::Is(allowed), _) => {
+                site.settings.limits.parallel_attempts = *allowed
+            }
             _ => {}
         }
     }
@@ -131,8 +144,11 @@
 /// As [`laid_over`], for those who read calls: how a class is called, by which method and with or without a key, is between the
 /// file and the callers. What may be sent again is the node's alone.
 pub fn called(site: &Site, readings: &[(Key, Reading)]) -> Site {
-    let others: Vec<(Key, Reading)> =
-        readings.iter().filter(|(key, _)| !matches!(key, Key::Repeat(_))).cloned().collect();
+    let others: Vec<(Key, Reading)> = readings
+        .iter()
+        .filter(|(key, _)| !matches!(key, Key::Repeat(_)))
+        .cloned()
+        .collect();
     laid_over(site, &others)
 }
 
@@ -140,16 +156,22 @@
 pub fn clashes(site: &Site, rules: &sillward_fleet_settings::Rules) -> Vec<String> {
     let unknown = rules.iter().filter_map(|(key, value)| {
         if let (Key::Repeat(class), Value::Repeat(Agreed::Keyed(_))) = (key, value) {
-            let terms = site.class(class).and_then(|place| site.settings.classes.get(place));
+            let terms = site
+                .class(class)
+                .and_then(|place| site.settings.classes.get(place));
             if terms.is_some_and(|terms| !matches!(terms.repeat, Repeat::Keyed { .. })) {
-                return Some(format!("{key}: the settings ask no key of the callers of {class:?}"));
+                return Some(format!(
+                    "{key}: the settings ask no key of the callers of {class:?}"
+                ));
             }
         }
         let class = match key {
             Key::Repeat(class) | Key::Aim(class) | Key::Deadline(class) => class,
             _ => return None,
         };
-        site.class(class).is_none().then(|| format!("{key}: the settings have no class {class:?}"))
+        site.class(class)
+            .is_none()
+            .then(|| format!("{key}: the settings have no class {class:?}"))
     });
     unknown.collect()
 }
@@ -157,7 +179,12 @@
 /// What is agreed on, for operators.
 pub fn page(council: &Rc<Council>, live: &Rc<Live>) -> Route {
     let (council, live) = (council.clone(), live.clone());
-    let text = move || Reply::json(sillward_consensus_io::page::settings(&council, &keys(&live.get())));
+    let text = move || {
+        Reply::json(sillward_consensus_io::page::settings(
+            &council,
+            &keys(&live.get()),
+        ))
+    };
     Route::new(Method::GET, "/admin/settings", text)
 }
 
@@ -197,11 +224,32 @@
         if change.check {
             return Reply::yes("good\n");
         }
-        let Change { base, id, author, why, rules, despite, .. } = change;
-        match council.propose(base, Version { number: 0, id, author, why, rules }, despite) {
+        let Change {
+            base,
+            id,
+            author,
+            why,
+            rules,
+            despite,
+            ..
+        } = change;
+        match council.propose(
+            base,
+            Version {
+                number: 0,
+                id,
+                author,
+                why,
+                rules,
+            },
+            despite,
+        ) {
             Ok(()) => Reply::yes("under way\n"),
             Err(what) => Reply::no(StatusCode::CONFLICT, format!("{what}\n")),
         }
     };
-    Posted { path: "/admin/settings", answer: Box::new(answer) }
+    Posted {
+        path: "/admin/settings",
+        answer: Box::new(answer),
+    }
 }
--- a/crates/app/src/control.rs
+++ b/crates/app/src/control.rs
@@ -11,12 +11,18 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// All of them.
-pub fn routes(life: &Rc<Life>, counters: &Rc<Counters>, node: &mpsc::Sender<Message>) -> Vec<Route> {
+pub fn routes(
+    life: &Rc<Life>,
+    counters: &Rc<Counters>,
+    node: &mpsc::Sender<Message>,
+) -> Vec<Route> {
     let ready = {
         let life = life.clone();
-        Route::new(Method::GET, "/control/ready", move || match life.can_serve() {
-            true => Reply::yes("ready\n"),
-            false => Reply::no(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+        Route::new(Method::GET, "/control/ready", move || {
+            match life.can_serve() {
+                true => Reply::yes("ready\n"),
+                false => Reply::no(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+            }
         })
     };
     let figures = {
@@ -25,7 +31,11 @@
             let (counters, node) = (counters.clone(), node.clone());
             Box::pin(async move { Reply::yes(counters.text(view(&node).await)) })
         };
-        Route { method: Method::GET, path: "/control/counters", answer: Box::new(answer) }
+        Route {
+            method: Method::GET,
+            path: "/control/counters",
+            answer: Box::new(answer),
+        }
     };
     vec![
         ready,
--- a/crates/app/src/fleet.rs
+++ b/crates/app/src/fleet.rs
@@ -1,11 +1,11 @@
 //! The fleet that the node is a member of, where the operator file names one.
 
+use sillward_logging::log;
+use sillward_membership::{About, Name};
 use sillward_node_config::Config;
+use sillward_operator_config::FleetTerms;
 use sillward_peer_transport::envelope::Keys;
 use sillward_peer_transport::{Fleet, Terms};
-use sillward_logging::log;
-use sillward_operator_config::FleetTerms;
-use sillward_membership::{About, Name};
 use sillward_runtime::task::spawn_local;
 use sillward_runtime::{Clock, files};
 use std::rc::Rc;
@@ -53,10 +53,19 @@
     }
     let file = fleet.key_file.display();
     let secret = files::secret(&fleet.key_file, *KEY.end() as u64 + 1);
-    let secret = secret.map_err(|e| faults.push(format!("fleet.key_file: cannot use {file}: {e}"))).ok();
+    let secret = secret
+        .map_err(|e| faults.push(format!("fleet.key_file: cannot use {file}: {e}")))
+        .ok();
     let secret: Option<Vec<u8>> = secret.map(|bytes| bytes.trim_ascii().to_vec());
-    if secret.as_ref().is_some_and(|secret| !KEY.contains(&secret.len())) {
-        faults.push(format!("fleet.key_file: {file} must hold {} to {} bytes", KEY.start(), KEY.end()));
+    if secret
+        .as_ref()
+        .is_some_and(|secret| !KEY.contains(&secret.len()))
+    {
+        faults.push(format!(
+            "fleet.key_file: {file} must hold {} to {} bytes",
+            KEY.start(),
+            KEY.end()
+        ));
     }
     let (Some(name), Some(secret), true) = (name, secret, faults.is_empty()) else {
         return Err(faults.join("\n"));
@@ -95,7 +104,8 @@
 /// The ground tells one build from another by this.
 #[cfg(feature = "faults")]
 fn build() -> String {
-    sillward_runtime::told("SILLWARD_FAULT_BUILD").unwrap_or_else(|| env!("CARGO_PKG_VERSION").to_owned())
+    sillward_runtime::told("SILLWARD_FAULT_BUILD")
+        .unwrap_or_else(|| env!("CARGO_PKG_VERSION").to_owned())
 }
 
 #[cfg(feature = "faults")]
@@ -121,7 +131,10 @@
     stop: impl Future<Output = ()> + 'static,
 ) -> Result<Rc<Fleet>, String> {
     let (fleet, listening) = Fleet::start(terms(config, fleet)?, clock).await?;
-    log(format_args!("{} listens for its fleet on {}", config.name, listening.address));
+    log(format_args!(
+        "{} listens for its fleet on {}",
+        config.name, listening.address
+    ));
     spawn_local(fleet.clone().run(listening, stop));
     Ok(fleet)
 }
--- a/crates/app/src/fronts.rs
+++ b/crates/app/src/fronts.rs
@@ -4,15 +4,15 @@
 use crate::{agreement, control, outcomes, pages};
 use hyper::Method;
 use sillward_admin::{Admin, Posted, Reply, Route};
-use sillward_node_config::Config;
-use sillward_forwarding::{Budget, Intake, Live, Message};
 use sillward_consensus_io::Council;
+use sillward_endpoints::Membership;
+use sillward_forwarding::{Budget, Intake, Live, Message};
 use sillward_hot_restart::Holding;
-use sillward_peer_transport::Fleet;
 use sillward_listener::{Door, Hold, Life};
 use sillward_logging::log;
-use sillward_endpoints::Membership;
 use sillward_metrics::Counters;
+use sillward_node_config::Config;
+use sillward_peer_transport::Fleet;
 use sillward_pool::Sockets;
 use sillward_runtime::Clock;
 use sillward_runtime::net::TcpListener;
@@ -55,8 +55,13 @@
             bytes: self.config.body_bytes,
         };
         let (door, sockets) = (self.door.clone(), self.sockets.clone());
-        let holders = Holders { door, sockets, budget: self.budget.clone() };
-        if let Some(handover) = Handover::start(self.config.folder.as_deref(), alone, holders).await {
+        let holders = Holders {
+            door,
+            sockets,
+            budget: self.budget.clone(),
+        };
+        if let Some(handover) = Handover::start(self.config.folder.as_deref(), alone, holders).await
+        {
             spawn_local(handover.run(self.told_to_stop()));
         }
     }
@@ -70,8 +75,13 @@
     }
 
     fn said(&self, listener: &TcpListener, whom: &str) -> Result<(), String> {
-        let address = listener.local_addr().map_err(|e| format!("cannot listen: {e}"))?;
-        log(format_args!("{} listens for {whom} on {address}", self.config.name));
+        let address = listener
+            .local_addr()
+            .map_err(|e| format!("cannot listen: {e}"))?;
+        log(format_args!(
+            "{} listens for {whom} on {address}",
+            self.config.name
+        ));
         Ok(())
     }
 
@@ -94,11 +104,26 @@
         let Some(terms) = terms else { return Ok(()) };
         let listener = bind(terms.listen).await?;
         self.said(&listener, "Thrift")?;
-        let door = Door::new(self.life.clone(), self.thrift_connections, longest(&self.live));
+        let door = Door::new(
+            self.life.clone(),
+            self.thrift_connections,
+            longest(&self.live),
+        );
         let (intake, live, seed) = (self.intake.clone(), self.live.clone(), self.config.seed);
-        let front = sillward_thrift::Front::new(intake, live, terms, door.clone(), self.budget.clone(), seed);
-        door.run(front.clone(), listener, Hold::Own, self.told_to_stop()).await;
-        log(format_args!("{} oneway calls were taken", front.oneway_calls()));
+        let front = sillward_thrift::Front::new(
+            intake,
+            live,
+            terms,
+            door.clone(),
+            self.budget.clone(),
+            seed,
+        );
+        door.run(front.clone(), listener, Hold::Own, self.told_to_stop())
+            .await;
+        log(format_args!(
+            "{} oneway calls were taken",
+            front.oneway_calls()
+        ));
         Ok(())
     }
 
@@ -116,7 +141,11 @@
         let clock = self.clock;
         let page = |path, text: fn(Clock, &Rc<RefCell<Membership>>) -> String| {
             let sources = sources.clone();
-            let text = move || sources.as_ref().map_or_else(|| "{}".to_owned(), |m| text(clock, m));
+            let text = move || {
+                sources
+                    .as_ref()
+                    .map_or_else(|| "{}".to_owned(), |m| text(clock, m))
+            };
             Route::new(Method::GET, path, move || Reply::json(text()))
         };
         let pages = || {
@@ -128,18 +157,30 @@
                 let page = move || Reply::json(sillward_peer_transport::page::fleet(&fleet));
                 Route::new(Method::GET, "/admin/fleet", page)
             }));
-            all.extend(council.iter().map(|council| agreement::page(council, &self.live)));
+            all.extend(
+                council
+                    .iter()
+                    .map(|council| agreement::page(council, &self.live)),
+            );
             all.extend(told.iter().map(outcomes::page));
             all
         };
         let posts = || -> Vec<Posted> {
-            council.iter().map(|council| agreement::proposals(council, &self.live)).collect()
+            council
+                .iter()
+                .map(|council| agreement::proposals(council, &self.live))
+                .collect()
         };
         if let Some(address) = platform {
             let listener = bind(address).await?;
             self.said(&listener, "operators")?;
             let mut routes = control::routes(&self.life, &self.counters, &self.messages);
-            routes.extend((sources.is_some() || fleet.is_some()).then(pages).into_iter().flatten());
+            routes.extend(
+                (sources.is_some() || fleet.is_some())
+                    .then(pages)
+                    .into_iter()
+                    .flatten(),
+            );
             spawn_local(Admin::new(routes, posts()).run(listener));
         }
         if let Some(address) = operator.filter(|address| platform != Some(*address)) {
@@ -156,14 +197,20 @@
     let live = live.clone();
     move || {
         let site = live.get();
-        site.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
+        site.settings
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .max()
+            .unwrap_or_default()
     }
 }
 
 /// Adopts the listener that the process was started with, or says in words why not.
 pub fn adopt(descriptor: i32, address: SocketAddr) -> Result<TcpListener, String> {
-    let wrong =
-        |what: &dyn Display| format!("PROXY_LISTEN_FD {descriptor} is no listener at {address}: {what}");
+    let wrong = |what: &dyn Display| {
+        format!("PROXY_LISTEN_FD {descriptor} is no listener at {address}: {what}")
+    };
     let listener = TcpListener::adopt(descriptor).map_err(|e| wrong(&e))?;
     match listener.local_addr() {
         Ok(at) if at == address || address.port() == 0 => Ok(listener),
@@ -174,5 +221,7 @@
 
 /// Listens, or says in words why not.
 pub async fn bind(address: SocketAddr) -> Result<TcpListener, String> {
-    TcpListener::bind(address).await.map_err(|e| format!("cannot listen on {address}: {e}"))
+    TcpListener::bind(address)
+        .await
+        .map_err(|e| format!("cannot listen on {address}: {e}"))
 }
--- a/crates/app/src/handover.rs
+++ b/crates/app/src/handover.rs
@@ -20,7 +20,11 @@
 const NAME: &str = "sillward.sock";
 /// What a second process takes for itself: descriptors for streams, listeners, runtime, discovery and operators' callers, and
 /// memory for its code, tables and queues.
-pub const SECOND: Holding = Holding { clients: 0, backends: 32, bytes: 8 << 20 };
+pub const SECOND: Holding = Holding {
+    clients: 0,
+    backends: 32,
+    bytes: 8 << 20,
+};
 
 /// The parts that hold something.
 pub struct Holders {
@@ -32,7 +36,11 @@
 impl Holders {
     fn held(&self, aside: &Lease) -> Holding {
         let bytes = self.budget.taken().saturating_sub(aside.bytes());
-        Holding { clients: self.door.clients(), backends: self.sockets.open(), bytes }
+        Holding {
+            clients: self.door.clients(),
+            backends: self.sockets.open(),
+            bytes,
+        }
     }
 }
 
@@ -77,7 +85,9 @@
             }
             let mut bytes = [0; LONGEST_LINE];
             match self.stream.read(&mut bytes).await {
-                Ok(count) if count > 0 => self.unread.push_str(&String::from_utf8_lossy(&bytes[..count])),
+                Ok(count) if count > 0 => self
+                    .unread
+                    .push_str(&String::from_utf8_lossy(&bytes[..count])),
                 _ => return Word::Gone,
             }
         }
@@ -119,7 +129,9 @@
             listener: None,
         };
         let Some(path) = folder.map(|folder| folder.join(NAME)) else {
-            log("no TMPDIR: whether another process of this node runs is unknown, and it holds half");
+            log(
+                "no TMPDIR: whether another process of this node runs is unknown, and it holds half",
+            );
             this.shares.handle(Event::Older);
             this.half();
             this.apply();
@@ -127,10 +139,15 @@
         };
         if let Ok(stream) = LocalStream::connect(&path).await {
             this.shares.handle(Event::Older);
-            let mut talk = Talk { stream, unread: String::new() };
+            let mut talk = Talk {
+                stream,
+                unread: String::new(),
+            };
             match timeout(FIRST_WORD, talk.next()).await {
                 Ok(Word::Holds(holding)) => {
-                    log(format_args!("an older process of this node holds {holding:?}"));
+                    log(format_args!(
+                        "an older process of this node holds {holding:?}"
+                    ));
                     this.shares.handle(Event::OlderHolds(holding));
                     this.older = Some(talk);
                 }
@@ -148,7 +165,10 @@
         }
         match LocalListener::replace(&path) {
             Ok(listener) => this.listener = Some(listener),
-            Err(e) => log(format_args!("the next process will not find this one at {}: {e}", path.display())),
+            Err(e) => log(format_args!(
+                "the next process will not find this one at {}: {e}",
+                path.display()
+            )),
         }
         this.apply();
         Some(this)
@@ -168,7 +188,8 @@
         let may = self.shares.may_hold(held);
         self.holders.door.hold(may.clients);
         self.holders.sockets.hold(may.backends);
-        self.aside.become_of(self.alone.bytes.saturating_sub(may.bytes));
+        self.aside
+            .become_of(self.alone.bytes.saturating_sub(may.bytes));
     }
 
     /// Carries on for as long as the process lives. `stop` is when it is told to end.
@@ -227,7 +248,9 @@
                 () = sleep(LOOK), if paired => {}
             }
             self.apply();
-            let Some(newer) = &mut self.newer else { continue };
+            let Some(newer) = &mut self.newer else {
+                continue;
+            };
             if newer.unsent.is_empty() {
                 let told = self.shares.told(self.holders.held(&self.aside));
                 if newer.said.replace(told) != Some(told) {
--- a/crates/app/src/handover/tests.rs
+++ b/crates/app/src/handover/tests.rs
@@ -13,13 +13,24 @@
 fn a_word_that_found_no_room_is_said_whole_once_there_is_some() {
     let heard = block_on(async {
         let (stream, reads) = LocalStream::pair().expect("two ends");
-        let mut newer = Listener { stream, unsent: Vec::new(), said: None };
-        let mut talk = Talk { stream: reads, unread: String::new() };
+        let mut newer = Listener {
+            stream,
+            unsent: Vec::new(),
+            said: None,
+        };
+        let mut talk = Talk {
+            stream: reads,
+            unread: String::new(),
+        };
         // What is dropped for want of room shows as sends that took their time and left nothing.
         let (mut said, mut slow) = (0, 0);
         while newer.unsent.is_empty() && slow < 50 {
             said += 1;
-            newer.unsent = line(Holding { clients: said, ..Holding::default() }).into_bytes();
+            newer.unsent = line(Holding {
+                clients: said,
+                ..Holding::default()
+            })
+            .into_bytes();
             let began = Instant::now();
             newer.send().await;
             slow += usize::from(began.elapsed() >= LOOK);
--- a/crates/app/src/lib.rs
+++ b/crates/app/src/lib.rs
@@ -13,12 +13,14 @@
 mod sources;
 
 use sillward_balancer::settings::Site;
-use sillward_node_config::Config;
-use sillward_forwarding::{Backends, Budget, Dispatch, Gauges, Intake, Lapse, Live, Message, Node, Reports};
 use sillward_consensus_io::Council;
+use sillward_forwarding::{
+    Backends, Budget, Dispatch, Gauges, Intake, Lapse, Live, Message, Node, Reports,
+};
 use sillward_listener::{Door, Life};
 use sillward_logging::log;
 use sillward_metrics::Counters;
+use sillward_node_config::Config;
 use sillward_operator_config::Operator;
 use sillward_pool::{Pool, Sockets, Terms};
 use sillward_runtime::Clock;
@@ -64,17 +66,24 @@
 /// # Errors
 /// More than the node's limits allow: the operator file's key and both numbers.
 pub fn thrift_connections(config: &Config, operator: &Operator) -> Result<usize, String> {
-    let Some(terms) = &operator.thrift else { return Ok(0) };
+    let Some(terms) = &operator.thrift else {
+        return Ok(0);
+    };
     let most = config.client_connections;
     match terms.connections.unwrap_or(most / 2) {
         part if part < most => Ok(part),
-        part => Err(format!("thrift.connections: {part}, but the limits allow {most} clients in all")),
+        part => Err(format!(
+            "thrift.connections: {part}, but the limits allow {most} clients in all"
+        )),
     }
 }
 
 /// How many of the node's client connections the fleet takes.
 pub fn fleet_connections(config: &Config, operator: &Operator) -> usize {
-    operator.fleet.as_ref().map_or(0, |_| fleet::sockets(config))
+    operator
+        .fleet
+        .as_ref()
+        .map_or(0, |_| fleet::sockets(config))
 }
 
 /// Whether operator file and configuration go together.
@@ -82,7 +91,10 @@
 /// # Errors
 /// All that does not, a line each, with the operator file's keys.
 pub fn fit(config: &Config, operator: &Operator) -> Result<(), String> {
-    let fleet = operator.fleet.as_ref().map(|terms| fleet::terms(config, terms));
+    let fleet = operator
+        .fleet
+        .as_ref()
+        .map(|terms| fleet::terms(config, terms));
     let clients = thrift_connections(config, operator).and_then(|thrift| {
         let (most, fleet) = (config.client_connections, fleet_connections(config, operator));
         let room = most > thrift + fleet;
@@ -92,13 +104,25 @@
     });
     // A process that takes another's place would find the fleet's port taken by it.
     let replaced = operator.fleet.is_some() && config.listen_fd.is_some();
-    let replaced =
-        replaced.then(|| "fleet: not where processes replace each other (PROXY_LISTEN_FD)".to_owned());
-    let agreement = operator.agreement.as_ref().map(|terms| agreement::terms(config, terms));
+    let replaced = replaced
+        .then(|| "fleet: not where processes replace each other (PROXY_LISTEN_FD)".to_owned());
+    let agreement = operator
+        .agreement
+        .as_ref()
+        .map(|terms| agreement::terms(config, terms));
     let agreement = agreement.and_then(Result::err);
-    let faults = [clients.err(), fleet.and_then(Result::err), agreement, replaced];
+    let faults = [
+        clients.err(),
+        fleet.and_then(Result::err),
+        agreement,
+        replaced,
+    ];
     let faults: Vec<String> = faults.into_iter().flatten().collect();
-    if faults.is_empty() { Ok(()) } else { Err(faults.join("\n")) }
+    if faults.is_empty() {
+        Ok(())
+    } else {
+        Err(faults.join("\n"))
+    }
 }
 
 /// Founds this voter's folder, once and on purpose: see [`sillward_consensus_io::found`].
@@ -106,8 +130,12 @@
 /// # Errors
 /// There is no `[agreement]`, this node is no voter, or its folder is founded already.
 pub fn found(config: &Config, operator: &Operator) -> Result<String, String> {
-    let terms = operator.agreement.as_ref().ok_or("the operator file has no [agreement]")?;
-    let name = sillward_membership::Name::new(&config.name).ok_or("this node's name can't be a member's")?;
+    let terms = operator
+        .agreement
+        .as_ref()
+        .ok_or("the operator file has no [agreement]")?;
+    let name = sillward_membership::Name::new(&config.name)
+        .ok_or("this node's name can't be a member's")?;
     sillward_consensus_io::found(&agreement::terms(config, terms)?, &name)
 }
 
@@ -134,7 +162,10 @@
     let (orders, discovery_orders) = mpsc::channel(16);
     let (moves, moved) = watch::channel(config.discovery);
     // Bodies keep half of their memory whatever else is on.
-    let fleet_bytes = operator.fleet.as_ref().map_or(0, |terms| fleet::bytes(&config, terms))
+    let fleet_bytes = operator
+        .fleet
+        .as_ref()
+        .map_or(0, |terms| fleet::bytes(&config, terms))
         + operator.agreement.as_ref().map_or(0, |_| agreement::BYTES)
         + operator.outcomes.as_ref().map_or(0, |_| outcomes::BYTES);
     let fleet_connections = fleet_connections(&config, &operator);
@@ -142,19 +173,32 @@
     let sockets = Sockets::new(config.backend_connections);
     let (counters, live) = (Counters::new(), Live::new(config.site.clone()));
     counters.name(&config.site.class_names);
-    let mut protocols =
-        backends(clock, &config, operator.thrift_backends, &budget, &sockets, &counters, &live);
+    let mut protocols = backends(
+        clock,
+        &config,
+        operator.thrift_backends,
+        &budget,
+        &sockets,
+        &counters,
+        &live,
+    );
     if let Some(wrap) = wrap {
         protocols = wrap(protocols);
     }
     let fleet = match &operator.fleet {
         None => None,
-        Some(terms) => Some(fleet::start(clock, &config, terms, stopped(controls.stop.clone())).await?),
+        Some(terms) => {
+            Some(fleet::start(clock, &config, terms, stopped(controls.stop.clone())).await?)
+        }
     };
     let told = match (&operator.outcomes, &fleet) {
-        (Some(terms), Some(fleet)) => {
-            Some(outcomes::start(clock, terms, fleet, &live, stopped(controls.stop.clone()))?)
-        }
+        (Some(terms), Some(fleet)) => Some(outcomes::start(
+            clock,
+            terms,
+            fleet,
+            &live,
+            stopped(controls.stop.clone()),
+        )?),
         _ => None,
     };
     let changed = Rc::new(Notify::new());
@@ -162,7 +206,14 @@
     let council = match (&operator.agreement, &fleet) {
         (Some(terms), Some(fleet)) => {
             let stop = stopped(controls.stop.clone());
-            Some(agreement::start(clock, &config, terms, fleet, (changed.clone(), lapse.clone()), stop)?)
+            Some(agreement::start(
+                clock,
+                &config,
+                terms,
+                fleet,
+                (changed.clone(), lapse.clone()),
+                stop,
+            )?)
         }
         _ => None,
     };
@@ -175,7 +226,11 @@
     let sources = sources::start(clock, &config, operator.etcd, &messages, &live);
     let node = Node::new(
         clock,
-        lapse.instead().unwrap_or_else(|| live.get()).settings.clone(),
+        lapse
+            .instead()
+            .unwrap_or_else(|| live.get())
+            .settings
+            .clone(),
         config.seed,
         protocols,
         messages.clone(),
@@ -183,7 +238,10 @@
         counters.clone(),
     )
     .lapsing(council.is_some().then(|| lapse.clone()))
-    .witnessed(told.clone().map(|told| told as Rc<dyn sillward_forwarding::Witness>));
+    .witnessed(
+        told.clone()
+            .map(|told| told as Rc<dyn sillward_forwarding::Witness>),
+    );
     let (gauges, budgeted, open) = (node.gauges(), budget.clone(), sockets.clone());
     shown(Insight {
         gauges,
@@ -208,7 +266,9 @@
         moves,
     };
     spawn_local(reloading.run(controls.reload, controls.read));
-    let said = listener.local_addr().map_err(|e| format!("cannot listen: {e}"))?;
+    let said = listener
+        .local_addr()
+        .map_err(|e| format!("cannot listen: {e}"))?;
     log(format_args!("{} listens on {said}", config.name));
 
     let clients = config.client_connections - thrift_connections - fleet_connections;
@@ -231,7 +291,16 @@
         doors.share().await;
         let http = doors.http(listener);
         let thrift = doors.thrift(operator.thrift);
-        doors.admin(config.admin, operator.admin, sources.membership, fleet, council, told).await?;
+        doors
+            .admin(
+                config.admin,
+                operator.admin,
+                sources.membership,
+                fleet,
+                council,
+                told,
+            )
+            .await?;
         tokio::try_join!(http, thrift).map(drop)
     };
     tokio::select! {
@@ -261,12 +330,15 @@
     let terms = Terms::of(&config.site);
     let reports = Reports::new(live.clone());
     let pool = Pool::start(clock, sillward_http1::Http1, terms, sockets.clone());
-    let http = sillward_http1::Backend::new(pool, budget.clone(), reports.clone(), counters.clone());
+    let http =
+        sillward_http1::Backend::new(pool, budget.clone(), reports.clone(), counters.clone());
     if thrift.is_empty() {
         return http;
     }
     let others = thrift.into_iter().map(|kind| {
-        let protocol = sillward_thrift::Thrift { send_buffer: kind.send_buffer };
+        let protocol = sillward_thrift::Thrift {
+            send_buffer: kind.send_buffer,
+        };
         let pool = Pool::start(clock, protocol, terms, sockets.clone());
         let (place, budget) = (kind.kind, budget.clone());
         let backends: Rc<dyn Backends> =
@@ -295,7 +367,11 @@
 
 impl Reloading {
     /// Each time that it is told to.
-    async fn run(mut self, mut told: mpsc::Receiver<()>, read: Box<dyn Fn() -> Result<Config, String>>) {
+    async fn run(
+        mut self,
+        mut told: mpsc::Receiver<()>,
+        read: Box<dyn Fn() -> Result<Config, String>>,
+    ) {
         loop {
             let again = tokio::select! {
                 biased;
@@ -331,7 +407,10 @@
             Some(council) => {
                 let keys = agreement::keys(&self.file);
                 let readings = council.readings(&keys);
-                self.lapse.careful(Rc::new(agreement::laid_over(&self.file, &council.careful(&keys))));
+                self.lapse.careful(Rc::new(agreement::laid_over(
+                    &self.file,
+                    &council.careful(&keys),
+                )));
                 (
                     Rc::new(agreement::laid_over(&self.file, &readings)),
                     Rc::new(agreement::called(&self.file, &readings)),
@@ -355,14 +434,22 @@
         self.file = Rc::new(self.running.followed_by(&new, &old)?);
         let fixed = self.running.fixed_that_differ(&new).join(", ");
         if !fixed.is_empty() {
-            log(format_args!("changed in the configuration, but only a restart takes it in: {fixed}"));
+            log(format_args!(
+                "changed in the configuration, but only a restart takes it in: {fixed}"
+            ));
         }
         let changed = self.lay_over().await?;
         let address = new.discovery;
-        let moved = self.moves.send_if_modified(|at| std::mem::replace(at, address) != address);
-        let (settings, what) =
-            (if changed { "changed" } else { "as before" }, if moved { "moved to" } else { "stays at" });
-        log(format_args!("configuration read again: settings {settings}, discovery {what} {address}"));
+        let moved = self
+            .moves
+            .send_if_modified(|at| std::mem::replace(at, address) != address);
+        let (settings, what) = (
+            if changed { "changed" } else { "as before" },
+            if moved { "moved to" } else { "stays at" },
+        );
+        log(format_args!(
+            "configuration read again: settings {settings}, discovery {what} {address}"
+        ));
         self.running = Rc::new(new);
         Ok(())
     }
--- a/crates/app/src/outcomes.rs
+++ b/crates/app/src/outcomes.rs
@@ -1,15 +1,15 @@
 //! What this node sees, counted and told to its fleet, and what all see, read from it. A loop of its own carries it; the node
 //! only adds to counts, and waits for nobody.
 
-use sillward_balancer::{Outcome, ServerId};
 use hyper::Method;
 use serde_json::json;
 use sillward_admin::{Reply, Route};
+use sillward_balancer::{Outcome, ServerId};
 use sillward_forwarding::{Live, Witness};
+use sillward_membership::{Life, Name};
+use sillward_outcome_stats::{Action, Backend, Cell, Class, End, Spread, Terms};
 use sillward_peer_transport::Fleet;
 use sillward_peer_transport::outbox::Posted;
-use sillward_outcome_stats::{Action, Backend, Cell, Class, End, Spread, Terms};
-use sillward_membership::{Life, Name};
 use sillward_runtime::task::spawn_local;
 use sillward_runtime::time::{sleep_until, timeout_at};
 use sillward_runtime::{Clock, random};
@@ -52,25 +52,46 @@
     let (me, life) = fleet.with(|peers| (peers.me().name.clone(), peers.life()));
     let spread = Spread::new(terms.clone(), me, life, seed, clock.now()).into();
     let (fleet, live) = (fleet.clone(), live.clone());
-    let outcomes = Rc::new(Outcomes { clock, spread, fleet, live, sooner: Notify::new() });
+    let outcomes = Rc::new(Outcomes {
+        clock,
+        spread,
+        fleet,
+        live,
+        sooner: Notify::new(),
+    });
     let own = outcomes.clone();
-    outcomes.fleet.hear(TOPIC, move |name, life, bytes| own.heard(name, life, bytes));
+    outcomes
+        .fleet
+        .hear(TOPIC, move |name, life, bytes| own.heard(name, life, bytes));
     spawn_local(outcomes.clone().run(stop));
     Ok(outcomes)
 }
 
 impl Outcomes {
     fn heard(&self, name: &Name, life: Life, bytes: &[u8]) {
-        let actions = self.spread.borrow_mut().heard(self.clock.now(), name, life, bytes);
+        let actions = self
+            .spread
+            .borrow_mut()
+            .heard(self.clock.now(), name, life, bytes);
         self.act(actions);
         self.sooner.notify_one();
     }
 
     fn act(&self, actions: Vec<Action>) {
         for Action::Send { to, slot, bytes } in actions {
-            let address = self.fleet.with(|peers| peers.member(&to).map(|member| member.address));
+            let address = self
+                .fleet
+                .with(|peers| peers.member(&to).map(|member| member.address));
             if let Some(address) = address {
-                self.fleet.post(&to, address, Posted { topic: TOPIC, slot, bytes });
+                self.fleet.post(
+                    &to,
+                    address,
+                    Posted {
+                        topic: TOPIC,
+                        slot,
+                        bytes,
+                    },
+                );
             }
         }
     }
@@ -95,7 +116,9 @@
             let life = self.fleet.life();
             let living: Vec<(Name, Life)> = self.fleet.with(|peers| {
                 let living = peers.members().filter(|member| member.state.is_living());
-                living.map(|member| (member.name.clone(), member.life)).collect()
+                living
+                    .map(|member| (member.name.clone(), member.life))
+                    .collect()
             });
             let living = living.iter().map(|(name, life)| (name, *life));
             let actions = self.spread.borrow_mut().turn(now, life, living);
@@ -104,7 +127,11 @@
     }
 
     fn class(&self, class: usize) -> Class {
-        self.live.get().class_names.get(class).map_or(Class(0), |name| Class::of(name))
+        self.live
+            .get()
+            .class_names
+            .get(class)
+            .map_or(Class(0), |name| Class::of(name))
     }
 
     /// What all nodes see, for operators. Rates are a second, times in milliseconds.
@@ -114,7 +141,10 @@
         let (view, figures) = (spread.view(now), spread.figures());
         let site = self.live.get();
         let named = |class: &Class| {
-            let known = site.class_names.iter().find(|name| Class::of(name) == *class);
+            let known = site
+                .class_names
+                .iter()
+                .find(|name| Class::of(name) == *class);
             known.cloned().unwrap_or_else(|| format!("{:08x}", class.0))
         };
         let ms = |time: Duration| time.as_secs_f64() * 1e3;
@@ -157,7 +187,9 @@
 /// What all nodes see, for operators.
 pub fn page(outcomes: &Rc<Outcomes>) -> Route {
     let outcomes = outcomes.clone();
-    Route::new(Method::GET, "/admin/outcomes", move || Reply::json(outcomes.page()))
+    Route::new(Method::GET, "/admin/outcomes", move || {
+        Reply::json(outcomes.page())
+    })
 }
 
 impl Witness for Outcomes {
@@ -184,15 +216,27 @@
             Outcome::NotSent => return,
             Outcome::Cancelled => None,
             Outcome::Served => {
-                let aim =
-                    self.live.get().settings.classes.get(class).map_or(Duration::ZERO, |class| class.aim);
-                Some(if since_it_came <= aim { End::InTime } else { End::Late })
+                let aim = self
+                    .live
+                    .get()
+                    .settings
+                    .classes
+                    .get(class)
+                    .map_or(Duration::ZERO, |class| class.aim);
+                Some(if since_it_came <= aim {
+                    End::InTime
+                } else {
+                    End::Late
+                })
             }
             Outcome::TimedOut => Some(End::Late),
             Outcome::Rejected => Some(End::Refused),
             Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => Some(End::Failed),
         };
-        let cell = Cell { backend: Backend::of(at.0), class: self.class(class) };
+        let cell = Cell {
+            backend: Backend::of(at.0),
+            class: self.class(class),
+        };
         let mut spread = self.spread.borrow_mut();
         let counts = spread.counts(now);
         counts.sent(cell, Duration::ZERO);
@@ -202,6 +246,9 @@
     }
 
     fn probed(&self, now: Duration, at: ServerId) {
-        self.spread.borrow_mut().counts(now).probed(Backend::of(at.0));
+        self.spread
+            .borrow_mut()
+            .counts(now)
+            .probed(Backend::of(at.0));
     }
 }
--- a/crates/app/src/pages.rs
+++ b/crates/app/src/pages.rs
@@ -29,7 +29,9 @@
             Standing::Current => "current",
             Standing::Silent => "silent",
         };
-        let heard = source.heard.map_or("null".to_owned(), |heard| age(heard).to_string());
+        let heard = source
+            .heard
+            .map_or("null".to_owned(), |heard| age(heard).to_string());
         let comma = if i > 0 { "," } else { "" };
         // A write into a string can't fail.
         let _ = write!(
@@ -60,8 +62,10 @@
             state(line.entry.state)
         );
         let said = membership.said(line.entry.id);
-        let words =
-            sources.iter().zip(said).filter_map(|(source, said)| said.map(|said| (&source.name, said)));
+        let words = sources
+            .iter()
+            .zip(said)
+            .filter_map(|(source, said)| said.map(|said| (&source.name, said)));
         for (j, (name, said)) in words.enumerate() {
             let comma = if j > 0 { "," } else { "" };
             let _ = write!(
--- a/crates/app/src/sources.rs
+++ b/crates/app/src/sources.rs
@@ -1,11 +1,11 @@
 //! Who tells the node of its backends: the roster, and etcd beside it where the operator file names one.
 
-use sillward_node_config::Config;
-use sillward_forwarding::{Live, Message};
-use sillward_etcd::{Etcd, Terms};
+use sillward_discovery::Discovery;
 use sillward_endpoint_updates::Hub;
 use sillward_endpoints::{Guard, Membership};
-use sillward_discovery::Discovery;
+use sillward_etcd::{Etcd, Terms};
+use sillward_forwarding::{Live, Message};
+use sillward_node_config::Config;
 use sillward_runtime::Clock;
 use sillward_runtime::task::spawn_local;
 use std::cell::RefCell;
@@ -36,7 +36,13 @@
         None => (node.clone(), mpsc::channel(1).1),
     };
     let seed = config.seed;
-    let discovery = Discovery::new(config.discovery, live.clone(), config.known.clone(), seed, roster);
+    let discovery = Discovery::new(
+        config.discovery,
+        live.clone(),
+        config.known.clone(),
+        seed,
+        roster,
+    );
     let membership = etcd.map(|(terms, guard)| {
         let sources = [("roster", None), ("etcd", Some(guard))];
         let membership = Rc::new(RefCell::new(Membership::new(&sources)));
@@ -47,5 +53,8 @@
         spawn_local(etcd.run());
         membership
     });
-    Sources { discovery, membership }
+    Sources {
+        discovery,
+        membership,
+    }
 }
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -90,11 +90,16 @@
     pub fn stricter(self, other: Repeat) -> Repeat {
         match (self, other) {
             (same, Repeat::Safe) => same,
-            (Repeat::Keyed { scope, window }, Repeat::Keyed { scope: group, window: other })
-                if scope == group =>
-            {
-                Repeat::Keyed { scope, window: window.min(other) }
-            }
+            (
+                Repeat::Keyed { scope, window },
+                Repeat::Keyed {
+                    scope: group,
+                    window: other,
+                },
+            ) if scope == group => Repeat::Keyed {
+                scope,
+                window: window.min(other),
+            },
             // Servers were not told to drop repeats of a request that began as safe.
             _ => Repeat::Unsafe,
         }
@@ -279,7 +284,10 @@
 impl Outcome {
     /// Whether this outcome proves that the request never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
+        matches!(
+            self,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
+        )
     }
 }
 
@@ -500,7 +508,10 @@
                 ask_within: Duration::from_secs(10),
             },
             prices: Prices::default(),
-            goal: Goal { whole: 1.0, ..Goal::default() },
+            goal: Goal {
+                whole: 1.0,
+                ..Goal::default()
+            },
             list_on_request: false,
             stricter_at_once: false,
             tick: Duration::from_millis(1),
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -57,13 +57,20 @@
 
 /// One of them at random, as a draw between 0 and 1 falls.
 fn any_of(among: &[&Server], draw: f64) -> Option<ServerId> {
-    among.get((draw * among.len() as f64) as usize).map(|server| server.entry.id)
+    among
+        .get((draw * among.len() as f64) as usize)
+        .map(|server| server.entry.id)
 }
 
 impl Balancer {
     /// A node that has just started and holds no state.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let aim = settings.classes.iter().map(|c| c.aim).min().unwrap_or_default();
+        let aim = settings
+            .classes
+            .iter()
+            .map(|c| c.aim)
+            .min()
+            .unwrap_or_default();
         let mut node = Balancer::empty(settings, Pcg32::seed_from_u64(seed));
         (node.answer_time, node.median) = (aim.as_secs_f64() / 2.0, aim.as_secs_f64() / 4.0);
         (node.sends, node.idle_signs, node.busy) = (1.0, 1.0, 0.5);
@@ -78,7 +85,8 @@
         self.now = now.max(self.now).max(Duration::from_nanos(1));
         if first && self.settings.list_on_request {
             // All nodes may have started together: they spread their first calls.
-            self.ask_at = Some(self.now + self.settings.rules.ask_within.mul_f64(self.random() / 4.0));
+            self.ask_at =
+                Some(self.now + self.settings.rules.ask_within.mul_f64(self.random() / 4.0));
             self.on_tick(actions);
         }
         match event {
@@ -86,7 +94,12 @@
             Event::List { kind, entries } => self.on_list(kind, entries),
             Event::Request(new) => self.on_request(new, actions),
             Event::Arrived { id, spent } => self.on_arrived(id, spent, actions),
-            Event::Started { id, attempt, server, report } => {
+            Event::Started {
+                id,
+                attempt,
+                server,
+                report,
+            } => {
                 self.on_started(id, attempt, server, report, actions);
             }
             Event::AttemptEnded(end) => self.on_outcome(end, actions),
@@ -101,25 +114,39 @@
     /// How many servers are listed, and how many of these are avoided for what they did. One that
     /// drains is not: it is on its way out as it should be.
     pub fn view(&self) -> (usize, usize) {
-        let listed = self.servers.values().filter(|s| s.entry.state != ServerState::Gone);
+        let listed = self
+            .servers
+            .values()
+            .filter(|s| s.entry.state != ServerState::Gone);
         let avoided = |s: &&Server| s.entry.state == ServerState::Ready && s.ejected.is_some();
         (listed.clone().count(), listed.filter(avoided).count())
     }
 
     /// The only place that gives a final answer: refused if to try again is harmless, else failed.
     fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id).filter(|r| !r.done && r.streaming.is_none()) else {
+        let Some(request) = self
+            .requests
+            .get(&id)
+            .filter(|r| !r.done && r.streaming.is_none())
+        else {
             return;
         };
         if request.out() > 0 && self.now < request.until {
             return; // what is out may still be answered
         }
         let harmless = match request.repeat {
-            Repeat::Safe | Repeat::Keyed { scope: Scope::All, .. } => true,
+            Repeat::Safe
+            | Repeat::Keyed {
+                scope: Scope::All, ..
+            } => true,
             _ => !request.attempts.iter().any(Attempt::may_have_run),
         };
         let retry_after = self.settings.limits.max_retry_after;
-        actions.push(if harmless { Action::Refuse { id, retry_after } } else { Action::Fail { id } });
+        actions.push(if harmless {
+            Action::Refuse { id, retry_after }
+        } else {
+            Action::Fail { id }
+        });
         self.close(id, actions);
     }
 
@@ -128,10 +155,19 @@
     fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.held.retain(|held| *held != id);
         self.waits(id, false);
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         if !request.done && self.settings.limits.cancel && request.streaming.is_none() {
-            let out = request.attempts.iter().enumerate().filter(|(_, a)| a.outcome.is_none());
-            actions.extend(out.map(|(i, _)| Action::Cancel { id, attempt: i as u32 }));
+            let out = request
+                .attempts
+                .iter()
+                .enumerate()
+                .filter(|(_, a)| a.outcome.is_none());
+            actions.extend(out.map(|(i, _)| Action::Cancel {
+                id,
+                attempt: i as u32,
+            }));
         }
         request.done = true;
         if request.out() == 0 {
@@ -141,12 +177,24 @@
 
     /// Takes new settings in; what was learnt of servers and times stays, since they are the same.
     fn on_settings(&mut self, settings: Settings) {
-        self.allowances.resize_with(settings.tenants.len().max(self.allowances.len()), Default::default);
-        self.patience.resize(settings.classes.len().max(self.patience.len()), Duration::ZERO);
+        self.allowances.resize_with(
+            settings.tenants.len().max(self.allowances.len()),
+            Default::default,
+        );
+        self.patience.resize(
+            settings.classes.len().max(self.patience.len()),
+            Duration::ZERO,
+        );
         // A request keeps its class with its terms, but for a repeat kind that is stricter now, where nodes
         // have agreed on it.
-        for request in self.requests.values_mut().filter(|_| settings.stricter_at_once) {
-            let Some(class) = settings.classes.get(request.class) else { continue };
+        for request in self
+            .requests
+            .values_mut()
+            .filter(|_| settings.stricter_at_once)
+        {
+            let Some(class) = settings.classes.get(request.class) else {
+                continue;
+            };
             request.repeat = request.repeat.stricter(class.repeat);
         }
         self.settings = settings;
@@ -154,7 +202,9 @@
 
     fn on_request_timer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let now = self.now;
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         if now >= request.until {
             self.finish(id, actions);
         } else {
--- a/crates/balancer/src/policy/admission.rs
+++ b/crates/balancer/src/policy/admission.rs
@@ -28,7 +28,10 @@
     /// Holds a request a while. One whose body is coming is not read on before it has somewhere to go: its
     /// client waits for that as long as it would for an answer.
     pub(super) fn wait(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let tired = |r: &Request| r.arriving.is_some_and(|time| self.now + ARRIVES >= r.until + time);
+        let tired = |r: &Request| {
+            r.arriving
+                .is_some_and(|time| self.now + ARRIVES >= r.until + time)
+        };
         if self.requests.get(&id).is_some_and(tired) {
             return self.finish(id, actions);
         }
@@ -38,7 +41,9 @@
     }
 
     pub(super) fn waits(&mut self, id: RequestId, now: bool) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         let before = std::mem::replace(&mut request.waits, now);
         self.waiting = self.waiting + usize::from(now) - usize::from(before);
     }
@@ -48,9 +53,16 @@
         let terms = self.settings.classes[class].clone();
         // The timer comes a tick late at most, and the answer must be there before the client leaves.
         let deadline = self.now + new.remaining.saturating_sub(2 * self.settings.tick);
-        let stretch = new.cost.unwrap_or_default().mul_f64(terms.aim_stretch.clamp(0.0, 1e3));
+        let stretch = new
+            .cost
+            .unwrap_or_default()
+            .mul_f64(terms.aim_stretch.clamp(0.0, 1e3));
         let aim = (self.now + terms.aim + stretch).saturating_sub(self.spent(&new, class));
-        let until = if terms.late_worth > 0.0 { deadline } else { deadline.min(aim) };
+        let until = if terms.late_worth > 0.0 {
+            deadline
+        } else {
+            deadline.min(aim)
+        };
         let weight = self.weigh(new.cost);
         self.arrived.add(self.now, self.memory(), weight);
         self.retry_tokens = (self.retry_tokens + RETRY_SHARE).min(2.0 / RETRY_SHARE);
@@ -59,31 +71,59 @@
         let (value, probed) = (self.value(class, new.tenant), !self.probes_tell());
         let (repeat, most) = (terms.repeat, self.settings.limits.max_attempts);
         let time = until.saturating_sub(self.now);
-        let (until, arriving) = if new.arriving { (self.now + ARRIVES, Some(time)) } else { (until, None) };
-        let request =
-            Request { class, repeat, most, arriving, weight, value, until, probed, ..Request::default() };
+        let (until, arriving) = if new.arriving {
+            (self.now + ARRIVES, Some(time))
+        } else {
+            (until, None)
+        };
+        let request = Request {
+            class,
+            repeat,
+            most,
+            arriving,
+            weight,
+            value,
+            until,
+            probed,
+            ..Request::default()
+        };
         self.requests.insert(new.id, request);
         // Hopeless even on a free server. Where most are idle it may try: hints are not exact.
         let most = time * if self.busy < 0.5 { 2 } else { 1 };
         if new.cost.unwrap_or_default() >= most {
             return self.finish(new.id, actions);
         }
-        actions.push(Action::SetTimer { after: until - self.now, token: new.id.0 });
+        actions.push(Action::SetTimer {
+            after: until - self.now,
+            token: new.id.0,
+        });
         self.dispatch(new.id, actions);
     }
 
     /// A request's body is here: from now on its time runs.
     pub(super) fn on_arrived(&mut self, id: RequestId, spent: bool, actions: &mut Vec<Action>) {
         let now = self.now;
-        let Some(request) = self.requests.get_mut(&id).filter(|r| !r.done) else { return };
-        let Some(time) = request.arriving.take() else { return };
+        let Some(request) = self.requests.get_mut(&id).filter(|r| !r.done) else {
+            return;
+        };
+        let Some(time) = request.arriving.take() else {
+            return;
+        };
         (request.until, request.spent) = (now + time, request.spent || spent);
         let waits = request.out() == 0;
-        let at: Vec<_> = request.attempts.iter().filter(|a| a.outcome.is_none()).map(|a| a.to.id).collect();
+        let at: Vec<_> = request
+            .attempts
+            .iter()
+            .filter(|a| a.outcome.is_none())
+            .map(|a| a.to.id)
+            .collect();
         for server in at {
             self.servers.entry(server).and_modify(|s| s.out += 1);
         }
-        actions.push(Action::SetTimer { after: time, token: id.0 });
+        actions.push(Action::SetTimer {
+            after: time,
+            token: id.0,
+        });
         if waits {
             self.dispatch(id, actions);
         }
@@ -101,17 +141,28 @@
     ) {
         self.held.retain(|held| *held != id);
         self.waits(id, false);
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let out = request.attempts.get(attempt as usize).is_some_and(|a| a.outcome.is_none());
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let out = request
+            .attempts
+            .get(attempt as usize)
+            .is_some_and(|a| a.outcome.is_none());
         if !out || request.streaming.replace(attempt).is_some() {
             return;
         }
         if self.settings.limits.cancel {
-            let others = request.attempts.iter().enumerate().filter(|(_, a)| a.outcome.is_none());
+            let others = request
+                .attempts
+                .iter()
+                .enumerate()
+                .filter(|(_, a)| a.outcome.is_none());
             let others = others.map(|(i, _)| i as u32).filter(|i| *i != attempt);
             actions.extend(others.map(|attempt| Action::Cancel { id, attempt }));
         }
-        self.servers.entry(server).and_modify(|s| s.out = s.out.saturating_sub(1));
+        self.servers
+            .entry(server)
+            .and_modify(|s| s.out = s.out.saturating_sub(1));
         self.on_report(server, report, true);
     }
 
@@ -119,25 +170,53 @@
     /// first try waits for the rest of its deadline. Work for one past its aim only feeds a jam.
     pub(super) fn spent(&mut self, new: &NewRequest, class: usize) -> Duration {
         let deadline = self.settings.classes[class].deadline;
-        let first_try = if new.client_retry { self.patience[class] } else { new.remaining };
+        let first_try = if new.client_retry {
+            self.patience[class]
+        } else {
+            new.remaining
+        };
         self.patience[class] = first_try;
         let like_first = new.remaining.abs_diff(first_try) < first_try / 64;
-        if like_first { Duration::ZERO } else { deadline.saturating_sub(new.remaining) }
+        if like_first {
+            Duration::ZERO
+        } else {
+            deadline.saturating_sub(new.remaining)
+        }
     }
 
     pub(super) fn weigh(&mut self, cost: Option<Duration>) -> f64 {
-        let Some(cost) = cost.map(|c| c.as_secs_f64()).filter(|c| *c > 0.0) else { return 1.0 };
-        self.usual_cost += (cost - self.usual_cost) * if self.usual_cost == 0.0 { 1.0 } else { SMOOTH / 8.0 };
+        let Some(cost) = cost.map(|c| c.as_secs_f64()).filter(|c| *c > 0.0) else {
+            return 1.0;
+        };
+        self.usual_cost += (cost - self.usual_cost)
+            * if self.usual_cost == 0.0 {
+                1.0
+            } else {
+                SMOOTH / 8.0
+            };
         cost / self.usual_cost
     }
 
     /// A request's worth against that of the usual one. What the worst class weighs is spread over all.
     pub(super) fn value(&mut self, class: usize, tenant: usize) -> f64 {
         let rate = |tenant: &Tenant| tenant.allowance_per_s / f64::from(self.settings.nodes.max(1));
-        let (rate, now) = (self.settings.tenants.get(tenant).map_or(0.0, rate), self.now);
-        let over = self.allowances.get_mut(tenant).is_some_and(|allowance| !allowance.take(now, rate));
-        let share = if over { self.settings.over_share_worth } else { 1.0 };
-        let (goal, worth) = (&self.settings.goal, self.settings.classes[class].worth * share);
+        let (rate, now) = (
+            self.settings.tenants.get(tenant).map_or(0.0, rate),
+            self.now,
+        );
+        let over = self
+            .allowances
+            .get_mut(tenant)
+            .is_some_and(|allowance| !allowance.take(now, rate));
+        let share = if over {
+            self.settings.over_share_worth
+        } else {
+            1.0
+        };
+        let (goal, worth) = (
+            &self.settings.goal,
+            self.settings.classes[class].worth * share,
+        );
         self.usual_worth += (worth - self.usual_worth) * SMOOTH / 8.0;
         let even = self.usual_worth * goal.worst_class / goal.whole.max(SMOOTH);
         ((worth + even) / (self.usual_worth + even).max(1e-9)).clamp(0.0, 1e3)
--- a/crates/balancer/src/policy/cold.rs
+++ b/crates/balancer/src/policy/cold.rs
@@ -6,7 +6,9 @@
     /// The share of its capacity that a server has for certain.
     pub(super) fn warmth(&self, server: &Server) -> f64 {
         let rules = &self.settings.rules;
-        let Some(started) = server.entry.started else { return 1.0 };
+        let Some(started) = server.entry.started else {
+            return 1.0;
+        };
         let age = self.now.saturating_sub(started).as_secs_f64();
         let grown = age / rules.warm_after.as_secs_f64().max(1e-6);
         (rules.cold_share + (1.0 - rules.cold_share) * grown).min(1.0)
@@ -25,14 +27,20 @@
         if cold.is_empty() {
             return;
         }
-        let part = self.carried_by_warm().unwrap_or_else(|| self.part_of_arrivals());
+        let part = self
+            .carried_by_warm()
+            .unwrap_or_else(|| self.part_of_arrivals());
         for id in cold {
             let capacity = rules.overload_factor * self.warmth(&self.servers[&id]);
             let rate = capacity * part * self.cold_spend(capacity * part);
             let chance = self.random();
-            let Some(server) = self.servers.get_mut(&id) else { continue };
+            let Some(server) = self.servers.get_mut(&id) else {
+                continue;
+            };
             // One that was just listed is somewhere between two permits.
-            let drawn = server.drawn.map_or(chance, |(at, drawn)| drawn + rate * (now - at).as_secs_f64());
+            let drawn = server.drawn.map_or(chance, |(at, drawn)| {
+                drawn + rate * (now - at).as_secs_f64()
+            });
             server.drawn = Some((now, drawn.fract()));
             let came = Duration::from_secs_f64((drawn.fract() / rate.max(1e-9)).min(1e6));
             let lasts = rules.overload_time.mul_f64(COLD_SAVED);
@@ -48,7 +56,8 @@
     /// permits: where each has less than one in the judged time, they add up to a Poisson count; a
     /// node with more is one permit off at the most.
     fn cold_spend(&self, own: f64) -> f64 {
-        let sharing = f64::from(self.settings.nodes) * self.enough() as f64 / self.order.len().max(1) as f64;
+        let sharing =
+            f64::from(self.settings.nodes) * self.enough() as f64 / self.order.len().max(1) as f64;
         let sharing = sharing.max(1.0);
         let allowed = own * sharing * self.settings.rules.overload_time.as_secs_f64();
         let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
@@ -59,7 +68,11 @@
 
     /// What a warm server carries for this node a second, if one is warm.
     pub(super) fn carried_by_warm(&self) -> Option<f64> {
-        let warm = self.ring().take(self.enough()).filter(|id| self.warmth(&self.servers[id]) >= 1.0).count();
+        let warm = self
+            .ring()
+            .take(self.enough())
+            .filter(|id| self.warmth(&self.servers[id]) >= 1.0)
+            .count();
         (warm > 0).then(|| self.carried.per_s(self.now, self.memory()) / warm as f64)
     }
 
@@ -68,7 +81,8 @@
     fn part_of_arrivals(&self) -> f64 {
         let near = self.enough().min(self.order.len());
         let arrives = self.arrived.per_s(self.now, self.memory()) / near.max(1) as f64;
-        self.carried_warm.map_or(arrives * COLD_START, |carried| arrives.min(1.5 * carried))
+        self.carried_warm
+            .map_or(arrives * COLD_START, |carried| arrives.min(1.5 * carried))
     }
 
     /// Rates are taken over a few of the spans in which a cold server is judged.
--- a/crates/balancer/src/policy/lists.rs
+++ b/crates/balancer/src/policy/lists.rs
@@ -16,27 +16,48 @@
         self.carried_warm = self.carried_by_warm().or(self.carried_warm);
         // One newly listed or restarted has the usual estimate: at zero all nodes would join it at once.
         let near = self.enough().min(self.order.len());
-        let count =
-            self.ring().take(near).map(|id| self.servers[&id].count).sum::<u32>() / near.max(1) as u32;
+        let count = self
+            .ring()
+            .take(near)
+            .map(|id| self.servers[&id].count)
+            .sum::<u32>()
+            / near.max(1) as u32;
         if kind != ListKind::Changes {
-            self.servers.values_mut().for_each(|s| s.entry.state = ServerState::Gone);
+            self.servers
+                .values_mut()
+                .for_each(|s| s.entry.state = ServerState::Gone);
             self.order.clear();
         }
         for entry in entries {
             let old = self.servers.remove(&entry.id).unwrap_or_default();
             let same = old.entry.id == entry.id && old.entry.started == entry.started;
-            let new = Server { out: old.out, count, ..Server::default() };
+            let new = Server {
+                out: old.out,
+                count,
+                ..Server::default()
+            };
             if entry.state != ServerState::Gone {
-                self.servers.insert(entry.id, Server { entry, ..if same { old } else { new } });
+                self.servers.insert(
+                    entry.id,
+                    Server {
+                        entry,
+                        ..if same { old } else { new }
+                    },
+                );
             }
-            match (self.order.binary_search_by_key(&scatter(entry.id), |id| scatter(*id)), entry.state) {
+            match (
+                self.order
+                    .binary_search_by_key(&scatter(entry.id), |id| scatter(*id)),
+                entry.state,
+            ) {
                 (Err(at), ServerState::Ready) => self.order.insert(at, entry.id),
                 (Ok(at), state) if state != ServerState::Ready => drop(self.order.remove(at)),
                 _ => {}
             }
         }
         if kind != ListKind::Changes {
-            self.servers.retain(|_, s| s.entry.state != ServerState::Gone);
+            self.servers
+                .retain(|_, s| s.entry.state != ServerState::Gone);
         }
     }
 
--- a/crates/balancer/src/policy/repeats.rs
+++ b/crates/balancer/src/policy/repeats.rs
@@ -14,7 +14,9 @@
 
     /// Rule 2: what may have run is sent again only as its class allows.
     pub(super) fn repeat_allows(&self, server: &Server, request: &Request) -> bool {
-        let Some(first) = request.attempts.iter().find(|a| a.may_have_run()) else { return true };
+        let Some(first) = request.attempts.iter().find(|a| a.may_have_run()) else {
+            return true;
+        };
         self.may_follow(server, request, &first.to, first.sent)
     }
 
@@ -52,7 +54,11 @@
                 && self.may_follow(s, request, to, sent)
         };
         let room = request.attempts.len() + 1 < self.most(request) as usize;
-        room && self.ring().filter_map(|id| self.servers.get(&id)).take(self.enough()).any(follows)
+        room && self
+            .ring()
+            .filter_map(|id| self.servers.get(&id))
+            .take(self.enough())
+            .any(follows)
     }
 
     /// Attempts that a request may have: fewer allowed now bind it too, more do not.
@@ -65,9 +71,11 @@
 
     /// One attempt at a time, or a second one where that is allowed and the first has been silent for long.
     pub(super) fn may_go(&self, request: &Request) -> bool {
-        let Some(last) = request.attempts.iter().rfind(|a| a.outcome.is_none()) else { return true };
-        let silent =
-            request.arriving.is_none() && self.now >= last.sent + self.patience_with(request).mul_f64(0.99);
+        let Some(last) = request.attempts.iter().rfind(|a| a.outcome.is_none()) else {
+            return true;
+        };
+        let silent = request.arriving.is_none()
+            && self.now >= last.sent + self.patience_with(request).mul_f64(0.99);
         self.settings.limits.parallel_attempts && request.out() < 2 && silent
     }
 
@@ -80,7 +88,9 @@
     /// The only place that sends. Every rule is checked here, whatever led to it.
     pub(super) fn send(&mut self, id: RequestId, to: ServerId, actions: &mut Vec<Action>) {
         let now = self.now;
-        let (Some(request), Some(server)) = (self.requests.get(&id), self.servers.get(&to)) else { return };
+        let (Some(request), Some(server)) = (self.requests.get(&id), self.servers.get(&to)) else {
+            return;
+        };
         let again = !request.attempts.is_empty();
         let room = (request.attempts.len() as u32) < self.most(request);
         let owed = !request.done && self.may_go(request) && now < request.until;
@@ -97,17 +107,31 @@
         let more = more && request.arriving.is_none();
         let timeout = if more && !hedged { patience } else { left };
         if more && hedged {
-            actions.push(Action::SetTimer { after: patience, token: id.0 });
+            actions.push(Action::SetTimer {
+                after: patience,
+                token: id.0,
+            });
         }
         let (crowd, here) = (self.level(server), request.arriving.is_none());
-        let attempt = Attempt { to: server.entry, sent: now, crowd, outcome: None };
-        self.requests.entry(id).and_modify(|r| (r.probed, _) = (true, r.attempts.push(attempt)));
+        let attempt = Attempt {
+            to: server.entry,
+            sent: now,
+            crowd,
+            outcome: None,
+        };
+        self.requests
+            .entry(id)
+            .and_modify(|r| (r.probed, _) = (true, r.attempts.push(attempt)));
         self.servers.entry(to).and_modify(|s| {
             (s.permit, s.count) = (Duration::ZERO, s.count + 1);
             s.out += u32::from(here);
             s.load = s.load.map(|(load, at)| (load + 1.0, at));
         });
-        actions.push(Action::Send { id, server: to, timeout });
+        actions.push(Action::Send {
+            id,
+            server: to,
+            timeout,
+        });
         self.retry_tokens -= if again { 1.0 } else { 0.0 };
         self.held.retain(|held| *held != id);
         self.sent.add(now, self.memory(), 1.0);
--- a/crates/balancer/src/policy/selection.rs
+++ b/crates/balancer/src/policy/selection.rs
@@ -6,12 +6,16 @@
     /// How crowded a server is: what it reported lately, and at least own attempts that are out.
     pub(super) fn crowd(&self, server: &Server) -> f64 {
         let guess = f64::from(server.out) / (1.0 - server.failing).max(SMOOTH);
-        self.fresh_load(server).map_or(guess, |load| load.max(server.out.into()))
+        self.fresh_load(server)
+            .map_or(guess, |load| load.max(server.out.into()))
     }
 
     /// The load that a probe told of lately, with own sends since.
     pub(super) fn fresh_load(&self, server: &Server) -> Option<f64> {
-        server.load.filter(|&(_, at)| self.probes_tell() && self.fresh(at)).map(|(load, _)| load)
+        server
+            .load
+            .filter(|&(_, at)| self.probes_tell() && self.fresh(at))
+            .map(|(load, _)| load)
     }
 
     /// A queue turns over within about one answer time; then news of it is old.
@@ -58,7 +62,12 @@
     pub(super) fn uncrowded<'a>(&self, among: Vec<&'a Server>) -> Vec<&'a Server> {
         let crowds: Vec<_> = among.iter().map(|s| self.crowd(s)).collect();
         let average = crowds.iter().sum::<f64>() / among.len() as f64 + 1e-9;
-        among.into_iter().zip(crowds).filter(|(_, crowd)| *crowd <= average).map(|(s, _)| s).collect()
+        among
+            .into_iter()
+            .zip(crowds)
+            .filter(|(_, crowd)| *crowd <= average)
+            .map(|(s, _)| s)
+            .collect()
     }
 
     /// How many servers to choose from: no more than own traffic can keep in view, since a server seen once a
@@ -82,9 +91,13 @@
         let (luck, draw) = (self.random(), self.random());
         self.draw_permits();
         self.waits(id, false);
-        let Some(request) = self.requests.get(&id).filter(|r| !r.done && self.may_go(r)) else { return };
-        let permitted =
-            self.ring().filter_map(|id| self.servers.get(&id)).filter(|s| self.permitted(s, request));
+        let Some(request) = self.requests.get(&id).filter(|r| !r.done && self.may_go(r)) else {
+            return;
+        };
+        let permitted = self
+            .ring()
+            .filter_map(|id| self.servers.get(&id))
+            .filter(|s| self.permitted(s, request));
         let permitted: Vec<_> = permitted.take(self.enough()).collect();
         let again = !request.attempts.is_empty();
         if self.now >= request.until || again && (self.retry_tokens < 1.0 || permitted.is_empty()) {
@@ -98,11 +111,26 @@
         // seldom one that can't be sent again: else trials take most of a quiet node's requests.
         let once = request.repeat == Repeat::Unsafe;
         let trial = !again && luck * if once { 4.0 } else { 1.0 } < SMOOTH;
-        let due = |s: &Server| trial && s.ejected.is_some_and(|until| self.now >= until && s.out == 0);
+        let due = |s: &Server| {
+            trial
+                && s.ejected
+                    .is_some_and(|until| self.now >= until && s.out == 0)
+        };
         let due: Vec<_> = permitted.iter().copied().filter(|s| due(s)).collect();
-        let sound: Vec<_> = permitted.iter().copied().filter(|s| s.ejected.is_none()).collect();
-        let healthy = [due, sound, permitted].into_iter().find(|some| !some.is_empty()).unwrap_or_default();
-        let fits: Vec<_> = healthy.iter().copied().filter(|s| self.fits(s, request, luck)).collect();
+        let sound: Vec<_> = permitted
+            .iter()
+            .copied()
+            .filter(|s| s.ejected.is_none())
+            .collect();
+        let healthy = [due, sound, permitted]
+            .into_iter()
+            .find(|some| !some.is_empty())
+            .unwrap_or_default();
+        let fits: Vec<_> = healthy
+            .iter()
+            .copied()
+            .filter(|s| self.fits(s, request, luck))
+            .collect();
         let (open, unknown) = (!fits.is_empty(), healthy.iter().any(|s| self.untried(s)));
         if !open && unknown && !again && self.waiting < LEVELS {
             return self.wait(id, actions);
@@ -111,14 +139,17 @@
         let (below, any) = (self.below_cap(&fitting, draw), any_of(&fitting, draw));
         let ask = below.is_none() && !request.probed && !self.held.contains(&id);
         // A probe is work like a request's: a cold server's part is for requests.
-        let unknown =
-            |s: &&&Server| ask && !s.probing && self.warmth(s) >= 1.0 && self.fresh_load(s).is_none();
+        let unknown = |s: &&&Server| {
+            ask && !s.probing && self.warmth(s) >= 1.0 && self.fresh_load(s).is_none()
+        };
         let unknown: Vec<_> = healthy.iter().filter(unknown).map(|s| s.entry.id).collect();
         // The lowest estimate below m, or a probe for one, or one at random where all have reached m.
         match below {
             Some(server) => self.send(id, server, actions),
             None if self.held.contains(&id) || ask && self.probe(id, unknown, actions) => {}
-            None if any.is_some() => any.into_iter().for_each(|server| self.send(id, server, actions)),
+            None if any.is_some() => any
+                .into_iter()
+                .for_each(|server| self.send(id, server, actions)),
             // Everybody is too crowded to answer in time: better to say so now.
             None => self.finish(id, actions),
         }
@@ -127,8 +158,12 @@
     /// Nothing in flight with an answer (an empty queue where that is all there is) is an idle sign, but a
     /// late one if own attempts are still out there: those stay in the estimate.
     pub(super) fn on_report(&mut self, id: ServerId, report: Option<LoadReport>, served: bool) {
-        let (Some(report), Some(server)) = (report, self.servers.get_mut(&id)) else { return };
-        let Some(load) = report.in_flight.or(report.queue).map(f64::from) else { return };
+        let (Some(report), Some(server)) = (report, self.servers.get_mut(&id)) else {
+            return;
+        };
+        let Some(load) = report.in_flight.or(report.queue).map(f64::from) else {
+            return;
+        };
         server.load = Some((load, self.now));
         self.busy += (if load < 0.5 { 0.0 } else { 1.0 } - self.busy) * SMOOTH / 8.0;
         if load < 0.5 && served {
@@ -147,7 +182,9 @@
     ) -> bool {
         for _ in 0..2.min(self.probe_tokens as usize) {
             let draw = (self.random() * targets.len() as f64) as usize;
-            let Some(target) = targets.get(draw).copied() else { break };
+            let Some(target) = targets.get(draw).copied() else {
+                break;
+            };
             targets.retain(|t| *t != target);
             self.probe_tokens -= 1.0;
             self.servers.entry(target).and_modify(|s| s.probing = true);
@@ -160,12 +197,17 @@
         self.held.push(id);
         // A server that answers a probe later than this is no place to send to.
         let patience = Duration::from_secs_f64(self.answer_time / 16.0).max(4 * self.settings.tick);
-        actions.push(Action::SetTimer { after: patience, token: id.0 });
+        actions.push(Action::SetTimer {
+            after: patience,
+            token: id.0,
+        });
         true
     }
 
     pub(super) fn on_probed(&mut self, end: ProbeEnd, actions: &mut Vec<Action>) {
-        self.servers.entry(end.server).and_modify(|s| (s.probing, s.load) = (false, None));
+        self.servers
+            .entry(end.server)
+            .and_modify(|s| (s.probing, s.load) = (false, None));
         self.on_report(end.server, end.report, end.outcome == Outcome::Served);
         if end.outcome == Outcome::ConnectFailed {
             self.unreached(end.server, end.elapsed);
@@ -180,7 +222,10 @@
 
     /// All nodes see the same ring of ready servers and start evenly spaced, so that each has as many nodes.
     pub(super) fn ring(&self) -> impl Iterator<Item = ServerId> + '_ {
-        let (node, nodes) = (self.settings.node as usize, self.settings.nodes.max(1) as usize);
+        let (node, nodes) = (
+            self.settings.node as usize,
+            self.settings.nodes.max(1) as usize,
+        );
         let (before, after) = self.order.split_at(node % nodes * self.order.len() / nodes);
         after.iter().chain(before).copied()
     }
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -87,10 +87,12 @@
 fn joined(old: &[String], new: &[String]) -> (Vec<String>, Vec<usize>) {
     let mut all = old.to_vec();
     let places = new.iter().map(|name| {
-        all.iter().position(|known| known == name).unwrap_or_else(|| {
-            all.push(name.clone());
-            all.len() - 1
-        })
+        all.iter()
+            .position(|known| known == name)
+            .unwrap_or_else(|| {
+                all.push(name.clone());
+                all.len() - 1
+            })
     });
     let places = places.collect();
     (all, places)
@@ -118,7 +120,10 @@
 
     /// The number of the tenant of that name, if the settings have it now.
     pub fn tenant(&self, name: &[u8]) -> Option<usize> {
-        let place = self.tenant_names.iter().position(|known| known.as_bytes() == name)?;
+        let place = self
+            .tenant_names
+            .iter()
+            .position(|known| known.as_bytes() == name)?;
         self.live_tenants[place].then_some(place)
     }
 
@@ -139,14 +144,20 @@
             ("HostTypes", &kind_names),
         ] {
             if names.len() > MOST_NAMES {
-                return Err(format!("settings.{what}: more than {MOST_NAMES} names since the start"));
+                return Err(format!(
+                    "settings.{what}: more than {MOST_NAMES} names since the start"
+                ));
             }
         }
         let mut settings = self.settings;
-        let (classes, live_classes) = placed(&old.settings.classes, &settings.classes, &class_places);
-        let (tenants, live_tenants) = placed(&old.settings.tenants, &settings.tenants, &tenant_places);
+        let (classes, live_classes) =
+            placed(&old.settings.classes, &settings.classes, &class_places);
+        let (tenants, live_tenants) =
+            placed(&old.settings.tenants, &settings.tenants, &tenant_places);
         (settings.classes, settings.tenants) = (classes, tenants);
-        let zone = zone_places.get(usize::from(settings.zone)).and_then(|zone| u8::try_from(*zone).ok());
+        let zone = zone_places
+            .get(usize::from(settings.zone))
+            .and_then(|zone| u8::try_from(*zone).ok());
         settings.zone = zone.unwrap_or(settings.zone);
         // Whether lists are pushed or asked for decides which of two loops follows them, from the start on.
         settings.list_on_request = old.settings.list_on_request;
@@ -383,7 +394,10 @@
         tenants: raw
             .projects
             .iter()
-            .map(|t| Tenant { allowance_per_s: t.allowance_per_s, share: t.share })
+            .map(|t| Tenant {
+                allowance_per_s: t.allowance_per_s,
+                share: t.share,
+            })
             .collect(),
         over_share_worth: raw.over_share_worth,
         worth_by_work: matches!(raw.counted_by, CountedBy::Work),
@@ -435,7 +449,10 @@
     for class in &raw.classes {
         let mut time = |key: &str, ms: f64| {
             if !is_time(ms) {
-                faults.push(format!("Classes: {}: {key} is {ms}, and no time over 0", class.name));
+                faults.push(format!(
+                    "Classes: {}: {key} is {ms}, and no time over 0",
+                    class.name
+                ));
             }
         };
         time("Target", class.target);
@@ -443,18 +460,29 @@
         if matches!(class.idempotency, Idempotency::Guarded) {
             time("Window", class.window);
         }
-        for (key, number) in
-            [("Credit", class.credit), ("LateWorth", class.late_worth), ("AimStretch", class.aim_stretch)]
-        {
+        for (key, number) in [
+            ("Credit", class.credit),
+            ("LateWorth", class.late_worth),
+            ("AimStretch", class.aim_stretch),
+        ] {
             if !(0.0..1e12).contains(&number) {
-                faults.push(format!("Classes: {}: {key} is {number}, and no amount", class.name));
+                faults.push(format!(
+                    "Classes: {}: {key} is {number}, and no amount",
+                    class.name
+                ));
             }
         }
     }
     for tenant in &raw.projects {
-        for (key, number) in [("AllowancePerS", tenant.allowance_per_s), ("Share", tenant.share)] {
+        for (key, number) in [
+            ("AllowancePerS", tenant.allowance_per_s),
+            ("Share", tenant.share),
+        ] {
             if !(0.0..1e12).contains(&number) {
-                faults.push(format!("Projects: {}: {key} is {number}, and no amount", tenant.name));
+                faults.push(format!(
+                    "Projects: {}: {key} is {number}, and no amount",
+                    tenant.name
+                ));
             }
         }
     }
@@ -466,7 +494,10 @@
     for (key, ms) in [
         ("Permissions.ConnectTimeout", limits.connect_timeout),
         ("Permissions.IdleClose", limits.idle_close),
-        ("Permissions.MaxRetryAfter", limits.max_retry_after + f64::from(!limits.retry_after)),
+        (
+            "Permissions.MaxRetryAfter",
+            limits.max_retry_after + f64::from(!limits.retry_after),
+        ),
         ("Rules.DrainGrace", rules.drain_grace + 1.0),
         ("Rules.RampTime", rules.ramp_time + 1.0),
         ("Rules.TipAfter", rules.tip_after),
@@ -494,7 +525,10 @@
         late_worth: raw.late_worth,
         repeat: match raw.idempotency {
             Idempotency::Free => Repeat::Safe,
-            Idempotency::Guarded => Repeat::Keyed { scope, window: millis(raw.window) },
+            Idempotency::Guarded => Repeat::Keyed {
+                scope,
+                window: millis(raw.window),
+            },
             Idempotency::SingleShot => Repeat::Unsafe,
         },
         streamed: raw.stream,
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -89,7 +89,10 @@
 
 impl Rate {
     pub fn add(&mut self, now: Duration, over: f64, amount: f64) {
-        *self = Rate { sum: self.per_s(now, over) * over + amount, at: now };
+        *self = Rate {
+            sum: self.per_s(now, over) * over + amount,
+            at: now,
+        };
     }
     pub fn per_s(&self, now: Duration, over: f64) -> f64 {
         self.sum * (-(now - self.at).as_secs_f64() / over).exp() / over
--- a/crates/balancer/tests/characterization.rs
+++ b/crates/balancer/tests/characterization.rs
@@ -20,16 +20,32 @@
 /// A seed's line of the fixture: the seed, events handled, actions, digest.
 fn line(seed: u64) -> String {
     let played = sequence::play(seed, EVENTS);
-    format!("{seed} {} {} {}", played.events, played.digest.actions, played.digest.finish())
+    format!(
+        "{seed} {} {} {}",
+        played.events,
+        played.digest.actions,
+        played.digest.finish()
+    )
 }
 
 /// The lines of all seeds, in their order.
 fn lines() -> Vec<String> {
     let mut lines: Vec<(u64, String)> = std::thread::scope(|scope| {
-        let play_part =
-            |part: u64| move || (part..SEEDS).step_by(THREADS as usize).map(|s| (s, line(s))).collect();
-        let parts: Vec<_> = (0..THREADS).map(|part| scope.spawn(play_part(part))).collect();
-        parts.into_iter().flat_map(|part| -> Vec<_> { part.join().expect("a sequence that plays") }).collect()
+        let play_part = |part: u64| {
+            move || {
+                (part..SEEDS)
+                    .step_by(THREADS as usize)
+                    .map(|s| (s, line(s)))
+                    .collect()
+            }
+        };
+        let parts: Vec<_> = (0..THREADS)
+            .map(|part| scope.spawn(play_part(part)))
+            .collect();
+        parts
+            .into_iter()
+            .flat_map(|part| -> Vec<_> { part.join().expect("a sequence that plays") })
+            .collect()
     });
     lines.sort();
     lines.into_iter().map(|(_, line)| line).collect()
@@ -44,6 +60,15 @@
     }
     let expected: Vec<_> = FIXTURE.lines().collect();
     assert_eq!(lines.len(), expected.len());
-    let differing: Vec<_> = lines.iter().zip(expected).filter(|(line, expected)| line != expected).collect();
-    assert!(differing.is_empty(), "{} sequences differ, first {:?}", differing.len(), differing[0]);
+    let differing: Vec<_> = lines
+        .iter()
+        .zip(expected)
+        .filter(|(line, expected)| line != expected)
+        .collect();
+    assert!(
+        differing.is_empty(),
+        "{} sequences differ, first {:?}",
+        differing.len(),
+        differing[0]
+    );
 }
--- a/crates/balancer/tests/characterization/conditions.rs
+++ b/crates/balancer/tests/characterization/conditions.rs
@@ -16,7 +16,9 @@
         node: random.below(u64::from(nodes)) as u32,
         zone: random.below(3) as u8,
         classes: (0..random.between(1, 5)).map(|_| class(random)).collect(),
-        tenants: (0..random.pick(&[0, 0, 2, 4])).map(|_| tenant(random)).collect(),
+        tenants: (0..random.pick(&[0, 0, 2, 4]))
+            .map(|_| tenant(random))
+            .collect(),
         over_share_worth: random.pick(&[1.0, 0.5, 0.2, 0.0]),
         worth_by_work: random.chance(0.3),
         reports: random.pick(&[
@@ -64,15 +66,27 @@
     let window = ms(random.between(30, 900));
     match random.below(6) {
         0 | 1 => Repeat::Safe,
-        2 => Repeat::Keyed { scope: Scope::All, window },
-        3 => Repeat::Keyed { scope: Scope::Zone, window },
-        4 => Repeat::Keyed { scope: Scope::Cell, window },
+        2 => Repeat::Keyed {
+            scope: Scope::All,
+            window,
+        },
+        3 => Repeat::Keyed {
+            scope: Scope::Zone,
+            window,
+        },
+        4 => Repeat::Keyed {
+            scope: Scope::Cell,
+            window,
+        },
         _ => Repeat::Unsafe,
     }
 }
 
 fn tenant(random: &mut Random) -> Tenant {
-    Tenant { allowance_per_s: random.between(1, 400) as f64, share: random.unit() }
+    Tenant {
+        allowance_per_s: random.between(1, 400) as f64,
+        share: random.unit(),
+    }
 }
 
 fn limits(random: &mut Random) -> Limits {
@@ -110,7 +124,11 @@
         4 => settings.tenants.push(tenant(random)),
         5 => settings.nodes = (settings.node + 1).max(random.pick(&[1, 3, 30, 300])),
         _ => {
-            settings.reports = random.pick(&[ReportSource::Answers, ReportSource::Probes, ReportSource::None])
+            settings.reports = random.pick(&[
+                ReportSource::Answers,
+                ReportSource::Probes,
+                ReportSource::None,
+            ])
         }
     }
 }
--- a/crates/balancer/tests/characterization/encoding.rs
+++ b/crates/balancer/tests/characterization/encoding.rs
@@ -14,7 +14,10 @@
 
 impl Digest {
     pub fn new() -> Self {
-        Digest { hasher: blake3::Hasher::new(), actions: 0 }
+        Digest {
+            hasher: blake3::Hasher::new(),
+            actions: 0,
+        }
     }
 
     pub fn finish(&self) -> String {
@@ -39,7 +42,11 @@
     /// Adds one action.
     pub fn action(&mut self, action: &Action) {
         match action {
-            Action::Send { id, server, timeout } => {
+            Action::Send {
+                id,
+                server,
+                timeout,
+            } => {
                 self.numbers(&[1, id.0, server.0, nanoseconds(*timeout)]);
             }
             Action::Refuse { id, retry_after } => {
--- a/crates/balancer/tests/characterization/sequence.rs
+++ b/crates/balancer/tests/characterization/sequence.rs
@@ -57,7 +57,9 @@
     let mut random = Random::new(seed);
     let settings = conditions::settings(&mut random);
     let count = random.pick(&[1, 2, 3, 6, 12, 40, 90]);
-    let servers: Vec<_> = (0..count).map(|number| conditions::server(&mut random, number)).collect();
+    let servers: Vec<_> = (0..count)
+        .map(|number| conditions::server(&mut random, number))
+        .collect();
     let mut sequence = Sequence {
         balancer: Balancer::new(settings.clone(), seed),
         settings,
@@ -86,13 +88,25 @@
         self.change_load();
         if self.random.chance(0.5) {
             let entries = self.whole_list();
-            self.handle(Event::List { kind: ListKind::Cached, entries });
+            self.handle(Event::List {
+                kind: ListKind::Cached,
+                entries,
+            });
         }
         if self.random.chance(0.9) {
             let entries = self.whole_list();
-            self.handle(Event::List { kind: ListKind::Full, entries });
+            self.handle(Event::List {
+                kind: ListKind::Full,
+                entries,
+            });
         }
-        for due in [Due::Arrival, Due::ListChange, Due::SettingsChange, Due::FaultChange, Due::LoadChange] {
+        for due in [
+            Due::Arrival,
+            Due::ListChange,
+            Due::SettingsChange,
+            Due::FaultChange,
+            Due::LoadChange,
+        ] {
             let after = self.random.between(100, 900_000);
             self.schedule(after, due);
         }
@@ -101,11 +115,14 @@
 
     fn schedule(&mut self, after_us: u64, due: Due) {
         self.scheduled += 1;
-        self.queue.insert((self.now_us + after_us, self.scheduled), due);
+        self.queue
+            .insert((self.now_us + after_us, self.scheduled), due);
     }
 
     fn step(&mut self) {
-        let Some(((at, _), due)) = self.queue.pop_first() else { return };
+        let Some(((at, _), due)) = self.queue.pop_first() else {
+            return;
+        };
         self.now_us = self.now_us.max(at);
         match due {
             Due::Arrival => self.arrival(),
@@ -146,7 +163,11 @@
 
     /// Between a quiet time and twice of what the servers can carry.
     fn change_load(&mut self) {
-        let capacity: f64 = self.servers.iter().map(|s| s.cores as f64 / s.work_us as f64).sum();
+        let capacity: f64 = self
+            .servers
+            .iter()
+            .map(|s| s.cores as f64 / s.work_us as f64)
+            .sum();
         let load = self.random.pick(&[0.05, 0.3, 0.6, 0.9, 1.2, 2.0]);
         self.arrival_gap_us = ((1.0 / (capacity * load)) as u64).clamp(50, 400_000);
     }
@@ -154,7 +175,8 @@
     fn handle(&mut self, event: Event) {
         self.events += 1;
         let mut actions = Vec::new();
-        self.balancer.handle(Duration::from_micros(self.now_us), event, &mut actions);
+        self.balancer
+            .handle(Duration::from_micros(self.now_us), event, &mut actions);
         let (listed, avoided) = self.balancer.view();
         self.digest.number(listed as u64);
         self.digest.number(avoided as u64);
@@ -166,7 +188,11 @@
 
     fn obey(&mut self, action: Action) {
         match action {
-            Action::Send { id, server, timeout } => self.send(id, server, timeout),
+            Action::Send {
+                id,
+                server,
+                timeout,
+            } => self.send(id, server, timeout),
             Action::Refuse { id, .. } | Action::Fail { id } => {
                 self.answered.insert(id);
             }
@@ -235,9 +261,18 @@
         let in_flight = self.simulated(server)?.in_flight as f32;
         match kind {
             0 => None,
-            1 => Some(LoadReport { queue: Some((in_flight - 2.0).max(0.0)), ..LoadReport::default() }),
-            2 => Some(LoadReport { in_flight: Some(in_flight * (0.5 + noise)), ..LoadReport::default() }),
-            _ => Some(LoadReport { in_flight: Some(in_flight), ..LoadReport::default() }),
+            1 => Some(LoadReport {
+                queue: Some((in_flight - 2.0).max(0.0)),
+                ..LoadReport::default()
+            }),
+            2 => Some(LoadReport {
+                in_flight: Some(in_flight * (0.5 + noise)),
+                ..LoadReport::default()
+            }),
+            _ => Some(LoadReport {
+                in_flight: Some(in_flight),
+                ..LoadReport::default()
+            }),
         }
     }
 
@@ -268,7 +303,12 @@
         }
         let attempts = self.attempts.entry(id).or_default();
         let attempt = attempts.len() as u32;
-        attempts.push(SimulatedAttempt { server, sent_us: self.now_us, report, ended: false });
+        attempts.push(SimulatedAttempt {
+            server,
+            sent_us: self.now_us,
+            report,
+            ended: false,
+        });
         if outcome == Outcome::Served && self.random.chance(0.06) {
             self.schedule(after / 2, Due::AnswerStarted(id, attempt));
         }
@@ -276,17 +316,32 @@
     }
 
     fn answer_started(&mut self, id: RequestId, attempt: u32) {
-        let Some(one) = self.attempts.get(&id).and_then(|all| all.get(attempt as usize)) else { return };
+        let Some(one) = self
+            .attempts
+            .get(&id)
+            .and_then(|all| all.get(attempt as usize))
+        else {
+            return;
+        };
         if one.ended || self.answered.contains(&id) {
             return;
         }
         let (server, report) = (one.server, one.report);
-        self.handle(Event::Started { id, attempt, server, report });
+        self.handle(Event::Started {
+            id,
+            attempt,
+            server,
+            report,
+        });
     }
 
     fn attempt_end(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
         let now_us = self.now_us;
-        let Some(one) = self.attempts.get_mut(&id).and_then(|all| all.get_mut(attempt as usize)) else {
+        let Some(one) = self
+            .attempts
+            .get_mut(&id)
+            .and_then(|all| all.get_mut(attempt as usize))
+        else {
             return;
         };
         if std::mem::replace(&mut one.ended, true) {
@@ -328,20 +383,43 @@
     }
 
     fn probe_end(&mut self, server: ServerId, outcome: Outcome) {
-        let Some(sent_us) = self.probes.remove(&server) else { return };
-        let report = if outcome == Outcome::Served { self.report(server) } else { None };
+        let Some(sent_us) = self.probes.remove(&server) else {
+            return;
+        };
+        let report = if outcome == Outcome::Served {
+            self.report(server)
+        } else {
+            None
+        };
         let elapsed = Duration::from_micros(self.now_us - sent_us);
-        self.handle(Event::Probed(ProbeEnd { server, outcome, elapsed, report }));
+        self.handle(Event::Probed(ProbeEnd {
+            server,
+            outcome,
+            elapsed,
+            report,
+        }));
     }
 
     fn whole_list(&self) -> Vec<ServerEntry> {
-        self.servers.iter().filter(|s| s.listed).map(|s| s.entry).collect()
+        self.servers
+            .iter()
+            .filter(|s| s.listed)
+            .map(|s| s.entry)
+            .collect()
     }
 
     /// The list was asked for: it comes, or the call fails.
     fn poll(&mut self) {
-        let kind = if self.random.chance(0.25) { ListKind::Failed } else { ListKind::Full };
-        let entries = if kind == ListKind::Full { self.whole_list() } else { Vec::new() };
+        let kind = if self.random.chance(0.25) {
+            ListKind::Failed
+        } else {
+            ListKind::Full
+        };
+        let entries = if kind == ListKind::Full {
+            self.whole_list()
+        } else {
+            Vec::new()
+        };
         self.handle(Event::List { kind, entries });
     }
 
@@ -349,16 +427,28 @@
         let count = self.random.between(1, 1 + self.servers.len() as u64 / 4);
         let changed: Vec<_> = (0..count).map(|_| self.change_one()).collect();
         match self.random.below(10) {
-            0 => self.handle(Event::List { kind: ListKind::Failed, entries: Vec::new() }),
+            0 => self.handle(Event::List {
+                kind: ListKind::Failed,
+                entries: Vec::new(),
+            }),
             1 | 2 => {
                 let entries = self.whole_list();
-                self.handle(Event::List { kind: ListKind::Full, entries });
+                self.handle(Event::List {
+                    kind: ListKind::Full,
+                    entries,
+                });
             }
             3 => {
                 let entries = self.whole_list();
-                self.handle(Event::List { kind: ListKind::Cached, entries });
+                self.handle(Event::List {
+                    kind: ListKind::Cached,
+                    entries,
+                });
             }
-            _ => self.handle(Event::List { kind: ListKind::Changes, entries: changed }),
+            _ => self.handle(Event::List {
+                kind: ListKind::Changes,
+                entries: changed,
+            }),
         }
         let after = self.random.between(50_000, 2_500_000);
         self.schedule(after, Due::ListChange);
@@ -389,10 +479,18 @@
         let id = RequestId(self.random.below(self.next_request + 2));
         let server = ServerId(self.random.below(60));
         match self.random.below(9) {
-            0 => self.handle(Event::Peer { from: 1, data: vec![1, 2, 3] }),
+            0 => self.handle(Event::Peer {
+                from: 1,
+                data: vec![1, 2, 3],
+            }),
             1 => self.handle(Event::Timer { token: id.0 }),
             2 => self.handle(Event::Arrived { id, spent: false }),
-            3 => self.handle(Event::Started { id, attempt: 9, server, report: None }),
+            3 => self.handle(Event::Started {
+                id,
+                attempt: 9,
+                server,
+                report: None,
+            }),
             4 => self.handle(Event::AttemptEnded(AttemptEnd {
                 id,
                 attempt: 7,
@@ -410,8 +508,14 @@
                 report: None,
             })),
             6 => {
-                let unlisted = ServerEntry { id: ServerId(1_000_000), ..ServerEntry::default() };
-                self.handle(Event::List { kind: ListKind::Changes, entries: vec![unlisted] });
+                let unlisted = ServerEntry {
+                    id: ServerId(1_000_000),
+                    ..ServerEntry::default()
+                };
+                self.handle(Event::List {
+                    kind: ListKind::Changes,
+                    entries: vec![unlisted],
+                });
             }
             7 => {
                 // A clock that steps back.
@@ -420,7 +524,9 @@
                 self.handle(Event::Timer { token: id.0 });
                 self.now_us = now_us;
             }
-            _ => self.handle(Event::ClientGone { id: RequestId(self.next_request + 1) }),
+            _ => self.handle(Event::ClientGone {
+                id: RequestId(self.next_request + 1),
+            }),
         }
         let after = self.random.between(100_000, 2_000_000);
         self.schedule(after, Due::OddEvent);
--- a/crates/balancer/tests/cold_sums.rs
+++ b/crates/balancer/tests/cold_sums.rs
@@ -22,7 +22,10 @@
 
 impl Dice {
     fn fraction(&mut self) -> f64 {
-        self.0 = self.0.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        self.0 = self
+            .0
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1442695040888963407);
         (self.0 >> 11) as f64 / 2f64.powi(53)
     }
     fn exponential(&mut self, rate: f64) -> Duration {
@@ -74,7 +77,15 @@
 enum Due {
     Arrival(u32),
     Timer(u32, u32, u64),
-    Answer { node: u32, life: u32, id: u64, attempt: u32, server: u64, sent: Duration, ok: bool },
+    Answer {
+        node: u32,
+        life: u32,
+        id: u64,
+        attempt: u32,
+        server: u64,
+        sent: Duration,
+        ok: bool,
+    },
     Probed(u32, u32, u64),
     Starts,
 }
@@ -162,8 +173,14 @@
     }
 
     fn fresh(&self, node: u32, seed: u64) -> Balancer {
-        let settings = Settings { node: node / self.play.processes, ..self.settings.clone() };
-        Balancer::new(settings, seed.wrapping_mul(1_000_003).wrapping_add(u64::from(node)))
+        let settings = Settings {
+            node: node / self.play.processes,
+            ..self.settings.clone()
+        };
+        Balancer::new(
+            settings,
+            seed.wrapping_mul(1_000_003).wrapping_add(u64::from(node)),
+        )
     }
 
     fn at(&mut self, when: Duration, due: Due) {
@@ -173,9 +190,16 @@
 
     /// What a node sees a second.
     fn rate(&self, node: u32) -> f64 {
-        let (all, nodes) = (self.play.load * SERVERS as f64 * CAPACITY, f64::from(self.play.nodes));
+        let (all, nodes) = (
+            self.play.load * SERVERS as f64 * CAPACITY,
+            f64::from(self.play.nodes),
+        );
         let busy = all * (self.play.busiest / nodes).min(1.0);
-        if node == 0 { busy } else { (all - busy) / (nodes - 1.0) }
+        if node == 0 {
+            busy
+        } else {
+            (all - busy) / (nodes - 1.0)
+        }
     }
 
     fn arrive(&mut self, node: u32) {
@@ -194,7 +218,10 @@
             started: self.started.get(&id).copied(),
             ..ServerEntry::default()
         });
-        let event = Event::List { kind: ListKind::Full, entries: entries.collect() };
+        let event = Event::List {
+            kind: ListKind::Full,
+            entries: entries.collect(),
+        };
         self.tell(node, event);
     }
 
@@ -206,7 +233,9 @@
         for action in actions {
             match action {
                 Action::Send { id, server, .. } => self.send(node, life, id.0, server.0),
-                Action::SetTimer { after, token } => self.at(self.now + after, Due::Timer(node, life, token)),
+                Action::SetTimer { after, token } => {
+                    self.at(self.now + after, Due::Timer(node, life, token))
+                }
                 Action::Probe { server } => {
                     // A deep probe is served like a call.
                     self.sent.entry(server.0).or_default().push(self.now);
@@ -227,18 +256,38 @@
             let age = (self.now - *at).as_secs_f64() / self.settings.rules.warm_after.as_secs_f64();
             (self.settings.rules.cold_share + (1.0 - self.settings.rules.cold_share) * age).min(1.0)
         });
-        let begins = self.busy.get(&server).copied().unwrap_or_default().max(self.now);
+        let begins = self
+            .busy
+            .get(&server)
+            .copied()
+            .unwrap_or_default()
+            .max(self.now);
         let done = begins + secs(1.0 / (CAPACITY * warm));
         let late = done > self.now + secs(0.9);
         if !late {
             self.busy.insert(server, done);
         }
-        let time = if late { secs(0.9) } else { done - self.now + secs(0.01) };
+        let time = if late {
+            secs(0.9)
+        } else {
+            done - self.now + secs(0.01)
+        };
         let ok = !late && self.dice.fraction() > 0.05;
         let attempt = self.attempts.entry((node, life, id)).or_default();
         let number = std::mem::replace(attempt, *attempt + 1);
         let sent = self.now;
-        self.at(self.now + time, Due::Answer { node, life, id, attempt: number, server, sent, ok });
+        self.at(
+            self.now + time,
+            Due::Answer {
+                node,
+                life,
+                id,
+                attempt: number,
+                server,
+                sent,
+                ok,
+            },
+        );
     }
 
     fn run(mut self) -> Counted {
@@ -252,17 +301,32 @@
                 Due::Arrival(node) => {
                     self.next += 1;
                     let id = RequestId(self.next);
-                    let new = NewRequest { id, remaining: secs(1.0), ..NewRequest::default() };
+                    let new = NewRequest {
+                        id,
+                        remaining: secs(1.0),
+                        ..NewRequest::default()
+                    };
                     self.tell(node, Event::Request(new));
                     self.arrive(node);
                 }
                 Due::Timer(node, life, token) if self.nodes[node as usize].1 == life => {
                     self.tell(node, Event::Timer { token });
                 }
-                Due::Answer { node, life, id, attempt, server, sent, ok } => {
+                Due::Answer {
+                    node,
+                    life,
+                    id,
+                    attempt,
+                    server,
+                    sent,
+                    ok,
+                } => {
                     let out = self.out.entry(server).or_default();
                     *out -= 1;
-                    let load = LoadReport { in_flight: Some(*out as f32), ..LoadReport::default() };
+                    let load = LoadReport {
+                        in_flight: Some(*out as f32),
+                        ..LoadReport::default()
+                    };
                     if self.nodes[node as usize].1 == life {
                         let end = AttemptEnd {
                             id: RequestId(id),
@@ -279,10 +343,21 @@
                 }
                 Due::Probed(node, life, server) if self.nodes[node as usize].1 == life => {
                     let load = self.out.get(&server).copied().unwrap_or_default() as f32;
-                    let report = Some(LoadReport { in_flight: Some(load), ..LoadReport::default() });
+                    let report = Some(LoadReport {
+                        in_flight: Some(load),
+                        ..LoadReport::default()
+                    });
                     let server = ServerId(server);
                     let (outcome, elapsed) = (Outcome::Served, secs(0.01));
-                    self.tell(node, Event::Probed(ProbeEnd { server, outcome, elapsed, report }));
+                    self.tell(
+                        node,
+                        Event::Probed(ProbeEnd {
+                            server,
+                            outcome,
+                            elapsed,
+                            report,
+                        }),
+                    );
                 }
                 Due::Timer(..) | Due::Probed(..) => {}
                 Due::Starts => self.servers_start(),
@@ -319,9 +394,10 @@
                 while from + rules.overload_time < *start + rules.warm_after {
                     let to = from + rules.overload_time;
                     let age = (from + rules.overload_time / 2 - *start).as_secs_f64();
-                    let warm =
-                        rules.cold_share + (1.0 - rules.cold_share) * age / rules.warm_after.as_secs_f64();
-                    let allowed = rules.overload_factor * warm * CAPACITY * rules.overload_time.as_secs_f64();
+                    let warm = rules.cold_share
+                        + (1.0 - rules.cold_share) * age / rules.warm_after.as_secs_f64();
+                    let allowed =
+                        rules.overload_factor * warm * CAPACITY * rules.overload_time.as_secs_f64();
                     let calls = sent.iter().filter(|at| (from..to).contains(*at)).count() as f64;
                     let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
                     counted.windows += 1;
@@ -354,17 +430,75 @@
 /// little more than they serve, some or all of them cold at once, probes.
 fn plays(nodes: u32) -> Vec<(&'static str, Play)> {
     let plain = Play { nodes, ..PLAIN };
-    let all = Play { together: SERVERS, ..plain };
+    let all = Play {
+        together: SERVERS,
+        ..plain
+    };
     vec![
-        ("uneven", Play { busiest: 6.0, ..plain }),
-        ("uneven, forgets", Play { busiest: 4.0, forgets: true, ..plain }),
-        ("little to spare", Play { factor: 1.2, load: 1.6, ..plain }),
-        ("half cold, overload", Play { together: SERVERS / 2, load: 3.0, ..plain }),
-        ("half cold, two processes", Play { together: SERVERS / 2, load: 3.0, processes: 2, ..plain }),
-        ("all cold", Play { busiest: 4.0, ..all }),
+        (
+            "uneven",
+            Play {
+                busiest: 6.0,
+                ..plain
+            },
+        ),
+        (
+            "uneven, forgets",
+            Play {
+                busiest: 4.0,
+                forgets: true,
+                ..plain
+            },
+        ),
+        (
+            "little to spare",
+            Play {
+                factor: 1.2,
+                load: 1.6,
+                ..plain
+            },
+        ),
+        (
+            "half cold, overload",
+            Play {
+                together: SERVERS / 2,
+                load: 3.0,
+                ..plain
+            },
+        ),
+        (
+            "half cold, two processes",
+            Play {
+                together: SERVERS / 2,
+                load: 3.0,
+                processes: 2,
+                ..plain
+            },
+        ),
+        (
+            "all cold",
+            Play {
+                busiest: 4.0,
+                ..all
+            },
+        ),
         ("all cold, overload", Play { load: 3.0, ..all }),
-        ("all cold, overload, forgets", Play { load: 3.0, forgets: true, ..all }),
-        ("all cold, probes", Play { load: 1.6, probes: true, ..all }),
+        (
+            "all cold, overload, forgets",
+            Play {
+                load: 3.0,
+                forgets: true,
+                ..all
+            },
+        ),
+        (
+            "all cold, probes",
+            Play {
+                load: 1.6,
+                probes: true,
+                ..all
+            },
+        ),
     ]
 }
 
@@ -393,8 +527,19 @@
 #[test]
 fn few_nodes_use_most_of_what_a_cold_server_may_be_sent() {
     for nodes in [1, 3] {
-        let counted = played(Play { nodes, factor: 1.2, load: 1.6, ..PLAIN }, 2);
-        println!("{nodes:4} nodes: mean {:.3} of N, worst {:.2} of the bound", counted.mean, counted.worst);
+        let counted = played(
+            Play {
+                nodes,
+                factor: 1.2,
+                load: 1.6,
+                ..PLAIN
+            },
+            2,
+        );
+        println!(
+            "{nodes:4} nodes: mean {:.3} of N, worst {:.2} of the bound",
+            counted.mean, counted.worst
+        );
         assert_eq!(counted.breaks, 0, "{nodes} nodes: {counted:?}");
         assert!(counted.mean > 0.62, "{nodes} nodes: {counted:?}");
     }
@@ -404,8 +549,19 @@
 #[test]
 fn a_cold_server_is_used_where_load_is_probed() {
     for nodes in [3, 20] {
-        let counted = played(Play { nodes, probes: true, load: 0.5, ..PLAIN }, 2);
-        println!("{nodes:4} nodes: mean {:.3} of N, worst {:.2} of the bound", counted.mean, counted.worst);
+        let counted = played(
+            Play {
+                nodes,
+                probes: true,
+                load: 0.5,
+                ..PLAIN
+            },
+            2,
+        );
+        println!(
+            "{nodes:4} nodes: mean {:.3} of N, worst {:.2} of the bound",
+            counted.mean, counted.worst
+        );
         assert_eq!(counted.breaks, 0, "{nodes} nodes: {counted:?}");
         assert!(counted.mean > 0.18, "{nodes} nodes: {counted:?}");
     }
--- a/crates/balancer/tests/decisions.rs
+++ b/crates/balancer/tests/decisions.rs
@@ -17,7 +17,10 @@
 }
 
 fn probed(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Probe { .. })).count()
+    actions
+        .iter()
+        .filter(|a| matches!(a, Action::Probe { .. }))
+        .count()
 }
 
 fn refused(actions: &[Action]) -> bool {
@@ -32,7 +35,11 @@
 fn serve(world: &mut World, load: f32) -> u64 {
     let (id, actions) = world.request(0);
     let to = sent_to(&actions);
-    assert_eq!(to.len(), 1, "a free fleet takes a request at once: {actions:?}");
+    assert_eq!(
+        to.len(),
+        1,
+        "a free fleet takes a request at once: {actions:?}"
+    );
     world.pass(ms(20));
     world.end(id, 0, Outcome::Served, Some(load));
     to[0]
@@ -59,7 +66,10 @@
         *seen.entry(sent_to(&world.request(0).1)[0]).or_default() += 1;
         seen
     });
-    assert!(first.len() == 4 && first.values().all(|n| (25..=80).contains(n)), "{first:?}");
+    assert!(
+        first.len() == 4 && first.values().all(|n| (25..=80).contains(n)),
+        "{first:?}"
+    );
 }
 
 #[test]
@@ -78,9 +88,16 @@
 
 #[test]
 fn failures_leave_the_estimate_as_it_is() {
-    let failures = [Outcome::Error, Outcome::Rejected, Outcome::TimedOut, Outcome::ConnectFailed];
+    let failures = [
+        Outcome::Error,
+        Outcome::Rejected,
+        Outcome::TimedOut,
+        Outcome::ConnectFailed,
+    ];
     // Also with a report of nothing in flight: a server that returns quick errors looks idle.
-    let cases = failures.iter().flat_map(|outcome| [(*outcome, None), (*outcome, Some(0.0))]);
+    let cases = failures
+        .iter()
+        .flat_map(|outcome| [(*outcome, None), (*outcome, Some(0.0))]);
     for ((outcome, report), seed) in cases.flat_map(|case| (0..20).map(move |seed| (case, seed))) {
         let mut world = World::seeded(answering(), seed);
         world.list(ListKind::Full, (0..2).map(entry).collect());
@@ -89,9 +106,19 @@
         world.end(id, 0, outcome, report);
         if world.open().is_empty() {
             // The other server has the lower estimate now.
-            assert_ne!(sent_to(&world.request(1).1), first, "{outcome:?} {report:?}");
+            assert_ne!(
+                sent_to(&world.request(1).1),
+                first,
+                "{outcome:?} {report:?}"
+            );
         } else {
-            assert!(world.out().iter().all(|(id, i)| world.server_of(*id, *i).0 != first[0]), "{outcome:?}");
+            assert!(
+                world
+                    .out()
+                    .iter()
+                    .all(|(id, i)| world.server_of(*id, *i).0 != first[0]),
+                "{outcome:?}"
+            );
         }
     }
 }
@@ -103,7 +130,10 @@
     for _ in 0..200 {
         *met.entry(serve(&mut world, 3.0)).or_insert(0) += 1;
     }
-    assert!(met.len() == 4 && met.values().all(|n| (25..=80).contains(n)), "{met:?}");
+    assert!(
+        met.len() == 4 && met.values().all(|n| (25..=80).contains(n)),
+        "{met:?}"
+    );
 }
 
 #[test]
@@ -121,7 +151,11 @@
         assert!(to != busy || !world.answered(held));
     }
     assert_eq!(world.out().len(), 1);
-    assert_ne!(sent_to(&world.request(0).1), [busy], "the idle server is the lower one");
+    assert_ne!(
+        sent_to(&world.request(0).1),
+        [busy],
+        "the idle server is the lower one"
+    );
 }
 
 // ---- Probes -----------------------------------------------------------------------------------
@@ -130,7 +164,10 @@
 fn a_request_waits_for_its_probes_and_goes_to_the_idle_server() {
     let mut world = World::with_servers(probing(), 4);
     let (id, actions) = world.request(0);
-    assert!(probed(&actions) > 0 && sent_to(&actions).is_empty(), "{actions:?}");
+    assert!(
+        probed(&actions) > 0 && sent_to(&actions).is_empty(),
+        "{actions:?}"
+    );
     world.pass(ms(1));
     world.answer_probes(&[2]);
     assert_eq!(world.server_of(id, 0), ServerId(2));
@@ -162,7 +199,10 @@
             probed(&world.log[before..])
         })
         .sum();
-    assert!((10..=21).contains(&probes), "{probes} probes for 100 requests");
+    assert!(
+        (10..=21).contains(&probes),
+        "{probes} probes for 100 requests"
+    );
 }
 
 #[test]
@@ -229,7 +269,10 @@
         let (id, _) = world.request(class);
         world.pass(ms(300));
         let actions = world.end(id, 0, Outcome::Reset, None);
-        assert!(failed(&actions) && sent_to(&actions).is_empty(), "the window is over: {actions:?}");
+        assert!(
+            failed(&actions) && sent_to(&actions).is_empty(),
+            "the window is over: {actions:?}"
+        );
     }
 }
 
@@ -254,7 +297,12 @@
     let mut world = World::new(answering());
     let (id, _) = world.request(1);
     world.pass(ms(401));
-    assert!(world.log.iter().any(|a| matches!(a, Action::Refuse { id: it, .. } if *it == id)));
+    assert!(
+        world
+            .log
+            .iter()
+            .any(|a| matches!(a, Action::Refuse { id: it, .. } if *it == id))
+    );
 }
 
 #[test]
@@ -277,7 +325,12 @@
     assert!(world.out().is_empty());
     assert!(world.tell(Event::Timer { token: id.0 }).is_empty());
     let server = ServerId(77);
-    let end = ProbeEnd { server, outcome: Outcome::Served, elapsed: ms(1), report: None };
+    let end = ProbeEnd {
+        server,
+        outcome: Outcome::Served,
+        elapsed: ms(1),
+        report: None,
+    };
     assert!(world.tell(Event::Probed(end)).is_empty());
     let ended = AttemptEnd {
         id,
@@ -290,7 +343,16 @@
         report: None,
     };
     assert!(world.tell(Event::AttemptEnded(ended)).is_empty());
-    assert!(world.tell(Event::Started { id, attempt: 0, server, report: None }).is_empty());
+    assert!(
+        world
+            .tell(Event::Started {
+                id,
+                attempt: 0,
+                server,
+                report: None
+            })
+            .is_empty()
+    );
 }
 
 #[test]
@@ -304,7 +366,10 @@
         }
     }
     let sends = sent_to(&world.log).len();
-    assert!(sends <= 500 + 500 * 2 / 5 + 10, "{sends} sends for 500 requests");
+    assert!(
+        sends <= 500 + 500 * 2 / 5 + 10,
+        "{sends} sends for 500 requests"
+    );
 }
 
 // ---- Health -----------------------------------------------------------------------------------
@@ -327,14 +392,26 @@
 #[test]
 fn a_server_that_answers_fast_with_errors_wins_nothing() {
     let mut world = World::with_servers(answering(), 4);
-    let met = play(&mut world, 400, |server| if server == 0 { Outcome::Error } else { Outcome::Served });
+    let met = play(&mut world, 400, |server| {
+        if server == 0 {
+            Outcome::Error
+        } else {
+            Outcome::Served
+        }
+    });
     assert!(met[&0] < 20, "{met:?}");
 }
 
 #[test]
 fn an_ejected_server_comes_back_by_trial() {
     let mut world = World::with_servers(answering(), 4);
-    play(&mut world, 100, |server| if server == 0 { Outcome::ConnectFailed } else { Outcome::Served });
+    play(&mut world, 100, |server| {
+        if server == 0 {
+            Outcome::ConnectFailed
+        } else {
+            Outcome::Served
+        }
+    });
     world.pass(ms(20_000));
     let met = play(&mut world, 200, |_| Outcome::Served);
     assert!(met.get(&0).is_some_and(|times| *times > 10), "{met:?}");
@@ -353,7 +430,11 @@
         }
     }
     (0..6).for_each(|_| drop(world.request(1)));
-    let met: BTreeSet<_> = world.out().iter().map(|(id, attempt)| world.server_of(*id, *attempt).0).collect();
+    let met: BTreeSet<_> = world
+        .out()
+        .iter()
+        .map(|(id, attempt)| world.server_of(*id, *attempt).0)
+        .collect();
     assert!(met.len() >= 3, "{met:?}");
 }
 
@@ -373,7 +454,10 @@
         }
     }
     let silent = sent_to(&world.log).iter().filter(|s| **s == 0).count();
-    assert!(silent < 20, "{silent} of 200 sends to the silent server, {met:?}");
+    assert!(
+        silent < 20,
+        "{silent} of 200 sends to the silent server, {met:?}"
+    );
 }
 
 // ---- Drains, cold starts, the list --------------------------------------------------------------
@@ -383,7 +467,16 @@
     let mut world = World::with_servers(answering(), 3);
     world.list(ListKind::Full, vec![entry(1)]);
     assert!((0..10).all(|_| sent_to(&world.request(0).1).iter().all(|s| *s == 1)));
-    world.list(ListKind::Changes, vec![entry(2), ServerEntry { state: ServerState::Draining, ..entry(1) }]);
+    world.list(
+        ListKind::Changes,
+        vec![
+            entry(2),
+            ServerEntry {
+                state: ServerState::Draining,
+                ..entry(1)
+            },
+        ],
+    );
     assert_eq!(sent_to(&world.request(0).1), [2]);
 }
 
@@ -403,10 +496,21 @@
     for step in 0..1500u64 {
         if step == 700 {
             let started = Some(world.now);
-            world.list(ListKind::Changes, vec![ServerEntry { started, ..entry(10) }]);
+            world.list(
+                ListKind::Changes,
+                vec![ServerEntry {
+                    started,
+                    ..entry(10)
+                }],
+            );
         }
         let (_, actions) = world.request(0);
-        cold.extend(sent_to(&actions).iter().filter(|s| **s == 10).map(|_| world.now));
+        cold.extend(
+            sent_to(&actions)
+                .iter()
+                .filter(|s| **s == 10)
+                .map(|_| world.now),
+        );
         world.pass(ms(30));
         for (id, attempt) in world.out() {
             world.end(id, attempt, Outcome::Served, Some(0.0));
@@ -422,20 +526,39 @@
 #[test]
 fn all_servers_cold_at_once_still_serve() {
     let mut settings = answering();
-    settings.rules = Rules { cold_share: 0.3, warm_after: ms(10_000), ..settings.rules };
+    settings.rules = Rules {
+        cold_share: 0.3,
+        warm_after: ms(10_000),
+        ..settings.rules
+    };
     let mut world = World::with_servers(settings, 5);
     play(&mut world, 300, |_| Outcome::Served);
     let started = Some(world.now);
-    world.list(ListKind::Full, (0..5).map(|n| ServerEntry { started, ..entry(n) }).collect());
+    world.list(
+        ListKind::Full,
+        (0..5)
+            .map(|n| ServerEntry {
+                started,
+                ..entry(n)
+            })
+            .collect(),
+    );
     let met = play(&mut world, 100, |_| Outcome::Served);
     assert!(met.values().sum::<usize>() > 20, "{met:?}"); // they can do three tenths
 }
 
 #[test]
 fn where_the_list_must_be_asked_for_it_is_asked_for_and_a_failed_call_is_repeated() {
-    let asks =
-        |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::Subscribe { on: true })).count();
-    let mut world = World::new(Settings { list_on_request: true, ..answering() });
+    let asks = |actions: &[Action]| {
+        actions
+            .iter()
+            .filter(|a| matches!(a, Action::Subscribe { on: true }))
+            .count()
+    };
+    let mut world = World::new(Settings {
+        list_on_request: true,
+        ..answering()
+    });
     world.list(ListKind::Cached, vec![entry(0)]);
     world.pass(ms(3000));
     assert_eq!(asks(&world.log), 1);
@@ -444,18 +567,31 @@
         world.list(ListKind::Failed, Vec::new());
         world.pass(ms(6000)); // within the 10 s after which a node counts as told
         assert!(asks(&world.log[before..]) >= 1);
-        assert!(asks(&world.log[before..]) <= 2, "calls jam the list's service");
+        assert!(
+            asks(&world.log[before..]) <= 2,
+            "calls jam the list's service"
+        );
     }
     world.list(ListKind::Full, vec![entry(0)]);
     let before = world.log.len();
     world.pass(ms(60_000));
-    assert_eq!(asks(&world.log[before..]), 0, "a subscription needs no calls");
+    assert_eq!(
+        asks(&world.log[before..]),
+        0,
+        "a subscription needs no calls"
+    );
 }
 
 #[test]
 fn a_tenant_beyond_its_share_is_refused_first() {
     let mut settings = answering();
-    settings.tenants = vec![Tenant { allowance_per_s: 30.0, share: 0.5 }; 2];
+    settings.tenants = vec![
+        Tenant {
+            allowance_per_s: 30.0,
+            share: 0.5
+        };
+        2
+    ];
     settings.over_share_worth = 0.1;
     let mut world = World::with_servers(settings, 2);
     // Tenant 0 floods, tenant 1 keeps to its share; nothing crowded comes back in time.
@@ -471,7 +607,10 @@
         }
     }
     let [flood, modest] = [refusals[0] as f64 / 1913.0, refusals[1] as f64 / 87.0];
-    assert!(flood > 0.3 && modest < flood, "refused: {flood} of the flood, {modest} of the modest tenant");
+    assert!(
+        flood > 0.3 && modest < flood,
+        "refused: {flood} of the flood, {modest} of the modest tenant"
+    );
 }
 
 #[test]
@@ -482,7 +621,11 @@
         world.request(1);
         world.pass(ms(1));
     }
-    assert!(world.out().len() <= 4 * 2, "{} out at four silent servers", world.out().len());
+    assert!(
+        world.out().len() <= 4 * 2,
+        "{} out at four silent servers",
+        world.out().len()
+    );
 }
 
 #[test]
@@ -496,12 +639,28 @@
                 refusals += usize::from(refused(&world.request(1).1));
             }
             world.pass(ms(5));
-            let due: Vec<_> = world.out().into_iter().filter(|(id, _)| world.age(*id) >= ms(10)).collect();
-            due.into_iter().for_each(|(id, attempt)| drop(world.end(id, attempt, Outcome::Served, None)));
+            let due: Vec<_> = world
+                .out()
+                .into_iter()
+                .filter(|(id, _)| world.age(*id) >= ms(10))
+                .collect();
+            due.into_iter()
+                .for_each(|(id, attempt)| drop(world.end(id, attempt, Outcome::Served, None)));
         }
-        let refused = world.log.iter().filter(|action| matches!(action, Action::Refuse { .. })).count();
+        let refused = world
+            .log
+            .iter()
+            .filter(|action| matches!(action, Action::Refuse { .. }))
+            .count();
         assert_eq!((refusals, refused), (0, 0), "a list of {servers}");
-        assert!(world.log.iter().filter(|action| matches!(action, Action::Send { .. })).count() > 1500);
+        assert!(
+            world
+                .log
+                .iter()
+                .filter(|action| matches!(action, Action::Send { .. }))
+                .count()
+                > 1500
+        );
     }
 }
 
@@ -510,14 +669,22 @@
     let mut world = World::with_servers(answering(), 1);
     let taken: Vec<_> = (0..100).map(|_| world.request(1)).collect();
     let at_once = taken.iter().filter(|(_, actions)| refused(actions)).count();
-    assert_eq!((world.out().len(), at_once), (2, 100 - 2 - 64), "two are out, 64 are held");
+    assert_eq!(
+        (world.out().len(), at_once),
+        (2, 100 - 2 - 64),
+        "two are out, 64 are held"
+    );
     // All of it comes in time for the next, and is late for the aim: no more room, and that is said at once.
     world.pass(ms(390));
     for (id, attempt) in world.out() {
         world.end(id, attempt, Outcome::Served, None);
     }
     world.pass(ms(50));
-    assert!(world.open().is_empty(), "{} are still held", world.open().len());
+    assert!(
+        world.open().is_empty(),
+        "{} are still held",
+        world.open().len()
+    );
 }
 
 #[test]
@@ -540,16 +707,34 @@
     let patience = ms(200);
     // Safe work beside another server, keyed work beside one of its group (servers 0 and 3 are in one zone).
     assert!(time_out(&mut learned(2, &settings), 0).expect("sent") < patience);
-    assert!(time_out(&mut learned(1, &settings), 0).expect("sent") > patience, "a list of one");
-    assert!(time_out(&mut learned(3, &settings), 2).expect("sent") > patience, "alone in its zone");
+    assert!(
+        time_out(&mut learned(1, &settings), 0).expect("sent") > patience,
+        "a list of one"
+    );
+    assert!(
+        time_out(&mut learned(3, &settings), 2).expect("sent") > patience,
+        "alone in its zone"
+    );
     assert!(time_out(&mut learned(6, &settings), 2).expect("sent") < patience);
-    assert!(time_out(&mut learned(6, &settings), 1).expect("sent") > patience, "may not run twice");
+    assert!(
+        time_out(&mut learned(6, &settings), 1).expect("sent") > patience,
+        "may not run twice"
+    );
     settings.limits.max_attempts = 1;
-    assert!(time_out(&mut learned(6, &settings), 0).expect("sent") > patience, "its only attempt");
+    assert!(
+        time_out(&mut learned(6, &settings), 0).expect("sent") > patience,
+        "its only attempt"
+    );
     // Beside a server that is out of reach.
     settings.limits.max_attempts = 2;
     let mut world = World::with_servers(settings.clone(), 2);
-    let ends = |server| if server == 0 { Outcome::ConnectFailed } else { Outcome::Served };
+    let ends = |server| {
+        if server == 0 {
+            Outcome::ConnectFailed
+        } else {
+            Outcome::Served
+        }
+    };
     play(&mut world, 100, ends);
     let spared = (0..20).filter_map(|_| {
         let time_out = time_out(&mut world, 0);
@@ -575,31 +760,58 @@
             world.request(1);
             world.pass(ms(2));
             most = most.max(world.out().len());
-            let due: Vec<_> =
-                world.out().into_iter().filter(|(id, _)| world.age(*id) >= ms(answer)).collect();
+            let due: Vec<_> = world
+                .out()
+                .into_iter()
+                .filter(|(id, _)| world.age(*id) >= ms(answer))
+                .collect();
             due.into_iter()
                 .for_each(|(id, attempt)| drop(world.end(id, attempt, Outcome::Served, Some(3.0))));
         }
         most
     };
     let (quick, late) = (fill(100), fill(390));
-    assert!(quick >= 4 * 4, "{quick} out at four servers: answers with time to spare open the levels");
-    assert!(late <= 4 * 2, "{late} out at four servers: answers at the last moment keep them closed");
+    assert!(
+        quick >= 4 * 4,
+        "{quick} out at four servers: answers with time to spare open the levels"
+    );
+    assert!(
+        late <= 4 * 2,
+        "{late} out at four servers: answers at the last moment keep them closed"
+    );
 }
 
 #[test]
 fn odd_settings_lead_to_legal_and_sensible_actions() {
-    let one_node = Settings { nodes: 1, ..probing() };
-    let free_probes = Settings { prices: Prices::default(), ..probing() };
+    let one_node = Settings {
+        nodes: 1,
+        ..probing()
+    };
+    let free_probes = Settings {
+        prices: Prices::default(),
+        ..probing()
+    };
     let mut blind = probing();
     blind.limits.probes = false;
     let silent = settings();
     let mut never_cold = answering();
-    never_cold.rules = Rules { cold_share: 1.0, warm_after: ms(0), ..never_cold.rules };
+    never_cold.rules = Rules {
+        cold_share: 1.0,
+        warm_after: ms(0),
+        ..never_cold.rules
+    };
     for settings in [one_node, free_probes, blind, silent, never_cold] {
         let mut world = World::new(settings);
         let started = Some(world.now);
-        world.list(ListKind::Full, (0..4).map(|n| ServerEntry { started, ..entry(n) }).collect());
+        world.list(
+            ListKind::Full,
+            (0..4)
+                .map(|n| ServerEntry {
+                    started,
+                    ..entry(n)
+                })
+                .collect(),
+        );
         let mut served = 0;
         for _ in 0..100 {
             world.request(1);
@@ -611,7 +823,11 @@
                 served += 1;
             }
         }
-        assert!(served >= 90, "{served} of 100 served with {:?}", world.settings);
+        assert!(
+            served >= 90,
+            "{served} of 100 served with {:?}",
+            world.settings
+        );
     }
 }
 
@@ -670,8 +886,15 @@
         world.take(new)
     };
     world.request_with(0, 0, ms(450), None); // a first try waits for 450 of the 1000 ms
-    assert!(refused(&repeat(&mut world, 550)), "450 ms have gone by, the aim is 400");
-    assert_eq!(sent_to(&repeat(&mut world, 650)).len(), 1, "350 ms have gone by");
+    assert!(
+        refused(&repeat(&mut world, 550)),
+        "450 ms have gone by, the aim is 400"
+    );
+    assert_eq!(
+        sent_to(&repeat(&mut world, 650)).len(),
+        1,
+        "350 ms have gone by"
+    );
     assert_eq!(
         sent_to(&repeat(&mut world, 449)).len(),
         1,
@@ -683,10 +906,18 @@
 fn trials_of_ejected_servers_take_a_small_part_of_the_requests() {
     // The danger: a quiet node with several dead servers sends most of its requests there on trial.
     let mut world = World::with_servers(answering(), 8);
-    let dead = |server: u64| if server < 3 { Outcome::ConnectFailed } else { Outcome::Served };
+    let dead = |server: u64| {
+        if server < 3 {
+            Outcome::ConnectFailed
+        } else {
+            Outcome::Served
+        }
+    };
     play(&mut world, 100, dead);
     let met = play(&mut world, 400, dead);
-    let trials: usize = (0..3).map(|server| met.get(&server).copied().unwrap_or(0)).sum();
+    let trials: usize = (0..3)
+        .map(|server| met.get(&server).copied().unwrap_or(0))
+        .sum();
     assert!((1..60).contains(&trials), "{trials} {met:?}");
 }
 
@@ -720,9 +951,16 @@
             play(&mut world, 100, |_| Outcome::Served); // answers take 30 ms
             let (id, _) = world.request(class);
             world.pass(ms(200));
-            let tries =
-                world.log.iter().filter(|a| matches!(a, Action::Send { id: i, .. } if *i == id)).count();
-            assert_eq!(tries > 1, further, "class {class}, parallel {parallel}: {tries} attempts");
+            let tries = world
+                .log
+                .iter()
+                .filter(|a| matches!(a, Action::Send { id: i, .. } if *i == id))
+                .count();
+            assert_eq!(
+                tries > 1,
+                further,
+                "class {class}, parallel {parallel}: {tries} attempts"
+            );
         }
     }
 }
@@ -751,7 +989,11 @@
     for _ in 0..40 {
         let ids = [world.request(1).0, world.request(1).0, world.request(1).0];
         world.pass(ms(20));
-        for id in ids.into_iter().filter(|id| world.out().contains(&(*id, 0))).collect::<Vec<_>>() {
+        for id in ids
+            .into_iter()
+            .filter(|id| world.out().contains(&(*id, 0)))
+            .collect::<Vec<_>>()
+        {
             world.end(id, 0, Outcome::Served, None);
         }
     }
@@ -762,7 +1004,11 @@
         if sent_to(&actions).is_empty() {
             continue;
         }
-        assert_ne!(sent_to(&actions), [busy], "the free server is open or nobody is");
+        assert_ne!(
+            sent_to(&actions),
+            [busy],
+            "the free server is open or nobody is"
+        );
         world.pass(ms(1));
         world.end(id, 0, Outcome::Rejected, None);
     }
@@ -778,11 +1024,19 @@
     (settings.nodes, settings.prices.connections) = (40, 0.1);
     let mut nodes_of = BTreeMap::new();
     for node in 0..40 {
-        let mut world = World::seeded(Settings { node, ..settings.clone() }, node.into());
+        let mut world = World::seeded(
+            Settings {
+                node,
+                ..settings.clone()
+            },
+            node.into(),
+        );
         world.list(ListKind::Full, (0..20).map(entry).collect());
-        let met: std::collections::BTreeSet<u64> = (0..100).map(|_| serve(&mut world, 1.0)).collect();
+        let met: std::collections::BTreeSet<u64> =
+            (0..100).map(|_| serve(&mut world, 1.0)).collect();
         assert!((2..=5).contains(&met.len()), "{met:?}");
-        met.into_iter().for_each(|server| *nodes_of.entry(server).or_insert(0) += 1);
+        met.into_iter()
+            .for_each(|server| *nodes_of.entry(server).or_insert(0) += 1);
     }
     let (fewest, most) = (nodes_of.values().min(), nodes_of.values().max());
     assert!(nodes_of.len() == 20 && fewest == most, "{nodes_of:?}");
@@ -804,7 +1058,10 @@
         met.len()
     };
     let (quiet, busy) = (met(400), met(20));
-    assert!((6..=10).contains(&quiet) && busy > 30, "{quiet} by a quiet node, {busy} by a busy one");
+    assert!(
+        (6..=10).contains(&quiet) && busy > 30,
+        "{quiet} by a quiet node, {busy} by a busy one"
+    );
 }
 
 #[test]
@@ -845,8 +1102,14 @@
     for _ in 0..60 {
         serve(&mut world, 3.0); // nobody is idle
     }
-    assert!(refused(&world.request_with(1, 0, ms(1000), Some(ms(420))).1), "420 ms of work, 400 to the aim");
-    assert_eq!(sent_to(&world.request_with(1, 0, ms(1000), Some(ms(200))).1).len(), 1);
+    assert!(
+        refused(&world.request_with(1, 0, ms(1000), Some(ms(420))).1),
+        "420 ms of work, 400 to the aim"
+    );
+    assert_eq!(
+        sent_to(&world.request_with(1, 0, ms(1000), Some(ms(200))).1).len(),
+        1
+    );
     for _ in 0..200 {
         serve(&mut world, 0.0);
     }
@@ -861,10 +1124,18 @@
 fn servers_that_cannot_be_reached_are_left_alone_however_many_they_are() {
     // The danger: half of the servers stay in use whatever happens, though this node reaches only a few.
     let mut world = World::with_servers(answering(), 10);
-    let reach = |server: u64| if server < 2 { Outcome::Served } else { Outcome::ConnectFailed };
+    let reach = |server: u64| {
+        if server < 2 {
+            Outcome::Served
+        } else {
+            Outcome::ConnectFailed
+        }
+    };
     play(&mut world, 200, reach);
     let met = play(&mut world, 200, reach);
-    let reached: usize = (0..2).map(|server| met.get(&server).copied().unwrap_or(0)).sum();
+    let reached: usize = (0..2)
+        .map(|server| met.get(&server).copied().unwrap_or(0))
+        .sum();
     assert!(reached > 150, "{met:?}");
 }
 
@@ -883,7 +1154,11 @@
             } else {
                 Outcome::Served
             };
-            world.pass(if outcome == Outcome::ConnectFailed { after } else { ms(20) });
+            world.pass(if outcome == Outcome::ConnectFailed {
+                after
+            } else {
+                ms(20)
+            });
             world.end(id, 0, outcome, Some(0.0));
             for (id, attempt) in world.out() {
                 world.end(id, attempt, Outcome::Served, Some(0.0));
@@ -923,18 +1198,28 @@
     // Looser now: what must not run twice when it came must not later.
     let mut world = alike(answering());
     let (id, _) = world.request(1);
-    retuned(&mut world, |settings| settings.classes[1].repeat = Repeat::Safe);
+    retuned(&mut world, |settings| {
+        settings.classes[1].repeat = Repeat::Safe
+    });
     let actions = world.end(id, 0, Outcome::Reset, None);
-    assert!(sent_to(&actions).is_empty() && failed(&actions), "{actions:?}");
+    assert!(
+        sent_to(&actions).is_empty() && failed(&actions),
+        "{actions:?}"
+    );
     // Stricter now: what may be repeated when it came still may, and is refused as harmless where it can't.
     let mut world = alike(answering());
     let (id, _) = world.request(0);
-    retuned(&mut world, |settings| settings.classes[0].repeat = Repeat::Unsafe);
+    retuned(&mut world, |settings| {
+        settings.classes[0].repeat = Repeat::Unsafe
+    });
     let actions = world.end(id, 0, Outcome::Reset, None);
     assert_eq!(sent_to(&actions).len(), 1, "{actions:?}");
     let (id, _) = world.request(0);
     let actions = world.end(id, 0, Outcome::Reset, None);
-    assert!(sent_to(&actions).is_empty() && failed(&actions), "a newcomer meets the new terms: {actions:?}");
+    assert!(
+        sent_to(&actions).is_empty() && failed(&actions),
+        "a newcomer meets the new terms: {actions:?}"
+    );
 }
 
 #[test]
@@ -952,7 +1237,13 @@
     assert_eq!(stricter(Repeat::Safe), 1);
     assert_eq!(stricter(Repeat::Unsafe), 0, "it may have run");
     // No box was told to drop its repeats.
-    assert_eq!(stricter(Repeat::Keyed { scope: Scope::All, window: ms(900) }), 0);
+    assert_eq!(
+        stricter(Repeat::Keyed {
+            scope: Scope::All,
+            window: ms(900)
+        }),
+        0
+    );
 }
 
 #[test]
@@ -961,13 +1252,23 @@
     let (id, _) = world.request(0);
     retuned(&mut world, |settings| settings.limits.max_attempts = 1);
     let actions = world.end(id, 0, Outcome::Reset, None);
-    assert!(sent_to(&actions).is_empty() && refused(&actions), "{actions:?}");
+    assert!(
+        sent_to(&actions).is_empty() && refused(&actions),
+        "{actions:?}"
+    );
     let (id, _) = world.request(0);
     retuned(&mut world, |settings| settings.limits.max_attempts = 3);
     let actions = world.end(id, 0, Outcome::Reset, None);
-    assert!(sent_to(&actions).is_empty() && refused(&actions), "it came when one was allowed: {actions:?}");
+    assert!(
+        sent_to(&actions).is_empty() && refused(&actions),
+        "it came when one was allowed: {actions:?}"
+    );
     let (id, _) = world.request(0);
-    assert_eq!(sent_to(&world.end(id, 0, Outcome::Reset, None)).len(), 1, "a newcomer has three");
+    assert_eq!(
+        sent_to(&world.end(id, 0, Outcome::Reset, None)).len(),
+        1,
+        "a newcomer has three"
+    );
 }
 
 #[test]
@@ -977,13 +1278,26 @@
         world.pass(ms(50));
         serve(&mut world, 0.0);
     }
-    play(&mut world, 40, |server| if server == 0 { Outcome::ConnectFailed } else { Outcome::Served });
+    play(&mut world, 40, |server| {
+        if server == 0 {
+            Outcome::ConnectFailed
+        } else {
+            Outcome::Served
+        }
+    });
     let (_, before) = world.balancer.view();
     retuned(&mut world, |settings| {
         settings.classes.push(class(Repeat::Safe));
-        settings.tenants.push(Tenant { allowance_per_s: 10.0, share: 1.0 });
+        settings.tenants.push(Tenant {
+            allowance_per_s: 10.0,
+            share: 1.0,
+        });
     });
-    assert_eq!((before, world.balancer.view().1), (1, 1), "who is ejected stays so");
+    assert_eq!(
+        (before, world.balancer.view().1),
+        (1, 1),
+        "who is ejected stays so"
+    );
     let (_, actions) = world.request(5);
     assert_eq!(sent_to(&actions).len(), 1, "{actions:?}");
 }
@@ -998,8 +1312,14 @@
 
 impl Bodies {
     fn new() -> Self {
-        let mut bodies = Bodies { node: Balancer::new(answering(), 1), now: ms(100_000) };
-        bodies.tell(Event::List { kind: ListKind::Full, entries: vec![entry(0), entry(3)] });
+        let mut bodies = Bodies {
+            node: Balancer::new(answering(), 1),
+            now: ms(100_000),
+        };
+        bodies.tell(Event::List {
+            kind: ListKind::Full,
+            entries: vec![entry(0), entry(3)],
+        });
         bodies
     }
 
@@ -1011,7 +1331,13 @@
 
     fn request(&mut self, id: u64, class: usize, arriving: bool) -> Vec<Action> {
         let (id, remaining) = (RequestId(id), ms(1000));
-        self.tell(Event::Request(NewRequest { id, class, remaining, arriving, ..Default::default() }))
+        self.tell(Event::Request(NewRequest {
+            id,
+            class,
+            remaining,
+            arriving,
+            ..Default::default()
+        }))
     }
 
     fn end(&mut self, id: u64, server: u64, outcome: Outcome, spent: bool) -> Vec<Action> {
@@ -1032,7 +1358,11 @@
 fn the_time_of_a_request_that_is_still_coming_begins_with_its_last_byte() {
     let mut bodies = Bodies::new();
     let actions = bodies.request(1, 1, true);
-    assert_eq!(sent_to(&actions).len(), 1, "it goes on while it comes: {actions:?}");
+    assert_eq!(
+        sent_to(&actions).len(),
+        1,
+        "it goes on while it comes: {actions:?}"
+    );
     let timers = |actions: &[Action]| {
         let timer = |action: &Action| match action {
             Action::SetTimer { after, token: 1 } => Some(*after),
@@ -1040,22 +1370,52 @@
         };
         actions.iter().filter_map(timer).collect::<Vec<_>>()
     };
-    assert!(timers(&actions).iter().all(|after| *after > ms(60_000)), "nobody hurries it: {actions:?}");
+    assert!(
+        timers(&actions).iter().all(|after| *after > ms(60_000)),
+        "nobody hurries it: {actions:?}"
+    );
     bodies.now += ms(30_000);
-    assert!(bodies.tell(Event::Timer { token: 1 }).is_empty(), "it is not late");
-    let actions = bodies.tell(Event::Arrived { id: RequestId(1), spent: true });
-    assert_eq!(timers(&actions), [ms(400)], "its aim, from now: {actions:?}");
+    assert!(
+        bodies.tell(Event::Timer { token: 1 }).is_empty(),
+        "it is not late"
+    );
+    let actions = bodies.tell(Event::Arrived {
+        id: RequestId(1),
+        spent: true,
+    });
+    assert_eq!(
+        timers(&actions),
+        [ms(400)],
+        "its aim, from now: {actions:?}"
+    );
     bodies.now += ms(400);
     let actions = bodies.tell(Event::Timer { token: 1 });
-    assert!(failed(&actions) && sent_to(&actions).is_empty(), "{actions:?}");
-    assert!(bodies.tell(Event::Arrived { id: RequestId(1), spent: true }).is_empty(), "once");
+    assert!(
+        failed(&actions) && sent_to(&actions).is_empty(),
+        "{actions:?}"
+    );
+    assert!(
+        bodies
+            .tell(Event::Arrived {
+                id: RequestId(1),
+                spent: true
+            })
+            .is_empty(),
+        "once"
+    );
 }
 
 #[test]
 fn a_request_that_is_still_coming_and_has_nowhere_to_go_is_refused_in_its_time() {
     let mut bodies = Bodies::new();
-    bodies.tell(Event::List { kind: ListKind::Full, entries: Vec::new() });
-    assert!(sent_to(&bodies.request(1, 1, true)).is_empty(), "nobody is listed");
+    bodies.tell(Event::List {
+        kind: ListKind::Full,
+        entries: Vec::new(),
+    });
+    assert!(
+        sent_to(&bodies.request(1, 1, true)).is_empty(),
+        "nobody is listed"
+    );
     let mut waited = Duration::ZERO;
     let ended = loop {
         bodies.now += ms(10);
@@ -1064,9 +1424,15 @@
         if refused(&actions) || failed(&actions) {
             break actions;
         }
-        assert!(waited < ms(2000), "nothing of it is read on, and nobody tells its client");
+        assert!(
+            waited < ms(2000),
+            "nothing of it is read on, and nobody tells its client"
+        );
     };
-    assert!(refused(&ended) && waited >= ms(400), "after its aim: {waited:?} {ended:?}");
+    assert!(
+        refused(&ended) && waited >= ms(400),
+        "after its aim: {waited:?} {ended:?}"
+    );
 }
 
 #[test]
@@ -1078,7 +1444,10 @@
             if !arrived {
                 assert_eq!(sent_to(&actions).len(), 1, "{id}: {actions:?}");
             } else {
-                bodies.tell(Event::Arrived { id: RequestId(id), spent: true });
+                bodies.tell(Event::Arrived {
+                    id: RequestId(id),
+                    spent: true,
+                });
             }
         }
         sent_to(&bodies.request(99, 1, false)).len()
@@ -1092,14 +1461,27 @@
     let mut bodies = Bodies::new();
     let first = sent_to(&bodies.request(1, 1, true))[0];
     let actions = bodies.end(1, first, Outcome::NotSent, false);
-    assert_eq!(sent_to(&actions).len(), 1, "its first part is kept: {actions:?}");
+    assert_eq!(
+        sent_to(&actions).len(),
+        1,
+        "its first part is kept: {actions:?}"
+    );
     let first = sent_to(&bodies.request(2, 1, true))[0];
     let actions = bodies.end(2, first, Outcome::NotSent, true);
-    assert!(sent_to(&actions).is_empty() && refused(&actions), "{actions:?}");
+    assert!(
+        sent_to(&actions).is_empty() && refused(&actions),
+        "{actions:?}"
+    );
     let first = sent_to(&bodies.request(3, 1, true))[0];
-    bodies.tell(Event::Arrived { id: RequestId(3), spent: true });
+    bodies.tell(Event::Arrived {
+        id: RequestId(3),
+        spent: true,
+    });
     let actions = bodies.end(3, first, Outcome::Reset, true);
-    assert!(sent_to(&actions).is_empty() && failed(&actions), "it may have run: {actions:?}");
+    assert!(
+        sent_to(&actions).is_empty() && failed(&actions),
+        "it may have run: {actions:?}"
+    );
 }
 
 #[test]
@@ -1109,11 +1491,25 @@
     bodies.now += ms(399);
     let second = sent_to(&bodies.tell(Event::Timer { token: 1 }));
     assert_eq!(second.len(), 1, "a silent one is followed by a copy");
-    let started = Event::Started { id: RequestId(1), attempt: 0, server: ServerId(first), report: None };
+    let started = Event::Started {
+        id: RequestId(1),
+        attempt: 0,
+        server: ServerId(first),
+        report: None,
+    };
     let actions = bodies.tell(started.clone());
-    assert_eq!(actions, [Action::Cancel { id: RequestId(1), attempt: 1 }]);
+    assert_eq!(
+        actions,
+        [Action::Cancel {
+            id: RequestId(1),
+            attempt: 1
+        }]
+    );
     bodies.now += ms(5000);
-    assert!(bodies.tell(Event::Timer { token: 1 }).is_empty(), "what the client is being given is not cut");
+    assert!(
+        bodies.tell(Event::Timer { token: 1 }).is_empty(),
+        "what the client is being given is not cut"
+    );
     assert!(bodies.tell(started).is_empty(), "once");
     let mut end = AttemptEnd {
         id: RequestId(1),
--- a/crates/balancer/tests/memory.rs
+++ b/crates/balancer/tests/memory.rs
@@ -21,7 +21,10 @@
         let now = ms(1000) + Duration::from_micros(number * 1500);
         if number % 10 == 0 {
             let servers = number / 10..number / 10 + 4;
-            let list = Event::List { kind: ListKind::Full, entries: servers.map(entry).collect() };
+            let list = Event::List {
+                kind: ListKind::Full,
+                entries: servers.map(entry).collect(),
+            };
             balancer.handle(now, list, &mut actions);
         }
         let id = RequestId(number);
@@ -37,7 +40,10 @@
         };
         balancer.handle(now, Event::Request(new), &mut actions);
         while let Some(action) = actions.pop() {
-            let report = Some(LoadReport { in_flight: Some(0.0), ..LoadReport::default() });
+            let report = Some(LoadReport {
+                in_flight: Some(0.0),
+                ..LoadReport::default()
+            });
             let (outcome, elapsed) = (Outcome::Served, ms(1));
             let event = match action {
                 Action::Send { id, server, .. } => {
@@ -53,7 +59,12 @@
                     };
                     Event::AttemptEnded(end)
                 }
-                Action::Probe { server } => Event::Probed(ProbeEnd { server, outcome, elapsed, report }),
+                Action::Probe { server } => Event::Probed(ProbeEnd {
+                    server,
+                    outcome,
+                    elapsed,
+                    report,
+                }),
                 _ => continue,
             };
             balancer.handle(now, event, &mut actions);
@@ -65,7 +76,9 @@
 fn memory_does_not_grow_with_what_has_passed() {
     let mut balancer = Balancer::new(probing(), 1);
     play(&mut balancer, 1..20_000);
-    let Some(before) = resident() else { return eprintln!("no /proc here: not checked") };
+    let Some(before) = resident() else {
+        return eprintln!("no /proc here: not checked");
+    };
     play(&mut balancer, 20_000..150_000);
     let grown = resident().unwrap_or(before).saturating_sub(before);
     // One remembered request or server of a hundred bytes each would be 13 MB.
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -2,21 +2,38 @@
 
 mod world;
 
-use sillward_balancer::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
+use sillward_balancer::*;
 use world::*;
 
 /// One step of a history. The numbers choose among what is there at that point.
 #[derive(Clone, Debug)]
 enum Step {
-    Request { class: usize, remaining: u64, cost: Option<u64> },
-    End { which: usize, outcome: usize, load: Option<u8> },
-    Probe { load: Option<u8> },
-    Leave { which: usize },
-    List { full: bool, lines: Vec<(u64, u8, bool)> },
+    Request {
+        class: usize,
+        remaining: u64,
+        cost: Option<u64>,
+    },
+    End {
+        which: usize,
+        outcome: usize,
+        load: Option<u8>,
+    },
+    Probe {
+        load: Option<u8>,
+    },
+    Leave {
+        which: usize,
+    },
+    List {
+        full: bool,
+        lines: Vec<(u64, u8, bool)>,
+    },
     Fail,
-    Pass { time: u64 },
+    Pass {
+        time: u64,
+    },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -50,10 +67,18 @@
     world.list(ListKind::Cached, (0..4).map(entry).collect());
     for step in steps {
         match step {
-            Step::Request { class, remaining, cost } => {
+            Step::Request {
+                class,
+                remaining,
+                cost,
+            } => {
                 world.request_with(*class, 0, ms(*remaining), cost.map(ms));
             }
-            Step::End { which, outcome, load } => {
+            Step::End {
+                which,
+                outcome,
+                load,
+            } => {
                 let out = world.out();
                 if !out.is_empty() {
                     let (id, attempt) = out[which % out.len()];
@@ -76,18 +101,35 @@
                         _ => ServerState::Ready,
                     };
                     let started = restarted.then_some(now);
-                    ServerEntry { state, started, ..entry(*number) }
+                    ServerEntry {
+                        state,
+                        started,
+                        ..entry(*number)
+                    }
                 });
-                let kind = if *full { ListKind::Full } else { ListKind::Changes };
-                let lines = lines.filter(|e| !full || e.state != ServerState::Gone).collect();
+                let kind = if *full {
+                    ListKind::Full
+                } else {
+                    ListKind::Changes
+                };
+                let lines = lines
+                    .filter(|e| !full || e.state != ServerState::Gone)
+                    .collect();
                 world.list(kind, lines);
             }
-            Step::Fail => drop(world.tell(Event::List { kind: ListKind::Failed, entries: Vec::new() })),
+            Step::Fail => drop(world.tell(Event::List {
+                kind: ListKind::Failed,
+                entries: Vec::new(),
+            })),
             Step::Pass { time } => world.pass(ms(*time)),
         }
     }
     world.pass(ms(1600));
-    assert!(world.open().is_empty(), "rule 1: {:?} left without an answer", world.open());
+    assert!(
+        world.open().is_empty(),
+        "rule 1: {:?} left without an answer",
+        world.open()
+    );
     assert!(world.out().is_empty());
     world.log
 }
@@ -150,7 +192,13 @@
     for (step, (requests, pause)) in arrivals.iter().enumerate() {
         if step == arrivals.len() / 3 {
             began = Some(world.now);
-            world.list(ListKind::Changes, vec![ServerEntry { started: began, ..entry(COLD.0) }]);
+            world.list(
+                ListKind::Changes,
+                vec![ServerEntry {
+                    started: began,
+                    ..entry(COLD.0)
+                }],
+            );
         }
         (0..*requests).for_each(|_| drop(world.request(0)));
         for _ in 0..*pause {
@@ -171,9 +219,17 @@
         seen = world.log.len();
         if let Some(began) = began {
             let warmth = 0.05 + 0.95 * (world.now - began).as_secs_f64() / 20.0;
-            let span = cold.iter().filter(|at| **at + ms(1500) >= world.now).count() as f64;
+            let span = cold
+                .iter()
+                .filter(|at| **at + ms(1500) >= world.now)
+                .count() as f64;
             let allowed = 4.0 * warmth * 50.0 * 1.5 + 1.0;
-            prop_assert!(span <= allowed, "rule 4: {} sent within a span, {} allowed", span, allowed);
+            prop_assert!(
+                span <= allowed,
+                "rule 4: {} sent within a span, {} allowed",
+                span,
+                allowed
+            );
         }
     }
     Ok(())
@@ -201,8 +257,13 @@
     let nodes = 0..NODES;
     let mut worlds: Vec<_> = nodes
         .map(|node| {
-            let mut world =
-                World::seeded(Settings { node, ..settings.clone() }, seed.wrapping_add(node.into()));
+            let mut world = World::seeded(
+                Settings {
+                    node,
+                    ..settings.clone()
+                },
+                seed.wrapping_add(node.into()),
+            );
             world.list(ListKind::Full, (0..10).map(entry).collect());
             world
         })
@@ -231,21 +292,38 @@
     turn(&mut worlds, 0..200);
     for world in &mut worlds {
         let started = Some(world.now);
-        world.list(ListKind::Changes, vec![ServerEntry { started, ..entry(10) }]);
+        world.list(
+            ListKind::Changes,
+            vec![ServerEntry {
+                started,
+                ..entry(10)
+            }],
+        );
     }
     // Four seconds later most of the others drain.
     turn(&mut worlds, 200..280);
     for world in &mut worlds {
-        let drain = |n| ServerEntry { state: ServerState::Draining, ..entry(n) };
+        let drain = |n| ServerEntry {
+            state: ServerState::Draining,
+            ..entry(n)
+        };
         world.list(ListKind::Changes, (3..10).map(drain).collect());
     }
     let sent = turn(&mut worlds, 280..340);
     let capacity = 40.0 / 0.6; // the servers were in use for six tenths
     for round in 310..340 {
         let warmth = 0.12 + 0.88 * f64::from(round - 200) * 0.05 / 19.0;
-        let span = sent.iter().filter(|at| **at <= round && **at + 30 > round).count() as f64;
+        let span = sent
+            .iter()
+            .filter(|at| **at <= round && **at + 30 > round)
+            .count() as f64;
         let allowed = 1.5 * warmth * capacity * 1.5;
-        prop_assert!(span <= allowed, "rule 4: {} sent within a span, {} allowed", span, allowed);
+        prop_assert!(
+            span <= allowed,
+            "rule 4: {} sent within a span, {} allowed",
+            span,
+            allowed
+        );
     }
     Ok(())
 }
--- a/crates/balancer/tests/troubles.rs
+++ b/crates/balancer/tests/troubles.rs
@@ -35,7 +35,10 @@
         tally.subscribed += usize::from(matches!(action, Action::Subscribe { .. }));
     }
     // Two fifths of the requests, and what has been saved up: twice the burst of a fresh node.
-    assert!(tally.sends <= requests + requests * 2 / 5 + 10, "retries beyond their budget: {tally:?}");
+    assert!(
+        tally.sends <= requests + requests * 2 / 5 + 10,
+        "retries beyond their budget: {tally:?}"
+    );
     tally
 }
 
@@ -58,8 +61,13 @@
 #[test]
 fn a_server_reachable_from_nowhere_though_listed_is_left_alone() {
     for mut world in worlds(4) {
-        let tally =
-            play(&mut world, 400, |s| Some(if s == 0 { Outcome::ConnectFailed } else { Outcome::Served }));
+        let tally = play(&mut world, 400, |s| {
+            Some(if s == 0 {
+                Outcome::ConnectFailed
+            } else {
+                Outcome::Served
+            })
+        });
         assert!(tally.served >= 390, "{tally:?}");
     }
 }
@@ -67,7 +75,13 @@
 #[test]
 fn a_zone_reachable_from_nowhere_does_not_stop_the_others() {
     for mut world in worlds(6) {
-        let ends = |s: u64| Some(if s % 3 == 0 { Outcome::ConnectFailed } else { Outcome::Served });
+        let ends = |s: u64| {
+            Some(if s % 3 == 0 {
+                Outcome::ConnectFailed
+            } else {
+                Outcome::Served
+            })
+        };
         let tally = play(&mut world, 400, ends);
         assert!(tally.served >= 380, "{tally:?}");
         recovers(&mut world);
@@ -89,17 +103,25 @@
 /// fails is followed by another within half a second, and never at once.
 #[test]
 fn a_list_that_never_comes_while_requests_flood_in_is_asked_for_again_within_half_a_second() {
-    let mut world = World::new(Settings { list_on_request: true, ..probing() });
+    let mut world = World::new(Settings {
+        list_on_request: true,
+        ..probing()
+    });
     let (mut failed, mut calls) = (None, 0);
     let end = world.now + ms(24_000);
     while world.now < end {
         let (before, at) = (world.log.len(), world.now);
         world.request(calls % 3);
         world.pass(world.settings.tick);
-        let asked = world.log[before..].iter().any(|a| matches!(a, Action::Subscribe { on: true }));
+        let asked = world.log[before..]
+            .iter()
+            .any(|a| matches!(a, Action::Subscribe { on: true }));
         if let (Some(since), true) = (failed, asked) {
             let waited = world.now - since;
-            assert!(waited >= ms(60) && waited <= ms(500 + 70), "call {calls} after {waited:?}");
+            assert!(
+                waited >= ms(60) && waited <= ms(500 + 70),
+                "call {calls} after {waited:?}"
+            );
         }
         if asked {
             world.list(ListKind::Failed, vec![]);
@@ -108,7 +130,12 @@
         let late = failed.is_some_and(|since| world.now > since + ms(570));
         assert!(!late, "call {calls} is not followed by another");
     }
-    assert!(world.log.iter().all(|action| !matches!(action, Action::Send { .. })));
+    assert!(
+        world
+            .log
+            .iter()
+            .all(|action| !matches!(action, Action::Send { .. }))
+    );
     // Far fewer calls than requests, and more than any wait that grows would leave.
     assert!((40..=100).contains(&calls), "{calls}");
     world.list(ListKind::Full, (0..4).map(entry).collect());
@@ -142,9 +169,18 @@
 fn a_deploy_during_a_stale_list_leaves_no_jam() {
     for mut world in worlds(6) {
         // Three have left, and the list does not say so yet.
-        let tally = play(&mut world, 200, |s| Some(if s < 3 { Outcome::Reset } else { Outcome::Served }));
+        let tally = play(&mut world, 200, |s| {
+            Some(if s < 3 {
+                Outcome::Reset
+            } else {
+                Outcome::Served
+            })
+        });
         assert!(tally.served >= 170, "{tally:?}");
-        let cold = |number| ServerEntry { started: Some(world.now), ..entry(number) };
+        let cold = |number| ServerEntry {
+            started: Some(world.now),
+            ..entry(number)
+        };
         let successors = (6..9).map(cold).chain((3..6).map(entry)).collect();
         world.list(ListKind::Full, successors);
         recovers(&mut world);
@@ -157,10 +193,15 @@
         let mut served = 0;
         for i in 0..400 {
             let heavy = i % 10 == 0;
-            let (id, _) = world.request_with(1, 0, ms(1000), Some(ms(if heavy { 390 } else { 40 })));
+            let (id, _) =
+                world.request_with(1, 0, ms(1000), Some(ms(if heavy { 390 } else { 40 })));
             world.answer_probes(&[]);
             world.pass(ms(40));
-            for (out, attempt) in world.out().into_iter().filter(|(out, _)| *out == id || !heavy) {
+            for (out, attempt) in world
+                .out()
+                .into_iter()
+                .filter(|(out, _)| *out == id || !heavy)
+            {
                 if world.server_of(out, attempt).0 != 0
                     && world.age(out) >= ms(if out == id { 40 } else { 320 })
                 {
--- a/crates/balancer/tests/world/mod.rs
+++ b/crates/balancer/tests/world/mod.rs
@@ -37,9 +37,22 @@
 
 /// Three nodes; class 0 safe, 1 unsafe, 2 keyed in a zone, 3 keyed in a cell, 4 keyed everywhere.
 pub fn settings() -> Settings {
-    let keyed = |scope| Repeat::Keyed { scope, window: ms(300) };
-    let repeats = [Repeat::Safe, Repeat::Unsafe, keyed(Scope::Zone), keyed(Scope::Cell), keyed(Scope::All)];
-    let mut settings = Settings { nodes: 3, classes: repeats.map(class).to_vec(), ..Settings::default() };
+    let keyed = |scope| Repeat::Keyed {
+        scope,
+        window: ms(300),
+    };
+    let repeats = [
+        Repeat::Safe,
+        Repeat::Unsafe,
+        keyed(Scope::Zone),
+        keyed(Scope::Cell),
+        keyed(Scope::All),
+    ];
+    let mut settings = Settings {
+        nodes: 3,
+        classes: repeats.map(class).to_vec(),
+        ..Settings::default()
+    };
     settings.limits.cancel = true;
     settings.limits.parallel_attempts = true;
     settings
@@ -54,7 +67,10 @@
 }
 
 pub fn answering() -> Settings {
-    Settings { reports: ReportSource::Answers, ..settings() }
+    Settings {
+        reports: ReportSource::Answers,
+        ..settings()
+    }
 }
 
 struct Try {
@@ -127,10 +143,16 @@
     pub fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) -> Vec<Action> {
         let now = self.now;
         if matches!(kind, ListKind::Full | ListKind::Cached) {
-            self.told.values_mut().for_each(|(_, stop)| *stop = stop.or(Some(now)));
+            self.told
+                .values_mut()
+                .for_each(|(_, stop)| *stop = stop.or(Some(now)));
         }
         for entry in &entries {
-            let since = self.told.get(&entry.id).and_then(|(_, stop)| *stop).unwrap_or(now);
+            let since = self
+                .told
+                .get(&entry.id)
+                .and_then(|(_, stop)| *stop)
+                .unwrap_or(now);
             let stop = (entry.state != ServerState::Ready).then_some(since);
             self.told.insert(entry.id, (*entry, stop));
         }
@@ -179,7 +201,13 @@
     }
 
     /// Ends an attempt that is out.
-    pub fn end(&mut self, id: RequestId, attempt: usize, outcome: Outcome, load: Option<f32>) -> Vec<Action> {
+    pub fn end(
+        &mut self,
+        id: RequestId,
+        attempt: usize,
+        outcome: Outcome,
+        load: Option<f32>,
+    ) -> Vec<Action> {
         let taken = self.requests.get_mut(&id).expect("a request");
         let one = &mut taken.tries[attempt];
         assert!(one.outcome.is_none(), "the test ends an attempt twice");
@@ -187,7 +215,10 @@
         let (server, elapsed) = (one.server, self.now - one.sent);
         taken.answered |= outcome == Outcome::Served;
         let finished = taken.answered;
-        let report = load.map(|load| LoadReport { in_flight: Some(load), ..LoadReport::default() });
+        let report = load.map(|load| LoadReport {
+            in_flight: Some(load),
+            ..LoadReport::default()
+        });
         let attempt = attempt as u32;
         self.tell(Event::AttemptEnded(AttemptEnd {
             id,
@@ -204,9 +235,21 @@
     /// Ends the oldest probe that is out; without a load it got no answer.
     pub fn end_probe(&mut self, load: Option<f32>) -> Option<ServerId> {
         let (server, sent) = (!self.probes.is_empty()).then(|| self.probes.remove(0))?;
-        let outcome = if load.is_some() { Outcome::Served } else { Outcome::TimedOut };
-        let report = load.map(|load| LoadReport { in_flight: Some(load), ..LoadReport::default() });
-        self.tell(Event::Probed(ProbeEnd { server, outcome, elapsed: self.now - sent, report }));
+        let outcome = if load.is_some() {
+            Outcome::Served
+        } else {
+            Outcome::TimedOut
+        };
+        let report = load.map(|load| LoadReport {
+            in_flight: Some(load),
+            ..LoadReport::default()
+        });
+        self.tell(Event::Probed(ProbeEnd {
+            server,
+            outcome,
+            elapsed: self.now - sent,
+            report,
+        }));
         Some(server)
     }
 
@@ -228,7 +271,11 @@
         let end = self.now + time;
         while self.now < end {
             self.now = (self.now + self.settings.tick).min(end);
-            while let Some((&due, _)) = self.timers.first_key_value().filter(|((at, _), _)| *at <= self.now) {
+            while let Some((&due, _)) = self
+                .timers
+                .first_key_value()
+                .filter(|((at, _), _)| *at <= self.now)
+            {
                 let token = self.timers.remove(&due).expect("a timer");
                 self.tell(Event::Timer { token });
             }
@@ -238,20 +285,32 @@
                     self.end(id, attempt, Outcome::TimedOut, None);
                 }
             }
-            while self.probes.first().is_some_and(|(_, sent)| self.now >= *sent + ms(250)) {
+            while self
+                .probes
+                .first()
+                .is_some_and(|(_, sent)| self.now >= *sent + ms(250))
+            {
                 self.end_probe(None);
             }
             for (id, taken) in &self.requests {
-                assert!(taken.answered || self.now <= taken.deadline + ms(5), "rule 1: {id:?} has no answer");
+                assert!(
+                    taken.answered || self.now <= taken.deadline + ms(5),
+                    "rule 1: {id:?} has no answer"
+                );
             }
         }
     }
 
     /// The attempts that are out.
     pub fn out(&self) -> Vec<(RequestId, usize)> {
-        let tries =
-            self.requests.iter().flat_map(|(id, t)| t.tries.iter().enumerate().map(|(i, t)| (*id, i, t)));
-        tries.filter(|(_, _, t)| t.outcome.is_none()).map(|(id, i, _)| (id, i)).collect()
+        let tries = self
+            .requests
+            .iter()
+            .flat_map(|(id, t)| t.tries.iter().enumerate().map(|(i, t)| (*id, i, t)));
+        tries
+            .filter(|(_, _, t)| t.outcome.is_none())
+            .map(|(id, i, _)| (id, i))
+            .collect()
     }
 
     /// How long ago the request came first to a server.
@@ -269,31 +328,55 @@
 
     /// The requests that are still owed an answer.
     pub fn open(&self) -> Vec<RequestId> {
-        self.requests.iter().filter(|(_, t)| !t.answered).map(|(id, _)| *id).collect()
+        self.requests
+            .iter()
+            .filter(|(_, t)| !t.answered)
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     fn obey(&mut self, action: &Action) {
         match action {
-            Action::Send { id, server, timeout } => self.check_send(*id, *server, *timeout),
+            Action::Send {
+                id,
+                server,
+                timeout,
+            } => self.check_send(*id, *server, *timeout),
             Action::Refuse { id, .. } => {
-                let taken = self.requests.get_mut(id).expect("rule 1: refuses what it was not given");
+                let taken = self
+                    .requests
+                    .get_mut(id)
+                    .expect("rule 1: refuses what it was not given");
                 assert!(!taken.answered, "rule 1: a second answer for {id:?}");
-                let ran = taken.tries.iter().any(|t| !t.outcome.is_some_and(proves_no_run));
+                let ran = taken
+                    .tries
+                    .iter()
+                    .any(|t| !t.outcome.is_some_and(proves_no_run));
                 let allowed = match taken.repeat {
-                    Repeat::Safe | Repeat::Keyed { scope: Scope::All, .. } => true,
+                    Repeat::Safe
+                    | Repeat::Keyed {
+                        scope: Scope::All, ..
+                    } => true,
                     _ => !ran,
                 };
                 assert!(allowed, "rule 2: {id:?} may have run and is refused");
                 taken.answered = true;
             }
             Action::Fail { id } => {
-                let taken = self.requests.get_mut(id).expect("rule 1: fails what it was not given");
+                let taken = self
+                    .requests
+                    .get_mut(id)
+                    .expect("rule 1: fails what it was not given");
                 assert!(!taken.answered, "rule 1: a second answer for {id:?}");
                 taken.answered = true;
             }
             Action::Cancel { id, attempt } => {
-                assert!(self.settings.limits.cancel, "cancels where that is not allowed");
-                let one = &mut self.requests.get_mut(id).expect("a request").tries[*attempt as usize];
+                assert!(
+                    self.settings.limits.cancel,
+                    "cancels where that is not allowed"
+                );
+                let one =
+                    &mut self.requests.get_mut(id).expect("a request").tries[*attempt as usize];
                 one.ends = self.now; // its outcome comes with the next round
             }
             Action::SetTimer { after, token } => {
@@ -303,7 +386,10 @@
                 self.timers.insert((due, self.timers_set), *token);
             }
             Action::Probe { server } => {
-                assert!(self.settings.limits.probes, "probes where that is not allowed");
+                assert!(
+                    self.settings.limits.probes,
+                    "probes where that is not allowed"
+                );
                 self.probes.push((*server, self.now));
             }
             Action::Subscribe { .. } | Action::FetchList => {}
@@ -312,16 +398,34 @@
     }
 
     fn check_send(&mut self, id: RequestId, to: ServerId, timeout: Duration) {
-        let taken = self.requests.get_mut(&id).expect("rule 1: sends what it was not given");
+        let taken = self
+            .requests
+            .get_mut(&id)
+            .expect("rule 1: sends what it was not given");
         assert!(!taken.answered, "rule 1: {id:?} is sent after its answer");
-        let (entry, stop) = self.told.get(&to).expect("sends to a server that was never listed");
+        let (entry, stop) = self
+            .told
+            .get(&to)
+            .expect("sends to a server that was never listed");
         let grace = self.settings.rules.drain_grace;
-        assert!(stop.is_none_or(|at| self.now <= at + grace), "rule 3: {to:?} drains or is gone");
+        assert!(
+            stop.is_none_or(|at| self.now <= at + grace),
+            "rule 3: {to:?} drains or is gone"
+        );
         let limits = &self.settings.limits;
-        assert!(taken.tries.len() < limits.max_attempts as usize, "too many attempts");
+        assert!(
+            taken.tries.len() < limits.max_attempts as usize,
+            "too many attempts"
+        );
         let parallel = taken.tries.iter().any(|t| t.outcome.is_none());
-        assert!(!parallel || limits.parallel_attempts, "two attempts at once");
-        let ran = taken.tries.iter().find(|t| !t.outcome.is_some_and(proves_no_run));
+        assert!(
+            !parallel || limits.parallel_attempts,
+            "two attempts at once"
+        );
+        let ran = taken
+            .tries
+            .iter()
+            .find(|t| !t.outcome.is_some_and(proves_no_run));
         if let Some(first) = ran {
             let home = &self.told[&first.server].0;
             let allowed = match taken.repeat {
@@ -339,11 +443,19 @@
             assert!(allowed, "rule 2: {id:?} may have run and is sent to {to:?}");
         }
         let ends = (self.now + timeout).min(taken.deadline);
-        taken.tries.push(Try { server: to, sent: self.now, ends, outcome: None });
+        taken.tries.push(Try {
+            server: to,
+            sent: self.now,
+            ends,
+            outcome: None,
+        });
     }
 }
 
 /// The outcomes that the rules count as proof.
 fn proves_no_run(outcome: Outcome) -> bool {
-    matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
+    matches!(
+        outcome,
+        Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
+    )
 }
