--- a/crates/consensus-io/src/lib.rs
+++ b/crates/consensus-io/src/lib.rs
@@ -11,11 +11,11 @@
 use sillward_consensus::node::{self, Node};
 use sillward_consensus::voter::{self, MOST_PROPOSAL, Voter};
 use sillward_consensus::words::{Answer, Ask, Fetch, Long, Proposal, Sealed, Word};
-use sillward_peer_transport::Fleet;
-use sillward_peer_transport::outbox::Posted;
+use sillward_fleet_settings::{History, Key, Reading, Rules, Standing, Version};
 use sillward_logging::log;
 use sillward_membership::{Name, State};
-use sillward_fleet_settings::{History, Key, Reading, Rules, Standing, Version};
+use sillward_peer_transport::Fleet;
+use sillward_peer_transport::outbox::Posted;
 use sillward_runtime::task::spawn_local;
 use sillward_runtime::time::sleep_until;
 use sillward_runtime::{Clock, files, random};
@@ -82,18 +82,31 @@
 /// # Errors
 /// There is a file, or the folder can't be used.
 pub fn found(terms: &Terms, name: &Name) -> Result<String, String> {
-    let place = terms.place(name).ok_or_else(|| format!("{} is no voter of this log", name.as_str()))?;
-    let folder = terms.folder.as_deref().ok_or("agreement.folder: is missing, and a voter needs one")?;
+    let place = terms
+        .place(name)
+        .ok_or_else(|| format!("{} is no voter of this log", name.as_str()))?;
+    let folder = terms
+        .folder
+        .as_deref()
+        .ok_or("agreement.folder: is missing, and a voter needs one")?;
     let path = folder.join(FILE);
     let wrong = |e: std::io::Error| format!("cannot use {}: {e}", path.display());
     files::folder(folder).map_err(wrong)?;
     if files::read(&path, 1).map_err(wrong)?.is_some() {
-        return Err(format!("{} is there already: nothing was changed", path.display()));
+        return Err(format!(
+            "{} is there already: nothing was changed",
+            path.display()
+        ));
     }
     let stamp = random::entropy().map_err(wrong)?;
     let kept = Kept::founded(terms.number(), place as u64, terms.voters.len(), stamp);
     files::keep(&path, &kept.bytes()).map_err(wrong)?;
-    Ok(format!("voter {} of log {:?} is founded in {}", name.as_str(), terms.log, folder.display()))
+    Ok(format!(
+        "voter {} of log {:?} is founded in {}",
+        name.as_str(),
+        terms.log,
+        folder.display()
+    ))
 }
 
 enum Todo {
@@ -154,12 +167,15 @@
         let now = clock.now();
         let name = fleet.with(|peers| peers.me().name.clone());
         let (number, own) = (terms.number(), terms.place(&name));
-        let draw = || random::entropy().map_err(|e| format!("no random numbers for the agreement: {e}"));
+        let draw =
+            || random::entropy().map_err(|e| format!("no random numbers for the agreement: {e}"));
         let (run, session) = (draw()?, draw()?);
         let (mut voter, mut lost) = (None, None);
         if let Some(place) = own {
-            let folder =
-                terms.folder.as_deref().ok_or("agreement.folder: is missing, and a voter needs one")?;
+            let folder = terms
+                .folder
+                .as_deref()
+                .ok_or("agreement.folder: is missing, and a voter needs one")?;
             match read(folder, number, place, terms.voters.len())? {
                 Ok(kept) => voter = Some(Voter::new(terms.times, kept, run, now)),
                 Err(why) => {
@@ -196,7 +212,9 @@
     fn hear(self: &Rc<Self>) {
         let own = Rc::downgrade(self);
         self.fleet.hear_words(WORDS, move |name, address, bytes| {
-            let (Some(own), Ok(word)) = (own.upgrade(), Word::decode(bytes)) else { return };
+            let (Some(own), Ok(word)) = (own.upgrade(), Word::decode(bytes)) else {
+                return;
+            };
             let place = own.terms.place(name);
             if let Some(ask) = word.ask.filter(|ask| ask.log == own.number) {
                 own.later(Todo::Ask(name.clone(), ask));
@@ -228,7 +246,9 @@
     }
 
     fn long(&self, bytes: &[u8]) {
-        match Sealed::<Long>::read(bytes).filter(|sealed| sealed.log == self.number).map(|sealed| sealed.word)
+        match Sealed::<Long>::read(bytes)
+            .filter(|sealed| sealed.log == self.number)
+            .map(|sealed| sealed.word)
         {
             Some(Long::Versions(versions)) => self.later(Todo::Versions(versions)),
             Some(Long::Propose(proposal)) => self.later(Todo::Propose(proposal)),
@@ -265,7 +285,9 @@
                 () = sleep_until(due) => {}
             }
             loop {
-                let Some(todo) = self.todo.borrow_mut().pop_front() else { break };
+                let Some(todo) = self.todo.borrow_mut().pop_front() else {
+                    break;
+                };
                 self.take(todo);
             }
             self.vote(voter::Event::Turn);
@@ -280,7 +302,12 @@
         if let Some(voter) = &*self.voter.borrow() {
             at = at.min(voter.next(now));
         }
-        let pending = self.pending.borrow().iter().map(|pending| pending.next).min();
+        let pending = self
+            .pending
+            .borrow()
+            .iter()
+            .map(|pending| pending.next)
+            .min();
         at.min(pending.unwrap_or(at))
     }
 
@@ -298,9 +325,19 @@
                     return;
                 }
                 self.count(3);
-                let bytes = Sealed { log: self.number, word: Long::Versions(versions) }.bytes();
+                let bytes = Sealed {
+                    log: self.number,
+                    word: Long::Versions(versions),
+                }
+                .bytes();
                 if bytes.len() <= SHORT {
-                    self.word(address, &Word { versions: bytes, ..Word::default() });
+                    self.word(
+                        address,
+                        &Word {
+                            versions: bytes,
+                            ..Word::default()
+                        },
+                    );
                 } else {
                     self.post(&name, address, LONGS, bytes);
                 }
@@ -320,7 +357,8 @@
     }
 
     fn address(&self, name: &Name) -> Option<SocketAddr> {
-        self.fleet.with(|peers| peers.member(name).map(|member| member.address))
+        self.fleet
+            .with(|peers| peers.member(name).map(|member| member.address))
     }
 
     fn vote(self: &Rc<Self>, event: voter::Event) {
@@ -333,7 +371,9 @@
             match action {
                 voter::Action::Between(to, sealed) => {
                     self.count(2);
-                    let Some(name) = self.terms.voters.get(to - 1) else { continue };
+                    let Some(name) = self.terms.voters.get(to - 1) else {
+                        continue;
+                    };
                     if let Some(address) = self.address(name) {
                         self.post(name, address, BETWEEN, sealed.bytes());
                     }
@@ -343,15 +383,27 @@
                     if Some(&to) == self.own.and_then(|own| self.terms.voters.get(own - 1)) {
                         self.later(Todo::Answer(self.own.unwrap_or(1) - 1, answer));
                     } else if let Some(address) = self.address(&to) {
-                        self.word(address, &Word { answer: Some(answer), ..Word::default() });
+                        self.word(
+                            address,
+                            &Word {
+                                answer: Some(answer),
+                                ..Word::default()
+                            },
+                        );
                     }
                 }
                 voter::Action::Keep(number, bytes) => {
-                    let (keep, folder) = (self.keep.clone(), self.terms.folder.clone().unwrap_or_default());
+                    let (keep, folder) = (
+                        self.keep.clone(),
+                        self.terms.folder.clone().unwrap_or_default(),
+                    );
                     spawn_local(async move {
                         let done = files::keep_aside(&folder.join(FILE), bytes).await;
                         if let Err(e) = &done {
-                            log(format_args!("cannot keep the agreement in {}: {e}", folder.display()));
+                            log(format_args!(
+                                "cannot keep the agreement in {}: {e}",
+                                folder.display()
+                            ));
                         }
                         let _ = keep.send((number, done.is_ok())); // nobody waits for it once the node ends
                     });
@@ -373,8 +425,13 @@
     fn know(self: &Rc<Self>, event: node::Event) {
         let now = self.clock.now();
         let actions = self.node.borrow_mut().handle(now, event);
-        let other = actions.iter().any(|action| matches!(action, node::Action::Changed));
-        (self.change)(self.node.borrow().holder().until().unwrap_or_default(), other);
+        let other = actions
+            .iter()
+            .any(|action| matches!(action, node::Action::Changed));
+        (self.change)(
+            self.node.borrow().holder().until().unwrap_or_default(),
+            other,
+        );
         for action in actions {
             match action {
                 node::Action::Ask(ask) => self.ask(&ask),
@@ -391,13 +448,25 @@
                 self.later(Todo::Ask(me.clone(), ask.clone()));
             } else if let Some(address) = self.address(name) {
                 self.count(0);
-                self.word(address, &Word { ask: Some(ask.clone()), ..Word::default() });
+                self.word(
+                    address,
+                    &Word {
+                        ask: Some(ask.clone()),
+                        ..Word::default()
+                    },
+                );
             }
         }
         // What voters have told the fleet reaches also whom their own words miss.
         let heard = self.fleet.with(|peers| {
-            let voters = self.terms.voters.iter().filter_map(|name| peers.member(name));
-            voters.filter_map(|member| self.told_by(&member.value(TOLD)?.bytes)).max()
+            let voters = self
+                .terms
+                .voters
+                .iter()
+                .filter_map(|name| peers.member(name));
+            voters
+                .filter_map(|member| self.told_by(&member.value(TOLD)?.bytes))
+                .max()
         });
         if let Some(newest) = heard {
             self.later(Todo::HeardOf(newest));
@@ -422,20 +491,36 @@
     fn fetch(&self, after: u64, voter: bool) {
         let mut dice = self.dice.borrow_mut();
         let to = self.fleet.with(|peers| {
-            let living = |name: &&Name| peers.member(name).is_some_and(|member| member.state == State::Alive);
+            let living = |name: &&Name| {
+                peers
+                    .member(name)
+                    .is_some_and(|member| member.state == State::Alive)
+            };
             let voters: Vec<&Name> = self.terms.voters.iter().filter(living).collect();
             if voter && !voters.is_empty() {
                 let at = dice.number() as usize % voters.len();
                 return peers.member(voters[at]).map(|member| member.address);
             }
-            let all: Vec<SocketAddr> =
-                peers.members().filter(|m| m.state == State::Alive).map(|m| m.address).collect();
+            let all: Vec<SocketAddr> = peers
+                .members()
+                .filter(|m| m.state == State::Alive)
+                .map(|m| m.address)
+                .collect();
             (!all.is_empty()).then(|| all[dice.number() as usize % all.len()])
         });
         if let Some(to) = to {
             self.count(3);
-            let fetch = Some(Fetch { log: self.number, after });
-            self.word(to, &Word { fetch, ..Word::default() });
+            let fetch = Some(Fetch {
+                log: self.number,
+                after,
+            });
+            self.word(
+                to,
+                &Word {
+                    fetch,
+                    ..Word::default()
+                },
+            );
         }
     }
 
@@ -448,18 +533,26 @@
     pub fn propose(&self, base: u64, version: Version, despite: bool) -> Result<(), String> {
         let long = version.rules.len() + version.why.len() + version.author.len();
         if long > MOST_PROPOSAL {
-            return Err(format!("{long} bytes are more than the {MOST_PROPOSAL} of a change"));
+            return Err(format!(
+                "{long} bytes are more than the {MOST_PROPOSAL} of a change"
+            ));
         }
         Rules::read(&version.rules)?;
         let blind: Vec<String> = self.fleet.with(|peers| {
-            let living =
-                peers.members().filter(|member| member.state != State::Gone && member.state != State::Left);
+            let living = peers
+                .members()
+                .filter(|member| member.state != State::Gone && member.state != State::Left);
             // Of whom nothing is known yet, nothing is held against it: it goes by the careful reading if it must.
             let blind = living.filter(|member| {
                 let speaks = &member.about.speaks;
-                !speaks.is_empty() && !speaks.iter().any(|word| word == sillward_fleet_settings::SPEAKS)
+                !speaks.is_empty()
+                    && !speaks
+                        .iter()
+                        .any(|word| word == sillward_fleet_settings::SPEAKS)
             });
-            blind.map(|member| format!("{} (build {})", member.name.as_str(), member.about.build)).collect()
+            blind
+                .map(|member| format!("{} (build {})", member.name.as_str(), member.about.build))
+                .collect()
         });
         if !blind.is_empty() && !despite {
             return Err(format!(
@@ -468,14 +561,21 @@
             ));
         }
         let mut pending = self.pending.borrow_mut();
-        if pending.iter().any(|pending| pending.proposal.version.id == version.id) {
+        if pending
+            .iter()
+            .any(|pending| pending.proposal.version.id == version.id)
+        {
             return Ok(());
         }
         if pending.len() >= MOST_PENDING {
             return Err("too many changes are under way here".to_owned());
         }
         let now = self.clock.now();
-        pending.push(Pending { proposal: Proposal { base, version }, since: now, next: now });
+        pending.push(Pending {
+            proposal: Proposal { base, version },
+            since: now,
+            next: now,
+        });
         self.sooner.notify_one();
         Ok(())
     }
@@ -487,15 +587,22 @@
         let mut pending = self.pending.borrow_mut();
         pending.retain(|pending| pending.proposal.base >= newest && now < pending.since + TRIED);
         for pending in pending.iter_mut().filter(|pending| now >= pending.next) {
-            let tries = (pending.next.saturating_sub(pending.since)).as_millis() / HAND_IN.as_millis();
+            let tries =
+                (pending.next.saturating_sub(pending.since)).as_millis() / HAND_IN.as_millis();
             pending.next = now + HAND_IN;
-            let first = self.own.map_or(pending.proposal.version.id as usize, |own| own - 1);
+            let first = self
+                .own
+                .map_or(pending.proposal.version.id as usize, |own| own - 1);
             let to = (first + tries as usize) % self.terms.voters.len();
             if Some(to + 1) == self.own {
                 self.later(Todo::Propose(pending.proposal.clone()));
             } else if let Some(address) = self.address(&self.terms.voters[to]) {
                 let word = Long::Propose(pending.proposal.clone());
-                let bytes = Sealed { log: self.number, word }.bytes();
+                let bytes = Sealed {
+                    log: self.number,
+                    word,
+                }
+                .bytes();
                 self.post(&self.terms.voters[to], address, LONGS, bytes);
             }
         }
@@ -515,7 +622,10 @@
 
     /// As [`Council::readings`], by who may act on nothing.
     pub fn careful(&self, more: &[Key]) -> Vec<(Key, Reading)> {
-        let standing = Standing { right: false, ..self.standing() };
+        let standing = Standing {
+            right: false,
+            ..self.standing()
+        };
         self.node.borrow().history().readings(standing, more)
     }
 
@@ -525,13 +635,21 @@
     }
 }
 
-fn read(folder: &Path, log: u64, place: usize, voters: usize) -> Result<Result<Kept, String>, String> {
+fn read(
+    folder: &Path,
+    log: u64,
+    place: usize,
+    voters: usize,
+) -> Result<Result<Kept, String>, String> {
     let path = folder.join(FILE);
-    let bytes = files::read(&path, MOST).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
+    let bytes =
+        files::read(&path, MOST).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
     Ok(match bytes {
-        None => Err(format!("{} is not there: it was never founded, or is lost", path.display())),
-        Some(bytes) => {
-            Kept::read(&bytes, log, place as u64, voters).map_err(|e| format!("{}: {e}", path.display()))
-        }
+        None => Err(format!(
+            "{} is not there: it was never founded, or is lost",
+            path.display()
+        )),
+        Some(bytes) => Kept::read(&bytes, log, place as u64, voters)
+            .map_err(|e| format!("{}: {e}", path.display())),
     })
 }
--- a/crates/consensus-io/src/page.rs
+++ b/crates/consensus-io/src/page.rs
@@ -10,7 +10,10 @@
     let now = council.clock.now();
     let standing = council.standing();
     let node = council.node.borrow();
-    let until = node.holder().until().map(|until| until.saturating_sub(now).as_millis() as u64);
+    let until = node
+        .holder()
+        .until()
+        .map(|until| until.saturating_sub(now).as_millis() as u64);
     let versions: Vec<Value> = node
         .history()
         .iter()
@@ -51,10 +54,19 @@
             "rights_refused": voter.granter().refused, "held_up_by": holding, "entries": decided,
             "entries_kept": loose, "failed_writes": voter.failed_writes })
     });
-    let voter = said
-        .or_else(|| council.lost.as_ref().map(|why| json!({ "stands": format!("does not vote: {why}") })));
+    let voter = said.or_else(|| {
+        council
+            .lost
+            .as_ref()
+            .map(|why| json!({ "stands": format!("does not vote: {why}") }))
+    });
     let [asked, answered, between, fetched, dropped] = council.figures.get();
-    let voters: Vec<&str> = council.terms.voters.iter().map(|name| name.as_str()).collect();
+    let voters: Vec<&str> = council
+        .terms
+        .voters
+        .iter()
+        .map(|name| name.as_str())
+        .collect();
     let page = json!({
         "log": council.terms.log,
         "voters": voters,
--- a/crates/consensus/src/kept.rs
+++ b/crates/consensus/src/kept.rs
@@ -44,7 +44,10 @@
 
 impl Snapshot<Proposal> for Base {
     fn create(entries: &[Proposal]) -> Self {
-        Base { history: History::default(), then: entries.to_vec() }
+        Base {
+            history: History::default(),
+            then: entries.to_vec(),
+        }
     }
 
     fn merge(&mut self, delta: Self) {
@@ -87,8 +90,18 @@
 impl Kept {
     /// A new voter's, of a log that has nothing yet.
     pub fn founded(log: u64, place: u64, voters: usize, stamp: u64) -> Self {
-        let ticket = Some(Ticket { stamp, number: 0, run: 0 });
-        Kept { log, place, ticket, seen: vec![None; voters], ..Kept::default() }
+        let ticket = Some(Ticket {
+            stamp,
+            number: 0,
+            run: 0,
+        });
+        Kept {
+            log,
+            place,
+            ticket,
+            seen: vec![None; voters],
+            ..Kept::default()
+        }
     }
 
     /// As it is kept.
@@ -105,7 +118,9 @@
     /// # Errors
     /// Why it is as good as lost.
     pub fn read(bytes: &[u8], log: u64, place: u64, voters: usize) -> Result<Self, &'static str> {
-        let Some((head, body)) = bytes.split_at_checked(16) else { return Err("it is cut off") };
+        let Some((head, body)) = bytes.split_at_checked(16) else {
+            return Err("it is cut off");
+        };
         if &head[..8] != MAGIC {
             return Err("it is no voter's file of this build's form");
         }
@@ -137,7 +152,10 @@
 impl Memory {
     /// Of what was kept.
     pub fn of(kept: Kept) -> Self {
-        Memory(Rc::new(RefCell::new(Inner { kept, changed: false })))
+        Memory(Rc::new(RefCell::new(Inner {
+            kept,
+            changed: false,
+        })))
     }
 
     /// Whether it has changed since this was asked last.
@@ -161,7 +179,10 @@
     pub fn history(&self) -> History {
         self.look(|kept| {
             let mut base = kept.base.clone().unwrap_or_default();
-            let decided = kept.decided.saturating_sub(kept.compacted).min(kept.entries.len());
+            let decided = kept
+                .decided
+                .saturating_sub(kept.compacted)
+                .min(kept.entries.len());
             base.then.extend_from_slice(&kept.entries[..decided]);
             base.folded()
         })
@@ -176,7 +197,10 @@
 
     fn range(&self, from: usize, to: usize) -> Vec<Proposal> {
         let place = |at: usize| at.saturating_sub(self.compacted);
-        self.entries.get(place(from)..place(to)).map(<[Proposal]>::to_vec).unwrap_or_default()
+        self.entries
+            .get(place(from)..place(to))
+            .map(<[Proposal]>::to_vec)
+            .unwrap_or_default()
     }
 
     fn apply(&mut self, op: StorageOp<Proposal>) {
@@ -191,9 +215,10 @@
             StorageOp::SetDecidedIndex(decided) => self.decided = decided,
             StorageOp::SetAcceptedRound(ballot) => self.accepted = Some(ballot),
             StorageOp::SetCompactedIdx(compacted) => self.compacted = compacted,
-            StorageOp::Trim(to) => {
-                drop(self.entries.drain(..to.saturating_sub(self.compacted).min(self.entries.len())))
-            }
+            StorageOp::Trim(to) => drop(
+                self.entries
+                    .drain(..to.saturating_sub(self.compacted).min(self.entries.len())),
+            ),
             StorageOp::SetStopsign(stopped) => self.stopped = stopped,
             StorageOp::SetSnapshot(base) => {
                 self.base = base.map(|mut base| {
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -51,7 +51,13 @@
 impl Terms {
     /// For a W.
     pub fn of(bound: Duration) -> Self {
-        Terms { bound, ask: bound / 6, drift: 10, most: 4096, plant: None }
+        Terms {
+            bound,
+            ask: bound / 6,
+            drift: 10,
+            most: 4096,
+            plant: None,
+        }
     }
 
     /// How long a node acts on what was confirmed, from when it asked.
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -114,7 +114,10 @@
         actions.extend(self.holder.turn(now).map(Action::Ask));
         if self.lacks(now) && now >= self.fetch_at {
             let voter = self.tries % (TRIES + 1) < TRIES;
-            actions.push(Action::Fetch { after: self.history.newest(), voter });
+            actions.push(Action::Fetch {
+                after: self.history.newest(),
+                voter,
+            });
             (self.fetch_at, self.tries) = (now + FETCH, self.tries + 1);
         }
         let (stands, has) = (self.standing(now), self.history.newest());
--- a/crates/consensus/src/rights.rs
+++ b/crates/consensus/src/rights.rs
@@ -8,8 +8,8 @@
 
 use crate::words::{Answer, Ask};
 use crate::{Plant, Terms, majority};
-use sillward_membership::Name;
 use sillward_fleet_settings::Standing;
+use sillward_membership::Name;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -71,9 +71,21 @@
 impl<N: Ord + Clone> Granter<N> {
     /// Of a process that starts now. `newest` is what its folder has.
     pub fn new(terms: Terms, log: u64, newest: u64, now: Duration) -> Self {
-        let wait = if terms.planted(Plant::ForgetRight) { Duration::ZERO } else { terms.hold() };
+        let wait = if terms.planted(Plant::ForgetRight) {
+            Duration::ZERO
+        } else {
+            terms.hold()
+        };
         // Before the first version there is nothing to contradict.
-        Granter { terms, log, blind_until: now + wait, newest, consent: 0, out: BTreeMap::new(), refused: 0 }
+        Granter {
+            terms,
+            log,
+            blind_until: now + wait,
+            newest,
+            consent: 0,
+            out: BTreeMap::new(),
+            refused: 0,
+        }
     }
 
     /// A version is confirmed, and in the folder.
@@ -88,7 +100,10 @@
         let right = self.out.contains_key(&who) || self.out.len() < self.terms.most;
         if right {
             let until = now + self.terms.hold();
-            let out = self.out.entry(who).or_insert(Out { given: VecDeque::new(), number: 0 });
+            let out = self.out.entry(who).or_insert(Out {
+                given: VecDeque::new(),
+                number: 0,
+            });
             out.number = out.number.max(ask.number);
             out.knows(ask.knows);
             // A node that knows of more than this voter heard it of one that has it confirmed.
@@ -102,8 +117,11 @@
     /// Says what stands, without a new right: to those that have one, when something has changed.
     pub fn news(&mut self, now: Duration) -> Vec<(N, Answer)> {
         self.turn(now);
-        let all: Vec<(N, u64, u64)> =
-            self.out.iter().map(|((name, session), out)| (name.clone(), *session, out.number)).collect();
+        let all: Vec<(N, u64, u64)> = self
+            .out
+            .iter()
+            .map(|((name, session), out)| (name.clone(), *session, out.number))
+            .collect();
         all.into_iter()
             .map(|(name, session, number)| (name, self.answer(now, session, number, false)))
             .collect()
@@ -111,7 +129,14 @@
 
     fn answer(&mut self, now: Duration, session: u64, number: u64, right: bool) -> Answer {
         let consent = self.consent(now);
-        Answer { log: self.log, session, number, newest: self.newest, consent, right }
+        Answer {
+            log: self.log,
+            session,
+            number,
+            newest: self.newest,
+            consent,
+            right,
+        }
     }
 
     fn turn(&mut self, now: Duration) {
@@ -122,10 +147,20 @@
     pub fn consent(&mut self, now: Duration) -> u64 {
         self.turn(now);
         if now >= self.blind_until || self.terms.planted(Plant::SkipWait) {
-            let least =
-                self.out.values().flat_map(|out| out.given.front()).map(|(version, _)| *version).min();
-            let least = if self.terms.planted(Plant::SkipWait) { None } else { least };
-            self.consent = self.consent.max(least.unwrap_or(self.newest).min(self.newest));
+            let least = self
+                .out
+                .values()
+                .flat_map(|out| out.given.front())
+                .map(|(version, _)| *version)
+                .min();
+            let least = if self.terms.planted(Plant::SkipWait) {
+                None
+            } else {
+                least
+            };
+            self.consent = self
+                .consent
+                .max(least.unwrap_or(self.newest).min(self.newest));
         }
         self.consent
     }
@@ -136,17 +171,24 @@
             return None;
         }
         let given = self.out.values().flat_map(|out| &out.given);
-        let out = given.filter(|(version, _)| *version < self.newest).map(|(_, until)| *until).min();
+        let out = given
+            .filter(|(version, _)| *version < self.newest)
+            .map(|(_, until)| *until)
+            .min();
         let blind = (self.blind_until > now).then_some(self.blind_until);
         out.into_iter().chain(blind).min()
     }
 
     /// Who holds a version up, with what it may act on and for how long yet.
     pub fn holding(&self, now: Duration) -> Vec<(N, u64, Duration)> {
-        let all =
-            self.out.iter().flat_map(|((name, _), out)| out.given.iter().map(move |given| (name, given)));
+        let all = self
+            .out
+            .iter()
+            .flat_map(|((name, _), out)| out.given.iter().map(move |given| (name, given)));
         let holding = all.filter(|(_, (version, until))| *version < self.newest && *until > now);
-        holding.map(|(name, (version, until))| (name.clone(), *version, *until - now)).collect()
+        holding
+            .map(|(name, (version, until))| (name.clone(), *version, *until - now))
+            .collect()
     }
 
     /// How many rights are out.
@@ -186,7 +228,17 @@
     pub fn new(terms: Terms, log: u64, voters: usize, session: u64, now: Duration) -> Self {
         let words = vec![Word::default(); voters];
         let open = VecDeque::new();
-        Holder { terms, log, session, number: 0, open, words, newest: 0, force: 0, asks_at: now }
+        Holder {
+            terms,
+            log,
+            session,
+            number: 0,
+            open,
+            words,
+            newest: 0,
+            force: 0,
+            asks_at: now,
+        }
     }
 
     /// When it is to ask next.
@@ -205,7 +257,12 @@
         while self.open.len() > OPEN {
             self.open.pop_front();
         }
-        Some(Ask { log: self.log, session: self.session, number: self.number, knows: self.newest })
+        Some(Ask {
+            log: self.log,
+            session: self.session,
+            number: self.number,
+            knows: self.newest,
+        })
     }
 
     /// It asks at once: it has something new to say.
@@ -221,9 +278,17 @@
         let before = self.standing(now);
         self.heard_of(answer.newest, now);
         let word = &mut self.words[voter];
-        let asked = self.open.iter().find(|(number, _)| *number == answer.number).map(|(_, at)| *at);
+        let asked = self
+            .open
+            .iter()
+            .find(|(number, _)| *number == answer.number)
+            .map(|(_, at)| *at);
         if let (Some(asked), true) = (asked, answer.right) {
-            let counts = if self.terms.planted(Plant::FromArrival) { now } else { asked };
+            let counts = if self.terms.planted(Plant::FromArrival) {
+                now
+            } else {
+                asked
+            };
             word.asked = word.asked.max(Some(counts));
         }
         word.consent = word.consent.max(answer.consent);
@@ -253,12 +318,19 @@
     /// How it stands.
     pub fn standing(&self, now: Duration) -> Standing {
         let right = self.until().is_some_and(|until| now < until);
-        Standing { force: self.force, newest: self.newest, right }
+        Standing {
+            force: self.force,
+            newest: self.newest,
+            right,
+        }
     }
 
     /// Voters that have answered an asking within the time of a right.
     pub fn answered(&self, now: Duration) -> usize {
-        let fresh = |word: &&Word| word.asked.is_some_and(|asked| asked + self.terms.right() > now);
+        let fresh = |word: &&Word| {
+            word.asked
+                .is_some_and(|asked| asked + self.terms.right() > now)
+        };
         self.words.iter().filter(fresh).count()
     }
 }
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -7,8 +7,8 @@
 use crate::{Plant, Terms, majority};
 use omnipaxos::messages::Message;
 use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
-use sillward_membership::Name;
 use sillward_fleet_settings::{History, MOST_WHY, Rules, Version};
+use sillward_membership::Name;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -111,7 +111,11 @@
         let memory = Memory::of(kept);
         let newest = memory.history().newest();
         memory.change(|kept| {
-            kept.ticket = kept.ticket.map(|old| Ticket { number: old.number + 1, run, ..old });
+            kept.ticket = kept.ticket.map(|old| Ticket {
+                number: old.number + 1,
+                run,
+                ..old
+            });
         });
         Voter {
             terms,
@@ -218,7 +222,10 @@
                 if now >= self.renew_at {
                     self.renew_at = now + RENEW;
                     self.memory.change(|kept| {
-                        kept.ticket = kept.ticket.map(|old| Ticket { number: old.number + 1, ..old });
+                        kept.ticket = kept.ticket.map(|old| Ticket {
+                            number: old.number + 1,
+                            ..old
+                        });
                     });
                     self.tell_ticket();
                 }
@@ -252,7 +259,11 @@
         }
         let nodes: Vec<u64> = (1..=self.voters as u64).collect();
         let config = OmniPaxosConfig {
-            cluster_config: ClusterConfig { configuration_id: 1, nodes, flexible_quorum: None },
+            cluster_config: ClusterConfig {
+                configuration_id: 1,
+                nodes,
+                flexible_quorum: None,
+            },
             server_config: ServerConfig {
                 pid: self.place as u64,
                 election_tick_timeout: ELECTION,
@@ -272,7 +283,8 @@
 
     fn refuse(&mut self, why: String) {
         self.engine = None;
-        self.out.push(Action::News(format!("does not vote any more: {why}")));
+        self.out
+            .push(Action::News(format!("does not vote any more: {why}")));
         self.stands = Stands::Refused(why);
     }
 
@@ -291,7 +303,8 @@
                     ticket.stamp != seen.stamp || !(next || same)
                 });
                 if better.is_none() && seen != Some(ticket) {
-                    self.memory.change(|kept| kept.seen[from - 1] = Some(ticket));
+                    self.memory
+                        .change(|kept| kept.seen[from - 1] = Some(ticket));
                 }
                 self.send(from, Between::Seen { of: ticket, better });
             }
@@ -313,8 +326,12 @@
                 }
             }
             Between::Engine(bytes) => {
-                let Some(engine) = &mut self.engine else { return };
-                let Ok(message) = postcard::from_bytes::<Message<Proposal>>(&bytes) else { return };
+                let Some(engine) = &mut self.engine else {
+                    return;
+                };
+                let Ok(message) = postcard::from_bytes::<Message<Proposal>>(&bytes) else {
+                    return;
+                };
                 let ends = match &message {
                     Message::SequencePaxos(paxos) => (paxos.from, paxos.to),
                     Message::BLE(ble) => (ble.from, ble.to),
@@ -343,7 +360,9 @@
 
     /// Takes what the engine has decided and wants to say.
     fn settle(&mut self, now: Duration) {
-        let Some(engine) = &mut self.engine else { return };
+        let Some(engine) = &mut self.engine else {
+            return;
+        };
         let mut messages = Vec::new();
         engine.take_outgoing_messages(&mut messages);
         let (decided, loose) = self.memory.look(Kept::log_length);
@@ -355,13 +374,21 @@
                 Message::SequencePaxos(paxos) => paxos.to,
                 Message::BLE(ble) => ble.to,
             };
-            let Ok(bytes) = postcard::to_stdvec(&message) else { continue };
+            let Ok(bytes) = postcard::to_stdvec(&message) else {
+                continue;
+            };
             let word = Between::Engine(bytes);
             if matches!(message, Message::BLE(_)) {
                 // Signs of life follow from nothing that the folder must have.
                 let slow = self.keeping.is_some() && now.saturating_sub(self.keeping_since) > DISK;
                 if !slow && self.keep_again.is_none() {
-                    self.out.push(Action::Between(to as usize, Sealed { log: self.log, word }));
+                    self.out.push(Action::Between(
+                        to as usize,
+                        Sealed {
+                            log: self.log,
+                            word,
+                        },
+                    ));
                 }
             } else {
                 self.send(to as usize, word);
@@ -373,7 +400,11 @@
         self.decided = decided;
         let history = self.memory.history();
         if history.newest() > self.newest {
-            let new: Vec<Version> = history.iter().filter(|v| v.number > self.newest).cloned().collect();
+            let new: Vec<Version> = history
+                .iter()
+                .filter(|v| v.number > self.newest)
+                .cloned()
+                .collect();
             self.newest = history.newest();
             self.granter.confirmed(self.newest);
             self.say(Action::Confirmed(new));
@@ -395,7 +426,10 @@
     }
 
     fn send(&mut self, to: usize, word: Between) {
-        let sealed = Sealed { log: self.log, word };
+        let sealed = Sealed {
+            log: self.log,
+            word,
+        };
         self.say(Action::Between(to, sealed));
     }
 
@@ -424,7 +458,8 @@
         if self.dirty && self.keeping.is_none() && self.keep_again.is_none() {
             let number = self.kept + 1;
             (self.dirty, self.keeping, self.keeping_since) = (false, Some(number), now);
-            self.out.push(Action::Keep(number, self.memory.look(Kept::bytes)));
+            self.out
+                .push(Action::Keep(number, self.memory.look(Kept::bytes)));
         }
     }
 
@@ -441,7 +476,8 @@
         }
         self.kept = number;
         while self.held.front().is_some_and(|(needs, _)| *needs <= number) {
-            self.out.extend(self.held.pop_front().map(|(_, action)| action));
+            self.out
+                .extend(self.held.pop_front().map(|(_, action)| action));
         }
     }
 }
--- a/crates/consensus/src/words.rs
+++ b/crates/consensus/src/words.rs
@@ -139,6 +139,8 @@
     /// Reads them.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         let (version, rest) = bytes.split_first()?;
-        (*version == VERSION).then(|| postcard::from_bytes(rest).ok()).flatten()
+        (*version == VERSION)
+            .then(|| postcard::from_bytes(rest).ok())
+            .flatten()
     }
 }
--- a/crates/consensus/tests/fleet.rs
+++ b/crates/consensus/tests/fleet.rs
@@ -22,7 +22,11 @@
 
 /// Rules by turns, so that each contradicts the one before.
 fn turn(number: u64) -> Rules {
-    rules(if number % 2 == 0 { Repeat::Safe } else { Repeat::Keyed(1000 + number) })
+    rules(if number % 2 == 0 {
+        Repeat::Safe
+    } else {
+        Repeat::Keyed(1000 + number)
+    })
 }
 
 #[test]
@@ -32,7 +36,10 @@
     for number in 1..=5 {
         let id = world.propose(number as usize % 9, number - 1, turn(number));
         let took = world.until(ms(5_000), |world| world.in_force(number));
-        assert!(took.is_some_and(|took| took < ms(400)), "version {number} took {took:?}");
+        assert!(
+            took.is_some_and(|took| took < ms(400)),
+            "version {number} took {took:?}"
+        );
         assert_eq!(world.version_of(id), Some(number));
     }
     assert!(world.plain_share() > 0.8, "{}", world.plain_share());
@@ -49,10 +56,18 @@
     let cut = world.now();
     world.propose(0, 1, turn(2));
     // It goes on by the old version while its right lasts, and by the careful reading then.
-    let careful = world.until(ms(5_000), |world| world.reading(8, &key()).careful).expect("it turns careful");
+    let careful = world
+        .until(ms(5_000), |world| world.reading(8, &key()).careful)
+        .expect("it turns careful");
     assert!(careful <= ms(1_000), "{careful:?}");
-    let force = world.until(ms(5_000), |world| world.in_force_but(2, &[8])).expect("in force for the others");
-    assert!(world.now() - cut >= ms(600), "the others waited for its right: {:?}", careful + force);
+    let force = world
+        .until(ms(5_000), |world| world.in_force_but(2, &[8]))
+        .expect("in force for the others");
+    assert!(
+        world.now() - cut >= ms(600),
+        "the others waited for its right: {:?}",
+        careful + force
+    );
     world.run(ms(20_000));
     assert!(world.reading(8, &key()).careful);
     world.fault(Fault::Heal);
@@ -84,7 +99,11 @@
     world.propose(0, 1, turn(2));
     world.run(ms(20_000));
     world.fault(Fault::GoOn(6));
-    assert!(world.reading(6, &key()).careful, "{:?}", world.reading(6, &key()));
+    assert!(
+        world.reading(6, &key()).careful,
+        "{:?}",
+        world.reading(6, &key())
+    );
     assert!(world.until(ms(1_500), |world| world.in_force(2)).is_some());
     world.check();
 }
@@ -102,11 +121,23 @@
         world.run(ms(3_000));
         let again = (leader + 1) % 5;
         world.propose_again(again, id);
-        assert!(world.until(ms(5_000), |world| world.in_force_but(1, &[leader])).is_some(), "{after}");
-        assert_eq!(world.version_of(id), Some(1), "there once, however often it was sent");
+        assert!(
+            world
+                .until(ms(5_000), |world| world.in_force_but(1, &[leader]))
+                .is_some(),
+            "{after}"
+        );
+        assert_eq!(
+            world.version_of(id),
+            Some(1),
+            "there once, however often it was sent"
+        );
         assert!(known.is_none_or(|known| known == 1));
         world.fault(Fault::Start(leader));
-        assert!(world.until(ms(8_000), |world| world.in_force(1)).is_some(), "{after}");
+        assert!(
+            world.until(ms(8_000), |world| world.in_force(1)).is_some(),
+            "{after}"
+        );
         world.check();
     }
 }
@@ -123,7 +154,10 @@
     let won = world.propose(0, 1, turn(3));
     world.run(ms(6_000));
     assert!(world.reading(7, &key()).careful);
-    assert_eq!((world.version_of(lost), world.version_of(won)), (None, Some(2)));
+    assert_eq!(
+        (world.version_of(lost), world.version_of(won)),
+        (None, Some(2))
+    );
     world.fault(Fault::Heal);
     assert!(world.until(ms(8_000), |world| world.in_force(2)).is_some());
     world.run(ms(2_000));
@@ -144,7 +178,10 @@
         world.run(ms(100));
     }
     world.run(ms(4_000));
-    let taken = ids.iter().filter(|id| world.version_of(**id).is_some()).count() as u64;
+    let taken = ids
+        .iter()
+        .filter(|id| world.version_of(**id).is_some())
+        .count() as u64;
     assert_eq!(taken, world.newest(0));
     assert!((5..=10).contains(&taken), "{taken}");
     assert!(world.in_force(taken));
@@ -159,13 +196,19 @@
         let leader = world.leader().expect("a leader");
         world.fault(Fault::Disk(leader, disk));
         world.propose((leader + 1) % 5, 0, turn(1));
-        assert!(world.until(ms(12_000), |world| world.in_force(1)).is_some(), "{disk:?}");
+        assert!(
+            world.until(ms(12_000), |world| world.in_force(1)).is_some(),
+            "{disk:?}"
+        );
         world.fault(Fault::Kill(leader));
         world.run(ms(500));
         world.fault(Fault::Disk(leader, Disk::Good));
         world.fault(Fault::Start(leader));
         world.propose((leader + 1) % 5, 1, turn(2));
-        assert!(world.until(ms(8_000), |world| world.in_force(2)).is_some(), "{disk:?}");
+        assert!(
+            world.until(ms(8_000), |world| world.in_force(2)).is_some(),
+            "{disk:?}"
+        );
         world.check();
     }
 }
@@ -196,7 +239,10 @@
 
 #[test]
 fn clocks_beyond_the_stated_drift_keep_the_bound_all_the_same() {
-    for (seed, rates) in [(9, [1.1, 1.0, 0.9, 1.1, 1.0]), (10, [0.9, 0.9, 1.1, 1.1, 1.1])] {
+    for (seed, rates) in [
+        (9, [1.1, 1.0, 0.9, 1.1, 1.0]),
+        (10, [0.9, 0.9, 1.1, 1.1, 1.1]),
+    ] {
         let mut world = World::new(seed, 5, 9, Terms::default());
         for (place, rate) in rates.into_iter().enumerate() {
             world.rate(place, rate);
@@ -204,7 +250,11 @@
         world.rate(8, 0.9);
         world.run(ms(3_000));
         for number in 1..=6 {
-            world.fault(if number % 2 == 0 { Fault::Heal } else { Fault::Isolate(8) });
+            world.fault(if number % 2 == 0 {
+                Fault::Heal
+            } else {
+                Fault::Isolate(8)
+            });
             world.propose(0, number - 1, turn(number));
             world.run(ms(2_600));
             if number == 3 {
@@ -214,7 +264,11 @@
         world.fault(Fault::Heal);
         assert!(world.until(ms(8_000), |world| world.in_force(6)).is_some());
         // More than nothing, but never as long as the bound: a right ends by the clock of who has it.
-        assert!(world.longest_contradiction() < ms(1_000), "{:?}", world.longest_contradiction());
+        assert!(
+            world.longest_contradiction() < ms(1_000),
+            "{:?}",
+            world.longest_contradiction()
+        );
         world.check_order();
     }
 }
@@ -229,10 +283,17 @@
     world.run(ms(10_000));
     for node in 5..9 {
         assert!(world.reading(node, &key()).careful);
-        assert_eq!(world.reading(node, &key()).value, Value::Repeat(Repeat::Unsafe));
+        assert_eq!(
+            world.reading(node, &key()).value,
+            Value::Repeat(Repeat::Unsafe)
+        );
     }
     (0..3).for_each(|place| world.fault(Fault::Start(place)));
-    assert!(world.until(ms(8_000), |world| world.in_force_but(1, &[3, 4])).is_some());
+    assert!(
+        world
+            .until(ms(8_000), |world| world.in_force_but(1, &[3, 4]))
+            .is_some()
+    );
     world.check();
 }
 
@@ -244,11 +305,20 @@
     world.fault(Fault::Kill(6));
     for number in 1..=150 {
         world.propose(0, number - 1, turn(number));
-        assert!(world.until(ms(5_000), |world| world.newest(0) == number).is_some(), "{number}");
+        assert!(
+            world
+                .until(ms(5_000), |world| world.newest(0) == number)
+                .is_some(),
+            "{number}"
+        );
     }
     world.fault(Fault::Start(4));
     world.fault(Fault::Start(6));
-    assert!(world.until(ms(8_000), |world| world.in_force(150)).is_some());
+    assert!(
+        world
+            .until(ms(8_000), |world| world.in_force(150))
+            .is_some()
+    );
     let (decided, loose) = world.log_length(0);
     assert!(decided >= 150 && loose <= 33, "{decided} {loose}");
     world.check();
@@ -264,14 +334,27 @@
 }
 
 fn night(seed: u64, plant: Option<Plant>) -> (Duration, Result<(), String>) {
-    let mut world = World::new(1_000 + seed, 5, 9, Terms { plant, ..Terms::default() });
+    let mut world = World::new(
+        1_000 + seed,
+        5,
+        9,
+        Terms {
+            plant,
+            ..Terms::default()
+        },
+    );
     world.night(ms(40_000), turn);
     (world.longest_contradiction(), world.order())
 }
 
 #[test]
 fn every_plant_is_found() {
-    for plant in [Plant::FromArrival, Plant::NoSync, Plant::SkipWait, Plant::ForgetRight] {
+    for plant in [
+        Plant::FromArrival,
+        Plant::NoSync,
+        Plant::SkipWait,
+        Plant::ForgetRight,
+    ] {
         // The engine ends a run by itself where its log was taken away beneath it.
         let bad = |seed| {
             std::panic::catch_unwind(|| night(seed, Some(plant)))
@@ -299,8 +382,9 @@
             let mut took = Vec::new();
             for number in 1..=5 {
                 world.propose(0, number - 1, turn(number));
-                let confirmed =
-                    world.until(ms(5_000), |world| (0..5).any(|place| world.newest(place) >= number));
+                let confirmed = world.until(ms(5_000), |world| {
+                    (0..5).any(|place| world.newest(place) >= number)
+                });
                 let force = world.until(ms(9_000), |world| world.in_force_but(number, &but));
                 took.push((force.expect("in force"), confirmed.expect("confirmed")));
                 world.run(ms(1_500));
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -17,7 +17,13 @@
 const LOG: u64 = 7;
 
 fn terms(plant: Option<Plant>) -> Terms {
-    let terms = Terms { bound: TICK * 5, ask: TICK, drift: 200, most: 8, plant };
+    let terms = Terms {
+        bound: TICK * 5,
+        ask: TICK,
+        drift: 200,
+        most: 8,
+        plant,
+    };
     assert_eq!((terms.right(), terms.hold()), (TICK * 2, TICK * 3));
     terms
 }
@@ -93,12 +99,21 @@
     fn init_states(&self) -> Vec<State> {
         let (terms, start) = (terms(self.plant), Duration::ZERO);
         // All have been up for long, and version 1 is in force.
-        let voters = (0..VOTERS).map(|_| Granter::new(terms, LOG, 1, start)).collect();
+        let voters = (0..VOTERS)
+            .map(|_| Granter::new(terms, LOG, 1, start))
+            .collect();
         let node = |node| {
             let mut holder = Holder::new(terms, LOG, VOTERS, node as u64 + 1, start);
             for voter in 0..VOTERS {
                 let session = node as u64 + 1;
-                let news = Answer { log: LOG, session, number: 0, newest: 1, consent: 1, right: false };
+                let news = Answer {
+                    log: LOG,
+                    session,
+                    number: 0,
+                    newest: 1,
+                    consent: 1,
+                    right: false,
+                };
                 holder.answer(start, voter, &news);
             }
             holder
@@ -126,7 +141,9 @@
             }
         }
         for node in 0..self.size.nodes {
-            if state.asked[node] < self.size.asks && state.nodes[node].next() <= state.node_now(node) {
+            if state.asked[node] < self.size.asks
+                && state.nodes[node].next() <= state.node_now(node)
+            {
                 steps.push(Step::Asks(node));
             }
         }
@@ -159,13 +176,30 @@
                 state.ways.extend(ways);
             }
             Step::Comes(Way::Ask(node, voter, number, knows)) => {
-                let ask = Ask { log: LOG, session: node as u64 + 1, number, knows };
+                let ask = Ask {
+                    log: LOG,
+                    session: node as u64 + 1,
+                    number,
+                    knows,
+                };
                 let answer = state.voters[voter].ask(now, &node, &ask);
-                state.ways.insert(Way::Answer(voter, node, number, answer.newest, answer.consent));
+                state.ways.insert(Way::Answer(
+                    voter,
+                    node,
+                    number,
+                    answer.newest,
+                    answer.consent,
+                ));
             }
             Step::Comes(Way::Answer(voter, node, number, newest, consent)) => {
-                let answer =
-                    Answer { log: LOG, session: node as u64 + 1, number, newest, consent, right: true };
+                let answer = Answer {
+                    log: LOG,
+                    session: node as u64 + 1,
+                    number,
+                    newest,
+                    consent,
+                    right: true,
+                };
                 let at = state.node_now(node);
                 state.nodes[node].answer(at, voter, &answer);
             }
@@ -192,14 +226,22 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("nobody contradicts another", |_, state: &State| {
-                let force = state.consents.iter().filter(|consent| **consent == 2).count() * 2 > VOTERS;
+                let force = state
+                    .consents
+                    .iter()
+                    .filter(|consent| **consent == 2)
+                    .count()
+                    * 2
+                    > VOTERS;
                 !force || (0..state.nodes.len()).all(|node| state.acts(node) != Some(1))
             }),
             Property::sometimes(
                 "the old version is acted on beside a voter's consent",
                 |_, state: &State| state.consents.contains(&2) && state.acts(0) == Some(1),
             ),
-            Property::sometimes("the new version is in force", |_, state: &State| state.acts(0) == Some(2)),
+            Property::sometimes("the new version is in force", |_, state: &State| {
+                state.acts(0) == Some(2)
+            }),
         ]
     }
 }
@@ -207,19 +249,38 @@
 /// Whether a contradiction was found, with how many states and how deep.
 fn checked(plant: Option<Plant>, size: Size) -> (bool, bool, usize) {
     let begun = Instant::now();
-    let checker = Rights { plant, size }.checker().threads(4).target_state_count(20_000_000);
-    let checker = if plant.is_some() { checker.finish_when(HasDiscoveries::AnyFailures) } else { checker };
+    let checker = Rights { plant, size }
+        .checker()
+        .threads(4)
+        .target_state_count(20_000_000);
+    let checker = if plant.is_some() {
+        checker.finish_when(HasDiscoveries::AnyFailures)
+    } else {
+        checker
+    };
     let checker = checker.spawn_dfs().join();
     let broken = checker.discovery("nobody contradicts another").is_some();
-    let reached = ["the old version is acted on beside a voter's consent", "the new version is in force"];
+    let reached = [
+        "the old version is acted on beside a voter's consent",
+        "the new version is in force",
+    ];
     let reached = reached.iter().all(|what| checker.discovery(what).is_some());
     let (states, depth) = (checker.unique_state_count(), checker.max_depth());
-    println!("{plant:?}: broken {broken}, {states} states, depth {depth}, {:?}", begun.elapsed());
+    println!(
+        "{plant:?}: broken {broken}, {states} states, depth {depth}, {:?}",
+        begun.elapsed()
+    );
     (broken, reached, states)
 }
 
 /// What is looked through in each run of the tests.
-const SMALL: Size = Size { nodes: 1, ticks: 3, asks: 1, restarts: 0, lags: 0 };
+const SMALL: Size = Size {
+    nodes: 1,
+    ticks: 3,
+    asks: 1,
+    restarts: 0,
+    lags: 0,
+};
 
 #[test]
 fn no_order_makes_two_nodes_contradict_each_other() {
@@ -230,10 +291,24 @@
 
 #[test]
 fn the_model_finds_each_plant() {
-    for plant in [Plant::FromArrival, Plant::NoSync, Plant::SkipWait, Plant::ForgetRight] {
+    for plant in [
+        Plant::FromArrival,
+        Plant::NoSync,
+        Plant::SkipWait,
+        Plant::ForgetRight,
+    ] {
         let ticks = if plant == Plant::FromArrival { 3 } else { 1 };
         let restarts = u32::from(plant != Plant::FromArrival);
-        let (broken, ..) = checked(Some(plant), Size { nodes: 1, ticks, asks: 1, restarts, lags: 0 });
+        let (broken, ..) = checked(
+            Some(plant),
+            Size {
+                nodes: 1,
+                ticks,
+                asks: 1,
+                restarts,
+                lags: 0,
+            },
+        );
         assert!(broken, "{plant:?}");
     }
 }
@@ -241,7 +316,12 @@
 #[test]
 #[ignore = "a measurement"]
 fn sizes() {
-    let number = |name: &str| std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(0u32);
+    let number = |name: &str| {
+        std::env::var(name)
+            .ok()
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(0u32)
+    };
     let size = Size {
         nodes: 1,
         ticks: number("TICKS"),
--- a/crates/consensus/tests/parts.rs
+++ b/crates/consensus/tests/parts.rs
@@ -28,7 +28,12 @@
 }
 
 fn ask(number: u64, knows: u64) -> Ask {
-    Ask { log: LOG, session: 5, number, knows }
+    Ask {
+        log: LOG,
+        session: 5,
+        number,
+        knows,
+    }
 }
 
 #[test]
@@ -42,7 +47,11 @@
     granter.ask(now + ms(300), &1, &ask(2, 1));
     assert_eq!(granter.consent(now + ms(400)), 1);
     assert_eq!(granter.holding(now + ms(400)).len(), 1);
-    assert_eq!(granter.consent(now + terms.hold()), 2, "by then the first has run out");
+    assert_eq!(
+        granter.consent(now + terms.hold()),
+        2,
+        "by then the first has run out"
+    );
     // Had it heard, it would have said so.
     let mut granter: Granter<u8> = Granter::new(terms, LOG, 1, ms(0));
     granter.ask(now, &1, &ask(1, 1));
@@ -53,7 +62,10 @@
 
 #[test]
 fn who_gets_no_right_holds_nothing_up_and_a_full_voter_says_so() {
-    let terms = Terms { most: 2, ..Terms::default() };
+    let terms = Terms {
+        most: 2,
+        ..Terms::default()
+    };
     let mut granter: Granter<u8> = Granter::new(terms, LOG, 1, ms(0));
     let now = ms(10_000);
     assert!(granter.ask(now, &1, &ask(1, 1)).right && granter.ask(now, &2, &ask(1, 1)).right);
@@ -64,13 +76,17 @@
 #[test]
 fn a_right_counts_from_the_asking_of_the_least_recent_of_a_majority() {
     for (plant, right) in [(None, false), (Some(Plant::FromArrival), true)] {
-        let terms = Terms { plant, ..Terms::default() };
+        let terms = Terms {
+            plant,
+            ..Terms::default()
+        };
         let mut holder = Holder::new(terms, LOG, 5, 5, ms(0));
         let mut granter: Granter<u8> = Granter::new(terms, LOG, 1, ms(0));
         let asked = holder.turn(ms(10_000)).expect("it asks");
         let answer = granter.ask(ms(10_001), &1, &asked);
-        (0..majority(5))
-            .for_each(|voter| assert!(voter < 5 && (holder.answer(ms(10_900), voter, &answer) || voter < 2)));
+        (0..majority(5)).for_each(|voter| {
+            assert!(voter < 5 && (holder.answer(ms(10_900), voter, &answer) || voter < 2))
+        });
         assert!(holder.standing(ms(10_950)).right);
         assert_eq!(holder.standing(ms(10_995)).right, right, "{plant:?}");
     }
--- a/crates/consensus/tests/world/mod.rs
+++ b/crates/consensus/tests/world/mod.rs
@@ -8,8 +8,8 @@
 use sillward_consensus::voter::{self, Stands, Voter};
 use sillward_consensus::words::{Answer, Ask, Proposal, Sealed};
 use sillward_consensus::{Terms, voter::Event};
-use sillward_membership::Name;
 use sillward_fleet_settings::{Key, Reading, Rules, Value, Version};
+use sillward_membership::Name;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
@@ -104,7 +104,8 @@
             name: Name::new(&format!("n{at}")).expect("a name"),
             node: None,
             voter: None,
-            folder: (at < voters).then(|| Kept::founded(LOG, at as u64 + 1, voters, at as u64 + 500).bytes()),
+            folder: (at < voters)
+                .then(|| Kept::founded(LOG, at as u64 + 1, voters, at as u64 + 500).bytes()),
             disk: Disk::Good,
             rate: 1.0,
             offset: Duration::from_secs(5 + at as u64 * 1000),
@@ -178,9 +179,17 @@
         let place = &mut self.places[at];
         place.run += 1;
         place.node = Some(Node::new(terms, LOG, voters, session, now));
-        let kept = place.folder.as_ref().map(|bytes| Kept::read(bytes, LOG, at as u64 + 1, voters));
-        place.voter = kept.and_then(Result::ok).map(|kept| Voter::new(terms, kept, session, now));
-        let known = place.voter.as_ref().map(|voter| voter.history().iter().cloned().collect::<Vec<_>>());
+        let kept = place
+            .folder
+            .as_ref()
+            .map(|bytes| Kept::read(bytes, LOG, at as u64 + 1, voters));
+        place.voter = kept
+            .and_then(Result::ok)
+            .map(|kept| Voter::new(terms, kept, session, now));
+        let known = place
+            .voter
+            .as_ref()
+            .map(|voter| voter.history().iter().cloned().collect::<Vec<_>>());
         if let Some(known) = known.filter(|known| !known.is_empty()) {
             self.node(at, node::Event::Versions(known));
         }
@@ -207,7 +216,9 @@
                 self.places[place].paused = false;
                 let waiting = std::mem::take(&mut self.places[place].backlog);
                 self.look(place);
-                waiting.into_iter().for_each(|(from, what)| self.deliver(from, place, what));
+                waiting
+                    .into_iter()
+                    .for_each(|(from, what)| self.deliver(from, place, what));
             }
             Fault::Kill(place) => {
                 self.close(place);
@@ -241,8 +252,12 @@
     }
 
     fn send(&mut self, from: usize, to: usize, what: What) {
-        let late =
-            [from, to].iter().filter_map(|place| self.late.get(place)).max().copied().unwrap_or_default();
+        let late = [from, to]
+            .iter()
+            .filter_map(|place| self.late.get(place))
+            .max()
+            .copied()
+            .unwrap_or_default();
         let late = if from == to { Duration::ZERO } else { late };
         let mut at = self.now + Duration::from_micros(200 + self.draw(4_000)) + late;
         let datagram = matches!(what, What::Ask(_) | What::Answer(_) | What::Fetch(_));
@@ -283,8 +298,10 @@
             What::Propose(proposal) => self.voter(to, Event::Propose(proposal)),
             What::Versions(versions) => self.node(to, node::Event::Versions(versions)),
             What::Fetch(after) => {
-                let versions =
-                    self.places[to].node.as_ref().map(|node| node.history().after(after, 32 << 10));
+                let versions = self.places[to]
+                    .node
+                    .as_ref()
+                    .map(|node| node.history().after(after, 32 << 10));
                 if let Some(versions) = versions.filter(|versions| !versions.is_empty()) {
                     self.send(to, from, What::Versions(versions));
                 }
@@ -303,7 +320,9 @@
 
     fn voter(&mut self, at: usize, event: Event) {
         let now = self.local(at);
-        let Some(voter) = &mut self.places[at].voter else { return };
+        let Some(voter) = &mut self.places[at].voter else {
+            return;
+        };
         for action in voter.handle(now, event) {
             match action {
                 voter::Action::Between(to, sealed) => self.send(at, to - 1, What::Between(sealed)),
@@ -318,7 +337,12 @@
                         Disk::Slow(by) => (by, true),
                     };
                     let run = self.places[at].run;
-                    self.put(self.now + takes, at, at, What::Written(run, number, bytes, done));
+                    self.put(
+                        self.now + takes,
+                        at,
+                        at,
+                        What::Written(run, number, bytes, done),
+                    );
                 }
                 voter::Action::Confirmed(versions) => {
                     versions.iter().for_each(|version| self.note(at, version));
@@ -335,14 +359,20 @@
         if let node::Event::Versions(versions) = &event {
             versions.iter().for_each(|version| self.note(at, version));
         }
-        let Some(node) = &mut self.places[at].node else { return };
+        let Some(node) = &mut self.places[at].node else {
+            return;
+        };
         for action in node.handle(now, event) {
             match action {
                 node::Action::Ask(ask) => {
                     (0..self.voters).for_each(|voter| self.send(at, voter, What::Ask(ask.clone())));
                 }
                 node::Action::Fetch { after, voter } => {
-                    let among = if voter { self.voters } else { self.places.len() };
+                    let among = if voter {
+                        self.voters
+                    } else {
+                        self.places.len()
+                    };
                     let to = self.draw(among as u64) as usize;
                     self.send(at, to, What::Fetch(after));
                 }
@@ -356,8 +386,10 @@
     fn note(&mut self, at: usize, version: &Version) {
         let first = *self.confirmed.entry(version.number).or_insert(version.id);
         if first != version.id {
-            self.disorder =
-                Some(format!("n{at} has {} as version {}, another had {first}", version.id, version.number));
+            self.disorder = Some(format!(
+                "n{at} has {} as version {}, another had {first}",
+                version.id, version.number
+            ));
         }
     }
 
@@ -408,7 +440,10 @@
                 }
                 looked = self.now + ms(1);
             }
-            let message = self.queue.peek().map_or(Duration::MAX, |Reverse((at, _))| *at);
+            let message = self
+                .queue
+                .peek()
+                .map_or(Duration::MAX, |Reverse((at, _))| *at);
             let (place, due) = self
                 .places
                 .iter()
@@ -426,7 +461,9 @@
                 self.resend_at = self.now + ms(500);
                 self.resend();
             } else if next == message {
-                let Some(Reverse((_, sequence))) = self.queue.pop() else { continue };
+                let Some(Reverse((_, sequence))) = self.queue.pop() else {
+                    continue;
+                };
                 if let Some((from, to, what)) = self.on_way.remove(&sequence) {
                     // What is cut while it is on its way is lost with it.
                     if self.whole(from, to) || matches!(what, What::Written(..)) {
@@ -459,7 +496,11 @@
 
     /// Another sends it too, as whoever proposed it may have died.
     pub fn propose_again(&mut self, place: usize, id: u64) {
-        if let Some(at) = self.pending.iter().position(|(_, proposal)| proposal.version.id == id) {
+        if let Some(at) = self
+            .pending
+            .iter()
+            .position(|(_, proposal)| proposal.version.id == id)
+        {
             self.pending[at].0 = place;
             self.hand_in(at);
         }
@@ -470,14 +511,21 @@
         if self.places[place].node.is_none() || self.places[place].paused {
             return;
         }
-        let to = if place < self.voters { place } else { self.draw(self.voters as u64) as usize };
+        let to = if place < self.voters {
+            place
+        } else {
+            self.draw(self.voters as u64) as usize
+        };
         self.send(place, to, What::Propose(proposal));
     }
 
     fn resend(&mut self) {
         let known = |world: &World, at: usize| {
             let (place, proposal) = &world.pending[at];
-            let newest = world.places[*place].node.as_ref().map_or(0, |node| node.history().newest());
+            let newest = world.places[*place]
+                .node
+                .as_ref()
+                .map_or(0, |node| node.history().newest());
             newest > proposal.base // it became a version, or never will
         };
         let mut at = 0;
@@ -492,18 +540,25 @@
     }
 
     pub fn version_of(&self, id: u64) -> Option<u64> {
-        self.confirmed.iter().find(|(_, known)| **known == id).map(|(number, _)| *number)
+        self.confirmed
+            .iter()
+            .find(|(_, known)| **known == id)
+            .map(|(number, _)| *number)
     }
 
     // ---- What is seen -------------------------------------------------------------------------
 
     pub fn reading(&self, place: usize, key: &Key) -> Reading {
         let node = self.places[place].node.as_ref().expect("it runs");
-        node.history().reading(node.standing(self.local(place)), key)
+        node.history()
+            .reading(node.standing(self.local(place)), key)
     }
 
     pub fn newest(&self, place: usize) -> u64 {
-        self.places[place].node.as_ref().map_or(0, |node| node.history().newest())
+        self.places[place]
+            .node
+            .as_ref()
+            .map_or(0, |node| node.history().newest())
     }
 
     pub fn in_force(&self, version: u64) -> bool {
@@ -538,7 +593,10 @@
     }
 
     pub fn log_length(&self, place: usize) -> (usize, usize) {
-        self.places[place].voter.as_ref().map_or((0, 0), Voter::log_length)
+        self.places[place]
+            .voter
+            .as_ref()
+            .map_or((0, 0), Voter::log_length)
     }
 
     pub fn plain_share(&self) -> f64 {
@@ -546,7 +604,11 @@
             .places
             .iter()
             .map(|place| {
-                place.plain + place.acts.as_ref().map_or(Duration::ZERO, |(from, _)| self.now - *from)
+                place.plain
+                    + place
+                        .acts
+                        .as_ref()
+                        .map_or(Duration::ZERO, |(from, _)| self.now - *from)
             })
             .sum();
         plain.as_secs_f64() / (self.now.as_secs_f64() * self.places.len() as f64)
@@ -585,9 +647,16 @@
         let newest = self.confirmed.keys().last().copied().unwrap_or_default();
         let most = (0..self.voters)
             .filter(|place| self.votes(*place))
-            .map(|place| self.places[place].voter.as_ref().map_or(0, |voter| voter.history().newest()));
+            .map(|place| {
+                self.places[place]
+                    .voter
+                    .as_ref()
+                    .map_or(0, |voter| voter.history().newest())
+            });
         match most.max() {
-            Some(most) if most < newest => Err(format!("version {newest} was confirmed, and is lost")),
+            Some(most) if most < newest => {
+                Err(format!("version {newest} was confirmed, and is lost"))
+            }
             _ => Ok(()),
         }
     }
@@ -622,7 +691,9 @@
                     ends.push((later, Fault::Heal));
                 }
                 1 => {
-                    let some = (0..nodes).filter(|_| self.random.next_u32() % 2 == 0).collect();
+                    let some = (0..nodes)
+                        .filter(|_| self.random.next_u32() % 2 == 0)
+                        .collect();
                     self.fault(Fault::Halves(some));
                     ends.push((later, Fault::Heal));
                 }
@@ -653,7 +724,11 @@
                 6 => self.lost_percent = self.draw(40) as u32,
                 7 => {
                     let voter = place % self.voters;
-                    let disk = if self.draw(2) == 0 { Disk::Full } else { Disk::Slow(ms(3_000)) };
+                    let disk = if self.draw(2) == 0 {
+                        Disk::Full
+                    } else {
+                        Disk::Slow(ms(3_000))
+                    };
                     self.fault(Fault::Disk(voter, disk));
                     ends.push((later, Fault::Disk(voter, Disk::Good)));
                 }
--- a/crates/discovery/src/entries.rs
+++ b/crates/discovery/src/entries.rs
@@ -1,9 +1,9 @@
 //! The form in which discovery writes lists and their entries.
 
-use sillward_balancer::settings::{Site, millis};
-use sillward_balancer::{ServerEntry, ServerId, ServerState};
 use serde::Deserialize;
 use serde_json::Value;
+use sillward_balancer::settings::{Site, millis};
+use sillward_balancer::{ServerEntry, ServerId, ServerState};
 use sillward_forwarding::Backend;
 use std::net::SocketAddr;
 
@@ -51,12 +51,18 @@
 /// # Errors
 /// The text is no such line, or names a zone that the settings don't know.
 pub fn read_entry(site: &Site, text: &[u8]) -> Result<Backend, String> {
-    serde_json::from_slice(text).map_err(|e| e.to_string()).and_then(|line| read(site, line))
+    serde_json::from_slice(text)
+        .map_err(|e| e.to_string())
+        .and_then(|line| read(site, line))
 }
 
 pub fn read(site: &Site, line: Line) -> Result<Backend, String> {
     let place = |names: &[String], name: &str| names.iter().position(|known| known == name);
-    let zone = if line.zone.is_empty() { Some(0) } else { place(&site.zone_names, &line.zone) };
+    let zone = if line.zone.is_empty() {
+        Some(0)
+    } else {
+        place(&site.zone_names, &line.zone)
+    };
     let zone = zone.and_then(|zone| u8::try_from(zone).ok());
     // A new kind of machine serves like any other, but the zone decides where repeats may go.
     let kind = place(&site.kind_names, &line.kind).and_then(|kind| u8::try_from(kind).ok());
@@ -74,7 +80,10 @@
         weight: line.weight,
         started: (line.since_ms > 0.0).then(|| millis(line.since_ms)),
     };
-    Ok(Backend { entry, address: line.address })
+    Ok(Backend {
+        entry,
+        address: line.address,
+    })
 }
 
 /// A backend's number: made from its name alone, so that it is the same at every node (FNV-1a).
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -12,7 +12,6 @@
 
 use bytes::Bytes;
 use entries::List;
-use sillward_balancer::ListKind;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
@@ -20,6 +19,7 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use lines::{Item, LIST_LIMIT, Lines};
+use sillward_balancer::ListKind;
 use sillward_forwarding::{Backend, Live, Message, News, Order};
 use sillward_logging::{log, log_peer};
 use sillward_runtime::net::TcpStream;
@@ -105,7 +105,9 @@
             let some = match self.take(known.as_bytes(), Some(ListKind::Cached)).await {
                 Ok(some) => some,
                 Err(Unusable::Malformed(what) | Unusable::Older(what)) => {
-                    log(format_args!("the configuration's known list was dropped: {what}"));
+                    log(format_args!(
+                        "the configuration's known list was dropped: {what}"
+                    ));
                     0
                 }
             };
@@ -142,8 +144,15 @@
                 }
             };
             let lasted = opened.elapsed() > BETWEEN_LINES;
-            pause = if lasted { FIRST_PAUSE } else { (pause * 2).min(LONGEST_PAUSE) };
-            log(format_args!("the watch of {} broke: {broken}", self.address));
+            pause = if lasted {
+                FIRST_PAUSE
+            } else {
+                (pause * 2).min(LONGEST_PAUSE)
+            };
+            log(format_args!(
+                "the watch of {} broke: {broken}",
+                self.address
+            ));
             let jittered = self.jittered(pause);
             tokio::select! {
                 biased;
@@ -157,13 +166,22 @@
     }
 
     /// Lists must be asked for: the module says when. Every call that fails is told to it.
-    async fn obey(&mut self, mut orders: mpsc::Receiver<Order>, mut moved: watch::Receiver<SocketAddr>) {
+    async fn obey(
+        &mut self,
+        mut orders: mpsc::Receiver<Order>,
+        mut moved: watch::Receiver<SocketAddr>,
+    ) {
         // What the module asked for, and whether there is a watch: it learns of a broken one and asks anew.
         let (mut wanted, mut watching) = (false, false);
         loop {
             let turn = {
-                let watch =
-                    async { if watching { self.watch().await } else { std::future::pending().await } };
+                let watch = async {
+                    if watching {
+                        self.watch().await
+                    } else {
+                        std::future::pending().await
+                    }
+                };
                 let mut watch = std::pin::pin!(watch);
                 loop {
                     tokio::select! {
@@ -191,7 +209,10 @@
                         }
                     };
                     if let Err(broken) = fetched {
-                        log(format_args!("the list of {} did not come: {broken}", self.address));
+                        log(format_args!(
+                            "the list of {} did not come: {broken}",
+                            self.address
+                        ));
                         self.tell(ListKind::Failed, Vec::new()).await;
                     }
                     break;
@@ -202,7 +223,10 @@
                     watching = wanted;
                 }
                 Turn::Broken(broken) => {
-                    log(format_args!("the watch of {} broke: {broken}", self.address));
+                    log(format_args!(
+                        "the watch of {} broke: {broken}",
+                        self.address
+                    ));
                     watching = false;
                     self.tell(ListKind::Failed, Vec::new()).await;
                 }
@@ -224,7 +248,11 @@
     async fn fetch(&mut self) -> Result<(), String> {
         let due = Instant::now() + ASKED_LINE;
         let (response, _connection) = self.get(LIST).await?;
-        let body = timeout_at(due, Limited::new(response.into_body(), LIST_LIMIT).collect()).await;
+        let body = timeout_at(
+            due,
+            Limited::new(response.into_body(), LIST_LIMIT).collect(),
+        )
+        .await;
         let body = body.map_err(|_| "silent")?.map_err(|e| e.to_string())?;
         match self.take(&body.to_bytes(), Some(ListKind::Full)).await {
             Ok(_) => Ok(()),
@@ -241,9 +269,15 @@
     }
 
     async fn lines(&mut self) -> Result<(), String> {
-        let first_line = if self.is_asked() { ASKED_LINE } else { BETWEEN_LINES };
+        let first_line = if self.is_asked() {
+            ASKED_LINE
+        } else {
+            BETWEEN_LINES
+        };
         let mut due = Instant::now() + first_line;
-        let (response, _connection) = self.get(&format!("{LIST}?stream=1&index={}", self.index)).await?;
+        let (response, _connection) = self
+            .get(&format!("{LIST}?stream=1&index={}", self.index))
+            .await?;
         let (mut body, mut lines) = (response.into_body(), Lines::default());
         // Since when something is missing that a malformed list may have held.
         let mut gap = None;
@@ -251,11 +285,17 @@
             let until = gap.map_or(due, |since: Instant| due.min(since + GAP));
             let frame = timeout_at(until, body.frame()).await;
             let Ok(frame) = frame else {
-                let why = if gap.is_some() { "a list on it was malformed" } else { "silent" };
+                let why = if gap.is_some() {
+                    "a list on it was malformed"
+                } else {
+                    "silent"
+                };
                 return Err(why.to_owned());
             };
             let Some(frame) = frame else { return Ok(()) };
-            let Ok(data) = frame.map_err(|e| e.to_string())?.into_data() else { continue };
+            let Ok(data) = frame.map_err(|e| e.to_string())?.into_data() else {
+                continue;
+            };
             lines.push(&data);
             while let Some(item) = lines.next_item() {
                 due = Instant::now() + BETWEEN_LINES;
@@ -273,7 +313,10 @@
                     },
                     Item::Broken(bytes) => format!("it broke off after {bytes} bytes"),
                 };
-                log_peer(format_args!("a malformed list of {} was dropped: {fault}", self.address));
+                log_peer(format_args!(
+                    "a malformed list of {} was dropped: {fault}",
+                    self.address
+                ));
                 gap.get_or_insert_with(Instant::now);
             }
             if lines.is_endless() {
@@ -289,30 +332,49 @@
     /// Asks discovery, and returns once the head of its answer is here.
     async fn get(&self, path: &str) -> Result<(Response<Incoming>, Connection), String> {
         let call = async {
-            let stream = TcpStream::connect(self.address).await.map_err(|e| e.to_string())?;
-            let (mut sender, connection) =
-                http1::handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())?;
+            let stream = TcpStream::connect(self.address)
+                .await
+                .map_err(|e| e.to_string())?;
+            let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
+                .await
+                .map_err(|e| e.to_string())?;
             let connection = Connection(spawn_local(async move {
                 let _ = connection.await; // its end shows in the answer
             }));
             let request = Request::get(path).header(HOST, self.address.to_string());
-            let request = request.body(Empty::<Bytes>::new()).map_err(|e| e.to_string())?;
-            let response = sender.send_request(request).await.map_err(|e| e.to_string())?;
+            let request = request
+                .body(Empty::<Bytes>::new())
+                .map_err(|e| e.to_string())?;
+            let response = sender
+                .send_request(request)
+                .await
+                .map_err(|e| e.to_string())?;
             match response.status() {
                 StatusCode::OK => Ok((response, connection)),
                 status => Err(format!("answered {status}")),
             }
         };
-        let head = if self.is_asked() { ASKED_HEAD } else { PUSHED_HEAD };
-        timeout_at(Instant::now() + head, call).await.map_err(|_| "silent before its head")?
+        let head = if self.is_asked() {
+            ASKED_HEAD
+        } else {
+            PUSHED_HEAD
+        };
+        timeout_at(Instant::now() + head, call)
+            .await
+            .map_err(|_| "silent before its head")?
     }
 
     /// Takes in a list, and says how many entries of it could be read: what is malformed is dropped, an entry of it alone
     /// where the rest can be read.
     async fn take(&mut self, text: &[u8], kind: Option<ListKind>) -> Result<usize, Unusable> {
-        let list: List = serde_json::from_slice(text).map_err(|e| Unusable::Malformed(e.to_string()))?;
+        let list: List =
+            serde_json::from_slice(text).map_err(|e| Unusable::Malformed(e.to_string()))?;
         let (mut backends, site) = (Vec::new(), self.live.get());
-        let listed = if list.snapshot { ListKind::Full } else { ListKind::Changes };
+        let listed = if list.snapshot {
+            ListKind::Full
+        } else {
+            ListKind::Changes
+        };
         let kind = kind.unwrap_or(listed);
         if kind != ListKind::Cached && list.index < self.held {
             self.older += 1;
@@ -320,7 +382,10 @@
                 let what = format!("a list of version {}, older than {}", list.index, self.held);
                 return Err(Unusable::Older(what));
             }
-            log(format_args!("discovery at {} has gone back to version {}", self.address, list.index));
+            log(format_args!(
+                "discovery at {} has gone back to version {}",
+                self.address, list.index
+            ));
         }
         for line in list.endpoints {
             match serde_json::from_value(line)
@@ -343,12 +408,16 @@
         if kind != ListKind::Cached {
             (self.held, self.older) = (list.index, 0);
         }
-        self.ready.set(self.ready.get() || kind != ListKind::Cached || self.is_asked());
+        self.ready
+            .set(self.ready.get() || kind != ListKind::Cached || self.is_asked());
         Ok(read)
     }
 
     async fn tell(&self, kind: ListKind, backends: Vec<Backend>) {
-        let _ = self.messages.send(Message::List(News { kind, backends })).await; // or the node has ended
+        let _ = self
+            .messages
+            .send(Message::List(News { kind, backends }))
+            .await; // or the node has ended
     }
 }
 
--- a/crates/discovery/src/lines.rs
+++ b/crates/discovery/src/lines.rs
@@ -73,14 +73,18 @@
     /// kept until they make one, or until one comes that stands for itself.
     pub fn next_item(&mut self) -> Option<Item> {
         loop {
-            let Some(end) = self.unread[self.searched..].iter().position(|byte| *byte == b'\n') else {
+            let Some(end) = self.unread[self.searched..]
+                .iter()
+                .position(|byte| *byte == b'\n')
+            else {
                 self.searched = self.unread.len();
                 return None;
             };
             let end = self.searched + end + 1;
             let line = &self.unread[self.kept..end];
             let (empty, first) = (line.trim_ascii().is_empty(), self.kept == 0);
-            let anew = !first && (empty || line[0] == b'{' && serde_json::from_slice::<List>(line).is_ok());
+            let anew = !first
+                && (empty || line[0] == b'{' && serde_json::from_slice::<List>(line).is_ok());
             if anew {
                 let broken = self.kept;
                 self.drop_until(broken);
--- a/crates/discovery/tests/lines.rs
+++ b/crates/discovery/tests/lines.rs
@@ -33,16 +33,29 @@
         (indented.to_owned(), vec![LIST]),
         (format!("{indented}\n{LIST}\n"), vec![LIST, "empty", LIST]),
         // Cut within a string: no string goes over the end of a line.
-        (format!("{{\"index\":1,\"snap\n{LIST}\n"), vec!["{\"index\":1,\"snap", LIST]),
+        (
+            format!("{{\"index\":1,\"snap\n{LIST}\n"),
+            vec!["{\"index\":1,\"snap", LIST],
+        ),
         // Cut between two words: what follows stands for itself.
         (format!("{between}{LIST}\n"), vec!["broken", LIST]),
-        (format!("{between}\n{LIST}\n"), vec!["broken", "empty", LIST]),
-        (format!("\u{1}\u{2}]]\n{LIST}\n"), vec!["\u{1}\u{2}]]", LIST]),
+        (
+            format!("{between}\n{LIST}\n"),
+            vec!["broken", "empty", LIST],
+        ),
+        (
+            format!("\u{1}\u{2}]]\n{LIST}\n"),
+            vec!["\u{1}\u{2}]]", LIST],
+        ),
         // What has no end yet is nothing.
         (format!("{LIST}\n{between}"), vec![LIST]),
     ] {
         for piece in 1..=text.len() {
-            assert_eq!(said(&text, piece), expected, "{text:?} in pieces of {piece}");
+            assert_eq!(
+                said(&text, piece),
+                expected,
+                "{text:?} in pieces of {piece}"
+            );
         }
     }
 }
--- a/crates/endpoint-updates/src/lib.rs
+++ b/crates/endpoint-updates/src/lib.rs
@@ -2,8 +2,8 @@
 #![forbid(unsafe_code)]
 
 use sillward_balancer::{ListKind, ServerId};
-use sillward_forwarding::{Backend, Message, News};
 use sillward_endpoints::{Line, Membership};
+use sillward_forwarding::{Backend, Message, News};
 use sillward_runtime::Clock;
 use sillward_runtime::time::{Instant, sleep_until};
 use std::cell::{Cell, RefCell};
@@ -51,11 +51,20 @@
         node: mpsc::Sender<Message>,
         ready: Rc<Cell<bool>>,
     ) -> Self {
-        Hub { clock, membership, node, ready }
+        Hub {
+            clock,
+            membership,
+            node,
+            ready,
+        }
     }
 
     /// Carries on for as long as the node lives.
-    pub async fn run(self, mut roster: mpsc::Receiver<Message>, mut further: mpsc::Receiver<Telling>) {
+    pub async fn run(
+        self,
+        mut roster: mpsc::Receiver<Message>,
+        mut further: mpsc::Receiver<Telling>,
+    ) {
         let mut look_at = Instant::now() + LOOK;
         loop {
             let changed = tokio::select! {
@@ -76,9 +85,15 @@
             if changed.is_empty() {
                 continue;
             }
-            let backend = |line: Line| Backend { entry: line.entry, address: line.address };
+            let backend = |line: Line| Backend {
+                entry: line.entry,
+                address: line.address,
+            };
             let backends = changed.into_iter().map(backend).collect();
-            let news = News { kind: ListKind::Changes, backends };
+            let news = News {
+                kind: ListKind::Changes,
+                backends,
+            };
             if self.node.send(Message::List(news)).await.is_err() {
                 return;
             }
@@ -121,5 +136,11 @@
 }
 
 fn lines(backends: &[Backend]) -> Vec<Line> {
-    backends.iter().map(|backend| Line { entry: backend.entry, address: backend.address }).collect()
+    backends
+        .iter()
+        .map(|backend| Line {
+            entry: backend.entry,
+            address: backend.address,
+        })
+        .collect()
 }
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -39,7 +39,11 @@
 
 impl Default for Guard {
     fn default() -> Self {
-        Guard { most_percent: 50, least: 3, hold: Duration::from_secs(30) }
+        Guard {
+            most_percent: 50,
+            least: 3,
+            hold: Duration::from_secs(30),
+        }
     }
 }
 
@@ -116,7 +120,10 @@
             list: 0,
             held: 0,
         };
-        Membership { sources: sources.iter().map(source).collect(), merged: BTreeMap::new() }
+        Membership {
+            sources: sources.iter().map(source).collect(),
+            merged: BTreeMap::new(),
+        }
     }
 
     /// A source begins to tell its whole list. Its lines follow, in as many parts as it likes, then [`Self::end`].
@@ -140,7 +147,9 @@
     /// A source tells that a backend is gone. Nothing changes if it never listed it.
     pub fn remove(&mut self, source: usize, now: Duration, id: ServerId) -> Vec<Line> {
         self.sources[source].heard = Some(now);
-        let Some(said) = self.sources[source].said.get(&id) else { return Vec::new() };
+        let Some(said) = self.sources[source].said.get(&id) else {
+            return Vec::new();
+        };
         let mut line = said.line;
         line.entry.state = ServerState::Gone;
         self.say(source, now, &line);
@@ -161,7 +170,8 @@
             .map(|(id, _)| *id)
             .collect();
         let absurd = |guard: Guard| {
-            let many = missing.len() >= guard.least && missing.len() * 100 > listed * guard.most_percent;
+            let many =
+                missing.len() >= guard.least && missing.len() * 100 > listed * guard.most_percent;
             many || missing.len() == listed
         };
         if told.guard.is_some_and(absurd) {
@@ -173,7 +183,10 @@
             self.count_held(source);
             return Vec::new();
         }
-        let changed = missing.into_iter().flat_map(|id| self.remove(source, now, id)).collect();
+        let changed = missing
+            .into_iter()
+            .flat_map(|id| self.remove(source, now, id))
+            .collect();
         self.count_held(source);
         changed
     }
@@ -201,14 +214,22 @@
         let mut changed = Vec::new();
         for source in 0..self.sources.len() {
             let told = &self.sources[source];
-            let live = told.said.values().filter(|said| said.line.entry.state != ServerState::Gone).count();
+            let live = told
+                .said
+                .values()
+                .filter(|said| said.line.entry.state != ServerState::Gone)
+                .count();
             let Some(guard) = told.guard else { continue };
             if told.held == 0 || told.standing != Standing::Current || told.held >= live {
                 continue;
             }
             let due = |said: &Said| said.held.is_some_and(|since| now >= since + guard.hold);
-            let due: Vec<ServerId> =
-                told.said.iter().filter(|(_, said)| due(said)).map(|(id, _)| *id).collect();
+            let due: Vec<ServerId> = told
+                .said
+                .iter()
+                .filter(|(_, said)| due(said))
+                .map(|(id, _)| *id)
+                .collect();
             for id in due {
                 changed.extend(self.remove(source, now, id));
             }
@@ -219,22 +240,39 @@
 
     fn count_held(&mut self, source: usize) {
         let source = &mut self.sources[source];
-        source.held = source.said.values().filter(|said| said.held.is_some()).count();
+        source.held = source
+            .said
+            .values()
+            .filter(|said| said.held.is_some())
+            .count();
     }
 
     fn say(&mut self, source: usize, now: Duration, line: &Line) {
         let id = line.entry.id;
-        let others = self.sources.iter().filter_map(|source| source.said.get(&id)?.line.entry.started);
+        let others = self
+            .sources
+            .iter()
+            .filter_map(|source| source.said.get(&id)?.line.entry.started);
         // Without a start time of its own, it is about the newest run that anybody knows of.
         let run = line.entry.started.or(others.max());
         let told = &mut self.sources[source];
-        let said = Said { line: *line, since: now, run, held: None, seen: told.list };
+        let said = Said {
+            line: *line,
+            since: now,
+            run,
+            held: None,
+            seen: told.list,
+        };
         match told.said.get_mut(&id) {
             Some(old) => {
                 let (before, after) = (old.line.entry, line.entry);
                 // The same word about the same run was said before, and counts from then.
                 let same = before.state == after.state && before.started == after.started;
-                let (since, run) = if same { (old.since, old.run) } else { (now, run) };
+                let (since, run) = if same {
+                    (old.since, old.run)
+                } else {
+                    (now, run)
+                };
                 *old = Said { since, run, ..said };
             }
             // Gone from a source that never listed it: no word of its.
@@ -245,7 +283,11 @@
 
     /// What all sources say of a backend now, if that has changed.
     fn merge(&mut self, id: ServerId) -> Option<Line> {
-        let said: Vec<&Said> = self.sources.iter().filter_map(|source| source.said.get(&id)).collect();
+        let said: Vec<&Said> = self
+            .sources
+            .iter()
+            .filter_map(|source| source.said.get(&id))
+            .collect();
         let newest = said.iter().filter_map(|said| said.line.entry.started).max();
         let strictest = |said: &&&Said| {
             // What was said of an earlier run is void.
@@ -264,7 +306,12 @@
             Some(_) => ServerState::Gone,
         };
         let live = |said: &&&Said| said.line.entry.state != ServerState::Gone;
-        let in_run = |said: &&&Said| said.line.entry.started.is_none_or(|started| Some(started) == newest);
+        let in_run = |said: &&&Said| {
+            said.line
+                .entry
+                .started
+                .is_none_or(|started| Some(started) == newest)
+        };
         let first = said
             .iter()
             .find(|said| live(said) && in_run(said))
@@ -277,7 +324,11 @@
             for source in &mut self.sources {
                 source.said.remove(&id);
             }
-            return self.merged.remove(&id).filter(|old| old.entry.state != ServerState::Gone).map(|_| line);
+            return self
+                .merged
+                .remove(&id)
+                .filter(|old| old.entry.state != ServerState::Gone)
+                .map(|_| line);
         }
         let old = self.merged.insert(id, line);
         // One that comes in as gone was never there.
@@ -287,7 +338,9 @@
 
     /// What all sources come to, without those that are gone.
     pub fn lines(&self) -> impl Iterator<Item = &Line> {
-        self.merged.values().filter(|line| line.entry.state != ServerState::Gone)
+        self.merged
+            .values()
+            .filter(|line| line.entry.state != ServerState::Gone)
     }
 
     /// How the sources stand, in their order.
@@ -296,7 +349,11 @@
             name: source.name.clone(),
             standing: source.standing,
             heard: source.heard,
-            lines: source.said.values().filter(|said| said.line.entry.state != ServerState::Gone).count(),
+            lines: source
+                .said
+                .values()
+                .filter(|said| said.line.entry.state != ServerState::Gone)
+                .count(),
             held: source.held,
         };
         self.sources.iter().map(view).collect()
@@ -304,6 +361,9 @@
 
     /// Each source's word of a backend, in their order.
     pub fn said(&self, id: ServerId) -> Vec<Option<Said>> {
-        self.sources.iter().map(|source| source.said.get(&id).copied()).collect()
+        self.sources
+            .iter()
+            .map(|source| source.said.get(&id).copied())
+            .collect()
     }
 }
--- a/crates/endpoints/tests/merging.rs
+++ b/crates/endpoints/tests/merging.rs
@@ -1,7 +1,7 @@
 //! What sources say and what it comes to: pairs of words, random histories against a plain model, and the guard.
 
-use sillward_balancer::{ServerEntry, ServerId, ServerState};
 use proptest::prelude::*;
+use sillward_balancer::{ServerEntry, ServerId, ServerState};
 use sillward_endpoints::{Guard, Line, Membership, Standing};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,8 +14,16 @@
 }
 
 fn line(id: u64, state: ServerState, started: Option<u64>, port: u16) -> Line {
-    let entry = ServerEntry { id: ServerId(id), state, started: started.map(at), ..ServerEntry::default() };
-    Line { entry, address: ([127, 0, 0, 1], port).into() }
+    let entry = ServerEntry {
+        id: ServerId(id),
+        state,
+        started: started.map(at),
+        ..ServerEntry::default()
+    };
+    Line {
+        entry,
+        address: ([127, 0, 0, 1], port).into(),
+    }
 }
 
 fn two() -> Membership {
@@ -23,7 +31,10 @@
 }
 
 fn state(membership: &Membership, id: u64) -> Option<ServerState> {
-    membership.lines().find(|line| line.entry.id == ServerId(id)).map(|line| line.entry.state)
+    membership
+        .lines()
+        .find(|line| line.entry.id == ServerId(id))
+        .map(|line| line.entry.state)
 }
 
 use ServerState::{Draining, Gone, Ready};
@@ -33,9 +44,18 @@
 #[test]
 fn every_pair_of_words() {
     let words = [None, Some(Ready), Some(Draining), Some(Gone)];
-    let runs = [(Some(5), Some(5)), (Some(5), Some(9)), (Some(9), Some(5)), (None, Some(5)), (Some(5), None)];
+    let runs = [
+        (Some(5), Some(5)),
+        (Some(5), Some(9)),
+        (Some(9), Some(5)),
+        (None, Some(5)),
+        (Some(5), None),
+    ];
     let mut cases = 0;
-    for (first, second) in words.iter().flat_map(|a| words.iter().map(move |b| (*a, *b))) {
+    for (first, second) in words
+        .iter()
+        .flat_map(|a| words.iter().map(move |b| (*a, *b)))
+    {
         for (run_a, run_b) in runs {
             for order in [[ROSTER, ETCD], [ETCD, ROSTER]] {
                 let mut membership = two();
@@ -51,8 +71,14 @@
                         membership.tell(source, at(2), &[line(1, state, run, 80)]);
                     }
                 }
-                let newest = said.iter().filter(|(s, _)| s.is_some()).filter_map(|(_, run)| *run).max();
-                let live = said.iter().any(|(s, _)| matches!(s, Some(Ready | Draining)));
+                let newest = said
+                    .iter()
+                    .filter(|(s, _)| s.is_some())
+                    .filter_map(|(_, run)| *run)
+                    .max();
+                let live = said
+                    .iter()
+                    .any(|(s, _)| matches!(s, Some(Ready | Draining)));
                 // Without a start time a word is about the newest run that was known when it was said.
                 let known = [run_a.or(second.and(run_b)), run_b.or(first.and(run_a))];
                 let counts = |i: usize| said[i].0.filter(|s| *s == Ready || known[i] >= newest);
@@ -85,9 +111,20 @@
         resync(&mut membership, ETCD, at(2), &[line(1, Ready, started, 80)]);
         let changed = membership.tell(ETCD, at(3), &[line(1, Draining, started, 80)]);
         assert_eq!(changed, [line(1, Draining, started, 80)], "told at once");
-        assert_eq!(membership.tell(ROSTER, at(4), &[line(1, Ready, started, 80)]), [], "not taken back");
-        assert_eq!(membership.tell(ETCD, at(4), &[line(1, Draining, started, 80)]), [], "and told once");
-        assert_eq!(membership.said(ServerId(1))[ETCD].map(|said| said.since), Some(at(3)));
+        assert_eq!(
+            membership.tell(ROSTER, at(4), &[line(1, Ready, started, 80)]),
+            [],
+            "not taken back"
+        );
+        assert_eq!(
+            membership.tell(ETCD, at(4), &[line(1, Draining, started, 80)]),
+            [],
+            "and told once"
+        );
+        assert_eq!(
+            membership.said(ServerId(1))[ETCD].map(|said| said.since),
+            Some(at(3))
+        );
         membership.silent(ETCD);
         assert_eq!(
             (state(&membership, 1), membership.sources()[ETCD].standing),
@@ -95,9 +132,16 @@
         );
         assert_eq!(membership.believe(at(1000)), []);
         let changed = membership.tell(ROSTER, at(9), &[line(1, Ready, Some(9), 81)]);
-        assert_eq!(changed, [line(1, Ready, Some(9), 81)], "another run, at its new address");
+        assert_eq!(
+            changed,
+            [line(1, Ready, Some(9), 81)],
+            "another run, at its new address"
+        );
         // etcd returns with what it knew: the old run's word.
-        assert_eq!(membership.tell(ETCD, at(10), &[line(1, Draining, started, 80)]), []);
+        assert_eq!(
+            membership.tell(ETCD, at(10), &[line(1, Draining, started, 80)]),
+            []
+        );
     }
 }
 
@@ -124,18 +168,44 @@
         "the first source's address"
     );
     assert_eq!(membership.remove(ETCD, at(2), ServerId(1)).len(), 1);
-    assert_eq!((state(&membership, 1), membership.remove(ETCD, at(2), ServerId(1))), (None, vec![]));
-    assert_eq!(membership.tell(ROSTER, at(3), &[line(1, Ready, None, 80)]), [], "the roster lags");
-    assert_eq!(membership.remove(ROSTER, at(4), ServerId(1)), [], "that was told before");
+    assert_eq!(
+        (
+            state(&membership, 1),
+            membership.remove(ETCD, at(2), ServerId(1))
+        ),
+        (None, vec![])
+    );
+    assert_eq!(
+        membership.tell(ROSTER, at(3), &[line(1, Ready, None, 80)]),
+        [],
+        "the roster lags"
+    );
+    assert_eq!(
+        membership.remove(ROSTER, at(4), ServerId(1)),
+        [],
+        "that was told before"
+    );
     assert_eq!(membership.said(ServerId(1)), [None, None]);
-    assert_eq!(membership.tell(ROSTER, at(5), &[line(1, Ready, None, 80)]).len(), 1, "listed anew");
-    assert_eq!(membership.remove(ETCD, at(6), ServerId(7)), [], "never listed");
+    assert_eq!(
+        membership
+            .tell(ROSTER, at(5), &[line(1, Ready, None, 80)])
+            .len(),
+        1,
+        "listed anew"
+    );
+    assert_eq!(
+        membership.remove(ETCD, at(6), ServerId(7)),
+        [],
+        "never listed"
+    );
 }
 
 fn resync(membership: &mut Membership, source: usize, now: Duration, lines: &[Line]) -> Vec<Line> {
     membership.begin(source, now);
     let mut changed = Vec::new();
-    lines.chunks(3).for_each(|part| changed.extend(membership.tell(source, now, part)));
+    lines
+        .chunks(3)
+        .for_each(|part| changed.extend(membership.tell(source, now, part)));
     changed.extend(membership.end(source, now));
     changed
 }
@@ -152,15 +222,30 @@
     let mut few = all[..3].to_vec();
     few[1].entry.state = Draining;
     assert_eq!(resync(&mut membership, ETCD, at(10), &few), [few[1]]);
-    assert_eq!((membership.lines().count(), membership.sources()[ETCD].held), (10, 7));
+    assert_eq!(
+        (membership.lines().count(), membership.sources()[ETCD].held),
+        (10, 7)
+    );
     // So is a deletion that a watch reports.
     assert_eq!(membership.remove(ETCD, at(11), ServerId(9)).len(), 1);
     // A line that comes back is no longer held.
     assert_eq!(membership.tell(ETCD, at(12), &all[8..9]), []);
     assert_eq!(membership.believe(at(39)), [], "not yet");
     membership.silent(ETCD);
-    assert_eq!(membership.believe(at(60)), [], "not from one that is silent");
-    assert_eq!(resync(&mut membership, ETCD, at(61), &[few[0], few[1], few[2], all[8]]), []);
+    assert_eq!(
+        membership.believe(at(60)),
+        [],
+        "not from one that is silent"
+    );
+    assert_eq!(
+        resync(
+            &mut membership,
+            ETCD,
+            at(61),
+            &[few[0], few[1], few[2], all[8]]
+        ),
+        []
+    );
     assert_eq!(membership.believe(at(61)).len(), 5);
     assert_eq!(membership.lines().count(), 4);
     // An empty list is never believed by time: only deletions empty a list.
@@ -174,10 +259,23 @@
 
 #[derive(Clone, Debug)]
 enum Telling {
-    Line { source: usize, id: u64, state: u8, started: Option<u64> },
-    Remove { source: usize, id: u64 },
-    Resync { source: usize, ids: Vec<u64> },
-    Silent { source: usize },
+    Line {
+        source: usize,
+        id: u64,
+        state: u8,
+        started: Option<u64>,
+    },
+    Remove {
+        source: usize,
+        id: u64,
+    },
+    Resync {
+        source: usize,
+        ids: Vec<u64>,
+    },
+    Silent {
+        source: usize,
+    },
 }
 
 fn telling() -> impl Strategy<Value = Telling> {
@@ -202,7 +300,9 @@
 
 impl Model {
     fn say(&mut self, source: usize, id: u64, state: ServerState, started: Option<u64>) {
-        let of = |words: &BTreeMap<(u64, usize), Word>| (0..3).filter_map(|s| words.get(&(id, s))?.1).max();
+        let of = |words: &BTreeMap<(u64, usize), Word>| {
+            (0..3).filter_map(|s| words.get(&(id, s))?.1).max()
+        };
         let run = started.or(of(&self.0));
         match self.0.get(&(id, source)) {
             None if state == Gone => return,
--- a/crates/etcd/src/grpc.rs
+++ b/crates/etcd/src/grpc.rs
@@ -24,11 +24,17 @@
 
 impl Status {
     fn broken(e: impl std::fmt::Display) -> Self {
-        Status { code: 14, message: e.to_string() }
+        Status {
+            code: 14,
+            message: e.to_string(),
+        }
     }
 
     fn nonsense(what: &str) -> Self {
-        Status { code: 13, message: what.to_owned() }
+        Status {
+            code: 13,
+            message: what.to_owned(),
+        }
     }
 }
 
@@ -56,7 +62,9 @@
     /// # Errors
     /// It is compressed, larger than 8 MiB, or no such message.
     pub fn message<M: prost::Message + Default>(&mut self) -> Result<Option<M>, Status> {
-        let Some(prefix) = self.0.first_chunk::<5>() else { return Ok(None) };
+        let Some(prefix) = self.0.first_chunk::<5>() else {
+            return Ok(None);
+        };
         let [compressed, a, b, c, d] = *prefix;
         let length = u32::from_be_bytes([a, b, c, d]) as usize;
         if compressed != 0 {
@@ -70,7 +78,9 @@
         }
         self.0.advance(5);
         let message = self.0.split_to(length).freeze();
-        M::decode(message).map(Some).map_err(|e| Status::nonsense(&e.to_string()))
+        M::decode(message)
+            .map(Some)
+            .map_err(|e| Status::nonsense(&e.to_string()))
     }
 }
 
@@ -103,12 +113,20 @@
     pub async fn connect(endpoint: SocketAddr) -> Result<Self, Status> {
         let stream = TcpStream::connect(endpoint).await.map_err(Status::broken)?;
         let mut builder = h2::client::Builder::new();
-        builder.initial_window_size(WINDOW).initial_connection_window_size(WINDOW).enable_push(false);
+        builder
+            .initial_window_size(WINDOW)
+            .initial_connection_window_size(WINDOW)
+            .enable_push(false);
         let (sender, connection) = builder.handshake(stream).await.map_err(Status::broken)?;
         let task = spawn_local(async move {
             let _ = connection.await; // its end shows in the calls on it
         });
-        Ok(Grpc { sender, task, authority: endpoint.to_string(), token: None })
+        Ok(Grpc {
+            sender,
+            task,
+            authority: endpoint.to_string(),
+            token: None,
+        })
     }
 
     /// Sends this token with every call from now on.
@@ -129,8 +147,13 @@
         if let Some(token) = &self.token {
             request.headers_mut().insert("token", token.clone());
         }
-        std::future::poll_fn(|cx| self.sender.poll_ready(cx)).await.map_err(Status::broken)?;
-        let (response, mut up) = self.sender.send_request(request, false).map_err(Status::broken)?;
+        std::future::poll_fn(|cx| self.sender.poll_ready(cx))
+            .await
+            .map_err(Status::broken)?;
+        let (response, mut up) = self
+            .sender
+            .send_request(request, false)
+            .map_err(Status::broken)?;
         if let Some(message) = end {
             up.send_data(message, true).map_err(Status::broken)?;
         }
@@ -159,17 +182,27 @@
         }
         let trailers = down.trailers().await.map_err(Status::broken)?;
         status(trailers.as_ref())?;
-        frames.message()?.ok_or_else(|| Status::nonsense("no message"))
+        frames
+            .message()?
+            .ok_or_else(|| Status::nonsense("no message"))
     }
 
     /// Opens a stream with its first message.
     ///
     /// # Errors
     /// The call failed.
-    pub async fn stream(&mut self, path: &str, first: &impl prost::Message) -> Result<Stream, Status> {
+    pub async fn stream(
+        &mut self,
+        path: &str,
+        first: &impl prost::Message,
+    ) -> Result<Stream, Status> {
         let (head, mut up) = self.open(path, None).await?;
         up.send_data(framed(first), false).map_err(Status::broken)?;
-        Ok(Stream { up, down: head.body().await?, frames: Frames::default() })
+        Ok(Stream {
+            up,
+            down: head.body().await?,
+            frames: Frames::default(),
+        })
     }
 }
 
@@ -179,7 +212,9 @@
     /// # Errors
     /// The stream has ended.
     pub fn send(&mut self, message: &impl prost::Message) -> Result<(), Status> {
-        self.up.send_data(framed(message), false).map_err(Status::broken)
+        self.up
+            .send_data(framed(message), false)
+            .map_err(Status::broken)
     }
 
     /// The next message. Dropped while it waits, it loses nothing.
@@ -221,10 +256,17 @@
 }
 
 fn status(trailers: Option<&HeaderMap>) -> Result<(), Status> {
-    let text = |name| trailers.and_then(|t| t.get(name)).and_then(|value| value.to_str().ok());
+    let text = |name| {
+        trailers
+            .and_then(|t| t.get(name))
+            .and_then(|value| value.to_str().ok())
+    };
     match text("grpc-status").map(str::parse::<u32>) {
         Some(Ok(0)) => Ok(()),
-        Some(Ok(code)) => Err(Status { code, message: text("grpc-message").unwrap_or_default().to_owned() }),
+        Some(Ok(code)) => Err(Status {
+            code,
+            message: text("grpc-message").unwrap_or_default().to_owned(),
+        }),
         _ => Err(Status::nonsense("no status")),
     }
 }
--- a/crates/etcd/src/session.rs
+++ b/crates/etcd/src/session.rs
@@ -147,7 +147,11 @@
     /// A connection is up.
     pub fn connected(&mut self) -> Vec<Wish> {
         self.fragments.clear();
-        if self.revision == 0 { self.list() } else { self.watch() }
+        if self.revision == 0 {
+            self.list()
+        } else {
+            self.watch()
+        }
     }
 
     /// A whole list is due though the watch runs.
@@ -174,30 +178,49 @@
 
     fn list(&mut self) -> Vec<Wish> {
         self.stage = Stage::Listing { revision: 0 };
-        vec![Wish::Range { after: Bytes::new(), revision: 0 }]
+        vec![Wish::Range {
+            after: Bytes::new(),
+            revision: 0,
+        }]
     }
 
     fn watch(&mut self) -> Vec<Wish> {
         self.stage = Stage::Watching { created: false };
-        vec![Wish::Watch { from: self.revision + 1 }]
+        vec![Wish::Watch {
+            from: self.revision + 1,
+        }]
     }
 
     /// A page of the list has come.
     pub fn page(&mut self, page: RangeResponse) -> Vec<Wish> {
-        let Stage::Listing { revision } = self.stage else { return Vec::new() };
-        let Some(header) = page.header else { return vec![Wish::Drop("a list without a header".to_owned())] };
+        let Stage::Listing { revision } = self.stage else {
+            return Vec::new();
+        };
+        let Some(header) = page.header else {
+            return vec![Wish::Drop("a list without a header".to_owned())];
+        };
         let mut wishes = Vec::new();
         if revision == 0 {
             // The first page says at which revision the others must be read, and which cluster this is.
-            self.stage = Stage::Listing { revision: header.revision };
+            self.stage = Stage::Listing {
+                revision: header.revision,
+            };
             self.cluster = Some(header.cluster_id);
             self.keys.clear();
             self.deleted.clear();
             wishes.push(Wish::Begin);
         }
-        let Stage::Listing { revision } = self.stage else { return wishes };
+        let Stage::Listing { revision } = self.stage else {
+            return wishes;
+        };
         let last = page.kvs.last().map(|kv| kv.key.clone());
-        for KeyValue { key, value, mod_revision, .. } in page.kvs {
+        for KeyValue {
+            key,
+            value,
+            mod_revision,
+            ..
+        } in page.kvs
+        {
             self.keys.insert(key.clone(), mod_revision);
             wishes.push(Wish::Put { key, value });
         }
@@ -219,11 +242,16 @@
 
     /// A response of the watch has come.
     pub fn watched(&mut self, response: WatchResponse) -> Vec<Wish> {
-        let Stage::Watching { .. } = self.stage else { return Vec::new() };
+        let Stage::Watching { .. } = self.stage else {
+            return Vec::new();
+        };
         let Some(header) = response.header else {
             return vec![Wish::Drop("a watch without a header".to_owned())];
         };
-        if self.cluster.is_some_and(|cluster| cluster != header.cluster_id) {
+        if self
+            .cluster
+            .is_some_and(|cluster| cluster != header.cluster_id)
+        {
             return self.list();
         }
         if response.canceled {
@@ -232,7 +260,10 @@
                 0 if response.cancel_reason.is_empty() => {
                     vec![Wish::Drop("the watch was cancelled".to_owned())]
                 }
-                0 => vec![Wish::Drop(format!("the watch was cancelled: {}", response.cancel_reason))],
+                0 => vec![Wish::Drop(format!(
+                    "the watch was cancelled: {}",
+                    response.cancel_reason
+                ))],
                 _ => self.list(),
             };
         }
@@ -262,7 +293,9 @@
         }
         events.sort_by_key(|(revision, ..)| *revision);
         let newest = events.last().map_or(0, |(revision, ..)| *revision);
-        let wishes = events.into_iter().filter_map(|(revision, key, value)| self.event(revision, key, value));
+        let wishes = events
+            .into_iter()
+            .filter_map(|(revision, key, value)| self.event(revision, key, value));
         let wishes = wishes.collect();
         self.revision = self.revision.max(newest);
         wishes
@@ -270,7 +303,11 @@
 
     /// An event counts if it is newer than what is known of its key, in whatever order events come.
     fn event(&mut self, revision: i64, key: Bytes, value: Option<Bytes>) -> Option<Wish> {
-        let known = self.keys.get(&key).or_else(|| self.deleted.get(&key)).copied();
+        let known = self
+            .keys
+            .get(&key)
+            .or_else(|| self.deleted.get(&key))
+            .copied();
         // Of a key that was not in the list, what is older than the list is not news either.
         if revision <= known.unwrap_or(self.listed) {
             return None;
@@ -301,7 +338,11 @@
     use crate::proto::{Event, ResponseHeader};
 
     fn header(cluster_id: u64, revision: i64) -> Option<ResponseHeader> {
-        Some(ResponseHeader { cluster_id, revision, ..ResponseHeader::default() })
+        Some(ResponseHeader {
+            cluster_id,
+            revision,
+            ..ResponseHeader::default()
+        })
     }
 
     fn kv(key: &str, mod_revision: i64, value: &str) -> KeyValue {
@@ -314,38 +355,69 @@
     }
 
     fn event(key: &str, revision: i64, value: Option<&str>) -> Event {
-        let kind = if value.is_some() { EventType::Put } else { EventType::Delete };
-        Event { r#type: kind as i32, kv: Some(kv(key, revision, value.unwrap_or_default())) }
+        let kind = if value.is_some() {
+            EventType::Put
+        } else {
+            EventType::Delete
+        };
+        Event {
+            r#type: kind as i32,
+            kv: Some(kv(key, revision, value.unwrap_or_default())),
+        }
     }
 
     fn put(key: &str, value: &str) -> Wish {
         let bytes = |text: &str| Bytes::copy_from_slice(text.as_bytes());
-        Wish::Put { key: bytes(key), value: bytes(value) }
+        Wish::Put {
+            key: bytes(key),
+            value: bytes(value),
+        }
     }
 
     fn delete(key: &str) -> Wish {
-        Wish::Delete { key: Bytes::copy_from_slice(key.as_bytes()) }
+        Wish::Delete {
+            key: Bytes::copy_from_slice(key.as_bytes()),
+        }
     }
 
     fn events(revision: i64, events: Vec<Event>) -> WatchResponse {
-        WatchResponse { header: header(1, revision), events, ..WatchResponse::default() }
+        WatchResponse {
+            header: header(1, revision),
+            events,
+            ..WatchResponse::default()
+        }
     }
 
     fn created(cluster: u64, revision: i64) -> WatchResponse {
-        WatchResponse { header: header(cluster, revision), created: true, ..WatchResponse::default() }
+        WatchResponse {
+            header: header(cluster, revision),
+            created: true,
+            ..WatchResponse::default()
+        }
     }
 
     fn whole_list() -> Vec<Wish> {
-        vec![Wish::Range { after: Bytes::new(), revision: 0 }]
+        vec![Wish::Range {
+            after: Bytes::new(),
+            revision: 0,
+        }]
     }
 
     /// A session that watches after a list of `a` and `b` at revision 10.
     fn watching() -> Session {
         let mut session = Session::new(3, Times::default(), 1);
         assert_eq!(session.connected(), whole_list());
-        let page = |kvs, more| RangeResponse { header: header(1, 10), kvs, more, count: 2 };
+        let page = |kvs, more| RangeResponse {
+            header: header(1, 10),
+            kvs,
+            more,
+            count: 2,
+        };
         let wishes = session.page(page(vec![kv("a", 4, "1")], true));
-        let next = Wish::Range { after: Bytes::from_static(b"a"), revision: 10 };
+        let next = Wish::Range {
+            after: Bytes::from_static(b"a"),
+            revision: 10,
+        };
         assert_eq!(wishes, [Wish::Begin, put("a", "1"), next]);
         let wishes = session.page(page(vec![kv("b", 9, "2")], false));
         assert_eq!(wishes, [put("b", "2"), Wish::End, Wish::Watch { from: 11 }]);
@@ -357,10 +429,19 @@
     #[test]
     fn events_count_once_in_the_order_of_revisions_however_they_are_delivered() {
         let mut session = watching();
-        let fragment = |fragment, list| WatchResponse { fragment, ..events(12, list) };
-        assert_eq!(session.watched(fragment(true, vec![event("a", 12, Some("3"))])), []);
+        let fragment = |fragment, list| WatchResponse {
+            fragment,
+            ..events(12, list)
+        };
+        assert_eq!(
+            session.watched(fragment(true, vec![event("a", 12, Some("3"))])),
+            []
+        );
         assert_eq!(session.revision(), 10, "half a revision is none");
-        let last = session.watched(fragment(false, vec![event("b", 12, None), event("c", 11, Some("4"))]));
+        let last = session.watched(fragment(
+            false,
+            vec![event("b", 12, None), event("c", 11, Some("4"))],
+        ));
         assert_eq!(last, [put("c", "4"), put("a", "3"), delete("b")]);
         assert_eq!(session.revision(), 12);
         // Again, and what is older: no news.
@@ -372,7 +453,10 @@
         ];
         assert_eq!(session.watched(events(12, again)), []);
         // Revisions in the wrong order: each key has its newest.
-        assert_eq!(session.watched(events(15, vec![event("a", 15, Some("5"))])), [put("a", "5")]);
+        assert_eq!(
+            session.watched(events(15, vec![event("a", 15, Some("5"))])),
+            [put("a", "5")]
+        );
         let late = vec![event("a", 14, None), event("c", 14, None)];
         assert_eq!(session.watched(events(15, late)), [delete("c")]);
         assert_eq!(session.revision(), 15);
@@ -396,7 +480,12 @@
         assert_eq!(session.connected(), [Wish::Watch { from: 11 }]);
         assert_eq!(session.watched(canceled(50, "compacted")), whole_list());
         // While the list is read, its revision may be compacted too.
-        let page = RangeResponse { header: header(1, 99), kvs: vec![kv("a", 4, "1")], more: true, count: 9 };
+        let page = RangeResponse {
+            header: header(1, 99),
+            kvs: vec![kv("a", 4, "1")],
+            more: true,
+            count: 9,
+        };
         assert_eq!(session.page(page).len(), 3);
         assert_eq!(session.page_compacted(), whole_list());
         // A lower revision, at the watch's start or in a progress notice.
@@ -407,22 +496,44 @@
         assert_eq!(watching().watched(events(9, vec![])), whole_list());
         // Another cluster, whatever its revision.
         assert_eq!(
-            watching().watched(WatchResponse { header: header(2, 11), ..events(11, vec![]) }),
+            watching().watched(WatchResponse {
+                header: header(2, 11),
+                ..events(11, vec![])
+            }),
             whole_list()
         );
         // Any other end is the connection's, and the next try watches on.
         let mut session = watching();
-        assert!(matches!(session.watched(canceled(0, "permission denied"))[..], [Wish::Drop(_)]));
+        assert!(matches!(
+            session.watched(canceled(0, "permission denied"))[..],
+            [Wish::Drop(_)]
+        ));
         session.lost();
         assert_eq!(session.connected(), [Wish::Watch { from: 11 }]);
         // A list at a lower revision makes that the known one.
         let mut session = watching();
         session.resync();
-        let page = RangeResponse { header: header(2, 5), kvs: vec![kv("z", 5, "9")], more: false, count: 1 };
-        assert_eq!(session.page(page), [Wish::Begin, put("z", "9"), Wish::End, Wish::Watch { from: 6 }]);
+        let page = RangeResponse {
+            header: header(2, 5),
+            kvs: vec![kv("z", 5, "9")],
+            more: false,
+            count: 1,
+        };
+        assert_eq!(
+            session.page(page),
+            [
+                Wish::Begin,
+                put("z", "9"),
+                Wish::End,
+                Wish::Watch { from: 6 }
+            ]
+        );
         assert_eq!(session.watched(created(2, 5)), []);
         // And keys that were known before are news again.
-        let again = WatchResponse { header: header(2, 6), ..events(6, vec![event("a", 6, Some("1"))]) };
+        let again = WatchResponse {
+            header: header(2, 6),
+            ..events(6, vec![event("a", 6, Some("1"))])
+        };
         assert_eq!(session.watched(again), [put("a", "1")]);
     }
 
@@ -430,7 +541,12 @@
     fn a_list_that_broke_off_is_read_anew() {
         let mut session = watching();
         session.resync();
-        let page = RangeResponse { header: header(1, 30), kvs: vec![kv("a", 4, "1")], more: true, count: 9 };
+        let page = RangeResponse {
+            header: header(1, 30),
+            kvs: vec![kv("a", 4, "1")],
+            more: true,
+            count: 9,
+        };
         session.page(page);
         session.lost();
         assert_eq!(session.connected(), whole_list());
@@ -449,7 +565,10 @@
             most = (most * 2).min(times.longest_pause);
         }
         let mut session = watching();
-        assert!(session.lost() <= times.first_pause, "one that was good is tried again soon");
+        assert!(
+            session.lost() <= times.first_pause,
+            "one that was good is tried again soon"
+        );
     }
 
     /// After a restart of etcd: all lose their watches at once, and it is down for a while.
@@ -460,7 +579,10 @@
         for seed in 0..700u64 {
             let mut session = Session::new(3, times, seed);
             session.connected();
-            let page = RangeResponse { header: header(1, 10), ..RangeResponse::default() };
+            let page = RangeResponse {
+                header: header(1, 10),
+                ..RangeResponse::default()
+            };
             session.page(page);
             session.watched(created(1, 10));
             let mut at = session.lost();
@@ -483,9 +605,12 @@
         arrivals.sort();
         let spread = arrivals[699] - arrivals[0];
         let tenth = Duration::from_millis(100);
-        let peak = arrivals
-            .iter()
-            .map(|from| arrivals.iter().filter(|at| *at >= from && **at < *from + tenth).count());
+        let peak = arrivals.iter().map(|from| {
+            arrivals
+                .iter()
+                .filter(|at| *at >= from && **at < *from + tenth)
+                .count()
+        });
         let peak = peak.max().expect("some");
         println!("peak {peak} in 100 ms, spread {spread:?}, {lists} lists");
         assert_eq!(lists, 175);
--- a/crates/etcd/src/source.rs
+++ b/crates/etcd/src/source.rs
@@ -8,8 +8,8 @@
 use crate::session::{Session, Times, Wish};
 use bytes::Bytes;
 use sillward_balancer::ServerId;
-use sillward_forwarding::{Backend, Live};
 use sillward_endpoint_updates::Telling;
+use sillward_forwarding::{Backend, Live};
 use sillward_logging::{log, log_peer};
 use sillward_runtime::time::{Instant, sleep, timeout};
 use std::collections::{BTreeMap, VecDeque};
@@ -58,7 +58,16 @@
     pub fn new(terms: Terms, live: Rc<Live>, seed: u64, tellings: mpsc::Sender<Telling>) -> Self {
         let session = Session::new(terms.endpoints.len(), terms.times, seed.rotate_left(17));
         let (lines, before) = (BTreeMap::new(), BTreeMap::new());
-        Etcd { terms, live, session, tellings, lines, before, part: Vec::new(), listing: false }
+        Etcd {
+            terms,
+            live,
+            session,
+            tellings,
+            lines,
+            before,
+            part: Vec::new(),
+            listing: false,
+        }
     }
 
     /// Follows it for good. Whatever breaks is no news: what was told stays.
@@ -83,9 +92,14 @@
     }
 
     async fn followed(&mut self, endpoint: SocketAddr) -> Result<(), Status> {
-        let silent = || Status { code: 4, message: "silent".to_owned() };
+        let silent = || Status {
+            code: 4,
+            message: "silent".to_owned(),
+        };
         let times = self.terms.times;
-        let mut grpc = timeout(times.connect, Grpc::connect(endpoint)).await.map_err(|_| silent())??;
+        let mut grpc = timeout(times.connect, Grpc::connect(endpoint))
+            .await
+            .map_err(|_| silent())??;
         if let Some((name, password)) = self.terms.user.clone() {
             let request = AuthenticateRequest { name, password };
             let call = grpc.unary("/etcdserverpb.Auth/Authenticate", &request);
@@ -100,10 +114,13 @@
             while let Some(wish) = wishes.pop_front() {
                 match wish {
                     Wish::Range { after, revision } => {
-                        let page = timeout(times.keep_alive, self.page(&mut grpc, &after, revision)).await;
+                        let page =
+                            timeout(times.keep_alive, self.page(&mut grpc, &after, revision)).await;
                         wishes.extend(match page.map_err(|_| silent())? {
                             Ok(page) => self.session.page(page),
-                            Err(status) if status.code == OUT_OF_RANGE => self.session.page_compacted(),
+                            Err(status) if status.code == OUT_OF_RANGE => {
+                                self.session.page_compacted()
+                            }
                             Err(status) => return Err(status),
                         });
                     }
@@ -115,9 +132,15 @@
                             progress_notify: true,
                             fragment: true,
                         };
-                        let create = WatchRequest { wish: Some(WatchWish::Create(create)) };
+                        let create = WatchRequest {
+                            wish: Some(WatchWish::Create(create)),
+                        };
                         let opened = grpc.stream("/etcdserverpb.Watch/Watch", &create);
-                        watch = Some(timeout(times.keep_alive, opened).await.map_err(|_| silent())??);
+                        watch = Some(
+                            timeout(times.keep_alive, opened)
+                                .await
+                                .map_err(|_| silent())??,
+                        );
                     }
                     Wish::Begin => {
                         // A list that broke off has left some of them here.
@@ -133,11 +156,18 @@
                         self.listing = false;
                         self.tell(Telling::End).await;
                     }
-                    Wish::Drop(why) => return Err(Status { code: 13, message: why }),
+                    Wish::Drop(why) => {
+                        return Err(Status {
+                            code: 13,
+                            message: why,
+                        });
+                    }
                 }
             }
             self.flush().await;
-            let Some(stream) = &mut watch else { return Err(silent()) };
+            let Some(stream) = &mut watch else {
+                return Err(silent());
+            };
             let mut asked = 0;
             let response: WatchResponse = loop {
                 match timeout(times.keep_alive / 3, stream.next()).await {
@@ -159,12 +189,25 @@
         }
     }
 
-    async fn page(&self, grpc: &mut Grpc, after: &[u8], revision: i64) -> Result<RangeResponse, Status> {
+    async fn page(
+        &self,
+        grpc: &mut Grpc,
+        after: &[u8],
+        revision: i64,
+    ) -> Result<RangeResponse, Status> {
         // From the key that comes next after the last one.
-        let key =
-            if after.is_empty() { self.terms.prefix.clone().into() } else { [after, &[0]].concat().into() };
+        let key = if after.is_empty() {
+            self.terms.prefix.clone().into()
+        } else {
+            [after, &[0]].concat().into()
+        };
         let range_end = range_end(self.terms.prefix.as_bytes());
-        let request = RangeRequest { key, range_end, limit: PAGE, revision };
+        let request = RangeRequest {
+            key,
+            range_end,
+            limit: PAGE,
+            revision,
+        };
         grpc.unary("/etcdserverpb.KV/Range", &request).await
     }
 
--- a/crates/fleet-settings/src/history.rs
+++ b/crates/fleet-settings/src/history.rs
@@ -65,7 +65,12 @@
     let all = keys.into_iter().filter_map(|key| {
         let (from, to) = (from.get(&key), to.get(&key));
         let contradicts = key.contradicts(&from, &to);
-        (from != to).then_some(Difference { key, from, to, contradicts })
+        (from != to).then_some(Difference {
+            key,
+            from,
+            to,
+            contradicts,
+        })
     });
     all.collect()
 }
@@ -76,8 +81,11 @@
     /// # Errors
     /// The numbers do not follow each other, or too many.
     pub fn of(kept: Vec<Version>) -> Result<Self, &'static str> {
-        let follows = kept.windows(2).all(|pair| pair[0].number.checked_add(1) == Some(pair[1].number));
-        if !follows || kept.len() > MOST_KEPT || kept.first().is_some_and(|first| first.number == 0) {
+        let follows = kept
+            .windows(2)
+            .all(|pair| pair[0].number.checked_add(1) == Some(pair[1].number));
+        if !follows || kept.len() > MOST_KEPT || kept.first().is_some_and(|first| first.number == 0)
+        {
             return Err("versions that do not follow each other");
         }
         Ok(History { kept: kept.into() })
@@ -91,7 +99,8 @@
     /// A version that is kept.
     pub fn get(&self, number: u64) -> Option<&Version> {
         let first = self.kept.front()?.number;
-        self.kept.get(usize::try_from(number.checked_sub(first)?).ok()?)
+        self.kept
+            .get(usize::try_from(number.checked_sub(first)?).ok()?)
     }
 
     /// Those that are kept.
@@ -139,15 +148,23 @@
     /// Takes versions as another has them. Those that do not follow what is here take its place if they are newer: what lies
     /// between is kept by nobody any more.
     pub fn catch_up(&mut self, versions: Vec<Version>) -> bool {
-        let Ok(other) = History::of(versions) else { return false };
+        let Ok(other) = History::of(versions) else {
+            return false;
+        };
         let before = self.newest();
-        let Some(first) = other.kept.front().map(|version| version.number) else { return false };
+        let Some(first) = other.kept.front().map(|version| version.number) else {
+            return false;
+        };
         if first > before + 1 {
             *self = other;
         } else {
-            other.kept.into_iter().filter(|version| version.number > before).for_each(|version| {
-                self.learn(version);
-            });
+            other
+                .kept
+                .into_iter()
+                .filter(|version| version.number > before)
+                .for_each(|version| {
+                    self.learn(version);
+                });
         }
         self.newest() > before
     }
--- a/crates/fleet-settings/src/lib.rs
+++ b/crates/fleet-settings/src/lib.rs
@@ -149,9 +149,11 @@
     /// The name in it.
     pub fn name(&self) -> Option<&str> {
         match self {
-            Key::Repeat(name) | Key::Aim(name) | Key::Deadline(name) | Key::Out(name) | Key::Away(name) => {
-                Some(name)
-            }
+            Key::Repeat(name)
+            | Key::Aim(name)
+            | Key::Deadline(name)
+            | Key::Out(name)
+            | Key::Away(name) => Some(name),
             Key::Attempts | Key::Hedges | Key::Zones => None,
         }
     }
@@ -197,8 +199,9 @@
         if self.0.len() > MOST_KEYS {
             faults.push(format!("{} keys are more than {MOST_KEYS}", self.0.len()));
         }
-        let bad =
-            |name: &str| name.is_empty() || name.len() > MOST_NAME || name.chars().any(char::is_control);
+        let bad = |name: &str| {
+            name.is_empty() || name.len() > MOST_NAME || name.chars().any(char::is_control)
+        };
         for (key, value) in &self.0 {
             if key.name().is_some_and(bad) {
                 faults.push(format!(
@@ -213,8 +216,13 @@
             }
             if let Value::Names(names) = value {
                 let once: BTreeSet<&String> = names.iter().collect();
-                if names.len() > 64 || names.iter().any(|name| bad(name)) || once.len() < names.len() {
-                    faults.push(format!("{key}: at most 64 names, each once, of 1 to {MOST_NAME} bytes"));
+                if names.len() > 64
+                    || names.iter().any(|name| bad(name))
+                    || once.len() < names.len()
+                {
+                    faults.push(format!(
+                        "{key}: at most 64 names, each once, of 1 to {MOST_NAME} bytes"
+                    ));
                 }
             }
         }
@@ -238,6 +246,10 @@
             rules.put(key, value)?;
         }
         let faults = rules.faults();
-        if faults.is_empty() { Ok(rules) } else { Err(faults.join("; ")) }
+        if faults.is_empty() {
+            Ok(rules)
+        } else {
+            Err(faults.join("; "))
+        }
     }
 }
--- a/crates/fleet-settings/tests/readings.rs
+++ b/crates/fleet-settings/tests/readings.rs
@@ -1,7 +1,9 @@
 //! What is read of a key that several versions name, or none, or that nobody may act on.
 
 use proptest::prelude::*;
-use sillward_fleet_settings::{History, Key, MOST_KEPT, Repeat, Rules, Standing, Taken, Value, Version, differences};
+use sillward_fleet_settings::{
+    History, Key, MOST_KEPT, Repeat, Rules, Standing, Taken, Value, Version, differences,
+};
 
 fn class() -> Key {
     Key::Repeat("tally-correct".to_owned())
@@ -9,38 +11,68 @@
 
 fn with(values: &[(Key, Value)]) -> Rules {
     let mut rules = Rules::default();
-    values.iter().for_each(|(key, value)| rules.put(key.clone(), value.clone()).expect("a value"));
+    values
+        .iter()
+        .for_each(|(key, value)| rules.put(key.clone(), value.clone()).expect("a value"));
     rules
 }
 
 fn version(id: u64, rules: &Rules) -> Version {
-    Version { number: 0, id, author: "a".to_owned(), why: "w".to_owned(), rules: rules.text() }
+    Version {
+        number: 0,
+        id,
+        author: "a".to_owned(),
+        why: "w".to_owned(),
+        rules: rules.text(),
+    }
 }
 
 fn history(all: &[Rules]) -> History {
     let mut history = History::default();
     for (base, rules) in all.iter().enumerate() {
-        assert_eq!(history.take(base as u64, version(base as u64 + 1, rules)), Taken::New(base as u64 + 1));
+        assert_eq!(
+            history.take(base as u64, version(base as u64 + 1, rules)),
+            Taken::New(base as u64 + 1)
+        );
     }
     history
 }
 
 fn standing(force: u64, newest: u64, right: bool) -> Standing {
-    Standing { force, newest, right }
+    Standing {
+        force,
+        newest,
+        right,
+    }
 }
 
 #[test]
 fn until_a_version_is_in_force_the_careful_value_holds_for_what_it_changes_alone() {
-    let safe = with(&[(class(), Value::Repeat(Repeat::Safe)), (Key::Attempts, Value::Count(3))]);
-    let keyed = with(&[(class(), Value::Repeat(Repeat::Keyed(900))), (Key::Attempts, Value::Count(3))]);
+    let safe = with(&[
+        (class(), Value::Repeat(Repeat::Safe)),
+        (Key::Attempts, Value::Count(3)),
+    ]);
+    let keyed = with(&[
+        (class(), Value::Repeat(Repeat::Keyed(900))),
+        (Key::Attempts, Value::Count(3)),
+    ]);
     let history = history(&[safe, keyed]);
     let read = |standing, key: &Key| history.reading(standing, key);
     let between = read(standing(1, 2, true), &class());
-    assert_eq!((between.value, between.careful), (Value::Repeat(Repeat::Unsafe), true));
+    assert_eq!(
+        (between.value, between.careful),
+        (Value::Repeat(Repeat::Unsafe), true)
+    );
     let same = read(standing(1, 2, true), &Key::Attempts);
-    assert_eq!((same.value, same.careful, same.version), (Value::Count(3), false, 2));
+    assert_eq!(
+        (same.value, same.careful, same.version),
+        (Value::Count(3), false, 2)
+    );
     let after = read(standing(2, 2, true), &class());
-    assert_eq!((after.value, after.careful), (Value::Repeat(Repeat::Keyed(900)), false));
+    assert_eq!(
+        (after.value, after.careful),
+        (Value::Repeat(Repeat::Keyed(900)), false)
+    );
     // Who may not act knows of no key that it is still so.
     let without = read(standing(2, 2, false), &Key::Attempts);
     assert_eq!((without.value, without.careful), (Value::Count(1), true));
@@ -49,7 +81,10 @@
 #[test]
 fn what_takes_no_effect_twice_holds_at_once() {
     let aim = Key::Aim("tally-read".to_owned());
-    let history = history(&[with(&[(aim.clone(), Value::Ms(40))]), with(&[(aim.clone(), Value::Ms(60))])]);
+    let history = history(&[
+        with(&[(aim.clone(), Value::Ms(40))]),
+        with(&[(aim.clone(), Value::Ms(60))]),
+    ]);
     let reading = history.reading(standing(0, 2, false), &aim);
     assert_eq!((reading.value, reading.careful), (Value::Ms(60), false));
 }
@@ -59,27 +94,52 @@
     let out = Key::Out("00000000000000a1".to_owned());
     let listed = with(&[(out.clone(), Value::Is(true))]);
     let history = history(&[listed, Rules::default()]);
-    assert_eq!(history.reading(standing(1, 2, true), &out).value, Value::Is(true));
-    assert_eq!(history.reading(standing(2, 2, true), &out).value, Value::Is(false));
+    assert_eq!(
+        history.reading(standing(1, 2, true), &out).value,
+        Value::Is(true)
+    );
+    assert_eq!(
+        history.reading(standing(2, 2, true), &out).value,
+        Value::Is(false)
+    );
     // And nobody is held out for a list that may be, or nobody would be served.
     let other = Key::Out("00000000000000b2".to_owned());
-    assert_eq!(history.reading(standing(1, 2, false), &other).value, Value::Is(false));
+    assert_eq!(
+        history.reading(standing(1, 2, false), &other).value,
+        Value::Is(false)
+    );
 }
 
 #[test]
 fn a_version_that_is_not_there_or_can_not_be_read_makes_careful() {
     let safe = with(&[(class(), Value::Repeat(Repeat::Safe))]);
     let mut history = history(&[safe]);
-    assert!(history.reading(standing(1, 2, true), &class()).careful, "version 2 is not here yet");
+    assert!(
+        history.reading(standing(1, 2, true), &class()).careful,
+        "version 2 is not here yet"
+    );
     let newer = r#"[[{"a_key_of_tomorrow":"x"},{"is":true}]]"#;
     assert!(history.learn(Version {
         number: 2,
         id: 9,
         rules: newer.to_owned(),
-        ..Version { number: 2, id: 9, author: String::new(), why: String::new(), rules: String::new() }
+        ..Version {
+            number: 2,
+            id: 9,
+            author: String::new(),
+            why: String::new(),
+            rules: String::new()
+        }
     }));
-    assert!(history.reading(standing(2, 2, true), &class()).careful, "version 2 can't be read here");
-    assert_eq!(history.newest(), 2, "it is kept all the same, and handed on");
+    assert!(
+        history.reading(standing(2, 2, true), &class()).careful,
+        "version 2 can't be read here"
+    );
+    assert_eq!(
+        history.newest(),
+        2,
+        "it is kept all the same, and handed on"
+    );
 }
 
 #[test]
@@ -95,19 +155,32 @@
 #[test]
 fn what_is_wrong_is_told_with_its_key() {
     let mut rules = Rules::default();
-    let wrong = rules.put(Key::Attempts, Value::Count(0)).expect_err("no attempts");
+    let wrong = rules
+        .put(Key::Attempts, Value::Count(0))
+        .expect_err("no attempts");
     assert!(wrong.contains("limits.attempts"), "{wrong}");
-    rules.put(class(), Value::Repeat(Repeat::Keyed(0))).expect("looked at as a whole");
-    rules.put(Key::Zones, Value::Names(vec!["a".to_owned(), "a".to_owned()])).expect("as well");
+    rules
+        .put(class(), Value::Repeat(Repeat::Keyed(0)))
+        .expect("looked at as a whole");
+    rules
+        .put(
+            Key::Zones,
+            Value::Names(vec!["a".to_owned(), "a".to_owned()]),
+        )
+        .expect("as well");
     assert_eq!(rules.faults().len(), 2, "{:?}", rules.faults());
     assert!(Rules::read(&rules.text()).is_err());
-    assert!(Rules::read("[[\"hedges\",{\"is\":true}],[\"hedges\",{\"is\":false}]]").is_err(), "twice");
+    assert!(
+        Rules::read("[[\"hedges\",{\"is\":true}],[\"hedges\",{\"is\":false}]]").is_err(),
+        "twice"
+    );
 }
 
 #[test]
 fn the_oldest_are_let_go_and_who_was_away_takes_what_is_left() {
-    let all: Vec<Rules> =
-        (0..MOST_KEPT as u32 + 20).map(|n| with(&[(Key::Attempts, Value::Count(n % 16 + 1))])).collect();
+    let all: Vec<Rules> = (0..MOST_KEPT as u32 + 20)
+        .map(|n| with(&[(Key::Attempts, Value::Count(n % 16 + 1))]))
+        .collect();
     let full = history(&all);
     assert_eq!(full.iter().count(), MOST_KEPT);
     let mut away = history(&all[..3]);
@@ -128,7 +201,11 @@
         Just(Value::Repeat(Repeat::Unsafe)),
         (1u64..3).prop_map(|ms| Value::Repeat(Repeat::Keyed(ms))),
     ];
-    (proptest::option::of(repeat), proptest::option::of(1u32..4), proptest::option::of(any::<bool>()))
+    (
+        proptest::option::of(repeat),
+        proptest::option::of(1u32..4),
+        proptest::option::of(any::<bool>()),
+    )
         .prop_map(|(repeat, attempts, out)| {
             let mut rules = Rules::default();
             repeat.map(|value| rules.put(class(), value));
--- a/crates/forwarding/src/attempt.rs
+++ b/crates/forwarding/src/attempt.rs
@@ -99,5 +99,11 @@
         outcome = Outcome::Served;
         answer = Some(answer.unwrap_or(Content::plain(bytes::Bytes::new())));
     }
-    Ended { id: attempt.id, number: attempt.number, outcome, report, answer }
+    Ended {
+        id: attempt.id,
+        number: attempt.number,
+        outcome,
+        report,
+        answer,
+    }
 }
--- a/crates/forwarding/src/call.rs
+++ b/crates/forwarding/src/call.rs
@@ -29,7 +29,10 @@
 impl Content {
     /// A body with no more said of it.
     pub fn plain(bytes: Bytes) -> Self {
-        Content { form: Form::PLAIN, bytes }
+        Content {
+            form: Form::PLAIN,
+            bytes,
+        }
     }
 }
 
@@ -98,7 +101,10 @@
     /// that nobody waits for, nor once its client has gone. Time has passed since the decision: what was permitted then
     /// may not be any more. If so, it counts as written from now on.
     pub fn claim(&self, now: Duration, until: Duration) -> bool {
-        let forgotten = self.window.zip(self.first_byte.get()).is_some_and(|(w, first)| now >= first + w);
+        let forgotten = self
+            .window
+            .zip(self.first_byte.get())
+            .is_some_and(|(w, first)| now >= first + w);
         if self.over.get() || now >= until || forgotten || (!self.answered && self.out.get() > 0) {
             return false;
         }
--- a/crates/forwarding/src/dispatch.rs
+++ b/crates/forwarding/src/dispatch.rs
@@ -26,11 +26,20 @@
             by_kind.insert(kind, protocols.len());
             protocols.push(protocol);
         }
-        Dispatch { protocols, by_kind, servers: RefCell::default() }
+        Dispatch {
+            protocols,
+            by_kind,
+            servers: RefCell::default(),
+        }
     }
 
     fn of(&self, server: ServerId) -> Rc<dyn Backends> {
-        let place = self.servers.borrow().get(&server).copied().unwrap_or_default();
+        let place = self
+            .servers
+            .borrow()
+            .get(&server)
+            .copied()
+            .unwrap_or_default();
         self.protocols[place].clone()
     }
 }
@@ -51,7 +60,11 @@
             servers.clear();
         }
         for backend in &news.backends {
-            let place = self.by_kind.get(&backend.entry.kind).copied().unwrap_or_default();
+            let place = self
+                .by_kind
+                .get(&backend.entry.kind)
+                .copied()
+                .unwrap_or_default();
             let before = servers.insert(backend.entry.id, place);
             // What the other protocol still holds of it leads nowhere from now on.
             if let Some(before) = before.filter(|before| *before != place) {
@@ -66,12 +79,20 @@
         }
         drop(servers);
         for (protocol, backends) in self.protocols.iter().zip(parts) {
-            protocol.listed(&News { kind: news.kind, backends }, now);
+            protocol.listed(
+                &News {
+                    kind: news.kind,
+                    backends,
+                },
+                now,
+            );
         }
     }
 
     fn retuned(&self, site: &Site) {
-        self.protocols.iter().for_each(|protocol| protocol.retuned(site));
+        self.protocols
+            .iter()
+            .for_each(|protocol| protocol.retuned(site));
     }
 
     fn close_idle(&self, server: ServerId) {
@@ -99,12 +120,18 @@
             unreachable!("no probe is made")
         }
         fn listed(&self, news: &News, _: Duration) {
-            let backends = news.backends.iter().map(|b| (b.entry.id.0, b.entry.state)).collect();
+            let backends = news
+                .backends
+                .iter()
+                .map(|b| (b.entry.id.0, b.entry.state))
+                .collect();
             self.0.borrow_mut().push((news.kind, backends));
         }
         fn retuned(&self, _: &Site) {}
         fn close_idle(&self, server: ServerId) {
-            self.0.borrow_mut().push((ListKind::Failed, vec![(server.0, ServerState::Ready)]));
+            self.0
+                .borrow_mut()
+                .push((ListKind::Failed, vec![(server.0, ServerState::Ready)]));
         }
     }
 
@@ -123,11 +150,20 @@
                 },
                 address: ([127, 0, 0, 1], 1).into(),
             });
-            dispatch.listed(&News { kind, backends: backends.collect() }, Duration::ZERO);
+            dispatch.listed(
+                &News {
+                    kind,
+                    backends: backends.collect(),
+                },
+                Duration::ZERO,
+            );
             (http.0.take(), thrift.0.take())
         };
         // A full list is one for each: what is not in it is gone there too.
-        let (h, t) = tell(ListKind::Full, &[(1, 0, Ready), (2, 3, Ready), (4, u8::MAX, Ready)]);
+        let (h, t) = tell(
+            ListKind::Full,
+            &[(1, 0, Ready), (2, 3, Ready), (4, u8::MAX, Ready)],
+        );
         assert_eq!(h, [(ListKind::Full, vec![(1, Ready), (4, Ready)])]);
         assert_eq!(t, [(ListKind::Full, vec![(2, Ready)])]);
         let (h, t) = tell(ListKind::Changes, &[(1, 3, Draining), (2, 3, Gone)]);
--- a/crates/forwarding/src/flow.rs
+++ b/crates/forwarding/src/flow.rs
@@ -60,7 +60,15 @@
     pub fn new(length: Option<u64>, budget: Duration) -> (Self, Feed) {
         let (feed, flow) = mpsc::channel(1);
         let rest = RefCell::new(Some(Flow(flow)));
-        (Coming { length, budget, rest, spent: Cell::new(false) }, Feed(feed))
+        (
+            Coming {
+                length,
+                budget,
+                rest,
+                spent: Cell::new(false),
+            },
+            Feed(feed),
+        )
     }
 
     /// Takes the rest, once. Before, an attempt has only had the first bytes, which are kept.
--- a/crates/forwarding/src/intake.rs
+++ b/crates/forwarding/src/intake.rs
@@ -28,7 +28,11 @@
 
 impl Intake {
     pub fn new(clock: Clock, messages: mpsc::Sender<Message>) -> Self {
-        Intake { clock, messages, numbers: Rc::default() }
+        Intake {
+            clock,
+            messages,
+            numbers: Rc::default(),
+        }
     }
 
     pub fn clock(&self) -> Clock {
@@ -38,7 +42,8 @@
     /// Hands a request to the node, under a number of its own, and waits for its one answer. Dropped before
     /// that, it tells the node that the client has left. `None` if the node has ended.
     pub async fn submit(&self, new: NewRequest, call: Call, at: Duration) -> Option<Answer> {
-        self.submit_arriving(new, call, at, std::future::pending()).await
+        self.submit_arriving(new, call, at, std::future::pending())
+            .await
     }
 
     /// As [`Intake::submit`], for a request whose body is still coming: `arrived` tells when its last byte came.
@@ -55,8 +60,16 @@
         let (reply, answer) = oneshot::channel();
         // The place for the news that the client has left is kept now: a drop can't wait for one.
         let place = self.messages.clone().reserve_owned().await.ok()?;
-        let mut gone = Gone { id, place: Some(place) };
-        let taken = Box::new(Taken { new, at, call, reply });
+        let mut gone = Gone {
+            id,
+            place: Some(place),
+        };
+        let taken = Box::new(Taken {
+            new,
+            at,
+            call,
+            reply,
+        });
         self.messages.send(Message::Request(taken)).await.ok()?;
         let mut answer = std::pin::pin!(answer);
         let early = tokio::select! {
--- a/crates/forwarding/src/memory.rs
+++ b/crates/forwarding/src/memory.rs
@@ -19,7 +19,10 @@
 
 impl Budget {
     pub fn new(bytes: usize) -> Self {
-        Budget { left: Arc::new(AtomicUsize::new(bytes)), whole: bytes }
+        Budget {
+            left: Arc::new(AtomicUsize::new(bytes)),
+            whole: bytes,
+        }
     }
 
     /// The bytes that are held.
@@ -29,16 +32,25 @@
 
     /// Room for so many bytes, if there is that much.
     pub fn lease(&self, bytes: usize) -> Option<Lease> {
-        let taken =
-            self.left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| left.checked_sub(bytes));
-        taken.ok().map(|_| Lease { budget: self.clone(), bytes })
+        let taken = self
+            .left
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| {
+                left.checked_sub(bytes)
+            });
+        taken.ok().map(|_| Lease {
+            budget: self.clone(),
+            bytes,
+        })
     }
 }
 
 impl Budget {
     /// Room for so many bytes of a long body: a quarter of all is left to the short ones.
     pub fn lease_spare(&self, bytes: usize) -> Option<Lease> {
-        let spare = self.left.load(Ordering::Relaxed).saturating_sub(self.whole / 4);
+        let spare = self
+            .left
+            .load(Ordering::Relaxed)
+            .saturating_sub(self.whole / 4);
         (bytes <= spare).then(|| self.lease(bytes))?
     }
 }
@@ -66,10 +78,13 @@
     /// otherwise nothing changes.
     pub fn grow_spare(&mut self, bytes: usize) -> bool {
         let plenty = self.budget.left.load(Ordering::Relaxed) >= self.budget.whole / 2;
-        plenty.then(|| self.budget.lease(bytes)).flatten().is_some_and(|mut more| {
-            self.bytes += std::mem::take(&mut more.bytes);
-            true
-        })
+        plenty
+            .then(|| self.budget.lease(bytes))
+            .flatten()
+            .is_some_and(|mut more| {
+                self.bytes += std::mem::take(&mut more.bytes);
+                true
+            })
     }
 
     /// Takes so many bytes more, if there is that much room; otherwise nothing changes.
@@ -85,7 +100,10 @@
 
     /// These bytes, which keep their room for as long as a copy of them lives.
     pub fn keep(self, bytes: Bytes) -> Bytes {
-        struct Kept(Bytes, #[expect(dead_code, reason = "its drop gives the room back")] Lease);
+        struct Kept(
+            Bytes,
+            #[expect(dead_code, reason = "its drop gives the room back")] Lease,
+        );
         impl AsRef<[u8]> for Kept {
             fn as_ref(&self) -> &[u8] {
                 &self.0
--- a/crates/forwarding/src/node.rs
+++ b/crates/forwarding/src/node.rs
@@ -1,7 +1,9 @@
 //! The node itself: the only owner of the [`Balancer`]. One loop takes events in and carries actions out;
 //! it decides nothing. Its request table alone gives final answers, and gives each exactly once.
 
-use crate::{Answer, Attempt, Backends, Call, Ended, Message, Order, ProbeEnded, Started, Stop, Taken};
+use crate::{
+    Answer, Attempt, Backends, Call, Ended, Message, Order, ProbeEnded, Started, Stop, Taken,
+};
 use crate::{Lapse, Witness};
 use sillward_balancer::settings::Site;
 use sillward_balancer::*;
@@ -46,7 +48,9 @@
     /// The one place where a final answer leaves. False if there has been one.
     fn answer(&mut self, counters: &Counters, answer: Answer) -> bool {
         self.call.over.set(true);
-        let Some(reply) = self.reply.take() else { return false };
+        let Some(reply) = self.reply.take() else {
+            return false;
+        };
         let end = match answer {
             Answer::Served(_) => Some(End::Passed),
             // Its end is counted: it may break yet.
@@ -143,7 +147,11 @@
 
     /// Its settings, which are the careful ones until it is told others, may be acted on for as long as that says.
     pub fn lapsing(self, lapse: Option<Rc<Lapse>>) -> Self {
-        Node { careful: lapse.is_some(), lapse, ..self }
+        Node {
+            careful: lapse.is_some(),
+            lapse,
+            ..self
+        }
     }
 
     /// With somebody who counts what it does.
@@ -210,7 +218,11 @@
 
     fn fire(&mut self) {
         let now = self.clock.now();
-        while let Some(timer) = self.timers.first_entry().filter(|timer| timer.key().0 <= now) {
+        while let Some(timer) = self
+            .timers
+            .first_entry()
+            .filter(|timer| timer.key().0 <= now)
+        {
             match timer.remove() {
                 Due::Module(token) => self.decide(Event::Timer { token }),
                 Due::Attempt(id, number) => self.stop(id, number, Stop::TimedOut),
@@ -223,7 +235,9 @@
         match message {
             Message::Request(taken) => self.on_request(taken),
             Message::ClientGone(id) => {
-                let Some(held) = self.held.get_mut(&id).filter(|held| held.reply.is_some()) else { return };
+                let Some(held) = self.held.get_mut(&id).filter(|held| held.reply.is_some()) else {
+                    return;
+                };
                 (held.reply, held.in_progress) = (None, None);
                 held.call.over.set(true);
                 self.decide(Event::ClientGone { id });
@@ -232,19 +246,40 @@
             Message::Arrived(id, at) => self.on_arrived(id, at),
             Message::Started(started) => self.on_started(started),
             Message::Attempt(ended) => self.on_attempt(ended),
-            Message::Probe(ProbeEnded { server, outcome, sent, report }) => {
+            Message::Probe(ProbeEnded {
+                server,
+                outcome,
+                sent,
+                report,
+            }) => {
                 let elapsed = self.clock.now().saturating_sub(sent);
-                self.decide(Event::Probed(ProbeEnd { server, outcome, elapsed, report }));
+                self.decide(Event::Probed(ProbeEnd {
+                    server,
+                    outcome,
+                    elapsed,
+                    report,
+                }));
             }
             Message::List(news) => {
                 self.backends.listed(&news, self.clock.now());
-                let entries = news.backends.into_iter().map(|backend| backend.entry).collect();
-                self.decide(Event::List { kind: news.kind, entries });
+                let entries = news
+                    .backends
+                    .into_iter()
+                    .map(|backend| backend.entry)
+                    .collect();
+                self.decide(Event::List {
+                    kind: news.kind,
+                    entries,
+                });
             }
             Message::Settings(site, generation) => {
                 let now = self.clock.now();
                 // Of an earlier generation, or too late: the next is on its way.
-                if self.lapse.as_ref().is_none_or(|lapse| lapse.holds(generation, now)) {
+                if self
+                    .lapse
+                    .as_ref()
+                    .is_none_or(|lapse| lapse.holds(generation, now))
+                {
                     (self.generation, self.careful) = (generation, false);
                     self.tune(&site);
                 }
@@ -257,7 +292,12 @@
     }
 
     fn on_request(&mut self, taken: Box<Taken>) {
-        let Taken { mut new, at, call, reply } = *taken;
+        let Taken {
+            mut new,
+            at,
+            call,
+            reply,
+        } = *taken;
         let (id, deadline) = (new.id, call.deadline.get());
         new.arriving = call.coming.is_some();
         if !new.arriving {
@@ -288,8 +328,12 @@
 
     /// The whole of a request is here that went on while it came: its time begins.
     fn on_arrived(&mut self, id: RequestId, at: Duration) {
-        let Some(held) = self.held.get_mut(&id).filter(|held| held.reply.is_some()) else { return };
-        let Some(coming) = &held.call.coming else { return };
+        let Some(held) = self.held.get_mut(&id).filter(|held| held.reply.is_some()) else {
+            return;
+        };
+        let Some(coming) = &held.call.coming else {
+            return;
+        };
         let (deadline, spent) = (at + coming.budget, coming.is_spent());
         held.arrived = Some(at);
         held.call.deadline.set(deadline);
@@ -300,21 +344,41 @@
 
     /// The first bytes of a long answer are the client's; the attempt goes on until the last one is.
     fn on_started(&mut self, started: Started) {
-        let Started { id, number, content, length, report, rest } = started;
+        let Started {
+            id,
+            number,
+            content,
+            length,
+            report,
+            rest,
+        } = started;
         let now = self.clock.now();
-        let Some(held) = self.held.get_mut(&id) else { return };
+        let Some(held) = self.held.get_mut(&id) else {
+            return;
+        };
         // An earlier answer has gone out: this one's connection closes with the rest of it.
         if !held.answer(&self.counters, Answer::Streamed(content, length, rest)) {
             return;
         }
         held.streaming = Some((number, now));
-        let Some(server) = held.attempts.get(number as usize).map(|out| out.server) else { return };
-        self.decide(Event::Started { id, attempt: number, server, report });
+        let Some(server) = held.attempts.get(number as usize).map(|out| out.server) else {
+            return;
+        };
+        self.decide(Event::Started {
+            id,
+            attempt: number,
+            server,
+            report,
+        });
     }
 
     fn on_attempt(&mut self, ended: Ended) {
-        let Some(held) = self.held.get_mut(&ended.id) else { return };
-        let Some(out) = held.attempts.get_mut(ended.number as usize) else { return };
+        let Some(held) = self.held.get_mut(&ended.id) else {
+            return;
+        };
+        let Some(out) = held.attempts.get_mut(ended.number as usize) else {
+            return;
+        };
         (out.ended, out.stop) = (true, None);
         self.gauges.attempts.set(self.gauges.attempts.get() - 1);
         let (server, sent) = (out.server, out.sent);
@@ -355,11 +419,16 @@
 
     /// Whatever the module does, nobody is left without an answer at the deadline.
     fn overdue(&mut self, id: RequestId) {
-        let Some(held) = self.held.get_mut(&id).filter(|held| held.reply.is_some()) else { return };
+        let Some(held) = self.held.get_mut(&id).filter(|held| held.reply.is_some()) else {
+            return;
+        };
         if held.call.deadline.get().saturating_sub(self.tick) > self.clock.now() {
             return; // its body came later than that: another timer tells
         }
-        log_peer(format_args!("request {} was unanswered at its deadline: failed", id.0));
+        log_peer(format_args!(
+            "request {} was unanswered at its deadline: failed",
+            id.0
+        ));
         held.answer(&self.counters, Answer::TimedOut);
         self.decide(Event::ClientGone { id });
         self.forget(id);
@@ -371,7 +440,12 @@
         if !self.held.get(&id).is_some_and(over) {
             return;
         }
-        for timer in self.held.remove(&id).map(|held| held.timers).unwrap_or_default() {
+        for timer in self
+            .held
+            .remove(&id)
+            .map(|held| held.timers)
+            .unwrap_or_default()
+        {
             self.timers.remove(&timer);
         }
     }
@@ -397,17 +471,32 @@
     /// Carries out an action. An attempt that can't even start ends at once, with the event returned.
     fn act(&mut self, action: Action) -> Option<Event> {
         match action {
-            Action::Send { id, server, timeout } => return self.send(id, server, timeout),
+            Action::Send {
+                id,
+                server,
+                timeout,
+            } => return self.send(id, server, timeout),
             Action::Refuse { id, retry_after } => {
                 if let (Some(witness), Some(held)) = (&self.witness, self.held.get(&id)) {
                     witness.refused(self.clock.now(), held.call.class);
                 }
-                let never_ran = self.held.get(&id).is_none_or(|held| held.call.out.get() == 0);
-                self.finish(id, Answer::Refused { after: retry_after, never_ran });
+                let never_ran = self
+                    .held
+                    .get(&id)
+                    .is_none_or(|held| held.call.out.get() == 0);
+                self.finish(
+                    id,
+                    Answer::Refused {
+                        after: retry_after,
+                        never_ran,
+                    },
+                );
             }
             Action::Fail { id } => self.finish(id, Answer::Failed),
             Action::Cancel { id, attempt } => self.stop(id, attempt, Stop::Cancelled),
-            Action::SetTimer { after, token } => self.set(self.clock.now() + after, Due::Module(token)),
+            Action::SetTimer { after, token } => {
+                self.set(self.clock.now() + after, Due::Module(token))
+            }
             Action::Probe { server } => self.probe(server),
             Action::CloseIdle { server } => self.backends.close_idle(server),
             Action::Subscribe { on } => self.order(Order::Subscribe(on)),
@@ -425,7 +514,12 @@
         let (number, finished) = (held.attempts.len() as u32, held.reply.is_none());
         let deadline = held.call.deadline.get();
         if finished || now >= deadline || held.attempts.len() >= self.max_attempts {
-            held.attempts.push(Out { server, sent: now, stop: None, ended: true });
+            held.attempts.push(Out {
+                server,
+                sent: now,
+                stop: None,
+                ended: true,
+            });
             return Some(Event::AttemptEnded(AttemptEnd {
                 id,
                 attempt: number,
@@ -437,15 +531,34 @@
                 report: None,
             }));
         }
-        let until = if timeout.is_zero() { deadline } else { deadline.min(now + timeout) };
+        let until = if timeout.is_zero() {
+            deadline
+        } else {
+            deadline.min(now + timeout)
+        };
         let (stop, stopped) = oneshot::channel();
         let (start, started) = oneshot::channel();
         let (call, start) = (held.call.clone(), Cell::new(Some(start)));
-        let attempt = Attempt { id, number, server, until, call, started: start };
-        held.attempts.push(Out { server, sent: now, stop: Some(stop), ended: false });
+        let attempt = Attempt {
+            id,
+            number,
+            server,
+            until,
+            call,
+            started: start,
+        };
+        held.attempts.push(Out {
+            server,
+            sent: now,
+            stop: Some(stop),
+            ended: false,
+        });
         self.set(until, Due::Attempt(id, number));
         self.gauges.attempts.set(self.gauges.attempts.get() + 1);
-        let (mut work, messages) = (self.backends.clone().attempt(attempt, stopped), self.messages.clone());
+        let (mut work, messages) = (
+            self.backends.clone().attempt(attempt, stopped),
+            self.messages.clone(),
+        );
         spawn_local(async move {
             let early = tokio::select! {
                 biased;
@@ -472,7 +585,14 @@
         let work = self.backends.clone().probe(server);
         spawn_local(async move {
             let (outcome, report) = work.await;
-            let _ = messages.send(Message::Probe(ProbeEnded { server, outcome, sent, report })).await;
+            let _ = messages
+                .send(Message::Probe(ProbeEnded {
+                    server,
+                    outcome,
+                    sent,
+                    report,
+                }))
+                .await;
         });
     }
 
@@ -485,7 +605,10 @@
 
     fn stop(&mut self, id: RequestId, number: u32, why: Stop) {
         // What the client is being given is cut by no timer.
-        let held = self.held.get_mut(&id).filter(|held| held.streaming.is_none_or(|(at, _)| at != number));
+        let held = self
+            .held
+            .get_mut(&id)
+            .filter(|held| held.streaming.is_none_or(|(at, _)| at != number));
         let out = held.and_then(|held| held.attempts.get_mut(number as usize));
         if let Some(stop) = out.and_then(|out| out.stop.take()) {
             let _ = stop.send(why); // it may have ended just now; then that outcome is on its way
--- a/crates/forwarding/src/report.rs
+++ b/crates/forwarding/src/report.rs
@@ -25,7 +25,11 @@
         for field in text.trim().split(',') {
             let (name, value) = field.split_once('=')?;
             let column = Column::on_sockets(name.trim());
-            let value: f32 = value.trim().parse().ok().filter(|v: &f32| v.is_finite() && *v >= 0.0)?;
+            let value: f32 = value
+                .trim()
+                .parse()
+                .ok()
+                .filter(|v: &f32| v.is_finite() && *v >= 0.0)?;
             if site.columns.contains(&column) {
                 column.set(&mut report, value);
             }
--- a/crates/forwarding/src/witness.rs
+++ b/crates/forwarding/src/witness.rs
@@ -10,7 +10,14 @@
     /// A call was turned away by the module.
     fn refused(&self, now: Duration, class: usize);
     /// An attempt has ended: so long after its call came, and so long after it was sent.
-    fn ended(&self, now: Duration, class: usize, at: ServerId, outcome: Outcome, since: [Duration; 2]);
+    fn ended(
+        &self,
+        now: Duration,
+        class: usize,
+        at: ServerId,
+        outcome: Outcome,
+        since: [Duration; 2],
+    );
     /// A backend is probed.
     fn probed(&self, now: Duration, at: ServerId);
 }
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -65,7 +65,14 @@
     /// A process that has just started. `second` is what a second process takes for itself, whatever it holds.
     pub fn new(alone: Holding, second: Holding) -> Self {
         let together = alone.each(second, usize::saturating_sub);
-        Shares { alone, together, older: None, newer: false, stopping: false, promised: None }
+        Shares {
+            alone,
+            together,
+            older: None,
+            newer: false,
+            stopping: false,
+            promised: None,
+        }
     }
 
     /// Takes in what happened.
@@ -98,8 +105,16 @@
         // What the newer one was told is never taken back: told to end, this one holds ever less of it. Each client may
         // still ask once, on a backend's connection.
         let last = self.promised.unwrap_or(held);
-        let bytes = if held.clients > 0 { last.bytes } else { held.bytes };
-        let needs = Holding { clients: held.clients, backends: held.clients.max(held.backends), bytes };
+        let bytes = if held.clients > 0 {
+            last.bytes
+        } else {
+            held.bytes
+        };
+        let needs = Holding {
+            clients: held.clients,
+            backends: held.clients.max(held.backends),
+            bytes,
+        };
         needs.each(last, usize::min).each(held, usize::max)
     }
 
@@ -120,7 +135,11 @@
 
 /// The line that says so.
 pub fn line(holding: Holding) -> String {
-    let Holding { clients, backends, bytes } = holding;
+    let Holding {
+        clients,
+        backends,
+        bytes,
+    } = holding;
     format!("{WORD} {VERSION} {clients} {backends} {bytes}\n")
 }
 
@@ -129,7 +148,11 @@
     let mut words = line.strip_suffix('\n')?.split(' ');
     (words.next()? == WORD && words.next()? == VERSION.to_string()).then_some(())?;
     let mut number = || words.next()?.parse().ok();
-    let holding = Holding { clients: number()?, backends: number()?, bytes: number()? };
+    let holding = Holding {
+        clients: number()?,
+        backends: number()?,
+        bytes: number()?,
+    };
     words.next().is_none().then_some(holding)
 }
 
@@ -137,11 +160,23 @@
 mod tests {
     use super::*;
 
-    const ALONE: Holding = Holding { clients: 100, backends: 80, bytes: 1000 };
-    const SECOND: Holding = Holding { clients: 0, backends: 20, bytes: 200 };
+    const ALONE: Holding = Holding {
+        clients: 100,
+        backends: 80,
+        bytes: 1000,
+    };
+    const SECOND: Holding = Holding {
+        clients: 0,
+        backends: 20,
+        bytes: 200,
+    };
 
     fn holding(clients: usize, backends: usize, bytes: usize) -> Holding {
-        Holding { clients, backends, bytes }
+        Holding {
+            clients,
+            backends,
+            bytes,
+        }
     }
 
     fn fits(one: Holding, other: Holding) -> bool {
@@ -171,12 +206,18 @@
             let (mut old_lives, mut new_lives) = (true, true);
             for step in 0..6 {
                 match code / 6_usize.pow(step) % 6 {
-                    0 if old_lives && new_lives => new.handle(Event::OlderHolds(old.told(old_holds))),
+                    0 if old_lives && new_lives => {
+                        new.handle(Event::OlderHolds(old.told(old_holds)))
+                    }
                     1 if old_lives => old.handle(Event::Stop),
                     // A stopping process lets go; what it held is told later.
                     2 if old_lives && old.stopping => old_holds = old_holds.half(),
-                    3 if old_lives => old_holds = old_holds.each(old.may_hold(old_holds), usize::max),
-                    4 if new_lives => new_holds = new_holds.each(new.may_hold(new_holds), usize::max),
+                    3 if old_lives => {
+                        old_holds = old_holds.each(old.may_hold(old_holds), usize::max)
+                    }
+                    4 if new_lives => {
+                        new_holds = new_holds.each(new.may_hold(new_holds), usize::max)
+                    }
                     5 if old_lives && code % 7 == 0 => {
                         (old_lives, old_holds) = (false, Holding::default());
                         new.handle(Event::OlderGone);
@@ -188,7 +229,10 @@
                     _ => continue,
                 }
                 if old_lives && new_lives && fits(old_holds, Holding::default()) {
-                    assert!(fits(old_holds, new_holds), "{code}: {old_holds:?} {new_holds:?}");
+                    assert!(
+                        fits(old_holds, new_holds),
+                        "{code}: {old_holds:?} {new_holds:?}"
+                    );
                     seen += 1;
                 }
             }
@@ -214,7 +258,11 @@
         let mut old = Shares::new(ALONE, SECOND);
         old.handle(Event::Newer);
         assert_eq!(old.may_hold(holding(10, 10, 10)), holding(50, 30, 400));
-        assert_eq!(old.told(holding(70, 10, 10)), holding(70, 30, 400), "it keeps what it held");
+        assert_eq!(
+            old.told(holding(70, 10, 10)),
+            holding(70, 30, 400),
+            "it keeps what it held"
+        );
         old.handle(Event::Stop);
         assert_eq!(
             old.may_hold(holding(7, 3, 5)),
--- a/crates/http1/src/ahead.rs
+++ b/crates/http1/src/ahead.rs
@@ -29,7 +29,10 @@
 
 impl Ahead {
     pub fn new(budget: Budget) -> Rc<Self> {
-        Rc::new(Ahead { budget, kept: RefCell::default() })
+        Rc::new(Ahead {
+            budget,
+            kept: RefCell::default(),
+        })
     }
 
     /// Moves what is kept to a reader, as much as it takes.
@@ -55,7 +58,9 @@
         }
         let (mut kept, mut more) = (self.kept.borrow_mut(), false);
         while kept.bytes.len() + CHUNK <= MOST {
-            let Some(room) = self.budget.lease_spare(CHUNK) else { break };
+            let Some(room) = self.budget.lease_spare(CHUNK) else {
+                break;
+            };
             let read = with_chunk(|chunk| {
                 let read = stream.poll_read(cx, chunk);
                 if let Poll::Ready(Ok(count)) = read {
--- a/crates/http1/src/backend.rs
+++ b/crates/http1/src/backend.rs
@@ -3,17 +3,17 @@
 use crate::outgoing::{Outgoing, Written};
 use crate::socket::Socket;
 use bytes::{Bytes, BytesMut};
-use sillward_balancer::settings::Site;
-use sillward_balancer::{LoadReport, Outcome, ServerId};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::{CONNECTION, CONTENT_TYPE, HOST, HeaderMap, HeaderValue, TRANSFER_ENCODING};
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, Request, Response, StatusCode};
+use sillward_balancer::settings::Site;
+use sillward_balancer::{LoadReport, Outcome, ServerId};
 use sillward_forwarding::{
-    Attempt, BODY_LIMIT, Backends, Broken, Budget, Content, Ended, Exchanged, Form, News, PROBE_TIMEOUT,
-    READ_BUFFER, Reports, Rest, Started, Stop, Task, WHOLE_ANSWER, run,
+    Attempt, BODY_LIMIT, Backends, Broken, Budget, Content, Ended, Exchanged, Form, News,
+    PROBE_TIMEOUT, READ_BUFFER, Reports, Rest, Started, Stop, Task, WHOLE_ANSWER, run,
 };
 use sillward_logging::log_peer;
 use sillward_metrics::Counters;
@@ -62,12 +62,19 @@
     async fn open(&self, stream: Stream) -> io::Result<Carrier> {
         let written = Rc::<Written>::default();
         let sending = Socket(stream, written.clone());
-        let opened = http1::Builder::new().max_buf_size(READ_BUFFER).handshake(sending).await;
+        let opened = http1::Builder::new()
+            .max_buf_size(READ_BUFFER)
+            .handshake(sending)
+            .await;
         let (sender, connection) = opened.map_err(io::Error::other)?;
         let task = spawn_local(async move {
             let _ = connection.await; // its end shows in the request on it
         });
-        Ok(Carrier { sender, written, task: task.abort_handle() })
+        Ok(Carrier {
+            sender,
+            written,
+            task: task.abort_handle(),
+        })
     }
 
     fn is_closed(carrier: &Carrier) -> bool {
@@ -87,7 +94,10 @@
 impl Sent {
     /// Only whose last byte was written can have begun.
     fn may_have_run(&self) -> bool {
-        self.written.borrow().as_ref().is_some_and(|written| written.is_whole())
+        self.written
+            .borrow()
+            .as_ref()
+            .is_some_and(|written| written.is_whole())
     }
 }
 
@@ -112,7 +122,13 @@
     fn attempt(self: Rc<Self>, attempt: Attempt, stopped: oneshot::Receiver<Stop>) -> Task<Ended> {
         Box::pin(async move {
             let sent = Sent::default();
-            let ended = run(&attempt, || sent.may_have_run(), self.exchange(&attempt, &sent), stopped).await;
+            let ended = run(
+                &attempt,
+                || sent.may_have_run(),
+                self.exchange(&attempt, &sent),
+                stopped,
+            )
+            .await;
             if ended.outcome.never_ran() && sent.claimed.get() {
                 attempt.call.unclaim();
             }
@@ -122,7 +138,9 @@
 
     fn probe(self: Rc<Self>, server: ServerId) -> Task<(Outcome, Option<LoadReport>)> {
         Box::pin(async move {
-            timeout(PROBE_TIMEOUT, self.probed(server)).await.unwrap_or((Outcome::TimedOut, None))
+            timeout(PROBE_TIMEOUT, self.probed(server))
+                .await
+                .unwrap_or((Outcome::TimedOut, None))
         })
     }
 
@@ -140,8 +158,18 @@
 }
 
 impl Backend {
-    pub fn new(pool: Rc<Pool<Http1>>, budget: Budget, reports: Reports, counters: Rc<Counters>) -> Rc<Self> {
-        Rc::new(Backend { pool, budget, reports, counters })
+    pub fn new(
+        pool: Rc<Pool<Http1>>,
+        budget: Budget,
+        reports: Reports,
+        counters: Rc<Counters>,
+    ) -> Rc<Self> {
+        Rc::new(Backend {
+            pool,
+            budget,
+            reports,
+            counters,
+        })
     }
 
     async fn exchange(self: &Rc<Self>, attempt: &Attempt, sent: &Sent) -> Exchanged {
@@ -167,7 +195,8 @@
                 // it. That this one broke says nothing of whether its backend is there.
                 Err(mut e) => match e.take_message() {
                     given_back
-                        if (given_back.is_some() || !written.is_whole()) && !attempt.call.is_spent() =>
+                        if (given_back.is_some() || !written.is_whole())
+                            && !attempt.call.is_spent() =>
                     {
                         attempt.call.unclaim();
                         sent.claimed.set(false);
@@ -204,7 +233,11 @@
         let body = match body {
             Some(Answered::Long(first, length, rest)) => {
                 let started = (first, length, report);
-                return (self.passed_on(attempt, connection, started, rest).await, None, None);
+                return (
+                    self.passed_on(attempt, connection, started, rest).await,
+                    None,
+                    None,
+                );
             }
             Some(Answered::Whole(body)) => {
                 // Answered before the end of its request, it is of no further use, and takes no more of the body.
@@ -216,9 +249,14 @@
             None => None,
         };
         let is_answer = |body: &Bytes| call.judge.as_ref().is_none_or(|judge| judge(body));
-        let answer = body.filter(is_answer).filter(|_| outcome == Outcome::Served);
+        let answer = body
+            .filter(is_answer)
+            .filter(|_| outcome == Outcome::Served);
         if outcome == Outcome::Served && answer.is_none() {
-            log_peer(format_args!("server {:x}: a body that is no answer to its call was dropped", server.0));
+            log_peer(format_args!(
+                "server {:x}: a body that is no answer to its call was dropped",
+                server.0
+            ));
             return (Outcome::Error, report, None);
         }
         (outcome, report, answer.map(|bytes| Content { form, bytes }))
@@ -243,9 +281,23 @@
             ended: Some(ended),
             silence: Box::pin(sleep(SILENCE)),
         });
-        let content = Content { form: Form::PLAIN, bytes: first };
-        let started = Started { id: attempt.id, number: attempt.number, content, length, report, rest };
-        if attempt.started.take().is_none_or(|start| start.send(started).is_err()) {
+        let content = Content {
+            form: Form::PLAIN,
+            bytes: first,
+        };
+        let started = Started {
+            id: attempt.id,
+            number: attempt.number,
+            content,
+            length,
+            report,
+            rest,
+        };
+        if attempt
+            .started
+            .take()
+            .is_none_or(|start| start.send(started).is_err())
+        {
             return Outcome::Cancelled; // the node has ended
         }
         // Without a word it was let go of: its client has left, or has another answer.
@@ -261,7 +313,8 @@
         let plain = call.content.form == Form::PLAIN;
         // Backends of two protocols know a repeat only by the very same key: what a header would alter, or a key
         // that is no header, does not go this way.
-        let whole = |key: &Bytes| !key.is_empty() && key.iter().all(|byte| (b'!'..=b'~').contains(byte));
+        let whole =
+            |key: &Bytes| !key.is_empty() && key.iter().all(|byte| (b'!'..=b'~').contains(byte));
         if !plain && call.window.is_some() && !call.idempotency_key.as_ref().is_some_and(whole) {
             return None;
         }
@@ -275,10 +328,17 @@
             return None;
         }
         // The time of a request that is still coming begins with its last byte.
-        let left = call.coming.as_ref().map_or(attempt.until - now, |coming| coming.budget);
+        let left = call
+            .coming
+            .as_ref()
+            .map_or(attempt.until - now, |coming| coming.budget);
         let left = left.as_millis().max(1) as u64;
         let mut request = Request::new(Outgoing::of(call, written.clone(), self.counters.clone()));
-        *request.method_mut() = if call.safe && plain { Method::GET } else { Method::POST };
+        *request.method_mut() = if call.safe && plain {
+            Method::GET
+        } else {
+            Method::POST
+        };
         *request.uri_mut() = target.into();
         let headers = request.headers_mut();
         headers.insert(HOST, host(address));
@@ -322,13 +382,23 @@
             if !served || !may_be_long {
                 return dropped("a long answer where none can go on");
             }
-            return (Outcome::Served, report, Some(Answered::Long(Bytes::new(), length, body)));
+            return (
+                Outcome::Served,
+                report,
+                Some(Answered::Long(Bytes::new(), length, body)),
+            );
         }
         // One of unknown length has room as it grows.
-        let Some(mut room) = self.budget.lease(length.map_or(READ_BUFFER, |length| length as usize)) else {
+        let Some(mut room) = self
+            .budget
+            .lease(length.map_or(READ_BUFFER, |length| length as usize))
+        else {
             return dropped("no room for an answer's body");
         };
-        let (mut held, mut first) = (READ_BUFFER, BytesMut::with_capacity(length.unwrap_or(0) as usize));
+        let (mut held, mut first) = (
+            READ_BUFFER,
+            BytesMut::with_capacity(length.unwrap_or(0) as usize),
+        );
         let until = Instant::now() + HOLD;
         loop {
             let frame = if may_be_long && served && !whole {
@@ -338,7 +408,11 @@
             };
             let Ok(frame) = frame else {
                 let first = room.keep(first.freeze());
-                return (Outcome::Served, report, Some(Answered::Long(first, None, body)));
+                return (
+                    Outcome::Served,
+                    report,
+                    Some(Answered::Long(first, None, body)),
+                );
             };
             let Some(frame) = frame else { break };
             let data = match frame {
@@ -356,11 +430,18 @@
                     return dropped("a long answer where none can go on");
                 }
                 let first = room.keep(first.freeze());
-                return (Outcome::Served, report, Some(Answered::Long(first, None, body)));
+                return (
+                    Outcome::Served,
+                    report,
+                    Some(Answered::Long(first, None, body)),
+                );
             }
         }
         let body = Answered::Whole(room.keep(first.freeze()));
-        let turned_away = head.headers.get("x-rejected").is_some_and(|value| value == "1");
+        let turned_away = head
+            .headers
+            .get("x-rejected")
+            .is_some_and(|value| value == "1");
         match head.status {
             StatusCode::OK => (Outcome::Served, report, Some(body)),
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => {
@@ -380,35 +461,49 @@
         let mut request = Request::new(Outgoing::empty(written));
         *request.method_mut() = Method::GET;
         let reports = self.reports.any();
-        *request.uri_mut() = hyper::Uri::from_static(if reports { "/stats" } else { "/health/live" });
-        let Some(address) = self.pool.address(server) else { return (Outcome::NotSent, None) };
+        *request.uri_mut() =
+            hyper::Uri::from_static(if reports { "/stats" } else { "/health/live" });
+        let Some(address) = self.pool.address(server) else {
+            return (Outcome::NotSent, None);
+        };
         request.headers_mut().insert(HOST, host(address));
         let response = match connection.carrier.sender.send_request(request).await {
             Ok(response) => response,
             Err(e) => return (broken(&e), None),
         };
         let (outcome, in_head, body) = self.answered(server, false, response).await;
-        let Some(Answered::Whole(body)) = body else { return (outcome, in_head) };
+        let Some(Answered::Whole(body)) = body else {
+            return (outcome, in_head);
+        };
         self.pool.put(connection);
         let in_body = || {
-            let text = std::str::from_utf8(&body).ok().filter(|_| reports && outcome == Outcome::Served)?;
+            let text = std::str::from_utf8(&body)
+                .ok()
+                .filter(|_| reports && outcome == Outcome::Served)?;
             self.reports.read(text)
         };
         (outcome, in_body().or(in_head))
     }
 
     fn report_in(&self, headers: &HeaderMap) -> Option<LoadReport> {
-        let value = headers.get("x-load-report").filter(|_| self.reports.any())?;
+        let value = headers
+            .get("x-load-report")
+            .filter(|_| self.reports.any())?;
         let report = value.to_str().ok().and_then(|text| self.reports.read(text));
         if report.is_none() {
-            log_peer(format_args!("a malformed load report was dropped: {value:?}"));
+            log_peer(format_args!(
+                "a malformed load report was dropped: {value:?}"
+            ));
         }
         report
     }
 }
 
 fn says_close(value: &HeaderValue) -> bool {
-    value.as_bytes().split(|byte| *byte == b',').any(|word| word.trim_ascii().eq_ignore_ascii_case(b"close"))
+    value
+        .as_bytes()
+        .split(|byte| *byte == b',')
+        .any(|word| word.trim_ascii().eq_ignore_ascii_case(b"close"))
 }
 
 /// The rest of a long answer, on its way to the client.
@@ -443,7 +538,9 @@
             let outcome = match Pin::new(&mut self.body).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
                     self.silence.as_mut().reset(Instant::now() + SILENCE);
-                    let Ok(data) = frame.into_data() else { continue };
+                    let Ok(data) = frame.into_data() else {
+                        continue;
+                    };
                     self.come += data.len() as u64;
                     // Whoever takes it asks for no more than its length.
                     if Some(self.come) == self.length {
@@ -464,7 +561,10 @@
                     Poll::Pending => return Poll::Pending,
                 },
             };
-            log_peer(format_args!("a long answer broke after {} bytes: {outcome:?}", self.come));
+            log_peer(format_args!(
+                "a long answer broke after {} bytes: {outcome:?}",
+                self.come
+            ));
             self.end(outcome);
             return Poll::Ready(Some(Err(Broken)));
         }
@@ -475,9 +575,14 @@
 /// died. Where the bytes made no sense, something answers there: one such answer is a failure like another, and
 /// no reason to leave the backend out.
 fn broken(error: &hyper::Error) -> Outcome {
-    let cause = std::error::Error::source(error).and_then(|cause| cause.downcast_ref::<io::Error>());
+    let cause =
+        std::error::Error::source(error).and_then(|cause| cause.downcast_ref::<io::Error>());
     let nonsense = |cause: &io::Error| matches!(cause.kind(), InvalidInput | InvalidData);
-    if error.is_parse() || cause.is_some_and(nonsense) { Outcome::Error } else { Outcome::Reset }
+    if error.is_parse() || cause.is_some_and(nonsense) {
+        Outcome::Error
+    } else {
+        Outcome::Reset
+    }
 }
 
 fn host(address: SocketAddr) -> HeaderValue {
--- a/crates/http1/src/backend/tests.rs
+++ b/crates/http1/src/backend/tests.rs
@@ -6,7 +6,8 @@
 use sillward_runtime::net::TcpListener;
 use sillward_runtime::task::block_on;
 
-const SITE: &[u8] = br#"{"Classes":[{"Name":"submit","Target":1,"GiveUp":1,"Idempotency":"free"}]}"#;
+const SITE: &[u8] =
+    br#"{"Classes":[{"Name":"submit","Target":1,"GiveUp":1,"Idempotency":"free"}]}"#;
 const SERVER: ServerId = ServerId(1);
 const MINUTE: Duration = Duration::from_secs(60);
 
@@ -14,27 +15,52 @@
 /// its backend was sent.
 fn overtaken(by: impl FnOnce(&Pool<Http1>, &mut Attempt, News, Duration)) -> (Outcome, String) {
     block_on(async {
-        let listener = TcpListener::bind(([127, 0, 0, 1], 0).into()).await.expect("a port");
-        let terms = Terms { idle_limit: MINUTE, connect_timeout: MINUTE, drain_grace: Duration::ZERO };
+        let listener = TcpListener::bind(([127, 0, 0, 1], 0).into())
+            .await
+            .expect("a port");
+        let terms = Terms {
+            idle_limit: MINUTE,
+            connect_timeout: MINUTE,
+            drain_grace: Duration::ZERO,
+        };
         let pool = Pool::start(Clock::start(), Http1, terms, Sockets::new(10));
-        let entry = ServerEntry { id: SERVER, state: ServerState::Ready, ..ServerEntry::default() };
+        let entry = ServerEntry {
+            id: SERVER,
+            state: ServerState::Ready,
+            ..ServerEntry::default()
+        };
         let address = listener.local_addr().expect("its address");
-        let news = |kind| News { kind, backends: vec![sillward_forwarding::Backend { entry, address }] };
+        let news = |kind| News {
+            kind,
+            backends: vec![sillward_forwarding::Backend { entry, address }],
+        };
         pool.update(&news(ListKind::Full), pool.clock.now());
         let now = pool.clock.now();
         let call = Rc::into_inner(empty(now)).expect("nobody else's");
         let (until, call) = (now + MINUTE, Rc::new(call));
-        let mut attempt =
-            Attempt { id: RequestId(1), number: 0, server: SERVER, until, call, started: Cell::default() };
+        let mut attempt = Attempt {
+            id: RequestId(1),
+            number: 0,
+            server: SERVER,
+            until,
+            call,
+            started: Cell::default(),
+        };
         by(&pool, &mut attempt, news(ListKind::Changes), now);
         let (_stop, stopped) = oneshot::channel();
         let served = spawn_local(async move {
             let (stream, _) = listener.accept().await.expect("a dial");
             let mut sent = [0; 15];
-            let read = Stream::new(stream).0.read(&mut sent).await.unwrap_or_default();
+            let read = Stream::new(stream)
+                .0
+                .read(&mut sent)
+                .await
+                .unwrap_or_default();
             String::from_utf8_lossy(&sent[..read]).into_owned()
         });
-        let reports = Reports::new(Live::new(sillward_balancer::settings::parse(SITE).expect("settings")));
+        let reports = Reports::new(Live::new(
+            sillward_balancer::settings::parse(SITE).expect("settings"),
+        ));
         let backends = Backend::new(pool.clone(), Budget::new(1 << 20), reports, Counters::new());
         let ended = backends.attempt(attempt, stopped).await;
         pool.close_idle(SERVER);
@@ -45,7 +71,10 @@
 
 #[test]
 fn an_attempt_that_nothing_has_overtaken_is_written() {
-    assert_eq!(overtaken(|_, _, _, _| {}), (Outcome::Reset, "POST /submit/1 ".to_owned()));
+    assert_eq!(
+        overtaken(|_, _, _, _| {}),
+        (Outcome::Reset, "POST /submit/1 ".to_owned())
+    );
 }
 
 #[test]
@@ -62,16 +91,29 @@
         let call = std::mem::replace(&mut attempt.call, empty(now));
         attempt.call = gone(call);
     });
-    assert_eq!(left, nothing(), "its client has gone while its connection was dialled");
+    assert_eq!(
+        left,
+        nothing(),
+        "its client has gone while its connection was dialled"
+    );
     let over = overtaken(|_, attempt, _, _| attempt.call.over.set(true));
     assert_eq!(over, nothing(), "the request has its answer");
-    let forgotten = overtaken(|_, attempt, _, now| attempt.call.first_byte.set(Some(now - 2 * MINUTE)));
-    assert_eq!(forgotten, nothing(), "backends have forgotten the first attempt of a keyed request");
+    let forgotten =
+        overtaken(|_, attempt, _, now| attempt.call.first_byte.set(Some(now - 2 * MINUTE)));
+    assert_eq!(
+        forgotten,
+        nothing(),
+        "backends have forgotten the first attempt of a keyed request"
+    );
     let drained = overtaken(|pool, _, mut news, now| {
         news.backends[0].entry.state = ServerState::Draining;
         pool.update(&news, now);
     });
-    assert_eq!(drained, nothing(), "the grace after the news of a drain is over");
+    assert_eq!(
+        drained,
+        nothing(),
+        "the grace after the news of a drain is over"
+    );
 }
 
 /// A call of no bytes.
