--- a/crates/http1/src/front.rs
+++ b/crates/http1/src/front.rs
@@ -6,12 +6,12 @@
 use crate::request::{self, Arriving, Bad, First};
 use crate::socket::Socket;
 use bytes::Bytes;
-use sillward_balancer::{NewRequest, Repeat};
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode, Version};
+use sillward_balancer::{NewRequest, Repeat};
 use sillward_forwarding::{Answer, Budget, Call, Coming, Content, Feed, Intake, Live, READ_BUFFER};
 use sillward_listener::{Client, Door, LINGER, Life, READ_PAST, Serve};
 use sillward_logging::log_peer;
@@ -50,7 +50,15 @@
         life: Rc<Life>,
         counters: Rc<Counters>,
     ) -> Rc<Self> {
-        Rc::new(Front { live, intake, life, counters, door, budget, open: RefCell::default() })
+        Rc::new(Front {
+            live,
+            intake,
+            life,
+            counters,
+            door,
+            budget,
+            open: RefCell::default(),
+        })
     }
 
     async fn respond(
@@ -65,7 +73,9 @@
         // After what is malformed nobody can tell where the next request begins, nor after what was not read whole.
         let last = self.door.is_closing() || matches!(answer, Err(_) | Ok(Answered::Unread(_)));
         let mut response = match answer {
-            Ok(Answered::Read(Answer::Streamed(content, length, rest))) if length.is_some() || !http_10 => {
+            Ok(Answered::Read(Answer::Streamed(content, length, rest)))
+                if length.is_some() || !http_10 =>
+            {
                 let door = self.door.clone();
                 // Its client asks for nothing, and is not idle, before that.
                 let over = Box::new(move || door.done(&client, last));
@@ -81,7 +91,9 @@
             }
         };
         if last {
-            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            response
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
         }
         Ok(response)
     }
@@ -117,21 +129,35 @@
         let class = request.class;
         let failed = |_: &Bad| self.counters.ended(class, End::BadGateway);
         let mut arriving = Arriving::new(body);
-        let (bytes, more) = match arriving.first(framing, &self.budget).await.inspect_err(failed)? {
+        let (bytes, more) = match arriving
+            .first(framing, &self.budget)
+            .await
+            .inspect_err(failed)?
+        {
             First::Whole(bytes) => (bytes, false),
             First::More(bytes) => (bytes, true),
             First::NoRoom => {
                 log_peer("no room for a request's body: refused");
                 self.counters.ended(class, End::Dropped);
-                spawn_local(request::drain(arriving.into_rest(), READ_PAST, Instant::now() + LINGER / 2));
+                spawn_local(request::drain(
+                    arriving.into_rest(),
+                    READ_PAST,
+                    Instant::now() + LINGER / 2,
+                ));
                 let after = site.settings.limits.max_retry_after;
-                return Ok(Answered::Unread(Answer::Refused { after, never_ran: true }));
+                return Ok(Answered::Unread(Answer::Refused {
+                    after,
+                    never_ran: true,
+                }));
             }
         };
         let at = self.intake.clock().now();
         // Its own, or another client's: that one's attempts must not be taken for this one's.
         let Some(_open) = Open::enter(&self.open, &request.call_id) else {
-            let conflict = (StatusCode::CONFLICT, "a request with this X-Call-Id is open");
+            let conflict = (
+                StatusCode::CONFLICT,
+                "a request with this X-Call-Id is open",
+            );
             return Err(conflict).inspect_err(failed);
         };
         let new = NewRequest {
@@ -187,12 +213,21 @@
         if arriving.is_ended() {
             return Ok(Answered::Read(answer));
         }
-        spawn_local(request::drain(arriving.into_rest(), READ_PAST, Instant::now() + LINGER / 2));
+        spawn_local(request::drain(
+            arriving.into_rest(),
+            READ_PAST,
+            Instant::now() + LINGER / 2,
+        ));
         Ok(Answered::Unread(answer))
     }
 
     /// Passes a body on as it comes, and tells when all of it has; returns only if it breaks.
-    async fn pass_on(&self, body: &mut Arriving, feed: Feed, told: oneshot::Sender<Duration>) -> Bad {
+    async fn pass_on(
+        &self,
+        body: &mut Arriving,
+        feed: Feed,
+        told: oneshot::Sender<Duration>,
+    ) -> Bad {
         loop {
             match body.next().await {
                 Ok(Some(bytes)) => {
@@ -225,8 +260,12 @@
     async fn serve(self: Rc<Self>, stream: Stream, client: Rc<Client>) {
         let (heads, ahead) = (Rc::<Heads>::default(), Ahead::new(self.budget.clone()));
         let kept = stream.again();
-        let service = service_fn(|request| self.clone().respond(client.clone(), heads.clone(), request));
-        let inlet = Inlet { heads: heads.clone(), ahead: ahead.clone() };
+        let service =
+            service_fn(|request| self.clone().respond(client.clone(), heads.clone(), request));
+        let inlet = Inlet {
+            heads: heads.clone(),
+            ahead: ahead.clone(),
+        };
         let connection = http1::Builder::new()
             // Its time-out would run on idle connections too: the door tells them apart.
             .header_read_timeout(None)
@@ -256,7 +295,10 @@
 
 impl<'a> Open<'a> {
     fn enter(all: &'a RefCell<HashSet<HeaderValue>>, id: &HeaderValue) -> Option<Self> {
-        all.borrow_mut().insert(id.clone()).then(|| Open { all, id: id.clone() })
+        all.borrow_mut().insert(id.clone()).then(|| Open {
+            all,
+            id: id.clone(),
+        })
     }
 }
 
--- a/crates/http1/src/heads.rs
+++ b/crates/http1/src/heads.rs
@@ -42,7 +42,11 @@
 
     fn line(&mut self) -> bool {
         let begin = &self.begin[..self.length.min(self.begin.len())];
-        let starts = |with: &[u8]| begin.get(..with.len()).is_some_and(|b| b.eq_ignore_ascii_case(with));
+        let starts = |with: &[u8]| {
+            begin
+                .get(..with.len())
+                .is_some_and(|b| b.eq_ignore_ascii_case(with))
+        };
         if starts(LENGTH) {
             self.lengths += 1;
         } else if starts(CODING) {
@@ -91,7 +95,11 @@
         for size in 1..text.len() {
             let mut lines = Lines::default();
             let pieces = text.as_bytes().chunks(size).map(|piece| lines.take(piece));
-            assert_eq!(pieces.fold(false, |a, b| a | b), whole, "{text:?} in pieces of {size}");
+            assert_eq!(
+                pieces.fold(false, |a, b| a | b),
+                whole,
+                "{text:?} in pieces of {size}"
+            );
         }
         whole
     }
--- a/crates/http1/src/outgoing.rs
+++ b/crates/http1/src/outgoing.rs
@@ -65,21 +65,40 @@
     pub fn empty(written: Rc<Written>) -> Self {
         written.begin(None);
         written.taken.set(true);
-        Outgoing { bytes: Bytes::new(), call: None, flow: None, gone: false, left: Some(0), written }
+        Outgoing {
+            bytes: Bytes::new(),
+            call: None,
+            flow: None,
+            gone: false,
+            left: Some(0),
+            written,
+        }
     }
 
     /// A call's, on a connection whose last request is over.
     pub fn of(call: &Rc<Call>, written: Rc<Written>, counters: Rc<Counters>) -> Self {
         written.begin(Some(counters));
         let bytes = call.content.bytes.clone();
-        let left = call.coming.as_ref().map_or(Some(bytes.len() as u64), |coming| coming.length);
+        let left = call
+            .coming
+            .as_ref()
+            .map_or(Some(bytes.len() as u64), |coming| coming.length);
         let more = call.coming.is_some().then(|| call.clone());
         written.taken.set(left == Some(0));
-        Outgoing { bytes, call: more, flow: None, gone: false, left, written }
+        Outgoing {
+            bytes,
+            call: more,
+            flow: None,
+            gone: false,
+            left,
+            written,
+        }
     }
 
     fn goes(&mut self, bytes: Bytes) -> Frame<Bytes> {
-        self.left = self.left.map(|left| left.saturating_sub(bytes.len() as u64));
+        self.left = self
+            .left
+            .map(|left| left.saturating_sub(bytes.len() as u64));
         if self.left == Some(0) {
             self.written.taken.set(true);
         }
@@ -116,7 +135,9 @@
             this.flow = coming.take();
         }
         let broken = || io::Error::other("the client's body broke");
-        let Some(flow) = &mut this.flow else { return Poll::Ready(Some(Err(broken()))) };
+        let Some(flow) = &mut this.flow else {
+            return Poll::Ready(Some(Err(broken())));
+        };
         Poll::Ready(match ready!(flow.poll_next(cx)) {
             Some(Ok(bytes)) => {
                 this.gone = true;
@@ -135,6 +156,7 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.left.map_or_else(SizeHint::default, SizeHint::with_exact)
+        self.left
+            .map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
--- a/crates/http1/src/reply.rs
+++ b/crates/http1/src/reply.rs
@@ -24,8 +24,18 @@
 }
 
 impl Reply {
-    pub fn long(first: Bytes, length: Option<u64>, rest: Box<dyn Rest>, over: Box<dyn FnOnce()>) -> Self {
-        Reply::Long(Long { first, rest, left: length, over: Some(over) })
+    pub fn long(
+        first: Bytes,
+        length: Option<u64>,
+        rest: Box<dyn Rest>,
+        over: Box<dyn FnOnce()>,
+    ) -> Self {
+        Reply::Long(Long {
+            first,
+            rest,
+            left: length,
+            over: Some(over),
+        })
     }
 }
 
@@ -47,7 +57,9 @@
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let long = match self.get_mut() {
             Reply::Whole(bytes) if bytes.is_empty() => return Poll::Ready(None),
-            Reply::Whole(bytes) => return Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            Reply::Whole(bytes) => {
+                return Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes)))));
+            }
             Reply::Long(long) => long,
         };
         let bytes = if long.first.is_empty() {
@@ -62,7 +74,9 @@
         } else {
             std::mem::take(&mut long.first)
         };
-        long.left = long.left.map(|left| left.saturating_sub(bytes.len() as u64));
+        long.left = long
+            .left
+            .map(|left| left.saturating_sub(bytes.len() as u64));
         Poll::Ready(Some(Ok(Frame::data(bytes))))
     }
 
@@ -76,7 +90,9 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Reply::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Reply::Long(Long { left: Some(left), .. }) => SizeHint::with_exact(*left),
+            Reply::Long(Long {
+                left: Some(left), ..
+            }) => SizeHint::with_exact(*left),
             Reply::Long(_) => SizeHint::default(),
         }
     }
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -2,14 +2,14 @@
 
 use crate::heads::Heads;
 use bytes::{Bytes, BytesMut};
-use sillward_balancer::Repeat;
-use sillward_balancer::settings::Site;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderValue, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, StatusCode};
+use sillward_balancer::Repeat;
+use sillward_balancer::settings::Site;
 use sillward_forwarding::{BODY_LIMIT, Budget, KEPT_BODY, READ_BUFFER, WHOLE_ANSWER, key_number};
 use sillward_logging::log_peer;
 use sillward_runtime::time::{Instant, timeout, timeout_at};
@@ -74,7 +74,11 @@
         return Err((BAD, "a head that frames its body twice"));
     }
     if let Some(coding) = head.headers.get(TRANSFER_ENCODING) {
-        if !coding.as_bytes().trim_ascii().eq_ignore_ascii_case(b"chunked") {
+        if !coding
+            .as_bytes()
+            .trim_ascii()
+            .eq_ignore_ascii_case(b"chunked")
+        {
             return Err((StatusCode::NOT_IMPLEMENTED, "no coding but chunked, please"));
         }
         return Ok(Framing::Chunked);
@@ -89,19 +93,38 @@
 /// Reads a head as the protocol words it. What does not fit never reaches a backend.
 pub fn check(site: &Site, head: Parts, framing: Framing) -> Result<Checked, Bad> {
     let path = head.uri.path_and_query().ok_or((BAD, "no path"))?.clone();
-    let mut parts = path.path().strip_prefix('/').ok_or((BAD, "no path"))?.split('/');
+    let mut parts = path
+        .path()
+        .strip_prefix('/')
+        .ok_or((BAD, "no path"))?
+        .split('/');
     let name = parts.next().unwrap_or_default();
-    let class = site.class(name).ok_or((StatusCode::NOT_FOUND, "unknown class"))?;
-    let key = parts.next_back().filter(|key| !key.is_empty()).map_or(0, key_number);
+    let class = site
+        .class(name)
+        .ok_or((StatusCode::NOT_FOUND, "unknown class"))?;
+    let key = parts
+        .next_back()
+        .filter(|key| !key.is_empty())
+        .map_or(0, key_number);
     let terms = &site.settings.classes[class];
 
-    if ONCE.iter().any(|name| head.headers.get_all(*name).iter().nth(1).is_some()) {
+    if ONCE
+        .iter()
+        .any(|name| head.headers.get_all(*name).iter().nth(1).is_some())
+    {
         return Err((BAD, "a header stands twice"));
     }
     let idempotency_key = head.headers.get("idempotency-key").cloned();
-    let method = if terms.repeat == Repeat::Safe { Method::GET } else { Method::POST };
+    let method = if terms.repeat == Repeat::Safe {
+        Method::GET
+    } else {
+        Method::POST
+    };
     if head.method != method {
-        return Err((StatusCode::METHOD_NOT_ALLOWED, "wrong method for this class"));
+        return Err((
+            StatusCode::METHOD_NOT_ALLOWED,
+            "wrong method for this class",
+        ));
     }
     if method == Method::GET && framing != Framing::Length(0) {
         return Err((BAD, "a body where none belongs"));
@@ -111,7 +134,10 @@
         Repeat::Keyed { .. } => return Err((BAD, "no Idempotency-Key")),
         _ => None,
     };
-    let call_id = head.headers.get("x-call-id").filter(|id| (1..=LONGEST_ID).contains(&id.len()));
+    let call_id = head
+        .headers
+        .get("x-call-id")
+        .filter(|id| (1..=LONGEST_ID).contains(&id.len()));
     let call_id = call_id.ok_or((BAD, "no X-Call-Id"))?.clone();
     let budget = text(&head.headers, "x-budget-ms").and_then(|text| text.parse::<u64>().ok());
     let budget = budget.filter(|ms| (1..=LONGEST_BUDGET_MS).contains(ms));
@@ -132,7 +158,10 @@
         budget,
         window,
         cost: cost.map(Duration::from_micros),
-        client_retry: head.headers.get("x-again").is_some_and(|value| value == "1"),
+        client_retry: head
+            .headers
+            .get("x-again")
+            .is_some_and(|value| value == "1"),
     })
 }
 
@@ -157,7 +186,12 @@
 
 impl Arriving {
     pub fn new(body: Incoming) -> Self {
-        Arriving { body, waited: Duration::ZERO, received: 0, ended: false }
+        Arriving {
+            body,
+            waited: Duration::ZERO,
+            received: 0,
+            ended: false,
+        }
     }
 
     /// The next bytes; `None` at the end.
@@ -180,7 +214,9 @@
                 self.ended = true;
                 return Ok(None);
             };
-            let Ok(data) = frame.map_err(|_| (BAD, "broken body"))?.into_data() else { continue };
+            let Ok(data) = frame.map_err(|_| (BAD, "broken body"))?.into_data() else {
+                continue;
+            };
             self.received += data.len() as u64;
             if self.received > BODY_LIMIT {
                 return Err(TOO_LONG);
@@ -191,7 +227,9 @@
 
     /// Reads what is kept of it, or all.
     pub async fn first(&mut self, framing: Framing, budget: &Budget) -> Result<First, Bad> {
-        let length = framing.length().and_then(|length| usize::try_from(length).ok());
+        let length = framing
+            .length()
+            .and_then(|length| usize::try_from(length).ok());
         if length == Some(0) {
             self.ended = true;
             return Ok(First::Whole(Bytes::new()));
@@ -202,7 +240,9 @@
             Some(length) => budget.lease(length),
             None => budget.lease_spare(SHORT),
         };
-        let Some(mut room) = room else { return Ok(First::NoRoom) };
+        let Some(mut room) = room else {
+            return Ok(First::NoRoom);
+        };
         let mut held = short.unwrap_or(SHORT);
         let mut whole = BytesMut::with_capacity(short.unwrap_or(READ_BUFFER));
         while let Some(data) = self.next().await? {
--- a/crates/http1/src/socket.rs
+++ b/crates/http1/src/socket.rs
@@ -58,7 +58,11 @@
 }
 
 impl<W: Watch> Write for Socket<W> {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        from: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.0.poll_write(cx, &[io::IoSlice::new(from)])
     }
 
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -50,7 +50,12 @@
 impl Lifecycle {
     /// A node that has just started.
     pub fn new(terms: Terms) -> Self {
-        Lifecycle { terms, listed: false, out: None, leaving: None }
+        Lifecycle {
+            terms,
+            listed: false,
+            out: None,
+            leaving: None,
+        }
     }
 
     /// Takes in what happened at `now`. What is told twice changes nothing the second time.
@@ -109,7 +114,10 @@
     fn out_of_service_says_no_at_once_and_closes_idle_connections_only_after_the_front_has_heard() {
         let mut node = listed();
         assert_eq!(node.handle(at(1000), Event::OutOfService), Said::Yes);
-        assert!(!node.healthy() && node.parting(), "clients are sent elsewhere, each answer is the last");
+        assert!(
+            !node.healthy() && node.parting(),
+            "clients are sent elsewhere, each answer is the last"
+        );
         assert!(node.can_serve(), "the process itself is sound");
         assert!(!node.idle_may_close(at(1449)));
         assert!(node.idle_may_close(at(1450)));
@@ -129,9 +137,15 @@
         node.handle(at(1000), Event::OutOfService);
         assert_eq!(node.handle(at(1100), Event::InService), Said::Yes);
         assert!(node.healthy() && !node.parting());
-        assert!(!node.idle_may_close(at(9000)), "nothing of the drain is left");
+        assert!(
+            !node.idle_may_close(at(9000)),
+            "nothing of the drain is left"
+        );
         node.handle(at(9000), Event::OutOfService);
-        assert!(!node.idle_may_close(at(9449)), "a second drain has its own time");
+        assert!(
+            !node.idle_may_close(at(9449)),
+            "a second drain has its own time"
+        );
     }
 
     #[test]
@@ -147,7 +161,12 @@
     /// Over all orders of four events: a node is healthy only if it knows backends and nothing has taken it out.
     #[test]
     fn no_order_of_events_leaves_a_node_healthy_that_is_out_or_leaving() {
-        let events = [Event::Listed, Event::OutOfService, Event::InService, Event::Stop];
+        let events = [
+            Event::Listed,
+            Event::OutOfService,
+            Event::InService,
+            Event::Stop,
+        ];
         for code in 0..4_usize.pow(6) {
             let mut node = Lifecycle::new(Terms { front: FRONT });
             let (mut listed, mut out, mut leaving) = (false, false, false);
--- a/crates/listener/src/lib.rs
+++ b/crates/listener/src/lib.rs
@@ -73,7 +73,11 @@
     /// A request has begun to come whole: its head, or all of it. Returns when its rest must be here: the first
     /// request's time runs from the accept, a later one's from its first byte.
     pub fn opened(&self) -> Instant {
-        let begun = if self.asked.replace(true) { self.socket.heard() } else { Some(self.accepted) };
+        let begun = if self.asked.replace(true) {
+            self.socket.heard()
+        } else {
+            Some(self.accepted)
+        };
         self.stage.set(Stage::Open);
         begun.unwrap_or_else(Instant::now) + READ_TIMEOUT
     }
@@ -126,7 +130,11 @@
     /// Ends or closes it if its time is up. A request whose rest has come, and only waits to be read since this
     /// node was held up itself, is owed its answer: bytes that wait to be read are a reason to wait.
     fn look(&self, now: Instant) {
-        let begun = if self.asked.get() { self.socket.heard() } else { Some(self.accepted) };
+        let begun = if self.asked.get() {
+            self.socket.heard()
+        } else {
+            Some(self.accepted)
+        };
         let late = begun.is_some_and(|begun| now > begun + READ_TIMEOUT);
         let blocked = self.socket.blocked();
         if blocked.is_some_and(|since| now > since + WRITE_TIMEOUT) {
@@ -134,7 +142,9 @@
         }
         match self.stage.get() {
             // What it still takes of its answer is not cut off.
-            Stage::Closing(since) if now > since + LINGER && blocked.is_none() => self.end.notify_one(),
+            Stage::Closing(since) if now > since + LINGER && blocked.is_none() => {
+                self.end.notify_one()
+            }
             Stage::Idle(_) if late && self.socket.is_quiet() => {
                 log_peer("a client's head was too slow");
                 self.end.notify_one();
@@ -148,7 +158,9 @@
     /// they make room: a crowd of the silent takes no place from those that are served.
     fn idle(&self) -> Option<(bool, Instant)> {
         match self.stage.get() {
-            Stage::Idle(since) if self.socket.heard().is_none() && self.socket.blocked().is_none() => {
+            Stage::Idle(since)
+                if self.socket.heard().is_none() && self.socket.blocked().is_none() =>
+            {
                 Some((self.asked.get(), since))
             }
             _ => None,
@@ -167,8 +179,15 @@
 impl Life {
     /// A node that has just started; `listed` is set once it knows enough of its backends to serve.
     pub fn start(clock: Clock, listed: Rc<Cell<bool>>) -> Rc<Self> {
-        let state = Lifecycle::new(Terms { front: ACCEPT_ON + LAST_WORDS }).into();
-        Rc::new(Life { clock, state, listed })
+        let state = Lifecycle::new(Terms {
+            front: ACCEPT_ON + LAST_WORDS,
+        })
+        .into();
+        Rc::new(Life {
+            clock,
+            state,
+            listed,
+        })
     }
 
     /// Takes in what has happened.
@@ -273,7 +292,11 @@
     pub fn done(&self, client: &Client, last: bool) {
         client.socket.listen_anew();
         let now = Instant::now();
-        client.stage.set(if last { Stage::Closing(now) } else { Stage::Idle(now) });
+        client.stage.set(if last {
+            Stage::Closing(now)
+        } else {
+            Stage::Idle(now)
+        });
         if self.clients.borrow().len() >= self.most_clients.get() {
             self.left.notify_one(); // whoever waits to come in finds this one idle
         }
@@ -292,7 +315,11 @@
             loop {
                 sleep(WATCH).await;
                 let now = Instant::now();
-                watched.clients.borrow().values().for_each(|client| client.look(now));
+                watched
+                    .clients
+                    .borrow()
+                    .values()
+                    .for_each(|client| client.look(now));
                 if watched.life.idle_may_close() {
                     watched.part(now);
                 }
@@ -320,7 +347,10 @@
             sleep(ACCEPT_ON).await;
         }
         sleep(LAST_WORDS).await;
-        self.clients.borrow().values().for_each(|client| client.close.notify_one());
+        self.clients
+            .borrow()
+            .values()
+            .for_each(|client| client.close.notify_one());
         let all_left = async {
             while !self.clients.borrow().is_empty() {
                 self.left.notified().await;
@@ -335,7 +365,9 @@
     /// Closes what is idle while clients are sent elsewhere, but nothing on which a request has begun to come.
     fn part(&self, now: Instant) {
         for client in self.clients.borrow().values() {
-            let idle = client.idle().is_some_and(|(_, since)| now > since + PARTING_IDLE);
+            let idle = client
+                .idle()
+                .is_some_and(|(_, since)| now > since + PARTING_IDLE);
             if idle && client.socket.is_quiet() {
                 client.close();
             }
@@ -355,7 +387,9 @@
                     }
                 }
             }
-            while self.waiting.borrow().is_some() && self.clients.borrow().len() >= self.most_clients.get() {
+            while self.waiting.borrow().is_some()
+                && self.clients.borrow().len() >= self.most_clients.get()
+            {
                 self.make_room();
                 let _ = timeout(ACCEPT_PAUSE, self.left.notified()).await;
             }
@@ -365,16 +399,20 @@
 
     fn serve_waiting<S: Serve>(self: &Rc<Self>, front: &Rc<S>) {
         let waiting = self.waiting.borrow_mut().take();
-        waiting.into_iter().for_each(|stream| self.serve(front, stream));
+        waiting
+            .into_iter()
+            .for_each(|stream| self.serve(front, stream));
     }
 
     /// Between requests a node may close a connection: the first that has nothing to say.
     fn make_room(&self) {
         let (clients, now) = (self.clients.borrow(), Instant::now());
-        let closing = clients.values().filter_map(|client| match client.stage.get() {
-            Stage::Closing(since) => Some((since, client)),
-            _ => None,
-        });
+        let closing = clients
+            .values()
+            .filter_map(|client| match client.stage.get() {
+                Stage::Closing(since) => Some((since, client)),
+                _ => None,
+            });
         match closing.min_by_key(|(since, _)| *since) {
             // It will leave by itself in a moment, or it has had its moment.
             Some((since, client)) if now > since + ACCEPT_PAUSE => {
@@ -386,8 +424,10 @@
             Some(_) => return,
             None => {}
         }
-        let mut idle: Vec<_> =
-            clients.values().filter_map(|client| client.idle().map(|order| (order, client))).collect();
+        let mut idle: Vec<_> = clients
+            .values()
+            .filter_map(|client| client.idle().map(|order| (order, client)))
+            .collect();
         let new = |client: &Client| !client.asked.get() && now < client.accepted + FIRST_WORDS;
         if idle.iter().filter(|(_, client)| new(client)).count()
             <= (self.most_clients.get() / FIRST_PLACES).max(1)
@@ -395,7 +435,10 @@
             idle.retain(|(_, client)| !new(client));
         }
         idle.sort_unstable_by_key(|(order, _)| *order);
-        if let Some((_, client)) = idle.into_iter().find(|(_, client)| client.socket.is_quiet()) {
+        if let Some((_, client)) = idle
+            .into_iter()
+            .find(|(_, client)| client.socket.is_quiet())
+        {
             client.close();
         }
     }
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -38,7 +38,11 @@
                 }
             }
         };
-        std::thread::Builder::new().stack_size(64 * 1024).spawn(write).ok().map(|_| entries)
+        std::thread::Builder::new()
+            .stack_size(64 * 1024)
+            .spawn(write)
+            .ok()
+            .map(|_| entries)
     };
     WRITER.get_or_init(start).as_ref()
 }
@@ -65,14 +69,20 @@
     let (since, lines, left_out) = COUNT.get();
     let now = Instant::now();
     let fresh = since.is_none_or(|since| now - since >= Duration::from_secs(1));
-    let (since, lines) = if fresh { (Some(now), 0) } else { (since, lines) };
+    let (since, lines) = if fresh {
+        (Some(now), 0)
+    } else {
+        (since, lines)
+    };
     if lines >= PEER_LINES_A_SECOND {
         return COUNT.set((since, lines, left_out + 1));
     }
     COUNT.set((since, lines + 1, 0));
     match left_out {
         0 => log(text),
-        some => log(format_args!("{text} ({some} lines about peers were left out before this one)")),
+        some => log(format_args!(
+            "{text} ({some} lines about peers were left out before this one)"
+        )),
     }
 }
 
--- a/crates/membership/src/health.rs
+++ b/crates/membership/src/health.rs
@@ -17,7 +17,12 @@
 impl Health {
     /// `least` is the shortest time that an answer is waited for.
     pub fn new(least: Duration) -> Self {
-        Health { score: 0, smoothed: None, variation: Duration::ZERO, least }
+        Health {
+            score: 0,
+            smoothed: None,
+            variation: Duration::ZERO,
+            least,
+        }
     }
 
     /// Something shows that this node may be slow, or not hear: an answer missing that others had, a suspicion of itself, a
@@ -57,7 +62,9 @@
 
     /// How long an answer may take for a node in good health: never over ten times the least.
     pub fn usual_wait(&self) -> Duration {
-        let estimated = self.smoothed.map_or(self.least, |smoothed| smoothed + self.variation * 4);
+        let estimated = self
+            .smoothed
+            .map_or(self.least, |smoothed| smoothed + self.variation * 4);
         estimated.clamp(self.least, self.least * 10)
     }
 
--- a/crates/membership/src/life.rs
+++ b/crates/membership/src/life.rs
@@ -14,7 +14,8 @@
 
     /// A name; `None` if it is empty, too long, or has control characters.
     pub fn new(text: &str) -> Option<Self> {
-        let good = !text.is_empty() && text.len() <= Self::MOST && !text.chars().any(char::is_control);
+        let good =
+            !text.is_empty() && text.len() <= Self::MOST && !text.chars().any(char::is_control);
         good.then(|| Name(text.into()))
     }
 
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -297,7 +297,11 @@
             leaving: false,
             out: Vec::new(),
         };
-        let epoch = if peers.planted(Plant::NoIncarnation) { epoch.max(1) } else { epoch.saturating_add(1) };
+        let epoch = if peers.planted(Plant::NoIncarnation) {
+            epoch.max(1)
+        } else {
+            epoch.saturating_add(1)
+        };
         peers.live(epoch, now);
         let about = AboutWords::from(&peers.me.about).encode_to_vec();
         // Bounded by whoever made the terms; one that is too long is not told, and the zone is empty to others.
@@ -310,9 +314,13 @@
         self.wake(now);
         match event {
             Event::Turn => self.turn(now),
-            Event::Frame { name, address, life, to, frame } => {
-                self.frame(now, name, address, life, to, &frame)
-            }
+            Event::Frame {
+                name,
+                address,
+                life,
+                to,
+                frame,
+            } => self.frame(now, name, address, life, to, &frame),
             Event::Sync(step) => self.sync(now, &step),
             Event::Leave => self.leave(),
         }
@@ -404,15 +412,28 @@
         if bytes.len() > MOST_BYTES {
             return Err("the value is too long");
         }
-        if self.values.get(key).is_some_and(|value| *value.bytes == *bytes) {
+        if self
+            .values
+            .get(key)
+            .is_some_and(|value| *value.bytes == *bytes)
+        {
             return Ok(());
         }
-        let version = self.values.top().checked_add(1).ok_or("no version is left in this life")?;
-        let value = Value { key: key.into(), version, bytes: bytes.into() };
+        let version = self
+            .values
+            .top()
+            .checked_add(1)
+            .ok_or("no version is left in this life")?;
+        let value = Value {
+            key: key.into(),
+            version,
+            bytes: bytes.into(),
+        };
         if !self.values.take(value) {
             return Err("there are too many values");
         }
-        self.rumours.add(Subject::Value(self.me.name.clone(), key.into()));
+        self.rumours
+            .add(Subject::Value(self.me.name.clone(), key.into()));
         self.next_gossip = self.next_gossip.min(now.max(self.last));
         Ok(())
     }
@@ -433,7 +454,10 @@
     }
 
     fn own<'a>(&'a self, claim: &'a Claim) -> Own<'a> {
-        Own { claim, values: &self.values }
+        Own {
+            claim,
+            values: &self.values,
+        }
     }
 
     fn is_me(&self, name: &Name) -> bool {
@@ -452,7 +476,8 @@
     /// Nobody has been heard for long enough that the fault may be this node's own.
     fn is_deaf(&self, now: Duration) -> bool {
         let patience = self.least_suspicion().max(self.terms.probe * 2);
-        self.heard.is_none_or(|heard| now.saturating_sub(heard) > patience)
+        self.heard
+            .is_none_or(|heard| now.saturating_sub(heard) > patience)
     }
 
     fn least_suspicion(&self) -> Duration {
@@ -469,7 +494,10 @@
             return;
         }
         self.figures.pauses += 1;
-        self.out.push(Action::News(format!("was not running for {} ms", slept.as_millis())));
+        self.out.push(Action::News(format!(
+            "was not running for {} ms",
+            slept.as_millis()
+        )));
         self.live(self.life.epoch.saturating_add(1), now);
     }
 
@@ -480,7 +508,10 @@
         } else {
             self.dice.next_u32()
         };
-        self.life = Life { epoch: epoch.max(1), salt: salt.max(1) };
+        self.life = Life {
+            epoch: epoch.max(1),
+            salt: salt.max(1),
+        };
         self.figures.lives += 1;
         self.word = 0;
         self.settled = false;
@@ -491,7 +522,11 @@
         self.soon.clear();
         // Waits that ran while nobody looked are begun anew.
         for name in &self.suspected {
-            if let Some(suspicion) = self.members.get_mut(name).and_then(|m| m.suspicion.as_mut()) {
+            if let Some(suspicion) = self
+                .members
+                .get_mut(name)
+                .and_then(|m| m.suspicion.as_mut())
+            {
                 suspicion.since = now;
             }
         }
@@ -516,7 +551,10 @@
             if self.lives.len() > NAMESAKES {
                 self.lives.clear();
                 self.silent_until = now + CONFLICT + self.about(CONFLICT);
-                let what = format!("another process claims the name {} at {}", self.me.name, claim.address);
+                let what = format!(
+                    "another process claims the name {} at {}",
+                    self.me.name, claim.address
+                );
                 self.out.push(Action::News(what));
             }
             self.live(claim.life.epoch.saturating_add(1), now);
@@ -526,9 +564,14 @@
             return;
         }
         if !claim.state.is_living() {
-            self.out.push(Action::News(format!("was called gone in life {}", self.life)));
+            self.out.push(Action::News(format!(
+                "was called gone in life {}",
+                self.life
+            )));
             self.live(self.life.epoch.saturating_add(1), now);
-        } else if claim.word > self.word || (claim.word == self.word && claim.state == State::Suspected) {
+        } else if claim.word > self.word
+            || (claim.word == self.word && claim.state == State::Suspected)
+        {
             self.word = claim.word.saturating_add(1);
             self.figures.refuted += 1;
             self.health.worse(1);
@@ -541,22 +584,44 @@
 
     fn leave(&mut self) {
         self.leaving = true;
-        let claim = Claim { state: State::Left, ..self.claim() };
+        let claim = Claim {
+            state: State::Left,
+            ..self.claim()
+        };
         let update = Update::from(&claim);
         for name in self.some_living(FAN_OUT * 2, None) {
-            let frame = Frame { updates: vec![update.clone()], print: 0, ..Frame::default() };
+            let frame = Frame {
+                updates: vec![update.clone()],
+                print: 0,
+                ..Frame::default()
+            };
             self.send(&name, frame);
         }
     }
 
     // ---- What comes in ------------------------------------------------------------------------
 
-    fn frame(&mut self, now: Duration, name: Name, address: SocketAddr, life: Life, to: u32, frame: &Frame) {
+    fn frame(
+        &mut self,
+        now: Duration,
+        name: Name,
+        address: SocketAddr,
+        life: Life,
+        to: u32,
+        frame: &Frame,
+    ) {
         if self.silent_until > now || self.leaving {
             return;
         }
         let kind = Kind::try_from(frame.kind).unwrap_or(Kind::Gossip); // a newer build's: its rumours are read
-        let header = Claim { name, address, life, word: 0, state: State::Alive, by: 0 };
+        let header = Claim {
+            name,
+            address,
+            life,
+            word: 0,
+            state: State::Alive,
+            by: 0,
+        };
         if self.is_me(&header.name) {
             self.figures.namesakes += 1;
             if life != self.life {
@@ -577,18 +642,25 @@
             return;
         }
         self.heard = Some(now);
-        let (updates, nonsense): (Vec<_>, Vec<_>) =
-            frame.updates.iter().map(Update::claim).partition(Option::is_some);
+        let (updates, nonsense): (Vec<_>, Vec<_>) = frame
+            .updates
+            .iter()
+            .map(Update::claim)
+            .partition(Option::is_some);
         self.figures.nonsense += nonsense.len() as u64;
         let claims: Vec<Claim> = updates.into_iter().flatten().collect();
-        let (of_me, of_others): (Vec<Claim>, Vec<Claim>) =
-            claims.into_iter().partition(|claim| self.is_me(&claim.name));
+        let (of_me, of_others): (Vec<Claim>, Vec<Claim>) = claims
+            .into_iter()
+            .partition(|claim| self.is_me(&claim.name));
         for claim in &of_me {
             self.claimed_of_me(claim, now);
         }
         if !self.settled && to == self.life.salt {
             self.settled = true;
-            self.out.push(Action::News(format!("was answered by {} in life {}", header.name, self.life)));
+            self.out.push(Action::News(format!(
+                "was answered by {} in life {}",
+                header.name, self.life
+            )));
             self.ask_to_sync(now, &header.name, header.address, true);
         }
         // Who has ended is not believed until it comes in a new life; it is told so.
@@ -610,7 +682,11 @@
         self.take_values(&frame.values, true);
         match kind {
             Kind::Ping => {
-                let ack = Frame { kind: Kind::Ack as i32, number: frame.number, ..Frame::default() };
+                let ack = Frame {
+                    kind: Kind::Ack as i32,
+                    number: frame.number,
+                    ..Frame::default()
+                };
                 self.send(&header.name, ack);
             }
             Kind::Ack => self.acked(now, &header.name, frame.number),
@@ -643,16 +719,30 @@
         }
         let living = after.is_some_and(State::is_living);
         if change == Change::Born || change == Change::Reborn {
-            let what = if change == Change::Born { "is there" } else { "is back" };
+            let what = if change == Change::Born {
+                "is there"
+            } else {
+                "is back"
+            };
             if living {
-                self.out.push(Action::News(format!("{} {what} in life {}", claim.name, claim.life)));
+                self.out.push(Action::News(format!(
+                    "{} {what} in life {}",
+                    claim.name, claim.life
+                )));
                 let place = self.below(self.ring.len() + 1);
                 self.ring.insert(place, claim.name.clone());
             }
         }
         if before != after && !living {
-            let what = if after == Some(State::Left) { "has left" } else { "is gone" };
-            self.out.push(Action::News(format!("{} {what} in life {}", claim.name, claim.life)));
+            let what = if after == Some(State::Left) {
+                "has left"
+            } else {
+                "is gone"
+            };
+            self.out.push(Action::News(format!(
+                "{} {what} in life {}",
+                claim.name, claim.life
+            )));
         }
         // Volunteers: the sooner several have looked, the sooner it is known one way or the other.
         if tell_on && before != after && after == Some(State::Suspected) {
@@ -686,13 +776,21 @@
 
     fn acked(&mut self, now: Duration, from: &Name, number: u64) {
         if let Some(favour) = self.probes.favoured(number) {
-            let ack = Frame { kind: Kind::Ack as i32, number: favour.number, ..Frame::default() };
+            let ack = Frame {
+                kind: Kind::Ack as i32,
+                number: favour.number,
+                ..Frame::default()
+            };
             self.send(&favour.whose, ack);
             return;
         }
         let Some(probe) = self.probes.answered(number) else {
             // Too late for its probe, and still the best word on how long the way is.
-            if let Some((target, asked)) = self.probes.late(number).filter(|(target, _)| target == from) {
+            if let Some((target, asked)) = self
+                .probes
+                .late(number)
+                .filter(|(target, _)| target == from)
+            {
                 self.tripped(&target, now.saturating_sub(asked));
             }
             return;
@@ -708,7 +806,11 @@
     fn tripped(&mut self, name: &Name, trip: Duration) {
         self.health.took(trip);
         if let Some(member) = self.members.get_mut(name) {
-            member.trip = Some(member.trip.map_or(trip, |smoothed| (smoothed * 7 + trip) / 8));
+            member.trip = Some(
+                member
+                    .trip
+                    .map_or(trip, |smoothed| (smoothed * 7 + trip) / 8),
+            );
         }
     }
 
@@ -722,7 +824,11 @@
         }
         self.take(&claim, now, true);
         let ends = now + self.health.wait();
-        let favour = Favour { whose: whose.clone(), number: frame.number, ends };
+        let favour = Favour {
+            whose: whose.clone(),
+            number: frame.number,
+            ends,
+        };
         if let Some(number) = self.probes.favour(favour) {
             self.ping(&claim.name, number);
         }
@@ -754,7 +860,11 @@
         self.figures.syncs += 1;
         let claim = self.claim();
         let words = sync::ask(&self.members, &self.own(&claim));
-        self.out.push(Action::Sync { to: name.clone(), address, words });
+        self.out.push(Action::Sync {
+            to: name.clone(),
+            address,
+            words,
+        });
     }
 
     fn sync(&mut self, now: Duration, step: &SyncStep) {
@@ -798,8 +908,15 @@
             _ => self.next_sync = self.next_sync.max(rest),
         }
         if let Some(words) = answer {
-            let address = self.members.get(&step.name).map_or(self.me.address, |member| member.address);
-            self.out.push(Action::Sync { to: step.name.clone(), address, words });
+            let address = self
+                .members
+                .get(&step.name)
+                .map_or(self.me.address, |member| member.address);
+            self.out.push(Action::Sync {
+                to: step.name.clone(),
+                address,
+                words,
+            });
         }
     }
 
@@ -807,7 +924,9 @@
 
     /// To a member in the life that is known of it, with as many rumours as fit.
     fn send(&mut self, name: &Name, frame: Frame) {
-        let Some(member) = self.members.get(name) else { return };
+        let Some(member) = self.members.get(name) else {
+            return;
+        };
         let (to, salt) = (member.address, member.life.salt);
         let frame = self.filled(frame);
         self.out.push(Action::Send { to, salt, frame });
@@ -843,7 +962,9 @@
                 }
                 Subject::Value(name, key) => {
                     let value = if self.is_me(name) {
-                        self.values.get(key).map(|value| Told::of(name, self.life, value))
+                        self.values
+                            .get(key)
+                            .map(|value| Told::of(name, self.life, value))
                     } else {
                         let member = self.members.get(name);
                         member.and_then(|m| Some(Told::of(name, m.life, m.values.get(key)?)))
@@ -884,23 +1005,40 @@
         if !self.is_courteous(now) {
             return;
         }
-        let mut frame = Frame { kind: Kind::Welcome as i32, ..Frame::default() };
-        frame.updates.extend(self.members.get(&whom.name).map(|member| Update::from(&member.claim())));
+        let mut frame = Frame {
+            kind: Kind::Welcome as i32,
+            ..Frame::default()
+        };
+        frame.updates.extend(
+            self.members
+                .get(&whom.name)
+                .map(|member| Update::from(&member.claim())),
+        );
         for name in self.some_living(4, Some(&whom.name)) {
-            let update = self.members.get(&name).map(|member| Update::from(&member.claim()));
+            let update = self
+                .members
+                .get(&name)
+                .map(|member| Update::from(&member.claim()));
             frame.updates.extend(update);
             if frame.encoded_len() > self.terms.frame {
                 frame.updates.pop();
                 break;
             }
         }
-        self.out.push(Action::Send { to: whom.address, salt: whom.life.salt, frame });
+        self.out.push(Action::Send {
+            to: whom.address,
+            salt: whom.life.salt,
+            frame,
+        });
     }
 
     /// Tells one that has ended that it has.
     fn notice(&mut self, now: Duration, to: SocketAddr, salt: u32, update: Update) {
         if self.is_courteous(now) {
-            let frame = Frame { updates: vec![update], ..Frame::default() };
+            let frame = Frame {
+                updates: vec![update],
+                ..Frame::default()
+            };
             self.out.push(Action::Send { to, salt, frame });
         }
     }
@@ -949,7 +1087,13 @@
         self.next_ask = now + self.about(self.ask_pause);
         self.ask_pause = (self.ask_pause * 2).min(LAST_ASK);
         let own = self.me.address;
-        let seeds: Vec<SocketAddr> = self.me.seeds.iter().copied().filter(|seed| *seed != own).collect();
+        let seeds: Vec<SocketAddr> = self
+            .me
+            .seeds
+            .iter()
+            .copied()
+            .filter(|seed| *seed != own)
+            .collect();
         let mut whom = Vec::new();
         for _ in 0..2 {
             if !seeds.is_empty() {
@@ -962,7 +1106,10 @@
         whom.sort();
         whom.dedup();
         for to in whom {
-            let frame = Frame { kind: Kind::Join as i32, ..Frame::default() };
+            let frame = Frame {
+                kind: Kind::Join as i32,
+                ..Frame::default()
+            };
             self.out.push(Action::Send { to, salt: 0, frame });
         }
     }
@@ -974,14 +1121,29 @@
         }
         self.next_rejoin = now + self.about(REJOIN);
         let own = self.me.address;
-        let living = |at: SocketAddr| self.members.iter().any(|m| m.state.is_living() && m.address == at);
-        let mut lost: Vec<SocketAddr> =
-            self.me.seeds.iter().copied().filter(|seed| *seed != own && !living(*seed)).collect();
-        let gone = self.members.iter().filter(|member| member.state == State::Gone);
+        let living = |at: SocketAddr| {
+            self.members
+                .iter()
+                .any(|m| m.state.is_living() && m.address == at)
+        };
+        let mut lost: Vec<SocketAddr> = self
+            .me
+            .seeds
+            .iter()
+            .copied()
+            .filter(|seed| *seed != own && !living(*seed))
+            .collect();
+        let gone = self
+            .members
+            .iter()
+            .filter(|member| member.state == State::Gone);
         lost.extend(gone.map(|member| member.address));
         if !lost.is_empty() {
             let to = lost[self.below(lost.len())];
-            let frame = Frame { kind: Kind::Join as i32, ..Frame::default() };
+            let frame = Frame {
+                kind: Kind::Join as i32,
+                ..Frame::default()
+            };
             self.out.push(Action::Send { to, salt: 0, frame });
         }
     }
@@ -1013,7 +1175,11 @@
         // Through all of them in one order, then in another: nobody is left out for long.
         for _ in 0..2 {
             while let Some(name) = self.ring.pop() {
-                if self.members.get(&name).is_some_and(|member| member.state.is_living()) {
+                if self
+                    .members
+                    .get(&name)
+                    .is_some_and(|member| member.state.is_living())
+                {
                     self.probe(&name, now);
                     return;
                 }
@@ -1029,8 +1195,14 @@
 
     fn probe_soon(&mut self, now: Duration) {
         for _ in 0..EXTRA {
-            let Some(name) = self.soon.pop_front() else { return };
-            if self.members.get(&name).is_some_and(|member| member.state == State::Suspected) {
+            let Some(name) = self.soon.pop_front() else {
+                return;
+            };
+            if self
+                .members
+                .get(&name)
+                .is_some_and(|member| member.state == State::Suspected)
+            {
                 self.probe(&name, now);
             }
         }
@@ -1038,7 +1210,9 @@
 
     fn probe(&mut self, name: &Name, now: Duration) {
         let wait = self.health.wait();
-        let Some(member) = self.members.get_mut(name) else { return };
+        let Some(member) = self.members.get_mut(name) else {
+            return;
+        };
         member.probes.0 += 1;
         let probe = Probe {
             target: name.clone(),
@@ -1056,9 +1230,18 @@
 
     /// Pings, and tells one that is suspected so before all else.
     fn ping(&mut self, name: &Name, number: u64) {
-        let mut frame = Frame { kind: Kind::Ping as i32, number, ..Frame::default() };
-        let suspected = self.members.get(name).filter(|member| member.state == State::Suspected);
-        frame.updates.extend(suspected.map(|member| Update::from(&member.claim())));
+        let mut frame = Frame {
+            kind: Kind::Ping as i32,
+            number,
+            ..Frame::default()
+        };
+        let suspected = self
+            .members
+            .get(name)
+            .filter(|member| member.state == State::Suspected);
+        frame
+            .updates
+            .extend(suspected.map(|member| Update::from(&member.claim())));
         self.send(name, frame);
     }
 
@@ -1067,12 +1250,19 @@
             if self.planted(Plant::OneWayBlind) {
                 continue;
             }
-            let Some(claim) = self.members.get(&target).map(Member::claim) else { continue };
+            let Some(claim) = self.members.get(&target).map(Member::claim) else {
+                continue;
+            };
             let helpers = self.some_living(self.terms.helpers, Some(&target));
             self.probes.helped_by(number, helpers.len());
             for helper in &helpers {
                 let about = Some(Update::from(&claim));
-                let favour = Frame { kind: Kind::Favour as i32, number, about, ..Frame::default() };
+                let favour = Frame {
+                    kind: Kind::Favour as i32,
+                    number,
+                    about,
+                    ..Frame::default()
+                };
                 self.send(helper, favour);
             }
             // The first may only have been lost.
@@ -1082,7 +1272,11 @@
 
     fn give_up(&mut self, now: Duration) {
         for favour in self.probes.in_vain(now) {
-            let nack = Frame { kind: Kind::Nack as i32, number: favour.number, ..Frame::default() };
+            let nack = Frame {
+                kind: Kind::Nack as i32,
+                number: favour.number,
+                ..Frame::default()
+            };
             self.send(&favour.whose, nack);
         }
         for probe in self.probes.failed(now) {
@@ -1090,7 +1284,9 @@
             if probe.nacks == 0 && probe.helpers > 0 {
                 self.health.worse(1);
             }
-            let Some(member) = self.members.get_mut(&probe.target) else { continue };
+            let Some(member) = self.members.get_mut(&probe.target) else {
+                continue;
+            };
             member.probes.1 += 1;
             if member.life != probe.life || !member.state.is_living() {
                 continue;
@@ -1106,7 +1302,11 @@
                 continue; // the fault is more likely here
             }
             claim.state = State::Suspected;
-            if self.members.get(&probe.target).is_some_and(|member| member.state == State::Alive) {
+            if self
+                .members
+                .get(&probe.target)
+                .is_some_and(|member| member.state == State::Alive)
+            {
                 self.figures.suspected += 1;
             }
             self.take(&claim, now, true);
@@ -1115,7 +1315,10 @@
         if self.soon.is_empty() {
             let own = values::hash(&[self.me.name.as_str().as_bytes()]);
             let mine = self.suspected.iter().filter(|name| {
-                let suspicion = self.members.get(name).and_then(|member| member.suspicion.as_ref());
+                let suspicion = self
+                    .members
+                    .get(name)
+                    .and_then(|member| member.suspicion.as_ref());
                 suspicion.is_some_and(|suspicion| suspicion.by.contains(&own))
             });
             self.soon = mine.take(EXTRA * 4).cloned().collect();
@@ -1142,8 +1345,12 @@
         }
         let (mut over, mut again) = (Vec::new(), Vec::new());
         for name in &self.suspected {
-            let Some(member) = self.members.get(name) else { continue };
-            let Some(suspicion) = &member.suspicion else { continue };
+            let Some(member) = self.members.get(name) else {
+                continue;
+            };
+            let Some(suspicion) = &member.suspicion else {
+                continue;
+            };
             let confirmed = suspicion.by.len().saturating_sub(1);
             if now.saturating_sub(suspicion.since) < self.patience(confirmed) {
                 continue;
@@ -1157,7 +1364,11 @@
             }
         }
         for name in again {
-            if let Some(suspicion) = self.members.get_mut(&name).and_then(|m| m.suspicion.as_mut()) {
+            if let Some(suspicion) = self
+                .members
+                .get_mut(&name)
+                .and_then(|m| m.suspicion.as_mut())
+            {
                 suspicion.since = now;
             }
             self.soon.push_front(name);
@@ -1165,7 +1376,14 @@
         }
         for claim in over {
             self.figures.called_gone += 1;
-            self.take(&Claim { state: State::Gone, ..claim }, now, true);
+            self.take(
+                &Claim {
+                    state: State::Gone,
+                    ..claim
+                },
+                now,
+                true,
+            );
         }
     }
 }
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -55,7 +55,11 @@
             life: self.life,
             word: self.word,
             state: self.state,
-            by: self.suspicion.as_ref().and_then(|s| s.by.last().copied()).unwrap_or_default(),
+            by: self
+                .suspicion
+                .as_ref()
+                .and_then(|s| s.by.last().copied())
+                .unwrap_or_default(),
         }
     }
 
@@ -93,7 +97,11 @@
 impl Members {
     /// At most so many, the gone among them.
     pub fn new(most: usize) -> Self {
-        Members { most, prints: vec![0; PARTS], ..Members::default() }
+        Members {
+            most,
+            prints: vec![0; PARTS],
+            ..Members::default()
+        }
     }
 
     pub fn get(&self, name: &Name) -> Option<&Member> {
@@ -147,13 +155,20 @@
             };
             self.all.insert(claim.name.clone(), member);
             self.placed(&claim.name, claim, now);
-            return if claim.state.is_living() { Change::Born } else { Change::State };
+            return if claim.state.is_living() {
+                Change::Born
+            } else {
+                Change::State
+            };
         };
         if !claim.outdoes(member.life, member.word, member.state) {
             // One more who suspects what is suspected: told on, as it shortens the wait.
-            let same = (claim.life, claim.word, claim.state) == (member.life, member.word, State::Suspected);
-            if let (true, Some(suspicion)) = (same && member.state == State::Suspected, &mut member.suspicion)
-            {
+            let same = (claim.life, claim.word, claim.state)
+                == (member.life, member.word, State::Suspected);
+            if let (true, Some(suspicion)) = (
+                same && member.state == State::Suspected,
+                &mut member.suspicion,
+            ) {
                 if suspicion.by.len() < 8 && claim.by != 0 && !suspicion.by.contains(&claim.by) {
                     suspicion.by.push(claim.by);
                     return Change::State;
@@ -177,16 +192,27 @@
         }
         let name = claim.name.clone();
         self.placed(&name, claim, now);
-        if reborn { Change::Reborn } else { Change::State }
+        if reborn {
+            Change::Reborn
+        } else {
+            Change::State
+        }
     }
 
     /// Brings what is derived from a member in line with it.
     fn placed(&mut self, name: &Name, claim: &Claim, now: Duration) {
-        let Some(member) = self.all.get_mut(name) else { return };
-        member.suspicion =
-            (member.state == State::Suspected).then(|| Suspicion { since: now, by: vec![claim.by] });
-        let print =
-            if member.state.is_living() { values::print(name, member.life, &member.values) } else { 0 };
+        let Some(member) = self.all.get_mut(name) else {
+            return;
+        };
+        member.suspicion = (member.state == State::Suspected).then(|| Suspicion {
+            since: now,
+            by: vec![claim.by],
+        });
+        let print = if member.state.is_living() {
+            values::print(name, member.life, &member.values)
+        } else {
+            0
+        };
         self.prints[Self::part(name)] ^= member.print ^ print;
         member.print = print;
         let living = member.state.is_living();
@@ -200,11 +226,17 @@
 
     /// Takes a value in, if it is of the life that is known and newer. True if it was news.
     pub fn take_value(&mut self, name: &Name, life: Life, value: Value) -> bool {
-        let Some(member) = self.all.get_mut(name) else { return false };
+        let Some(member) = self.all.get_mut(name) else {
+            return false;
+        };
         if member.life != life || !member.state.is_living() || !member.values.take(value) {
             return false;
         }
-        if let Some(about) = member.values.get("about").and_then(|value| AboutWords::read(&value.bytes)) {
+        if let Some(about) = member
+            .values
+            .get("about")
+            .and_then(|value| AboutWords::read(&value.bytes))
+        {
             member.about = about;
         }
         let print = values::print(name, life, &member.values);
@@ -216,14 +248,17 @@
     /// Forgets those that ended before `before`; returns how many.
     pub fn forget(&mut self, before: Duration) -> usize {
         let count = self.all.len();
-        self.all.retain(|_, member| member.state.is_living() || member.since >= before);
+        self.all
+            .retain(|_, member| member.state.is_living() || member.since >= before);
         count - self.all.len()
     }
 
     /// Forgets the one that ended first, if any did.
     fn make_room(&mut self) -> bool {
         let ended = self.all.values().filter(|member| !member.state.is_living());
-        let first = ended.min_by_key(|member| member.since).map(|member| member.name.clone());
+        let first = ended
+            .min_by_key(|member| member.since)
+            .map(|member| member.name.clone());
         first.is_some_and(|name| self.all.remove(&name).is_some())
     }
 }
--- a/crates/membership/src/probes.rs
+++ b/crates/membership/src/probes.rs
@@ -45,7 +45,12 @@
 impl Probes {
     /// Notes a probe and gives its number; `None` if too many are out, or one of this target is.
     pub fn begin(&mut self, probe: Probe) -> Option<u64> {
-        if self.probes.len() >= MOST || self.probes.values().any(|other| other.target == probe.target) {
+        if self.probes.len() >= MOST
+            || self
+                .probes
+                .values()
+                .any(|other| other.target == probe.target)
+        {
             return None;
         }
         self.number += 1;
@@ -78,7 +83,9 @@
     /// Whom a late answer is from, and when that was asked.
     pub fn late(&mut self, number: u64) -> Option<(Name, Duration)> {
         let place = self.late.iter().position(|(other, ..)| *other == number)?;
-        self.late.remove(place).map(|(_, name, asked)| (name, asked))
+        self.late
+            .remove(place)
+            .map(|(_, name, asked)| (name, asked))
     }
 
     /// A helper says that it had no answer.
@@ -90,7 +97,10 @@
 
     /// Probes for which it is time to ask helpers. Each is given once.
     pub fn due_for_help(&mut self, now: Duration) -> Vec<(u64, Name)> {
-        let due = self.probes.iter_mut().filter(|(_, probe)| probe.direct_until <= now && probe.ends > now);
+        let due = self
+            .probes
+            .iter_mut()
+            .filter(|(_, probe)| probe.direct_until <= now && probe.ends > now);
         due.map(|(number, probe)| {
             probe.direct_until = Duration::MAX;
             (*number, probe.target.clone())
@@ -106,8 +116,12 @@
 
     /// Probes that have failed.
     pub fn failed(&mut self, now: Duration) -> Vec<Probe> {
-        let due: Vec<u64> =
-            self.probes.iter().filter(|(_, probe)| probe.ends <= now).map(|(number, _)| *number).collect();
+        let due: Vec<u64> = self
+            .probes
+            .iter()
+            .filter(|(_, probe)| probe.ends <= now)
+            .map(|(number, _)| *number)
+            .collect();
         due.into_iter()
             .filter_map(|number| {
                 let probe = self.probes.remove(&number)?;
@@ -119,15 +133,26 @@
 
     /// Favours that came to nothing.
     pub fn in_vain(&mut self, now: Duration) -> Vec<Favour> {
-        let due: Vec<u64> =
-            self.favours.iter().filter(|(_, favour)| favour.ends <= now).map(|(number, _)| *number).collect();
-        due.into_iter().filter_map(|number| self.favours.remove(&number)).collect()
+        let due: Vec<u64> = self
+            .favours
+            .iter()
+            .filter(|(_, favour)| favour.ends <= now)
+            .map(|(number, _)| *number)
+            .collect();
+        due.into_iter()
+            .filter_map(|number| self.favours.remove(&number))
+            .collect()
     }
 
     /// When the next of all these is due.
     pub fn next(&self) -> Option<Duration> {
-        let probes = self.probes.values().map(|probe| probe.direct_until.min(probe.ends));
-        probes.chain(self.favours.values().map(|favour| favour.ends)).min()
+        let probes = self
+            .probes
+            .values()
+            .map(|probe| probe.direct_until.min(probe.ends));
+        probes
+            .chain(self.favours.values().map(|favour| favour.ends))
+            .min()
     }
 
     /// All are given up: what they would have said is about another life.
@@ -140,6 +165,7 @@
         if self.late.len() >= LATE {
             self.late.pop_front();
         }
-        self.late.push_back((number, probe.target.clone(), probe.asked));
+        self.late
+            .push_back((number, probe.target.clone(), probe.asked));
     }
 }
--- a/crates/membership/src/rumours.rs
+++ b/crates/membership/src/rumours.rs
@@ -29,7 +29,10 @@
 impl Rumours {
     /// At most so many at once; the one told most often makes room.
     pub fn new(most: usize) -> Self {
-        Rumours { most, ..Rumours::default() }
+        Rumours {
+            most,
+            ..Rumours::default()
+        }
     }
 
     /// There is news.
@@ -55,12 +58,18 @@
 
     /// Those that go first, for a frame that can hold at most `count`.
     pub fn first(&self, count: usize) -> Vec<Subject> {
-        self.ranked.iter().take(count).map(|(_, _, subject)| subject.clone()).collect()
+        self.ranked
+            .iter()
+            .take(count)
+            .map(|(_, _, subject)| subject.clone())
+            .collect()
     }
 
     /// It was told once more, and is dropped after `limit` times.
     pub fn told(&mut self, subject: &Subject, limit: u32) {
-        let Some((sent, made)) = self.known.remove(subject) else { return };
+        let Some((sent, made)) = self.known.remove(subject) else {
+            return;
+        };
         self.ranked.remove(&(sent, made, subject.clone()));
         if sent + 1 < limit {
             self.known.insert(subject.clone(), (sent + 1, made));
--- a/crates/membership/src/values.rs
+++ b/crates/membership/src/values.rs
@@ -49,7 +49,11 @@
 
     /// The highest version there is.
     pub fn top(&self) -> u32 {
-        self.0.values().map(|value| value.version).max().unwrap_or_default()
+        self.0
+            .values()
+            .map(|value| value.version)
+            .max()
+            .unwrap_or_default()
     }
 }
 
@@ -70,6 +74,12 @@
     let (epoch, salt) = (life.epoch.to_be_bytes(), life.salt.to_be_bytes());
     let own = hash(&[name.as_str().as_bytes(), &epoch, &salt]);
     values.iter().fold(own, |print, value| {
-        print ^ hash(&[name.as_str().as_bytes(), &salt, value.key.as_bytes(), &value.version.to_be_bytes()])
+        print
+            ^ hash(&[
+                name.as_str().as_bytes(),
+                &salt,
+                value.key.as_bytes(),
+                &value.version.to_be_bytes(),
+            ])
     })
 }
--- a/crates/membership/src/words.rs
+++ b/crates/membership/src/words.rs
@@ -182,7 +182,10 @@
             3 => State::Gone,
             _ => return None,
         };
-        let life = Life { epoch: self.epoch, salt: self.salt };
+        let life = Life {
+            epoch: self.epoch,
+            salt: self.salt,
+        };
         (life.epoch > 0 && life.salt > 0).then_some(())?;
         Some(Claim {
             name: Name::new(&self.name)?,
@@ -210,13 +213,21 @@
 
     /// Whose value it is, of which life; `None` if it is over the bounds.
     pub fn value(&self) -> Option<(Name, Life, Value)> {
-        let fits = !self.key.is_empty() && self.key.len() <= MOST_KEY && self.value.len() <= MOST_BYTES;
+        let fits =
+            !self.key.is_empty() && self.key.len() <= MOST_KEY && self.value.len() <= MOST_BYTES;
         let value = fits.then(|| Value {
             key: self.key.as_str().into(),
             version: self.version,
             bytes: self.value.as_slice().into(),
         })?;
-        Some((Name::new(&self.name)?, Life { epoch: self.epoch, salt: self.salt }, value))
+        Some((
+            Name::new(&self.name)?,
+            Life {
+                epoch: self.epoch,
+                salt: self.salt,
+            },
+            value,
+        ))
     }
 }
 
@@ -235,7 +246,17 @@
     /// Reads a value under the key `about`.
     pub fn read(bytes: &[u8]) -> Option<About> {
         let words = AboutWords::decode(bytes).ok()?;
-        let AboutWords { zone, region, build, speaks } = words;
-        Some(About { zone, region, build, speaks })
+        let AboutWords {
+            zone,
+            region,
+            build,
+            speaks,
+        } = words;
+        Some(About {
+            zone,
+            region,
+            build,
+            speaks,
+        })
     }
 }
--- a/crates/membership/tests/fleets.rs
+++ b/crates/membership/tests/fleets.rs
@@ -4,7 +4,9 @@
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use sillward_membership::words::{Frame, Kind, Sync, Told, Update};
-use sillward_membership::{About, Action, Event, Life, Me, Name, Peers, Standing, State, SyncStep, Terms};
+use sillward_membership::{
+    About, Action, Event, Life, Me, Name, Peers, Standing, State, SyncStep, Terms,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,8 +16,19 @@
 
 #[derive(Clone)]
 enum Mail {
-    Frame { name: Name, from: SocketAddr, life: Life, to: u32, frame: Frame },
-    Sync { name: Name, life: Life, to_life: Life, words: Sync },
+    Frame {
+        name: Name,
+        from: SocketAddr,
+        life: Life,
+        to: u32,
+        frame: Frame,
+    },
+    Sync {
+        name: Name,
+        life: Life,
+        to_life: Life,
+        words: Sync,
+    },
 }
 
 struct Node {
@@ -98,10 +111,24 @@
         let node = &mut self.nodes[i];
         node.starts += 1;
         node.held.clear();
-        let about = About { zone: format!("z{}", i % 3), ..About::default() };
-        let me = Me { name: node.name.clone(), address: node.at, about, seeds: self.seeds.clone() };
+        let about = About {
+            zone: format!("z{}", i % 3),
+            ..About::default()
+        };
+        let me = Me {
+            name: node.name.clone(),
+            address: node.at,
+            about,
+            seeds: self.seeds.clone(),
+        };
         let seed = u64::from(self.dice.next_u32()) << 32 | u64::from(self.dice.next_u32());
-        self.nodes[i].peers = Some(Peers::new(self.terms.clone(), me, self.nodes[i].folder, seed, self.now));
+        self.nodes[i].peers = Some(Peers::new(
+            self.terms.clone(),
+            me,
+            self.nodes[i].folder,
+            seed,
+            self.now,
+        ));
         self.turn(i);
     }
 
@@ -113,7 +140,10 @@
 
     fn turn(&mut self, i: usize) {
         let now = self.now;
-        let actions = self.nodes[i].peers.as_mut().map(|peers| peers.handle(now, Event::Turn));
+        let actions = self.nodes[i]
+            .peers
+            .as_mut()
+            .map(|peers| peers.handle(now, Event::Turn));
         self.act(i, actions.unwrap_or_default());
     }
 
@@ -122,42 +152,76 @@
     }
 
     fn post(&mut self, from: usize, to: SocketAddr, mail: Mail, sure: bool) {
-        let Some(to) = self.nodes.iter().position(|node| node.at == to) else { return };
+        let Some(to) = self.nodes.iter().position(|node| node.at == to) else {
+            return;
+        };
         if self.cuts.contains(&(from, to)) || (!sure && self.draw(100) < self.loss) {
             return;
         }
-        let copies = if !sure && self.draw(100) < self.doubles { 2 } else { 1 };
+        let copies = if !sure && self.draw(100) < self.doubles {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
-            let slow = self.slow.filter(|(who, _)| *who == to).map_or(0, |(_, late)| late);
+            let slow = self
+                .slow
+                .filter(|(who, _)| *who == to)
+                .map_or(0, |(_, late)| late);
             let delay = slow + self.delay.0 + self.draw(self.delay.1 - self.delay.0 + 1);
             self.made += 1;
-            self.mail.insert((self.now + MS * delay, self.made), (to, mail.clone()));
+            self.mail
+                .insert((self.now + MS * delay, self.made), (to, mail.clone()));
         }
     }
 
     fn act(&mut self, i: usize, actions: Vec<Action>) {
         for action in actions {
-            let (name, life) =
-                (self.nodes[i].name.clone(), self.nodes[i].peers.as_ref().expect("it acts").life());
+            let (name, life) = (
+                self.nodes[i].name.clone(),
+                self.nodes[i].peers.as_ref().expect("it acts").life(),
+            );
             match action {
                 Action::Send { to, salt, frame } => {
                     self.nodes[i].sent += 1;
                     let fits = frame.updates.len() <= 1 || encoded(&frame) <= self.terms.frame;
                     assert!(fits, "a frame of {} bytes", encoded(&frame));
-                    let mail = Mail::Frame { name, from: self.nodes[i].at, life, to: salt, frame };
+                    let mail = Mail::Frame {
+                        name,
+                        from: self.nodes[i].at,
+                        life,
+                        to: salt,
+                        frame,
+                    };
                     self.post(i, to, mail, false);
                 }
                 Action::Sync { to, address, words } => {
                     let to_life = self.nodes.iter().find(|node| node.name == to);
-                    let to_life = to_life.and_then(|node| node.peers.as_ref()).map(Peers::life);
+                    let to_life = to_life
+                        .and_then(|node| node.peers.as_ref())
+                        .map(Peers::life);
                     if let Some(to_life) = to_life {
-                        self.post(i, address, Mail::Sync { name, life, to_life, words }, true);
+                        self.post(
+                            i,
+                            address,
+                            Mail::Sync {
+                                name,
+                                life,
+                                to_life,
+                                words,
+                            },
+                            true,
+                        );
                     }
                 }
                 Action::Keep(life) => {
                     self.nodes[i].folder = life.epoch;
                     let run = self.nodes[i].starts;
-                    let before = self.lives.entry(name.clone()).or_default().insert(life, run);
+                    let before = self
+                        .lives
+                        .entry(name.clone())
+                        .or_default()
+                        .insert(life, run);
                     assert!(before.is_none(), "{name} has been in life {life} before");
                 }
                 Action::News(_) => {}
@@ -171,14 +235,29 @@
             return;
         }
         let now = self.now;
-        let Some(peers) = self.nodes[to].peers.as_mut() else { return };
+        let Some(peers) = self.nodes[to].peers.as_mut() else {
+            return;
+        };
         let event = match mail {
-            Mail::Frame { name, from, life, to, frame } => {
-                Event::Frame { name, address: from, life, to, frame }
-            }
-            Mail::Sync { name, life, to_life, words } if to_life == peers.life() => {
-                Event::Sync(SyncStep { name, life, words })
-            }
+            Mail::Frame {
+                name,
+                from,
+                life,
+                to,
+                frame,
+            } => Event::Frame {
+                name,
+                address: from,
+                life,
+                to,
+                frame,
+            },
+            Mail::Sync {
+                name,
+                life,
+                to_life,
+                words,
+            } if to_life == peers.life() => Event::Sync(SyncStep { name, life, words }),
             Mail::Sync { .. } => return,
         };
         let actions = peers.handle(now, event);
@@ -197,11 +276,20 @@
         let end = self.now + time;
         let mut look = self.now;
         loop {
-            let running = self.nodes.iter().enumerate().filter(|(_, node)| !node.paused);
+            let running = self
+                .nodes
+                .iter()
+                .enumerate()
+                .filter(|(_, node)| !node.paused);
             let turns = running.filter_map(|(i, node)| Some((node.peers.as_ref()?.next(), i)));
             let turn = turns.min();
             let mail = self.mail.keys().next().map(|(at, _)| *at);
-            let next = turn.map(|(at, _)| at).into_iter().chain(mail).min().unwrap_or(end);
+            let next = turn
+                .map(|(at, _)| at)
+                .into_iter()
+                .chain(mail)
+                .min()
+                .unwrap_or(end);
             if next > end {
                 self.now = end;
                 return;
@@ -222,13 +310,23 @@
 
     /// Notes who that lives is called gone, by whom, and for how long.
     fn look(&mut self) {
-        let lives: Vec<_> =
-            self.nodes.iter().map(|n| n.peers.as_ref().filter(|_| !n.paused).map(Peers::life)).collect();
+        let lives: Vec<_> = self
+            .nodes
+            .iter()
+            .map(|n| n.peers.as_ref().filter(|_| !n.paused).map(Peers::life))
+            .collect();
         for (by, node) in self.nodes.iter().enumerate() {
-            let Some(peers) = node.peers.as_ref().filter(|_| !node.paused) else { continue };
-            for (of, life) in lives.iter().enumerate().filter(|(of, life)| *of != by && life.is_some()) {
-                let gone =
-                    peers.member(&name(of)).is_some_and(|m| m.state == State::Gone && Some(m.life) == *life);
+            let Some(peers) = node.peers.as_ref().filter(|_| !node.paused) else {
+                continue;
+            };
+            for (of, life) in lives
+                .iter()
+                .enumerate()
+                .filter(|(of, life)| *of != by && life.is_some())
+            {
+                let gone = peers
+                    .member(&name(of))
+                    .is_some_and(|m| m.state == State::Gone && Some(m.life) == *life);
                 if !gone {
                     self.wronged.remove(&(by, of));
                 } else if let Some(since) = self.wronged.get(&(by, of)) {
@@ -242,7 +340,11 @@
     }
 
     fn says(&self, by: usize, of: usize) -> Option<State> {
-        self.nodes[by].peers.as_ref()?.member(&name(of)).map(|member| member.state)
+        self.nodes[by]
+            .peers
+            .as_ref()?
+            .member(&name(of))
+            .map(|member| member.state)
     }
 
     /// Who lives is called alive by all who live, in its present life, and nobody else is.
@@ -253,7 +355,9 @@
                 return Err(format!("n{by} is {:?}", peers.standing(self.now)));
             }
             for (of, other) in self.nodes.iter().enumerate().filter(|(of, _)| *of != by) {
-                let said = peers.member(&name(of)).map(|member| (member.state, member.life));
+                let said = peers
+                    .member(&name(of))
+                    .map(|member| (member.state, member.life));
                 let good = match &other.peers {
                     Some(other) => said == Some((State::Alive, other.life())),
                     None => said.is_none_or(|(state, _)| !state.is_living()),
@@ -270,7 +374,11 @@
     fn until_agreed(&mut self, most: Duration) -> Duration {
         let begun = self.now;
         while let Err(what) = self.agreed() {
-            assert!(self.now - begun < most, "after {:?}: {what}", self.now - begun);
+            assert!(
+                self.now - begun < most,
+                "after {:?}: {what}",
+                self.now - begun
+            );
             self.run(MS * 100);
         }
         self.now - begun
@@ -290,7 +398,11 @@
         fleet.run(SECOND * 6);
         for node in &fleet.nodes {
             let peers = node.peers.as_ref().expect("it runs");
-            assert!(peers.members().all(|member| !member.about.zone.is_empty()), "{}: all zones", node.name);
+            assert!(
+                peers.members().all(|member| !member.about.zone.is_empty()),
+                "{}: all zones",
+                node.name
+            );
         }
     }
 }
@@ -301,7 +413,10 @@
     fleet.until_agreed(SECOND * 10);
     fleet.kill(7);
     let took = fleet.until_agreed(SECOND * 6);
-    assert!(took >= SECOND, "nobody is gone before the wait is over: {took:?}");
+    assert!(
+        took >= SECOND,
+        "nobody is gone before the wait is over: {took:?}"
+    );
     let before = fleet.nodes[7].folder;
     fleet.start(7);
     assert!(fleet.nodes[7].folder > before);
@@ -322,7 +437,11 @@
         let peers = fleet.nodes[by].peers.as_ref().expect("it runs");
         peers.member(&name(of)).expect("known").probes
     };
-    assert!(broken(2, 5).1 * 2 > broken(2, 5).0, "the page shows the way that is broken: {:?}", broken(2, 5));
+    assert!(
+        broken(2, 5).1 * 2 > broken(2, 5).0,
+        "the page shows the way that is broken: {:?}",
+        broken(2, 5)
+    );
     assert_eq!(broken(2, 4).1, 0);
 }
 
@@ -346,7 +465,11 @@
     let took = fleet.until_agreed(SECOND * 15);
     fleet.run(SECOND * 15 - took);
     let after: usize = fleet.nodes.iter().map(|node| node.sent).sum();
-    assert!((after - before) * 10 < calm * 15 * 6, "{} in 15 s against {calm} in 10 s", after - before);
+    assert!(
+        (after - before) * 10 < calm * 15 * 6,
+        "{} in 15 s against {calm} in 10 s",
+        after - before
+    );
 }
 
 fn sent(fleet: &mut Fleet, time: Duration) -> usize {
@@ -379,7 +502,13 @@
     fleet.until_agreed(SECOND * 8);
     let peers = fleet.nodes[3].peers.as_ref().expect("it runs");
     assert!(peers.life() > life);
-    assert!(fleet.nodes.iter().flat_map(|n| n.peers.as_ref()).all(|p| p.figures().called_gone <= 7));
+    assert!(
+        fleet
+            .nodes
+            .iter()
+            .flat_map(|n| n.peers.as_ref())
+            .all(|p| p.figures().called_gone <= 7)
+    );
 }
 
 /// Hard case 4: [`Fleet::act`] fails when a life comes twice.
@@ -395,11 +524,18 @@
             // Before and after the others have seen it.
             fleet.run(if round % 2 == 0 { MS * 50 } else { SECOND * 5 });
             let lost = fleet.nodes[one].folder;
-            fleet.nodes[one].folder = if round % 3 == 0 { 0 } else { lost.saturating_sub(2) };
+            fleet.nodes[one].folder = if round % 3 == 0 {
+                0
+            } else {
+                lost.saturating_sub(2)
+            };
             fleet.start(one);
             fleet.until_agreed(SECOND * 10);
             let peers = fleet.nodes[one].peers.as_ref().expect("it runs");
-            assert!(peers.life() > before, "lives rise as long as anybody remembers");
+            assert!(
+                peers.life() > before,
+                "lives rise as long as anybody remembers"
+            );
         }
     }
 }
@@ -419,9 +555,16 @@
     fleet.run(SECOND * 10);
     let known = |by: usize| {
         let peers = fleet.nodes[by].peers.as_ref().expect("it runs");
-        peers.members().filter(|member| member.state == State::Alive).count()
+        peers
+            .members()
+            .filter(|member| member.state == State::Alive)
+            .count()
     };
-    assert!((2..8).all(|i| known(i) == 6), "{:?}", (2..8).map(known).collect::<Vec<_>>());
+    assert!(
+        (2..8).all(|i| known(i) == 6),
+        "{:?}",
+        (2..8).map(known).collect::<Vec<_>>()
+    );
 }
 
 /// Hard case 5: who lives asks the gone whether they are back, so one that starts is found although no seed is left to ask.
@@ -433,7 +576,10 @@
     fleet.kill(1);
     fleet.kill(5);
     fleet.run(SECOND * 10);
-    assert_eq!((fleet.says(2, 0), fleet.says(2, 5)), (Some(State::Gone), Some(State::Gone)));
+    assert_eq!(
+        (fleet.says(2, 0), fleet.says(2, 5)),
+        (Some(State::Gone), Some(State::Gone))
+    );
     fleet.start(5);
     let took = fleet.until_agreed(SECOND * 20);
     println!("found after {took:?} without a seed");
@@ -445,7 +591,11 @@
     fleet.run(SECOND * 10);
     let peers = fleet.nodes[0].peers.as_ref().expect("it runs");
     assert_eq!(peers.standing(fleet.now), Standing::Asking);
-    assert!(fleet.nodes[0].sent < 20, "{} frames to nobody", fleet.nodes[0].sent);
+    assert!(
+        fleet.nodes[0].sent < 20,
+        "{} frames to nobody",
+        fleet.nodes[0].sent
+    );
 }
 
 /// Hard case 6.
@@ -480,7 +630,9 @@
         (fleet.loss, fleet.delay) = (loss, (250, 350));
         fleet.run(SECOND * 7_200);
         let (alarms, worst) = (fleet.alarms, fleet.worst_wrong);
-        println!("{loss} % loss, 300 ms each way, 12 members, 2 hours: {alarms} pairs, worst {worst:?}");
+        println!(
+            "{loss} % loss, 300 ms each way, 12 members, 2 hours: {alarms} pairs, worst {worst:?}"
+        );
     }
 }
 
@@ -498,10 +650,30 @@
     }
     fleet.run(SECOND * 30);
     let lives = |fleet: &Fleet| {
-        fleet.nodes.iter().map(|n| n.peers.as_ref().expect("it runs").figures().lives).sum::<u64>()
+        fleet
+            .nodes
+            .iter()
+            .map(|n| n.peers.as_ref().expect("it runs").figures().lives)
+            .sum::<u64>()
     };
-    assert_eq!(lives(&fleet) - fleet.nodes[6].peers.as_ref().expect("it runs").figures().lives, 7);
-    assert_eq!(fleet.nodes[6].peers.as_ref().expect("it runs").standing(fleet.now), Standing::Alone);
+    assert_eq!(
+        lives(&fleet)
+            - fleet.nodes[6]
+                .peers
+                .as_ref()
+                .expect("it runs")
+                .figures()
+                .lives,
+        7
+    );
+    assert_eq!(
+        fleet.nodes[6]
+            .peers
+            .as_ref()
+            .expect("it runs")
+            .standing(fleet.now),
+        Standing::Alone
+    );
     for by in (0..8).filter(|i| *i != 6) {
         for of in (0..8).filter(|i| *i != 6 && *i != by) {
             assert_eq!(fleet.says(by, of), Some(State::Alive));
@@ -525,7 +697,12 @@
     );
     assert!(score >= 2, "{score}");
     assert!(figures.suspected <= 20, "{figures:?}");
-    assert!((0..10).filter(|i| *i != 4).all(|i| peers(i).figures().lives == 1), "it ended others");
+    assert!(
+        (0..10)
+            .filter(|i| *i != 4)
+            .all(|i| peers(i).figures().lives == 1),
+        "it ended others"
+    );
 }
 
 /// Several look for themselves as soon as one suspects: so a death is known soon, although a single suspicion waits for long.
@@ -557,9 +734,17 @@
     fleet.cuts.clear();
     let before: Vec<usize> = fleet.nodes.iter().map(|node| node.sent).collect();
     fleet.run(SECOND * 10);
-    let most = fleet.nodes.iter().zip(&before).map(|(node, before)| node.sent - before).max();
+    let most = fleet
+        .nodes
+        .iter()
+        .zip(&before)
+        .map(|(node, before)| node.sent - before)
+        .max();
     println!("{most:?} frames in 10 s after a cut of 20 of 60");
-    assert!(most.is_some_and(|most| most <= 300), "{most:?} frames in 10 s");
+    assert!(
+        most.is_some_and(|most| most <= 300),
+        "{most:?} frames in 10 s"
+    );
     fleet.until_agreed(SECOND * 60);
 }
 
@@ -572,7 +757,10 @@
 fn pause_in_a_wait(seed: u64) {
     let mut fleet = Fleet::new(12, seed);
     fleet.until_agreed(SECOND * 10);
-    let apart: Vec<(usize, usize)> = (0..12).filter(|i| *i != 5).flat_map(|i| [(i, 5), (5, i)]).collect();
+    let apart: Vec<(usize, usize)> = (0..12)
+        .filter(|i| *i != 5)
+        .flat_map(|i| [(i, 5), (5, i)])
+        .collect();
     fleet.cuts.extend(apart.iter().copied());
     while fleet.says(3, 5) == Some(State::Alive) {
         fleet.run(MS * 10);
@@ -581,11 +769,22 @@
     fleet.cuts.clear();
     fleet.nodes[3].paused = true;
     fleet.run(SECOND * 8);
-    let ended = |fleet: &Fleet| fleet.nodes[3].peers.as_ref().expect("it runs").figures().called_gone;
+    let ended = |fleet: &Fleet| {
+        fleet.nodes[3]
+            .peers
+            .as_ref()
+            .expect("it runs")
+            .figures()
+            .called_gone
+    };
     assert_eq!((fleet.says(0, 5), ended(&fleet)), (Some(State::Alive), 0));
     fleet.resume(3);
     fleet.run(SECOND * 8);
-    assert_eq!(ended(&fleet), 0, "it called one gone for a wait that ran while it was paused");
+    assert_eq!(
+        ended(&fleet),
+        0,
+        "it called one gone for a wait that ran while it was paused"
+    );
     assert_eq!(fleet.agreed(), Ok(()));
 }
 
@@ -606,14 +805,32 @@
         version: 900,
         value: b"a lease".to_vec(),
     };
-    let frame = Frame { values: vec![told], ..Frame::default() };
+    let frame = Frame {
+        values: vec![told],
+        ..Frame::default()
+    };
     let (life, to) = (
         fleet.nodes[0].peers.as_ref().expect("it runs").life(),
         fleet.nodes[1].peers.as_ref().expect("it runs").life().salt,
     );
-    fleet.deliver(1, Mail::Frame { name: name(0), from: at(0), life, to, frame });
+    fleet.deliver(
+        1,
+        Mail::Frame {
+            name: name(0),
+            from: at(0),
+            life,
+            to,
+            frame,
+        },
+    );
     let peers = fleet.nodes[1].peers.as_ref().expect("it runs");
-    assert!(peers.member(&name(3)).expect("known").value("holds").is_none());
+    assert!(
+        peers
+            .member(&name(3))
+            .expect("known")
+            .value("holds")
+            .is_none()
+    );
 }
 
 /// Two processes of one name: one gives way for a while, and the others are not swamped.
@@ -624,11 +841,28 @@
     fleet.start(5);
     fleet.lives.clear();
     fleet.run(SECOND * 20);
-    let standings: Vec<_> =
-        [4, 5].iter().map(|i| fleet.nodes[*i].peers.as_ref().expect("it runs").standing(fleet.now)).collect();
+    let standings: Vec<_> = [4, 5]
+        .iter()
+        .map(|i| {
+            fleet.nodes[*i]
+                .peers
+                .as_ref()
+                .expect("it runs")
+                .standing(fleet.now)
+        })
+        .collect();
     assert!(standings.contains(&Standing::Conflict), "{standings:?}");
-    let lives: u64 =
-        [4, 5].iter().map(|i| fleet.nodes[*i].peers.as_ref().expect("it runs").figures().lives).sum();
+    let lives: u64 = [4, 5]
+        .iter()
+        .map(|i| {
+            fleet.nodes[*i]
+                .peers
+                .as_ref()
+                .expect("it runs")
+                .figures()
+                .lives
+        })
+        .sum();
     assert!(lives <= 14, "{lives}");
 }
 
@@ -648,10 +882,19 @@
             salt: 1,
             ..Update::default()
         };
-        let frame =
-            Frame { kind: Kind::Gossip as i32, updates: (0..4).map(update).collect(), ..Frame::default() };
+        let frame = Frame {
+            kind: Kind::Gossip as i32,
+            updates: (0..4).map(update).collect(),
+            ..Frame::default()
+        };
         let to = fleet.nodes[1].peers.as_ref().expect("it runs").life().salt;
-        let mail = Mail::Frame { name: name(0), from: at(0), life, to, frame };
+        let mail = Mail::Frame {
+            name: name(0),
+            from: at(0),
+            life,
+            to,
+            frame,
+        };
         fleet.deliver(1, mail);
     }
     let peers = fleet.nodes[1].peers.as_ref().expect("it runs");
@@ -673,7 +916,10 @@
     fleet.kill(2);
     fleet.start(2);
     fleet.until_agreed(SECOND * 10);
-    let (life, at_1) = (fleet.nodes[1].peers.as_ref().expect("it runs").life(), fleet.nodes[1].at);
+    let (life, at_1) = (
+        fleet.nodes[1].peers.as_ref().expect("it runs").life(),
+        fleet.nodes[1].at,
+    );
     let lie = Update {
         name: "ghost".into(),
         address: vec![127, 1, 1, 1, 1, 1],
@@ -681,12 +927,33 @@
         salt: 1,
         ..Update::default()
     };
-    let frame = Frame { updates: vec![lie], ..Frame::default() };
-    let before = fleet.nodes[2].peers.as_ref().expect("it runs").figures().to_earlier;
-    fleet.deliver(2, Mail::Frame { name: name(1), from: at_1, life, to: old.salt, frame });
+    let frame = Frame {
+        updates: vec![lie],
+        ..Frame::default()
+    };
+    let before = fleet.nodes[2]
+        .peers
+        .as_ref()
+        .expect("it runs")
+        .figures()
+        .to_earlier;
+    fleet.deliver(
+        2,
+        Mail::Frame {
+            name: name(1),
+            from: at_1,
+            life,
+            to: old.salt,
+            frame,
+        },
+    );
     let peers = fleet.nodes[2].peers.as_ref().expect("it runs");
     assert_eq!(peers.figures().to_earlier, before + 1);
-    assert!(peers.members().all(|member| member.name.as_str() != "ghost"));
+    assert!(
+        peers
+            .members()
+            .all(|member| member.name.as_str() != "ghost")
+    );
 }
 
 #[test]
@@ -695,22 +962,40 @@
     fleet.until_agreed(SECOND * 10);
     let now = fleet.now;
     for version in 0..5u8 {
-        fleet.nodes[3].peers.as_mut().expect("it runs").tell("load", &[version], now).expect("it fits");
+        fleet.nodes[3]
+            .peers
+            .as_mut()
+            .expect("it runs")
+            .tell("load", &[version], now)
+            .expect("it fits");
     }
     fleet.run(SECOND * 2);
     let value = |fleet: &Fleet, by: usize| {
         let peers = fleet.nodes[by].peers.as_ref().expect("it runs");
-        peers.member(&name(3)).and_then(|m| m.value("load")).map(|value| value.bytes.to_vec())
+        peers
+            .member(&name(3))
+            .and_then(|m| m.value("load"))
+            .map(|value| value.bytes.to_vec())
     };
-    assert!((0..10).filter(|by| *by != 3).all(|by| value(&fleet, by) == Some(vec![4])));
+    assert!(
+        (0..10)
+            .filter(|by| *by != 3)
+            .all(|by| value(&fleet, by) == Some(vec![4]))
+    );
     fleet.kill(3);
     fleet.run(SECOND * 6);
-    assert!((0..10).filter(|by| *by != 3).all(|by| value(&fleet, by).is_none()));
+    assert!(
+        (0..10)
+            .filter(|by| *by != 3)
+            .all(|by| value(&fleet, by).is_none())
+    );
     // What is over the bounds is turned down and changes nothing.
     let peers = fleet.nodes[4].peers.as_mut().expect("it runs");
     assert!(peers.tell("", b"x", now).is_err());
     assert!(peers.tell("long", &[0; 113], now).is_err());
-    let taken = (0..40).filter(|i| peers.tell(&format!("k{i}"), b"x", now).is_ok()).count();
+    let taken = (0..40)
+        .filter(|i| peers.tell(&format!("k{i}"), b"x", now).is_ok())
+        .count();
     assert_eq!(taken, 23, "with the one under \"about\"");
 }
 
@@ -719,11 +1004,19 @@
     let mut fleet = Fleet::new(8, 13);
     fleet.until_agreed(SECOND * 10);
     let now = fleet.now;
-    let actions = fleet.nodes[6].peers.as_mut().expect("it runs").handle(now, Event::Leave);
+    let actions = fleet.nodes[6]
+        .peers
+        .as_mut()
+        .expect("it runs")
+        .handle(now, Event::Leave);
     fleet.act(6, actions);
     fleet.kill(6);
     fleet.run(MS * 700);
-    assert!((0..8).filter(|by| *by != 6).all(|by| fleet.says(by, 6) == Some(State::Left)));
+    assert!(
+        (0..8)
+            .filter(|by| *by != 6)
+            .all(|by| fleet.says(by, 6) == Some(State::Left))
+    );
 }
 
 #[test]
@@ -748,7 +1041,11 @@
         fleet.run(SECOND * 20);
         fleet.kill(2);
         fleet.run(SECOND * 10);
-        fleet.nodes.iter().map(|node| (node.sent, node.peers.as_ref().map(Peers::life))).collect::<Vec<_>>()
+        fleet
+            .nodes
+            .iter()
+            .map(|node| (node.sent, node.peers.as_ref().map(Peers::life)))
+            .collect::<Vec<_>>()
     };
     assert_eq!(played(), played());
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -36,7 +36,15 @@
 
 #[test]
 fn frames_of_every_kind_keep_their_bytes() {
-    let kinds = [Kind::Gossip, Kind::Ping, Kind::Ack, Kind::Favour, Kind::Nack, Kind::Join, Kind::Welcome];
+    let kinds = [
+        Kind::Gossip,
+        Kind::Ping,
+        Kind::Ack,
+        Kind::Favour,
+        Kind::Nack,
+        Kind::Join,
+        Kind::Welcome,
+    ];
     let fixtures = include_str!("golden/frames.hex").lines();
     assert_eq!(fixtures.clone().count(), kinds.len());
     for (kind, fixture) in kinds.into_iter().zip(fixtures) {
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -56,7 +56,10 @@
     pub fn name(&self, classes: &[String]) {
         let mut handled = self.handled.borrow_mut();
         for name in classes.iter().skip(handled.len()) {
-            handled.push(Handled { name: name.clone(), ..Handled::default() });
+            handled.push(Handled {
+                name: name.clone(),
+                ..Handled::default()
+            });
         }
     }
 
@@ -85,7 +88,11 @@
 
     /// A configuration was read again: taken, or turned down.
     pub fn loaded(&self, taken: bool) {
-        let count = if taken { &self.loads } else { &self.load_errors };
+        let count = if taken {
+            &self.loads
+        } else {
+            &self.load_errors
+        };
         count.set(count.get() + 1);
     }
 
@@ -93,8 +100,18 @@
     pub fn text(&self, view: View) -> String {
         let mut out = String::with_capacity(512);
         // Writes into a string can't fail.
-        for Handled { name, passed, dropped, bad_gateway } in self.handled.borrow().iter() {
-            for (what, count) in [("passed", passed), ("dropped", dropped), ("bad_gateway", bad_gateway)] {
+        for Handled {
+            name,
+            passed,
+            dropped,
+            bad_gateway,
+        } in self.handled.borrow().iter()
+        {
+            for (what, count) in [
+                ("passed", passed),
+                ("dropped", dropped),
+                ("bad_gateway", bad_gateway),
+            ] {
                 let _ = writeln!(out, "node.handled.{name}.{what}={count}");
             }
         }
@@ -141,7 +158,10 @@
         counters.ended(7, End::Passed); // nobody's
         counters.name(&names(&["read", "submit", "late"]));
         counters.ended(2, End::Passed);
-        let text = counters.text(View { known: 9, skipped: 2 });
+        let text = counters.text(View {
+            known: 9,
+            skipped: 2,
+        });
         assert_eq!(
             text,
             "node.handled.read.passed=1\nnode.handled.read.dropped=0\nnode.handled.read.bad_gateway=0\n\
@@ -157,8 +177,16 @@
         let counters = Counters::new();
         let (one, two) = (counters.taken(), counters.taken());
         drop(one);
-        assert!(counters.text(View::default()).contains("node.in_progress=1\n"));
+        assert!(
+            counters
+                .text(View::default())
+                .contains("node.in_progress=1\n")
+        );
         drop(two);
-        assert!(counters.text(View::default()).contains("node.in_progress=0\n"));
+        assert!(
+            counters
+                .text(View::default())
+                .contains("node.in_progress=0\n")
+        );
     }
 }
--- a/crates/node-config/src/lib.rs
+++ b/crates/node-config/src/lib.rs
@@ -1,10 +1,10 @@
 //! What a node is told at its start: the file that `PROXY_CONFIG` names.
 #![forbid(unsafe_code)]
 
-use sillward_balancer::settings::{self, Site};
 use serde::Deserialize;
 use serde_json::Value;
 use serde_json::value::RawValue;
+use sillward_balancer::settings::{self, Site};
 use sillward_forwarding::READ_BUFFER;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -46,7 +46,10 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { sockets: 1024, memory_mb: 192.0 }
+        Limits {
+            sockets: 1024,
+            memory_mb: 192.0,
+        }
     }
 }
 
@@ -86,7 +89,11 @@
     match (old, new) {
         (Value::Object(old), Value::Object(new)) => {
             for (key, old) in old {
-                let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
+                let path = if path.is_empty() {
+                    key.clone()
+                } else {
+                    format!("{path}.{key}")
+                };
                 match new.get(key) {
                     Some(new) => lacks(&path, old, new, missing),
                     None => missing.push(path),
@@ -96,14 +103,23 @@
         // Entries come and go; what all had, each of them has.
         (Value::Array(old), Value::Array(new)) => {
             let old: Vec<_> = old.iter().filter_map(Value::as_object).collect();
-            let Some((first, others)) = old.split_first() else { return };
+            let Some((first, others)) = old.split_first() else {
+                return;
+            };
             let all = |key: &&String| others.iter().all(|entry| entry.contains_key(*key));
             let common: Vec<_> = first.keys().filter(all).collect();
             for (i, entry) in new.iter().enumerate() {
-                let Some(entry) = entry.as_object() else { continue };
-                let guarded = entry.get("Idempotency").is_none_or(|kind| kind == "guarded");
+                let Some(entry) = entry.as_object() else {
+                    continue;
+                };
+                let guarded = entry
+                    .get("Idempotency")
+                    .is_none_or(|kind| kind == "guarded");
                 let needed = |key: &&&String| guarded || !OF_SOME_CLASSES.contains(&key.as_str());
-                let short = common.iter().filter(needed).filter(|key| !entry.contains_key(key.as_str()));
+                let short = common
+                    .iter()
+                    .filter(needed)
+                    .filter(|key| !entry.contains_key(key.as_str()));
                 missing.extend(short.map(|key| format!("{path}[{i}].{key}")));
             }
         }
@@ -115,21 +131,33 @@
     /// Reads the file that `PROXY_CONFIG` names. The other `PROXY_` variables say nothing that it does not; but
     /// `PROXY_LISTEN_FD` is of the process, and `PROXY_ADMIN` is read where the file has no `admin`.
     pub fn from_env() -> Result<Self, String> {
-        let path = std::env::var_os("PROXY_CONFIG").ok_or("bad configuration: PROXY_CONFIG is not set")?;
+        let path =
+            std::env::var_os("PROXY_CONFIG").ok_or("bad configuration: PROXY_CONFIG is not set")?;
         let path = PathBuf::from(path);
         let text = std::fs::read_to_string(&path)
             .map_err(|e| format!("bad configuration: cannot read {}: {e}", path.display()))?;
-        let mut config = Config::parse(&text).map_err(|what| format!("bad configuration: {what}"))?;
+        let mut config =
+            Config::parse(&text).map_err(|what| format!("bad configuration: {what}"))?;
         if let Some(number) = std::env::var_os("PROXY_LISTEN_FD").filter(|v| !v.is_empty()) {
-            let number = number.to_str().and_then(|number| number.parse().ok()).filter(|number| *number > 2);
-            config.listen_fd =
-                Some(number.ok_or("bad configuration: PROXY_LISTEN_FD is no descriptor's number over 2")?);
+            let number = number
+                .to_str()
+                .and_then(|number| number.parse().ok())
+                .filter(|number| *number > 2);
+            config.listen_fd = Some(
+                number
+                    .ok_or("bad configuration: PROXY_LISTEN_FD is no descriptor's number over 2")?,
+            );
         }
-        config.folder = std::env::var_os("TMPDIR").filter(|v| !v.is_empty()).map(PathBuf::from);
-        if let (None, Some(admin)) = (config.admin, std::env::var_os("PROXY_ADMIN").filter(|v| !v.is_empty()))
-        {
+        config.folder = std::env::var_os("TMPDIR")
+            .filter(|v| !v.is_empty())
+            .map(PathBuf::from);
+        if let (None, Some(admin)) = (
+            config.admin,
+            std::env::var_os("PROXY_ADMIN").filter(|v| !v.is_empty()),
+        ) {
             let admin = admin.to_str().and_then(|admin| admin.parse().ok());
-            config.admin = Some(admin.ok_or("bad configuration: PROXY_ADMIN is no address with a port")?);
+            config.admin =
+                Some(admin.ok_or("bad configuration: PROXY_ADMIN is no address with a port")?);
         }
         Ok(config)
     }
@@ -151,19 +179,30 @@
             ("Projects: a Name", &site.tenant_names),
             ("Localities: a name", &site.zone_names),
         ] {
-            if names.iter().enumerate().any(|(i, name)| name.is_empty() || names[..i].contains(name)) {
-                return Err(format!("settings.{key} is empty or stands twice in {names:?}"));
+            if names
+                .iter()
+                .enumerate()
+                .any(|(i, name)| name.is_empty() || names[..i].contains(name))
+            {
+                return Err(format!(
+                    "settings.{key} is empty or stands twice in {names:?}"
+                ));
             }
         }
-        let free = ((file.limits.memory_mb * f64::from(1 << 20)) as usize).saturating_sub(OWN_BYTES);
+        let free =
+            ((file.limits.memory_mb * f64::from(1 << 20)) as usize).saturating_sub(OWN_BYTES);
         let spare = SPARE_SOCKETS + file.admin.map_or(0, |_| ADMIN_SOCKETS);
         let connections = file.limits.sockets.saturating_sub(spare);
         if connections < 2 {
-            return Err(format!("{} sockets are too few: {spare} and 2 at least", file.limits.sockets));
+            return Err(format!(
+                "{} sockets are too few: {spare} and 2 at least",
+                file.limits.sockets
+            ));
         }
         // Half of the memory at most is for connections; a quarter of the rest is left for chance.
         let connections = connections.min(free / 2 / CONNECTION_BYTES).max(2);
-        let body_bytes = (free.saturating_sub(connections * CONNECTION_BYTES) / 4 * 3).max(LEAST_BODY_BYTES);
+        let body_bytes =
+            (free.saturating_sub(connections * CONNECTION_BYTES) / 4 * 3).max(LEAST_BODY_BYTES);
         Ok(Config {
             name: file.name,
             listen: file.listen,
@@ -190,9 +229,16 @@
         let mut missing = Vec::new();
         lacks("", &self.text, &later.text, &mut missing);
         if !missing.is_empty() {
-            return Err(format!("bad configuration: it lacks {}", missing.join(", ")));
+            return Err(format!(
+                "bad configuration: it lacks {}",
+                missing.join(", ")
+            ));
         }
-        later.site.clone().onto(now).map_err(|what| format!("bad configuration: {what}"))
+        later
+            .site
+            .clone()
+            .onto(now)
+            .map_err(|what| format!("bad configuration: {what}"))
     }
 
     /// What differs in a later configuration and can't change in a node that runs. The seed is none of it:
@@ -204,7 +250,11 @@
             ("admin", self.admin != later.admin),
             ("limits", self.limits != later.limits),
         ];
-        fixed.into_iter().filter(|(_, differs)| *differs).map(|(name, _)| name).collect()
+        fixed
+            .into_iter()
+            .filter(|(_, differs)| *differs)
+            .map(|(name, _)| name)
+            .collect()
     }
 }
 
@@ -240,10 +290,15 @@
     /// Every way to an object's key.
     fn paths(at: &Value, path: &mut Vec<String>, all: &mut Vec<Vec<String>>) {
         let entries: Vec<(String, &Value)> = match at {
-            Value::Object(keys) => keys.iter().map(|(key, value)| (key.clone(), value)).collect(),
-            Value::Array(items) => {
-                items.iter().enumerate().map(|(i, value)| (i.to_string(), value)).collect()
-            }
+            Value::Object(keys) => keys
+                .iter()
+                .map(|(key, value)| (key.clone(), value))
+                .collect(),
+            Value::Array(items) => items
+                .iter()
+                .enumerate()
+                .map(|(i, value)| (i.to_string(), value))
+                .collect(),
             _ => return,
         };
         for (key, value) in entries {
@@ -266,16 +321,21 @@
 
     #[test]
     fn a_file_short_of_any_key_is_told_with_it_unless_it_may_be_left_out() {
-        let (value, mut all) = (serde_json::from_str::<Value>(FILE).expect("JSON"), Vec::new());
+        let (value, mut all) = (
+            serde_json::from_str::<Value>(FILE).expect("JSON"),
+            Vec::new(),
+        );
         paths(&value, &mut Vec::new(), &mut all);
         let mut may = Vec::new();
         for path in all {
             let (key, way) = path.split_last().expect("a key");
             let text = with(|value| {
-                let parent = way.iter().fold(value, |at, step| match step.parse::<usize>() {
-                    Ok(i) => &mut at[i],
-                    Err(_) => &mut at[step],
-                });
+                let parent = way
+                    .iter()
+                    .fold(value, |at, step| match step.parse::<usize>() {
+                        Ok(i) => &mut at[i],
+                        Err(_) => &mut at[step],
+                    });
                 parent.as_object_mut().expect("an object").remove(key);
             });
             match after(&text) {
@@ -314,9 +374,17 @@
             let text = with(|file| file["settings"]["Classes"][0][key] = value.clone());
             assert!(after(&text).is_err(), "{key} {value}");
         }
-        for cap in [Value::from(0), Value::from(-1), Value::from(2.5), Value::from("3")] {
+        for cap in [
+            Value::from(0),
+            Value::from(-1),
+            Value::from(2.5),
+            Value::from("3"),
+        ] {
             assert!(
-                after(&with(|file| file["settings"]["Permissions"]["AttemptsCap"] = cap.clone())).is_err(),
+                after(&with(
+                    |file| file["settings"]["Permissions"]["AttemptsCap"] = cap.clone()
+                ))
+                .is_err(),
                 "{cap}"
             );
         }
@@ -326,7 +394,11 @@
             file["settings"]["Permissions"]["AttemptsCap"] = 0.into();
         }));
         let what = what.expect_err("three faults");
-        for part in ["submit: GiveUp is 0", "correct: Target is -3", "Permissions.AttemptsCap is 0"] {
+        for part in [
+            "submit: GiveUp is 0",
+            "correct: Target is -3",
+            "Permissions.AttemptsCap is 0",
+        ] {
             assert!(what.contains(part), "{what}");
         }
     }
@@ -338,27 +410,43 @@
             let settings = &mut file["settings"];
             settings["Localities"] = vec!["b", "c", "a"].into();
             settings["Zone"] = 0.into();
-            settings["Projects"].as_array_mut().expect("a list").reverse();
-            let late =
-                serde_json::json!({"Name":"late","Target":1,"GiveUp":2,"Idempotency":"free","Credit":1});
+            settings["Projects"]
+                .as_array_mut()
+                .expect("a list")
+                .reverse();
+            let late = serde_json::json!({"Name":"late","Target":1,"GiveUp":2,"Idempotency":"free","Credit":1});
             settings["Classes"][0] = late; // submit vanishes
         });
-        let second = first.followed_by(&parsed(&text), &first.site).expect("a good file");
+        let second = first
+            .followed_by(&parsed(&text), &first.site)
+            .expect("a good file");
         assert_eq!(second.class_names, ["submit", "correct", "late"]);
         assert_eq!(
-            (second.class("submit"), second.class("correct"), second.class("late")),
+            (
+                second.class("submit"),
+                second.class("correct"),
+                second.class("late")
+            ),
             (None, Some(1), Some(2))
         );
         assert_eq!(
             second.settings.classes[0], first.site.settings.classes[0],
             "open requests keep its terms"
         );
-        assert_eq!((second.tenant(b"pati"), second.tenant(b"tegal")), (Some(0), Some(1)));
+        assert_eq!(
+            (second.tenant(b"pati"), second.tenant(b"tegal")),
+            (Some(0), Some(1))
+        );
         assert_eq!(second.zone_names, ["a", "b", "c"]);
         assert_eq!(second.settings.zone, 1, "b, as before");
         // One that comes back is the same.
-        let third = first.followed_by(&parsed(FILE), &second).expect("a good file");
-        assert_eq!((third.class("submit"), third.class("late")), (Some(0), None));
+        let third = first
+            .followed_by(&parsed(FILE), &second)
+            .expect("a good file");
+        assert_eq!(
+            (third.class("submit"), third.class("late")),
+            (Some(0), None)
+        );
     }
 
     #[test]
--- a/crates/operator-config/src/agreement.rs
+++ b/crates/operator-config/src/agreement.rs
@@ -24,9 +24,16 @@
     if log.as_ref().is_some_and(|log| log.len() > 64) {
         section.fault("log", "is longer than 64 bytes");
     }
-    let voters: Vec<String> = section.texts("voters").into_iter().map(str::to_owned).collect();
+    let voters: Vec<String> = section
+        .texts("voters")
+        .into_iter()
+        .map(str::to_owned)
+        .collect();
     if !matches!(voters.len(), 3 | 5 | 7) {
-        section.fault("voters", format!("must name 3, 5 or 7 nodes, names {}", voters.len()));
+        section.fault(
+            "voters",
+            format!("must name 3, 5 or 7 nodes, names {}", voters.len()),
+        );
     }
     let mut once = voters.clone();
     once.sort();
@@ -36,7 +43,12 @@
     }
     let folder = section.text("folder").map(PathBuf::from);
     let bound = section.number("bound_ms", 500, 60_000).unwrap_or(2_000);
-    Some(AgreementTerms { log: log?, voters, folder, bound: Duration::from_millis(bound as u64) })
+    Some(AgreementTerms {
+        log: log?,
+        voters,
+        folder,
+        bound: Duration::from_millis(bound as u64),
+    })
 }
 
 /// Reads the file of a change: all that a version is to hold, not what it is to differ by.
@@ -53,10 +65,22 @@
         }
         if let Some(limits) = root.table("limits") {
             if let Some(attempts) = limits.number("attempts", 1, 16) {
-                put(&limits, "attempts", &mut rules, Key::Attempts, Value::Count(attempts as u32));
+                put(
+                    &limits,
+                    "attempts",
+                    &mut rules,
+                    Key::Attempts,
+                    Value::Count(attempts as u32),
+                );
             }
             if let Some(word) = limits.word("hedges", &["never", "allowed"]) {
-                put(&limits, "hedges", &mut rules, Key::Hedges, Value::Is(word == 1));
+                put(
+                    &limits,
+                    "hedges",
+                    &mut rules,
+                    Key::Hedges,
+                    Value::Is(word == 1),
+                );
             }
             limits.end();
         }
@@ -64,7 +88,12 @@
     let faults = rules.faults();
     let mut told = reader.finish(rules)?;
     if !faults.is_empty() {
-        let fault = |what| Fault { line: 1, file: name.to_owned(), key: String::new(), what };
+        let fault = |what| Fault {
+            line: 1,
+            file: name.to_owned(),
+            key: String::new(),
+            what,
+        };
         return Err(faults.into_iter().map(fault).collect());
     }
     Ok(std::mem::take(&mut told))
@@ -77,12 +106,17 @@
 }
 
 fn read_class(class: &Section<'_>, rules: &mut Rules) {
-    let Some(name) = class.needed("name").map(str::to_owned) else { return };
+    let Some(name) = class.needed("name").map(str::to_owned) else {
+        return;
+    };
     let window = class.number("window_ms", 1, 86_400_000);
     let repeat = match class.word("repeat", &["safe", "keyed", "unsafe"]) {
         Some(0) => Some(Repeat::Safe),
         Some(1) if window.is_none() => {
-            class.fault("window_ms", "is missing: a class that repeats by its key does so within a window");
+            class.fault(
+                "window_ms",
+                "is missing: a class that repeats by its key does so within a window",
+            );
             None
         }
         Some(1) => window.map(|ms| Repeat::Keyed(ms as u64)),
@@ -90,15 +124,36 @@
         None => None,
     };
     if window.is_some() && !matches!(repeat, Some(Repeat::Keyed(_)) | None) {
-        class.fault("window_ms", "only a class that repeats by its key has a window");
+        class.fault(
+            "window_ms",
+            "only a class that repeats by its key has a window",
+        );
     }
     if let Some(repeat) = repeat {
-        put(class, "repeat", rules, Key::Repeat(name.clone()), Value::Repeat(repeat));
+        put(
+            class,
+            "repeat",
+            rules,
+            Key::Repeat(name.clone()),
+            Value::Repeat(repeat),
+        );
     }
     if let Some(ms) = class.number("aim_ms", 1, 86_400_000) {
-        put(class, "aim_ms", rules, Key::Aim(name.clone()), Value::Ms(ms as u64));
+        put(
+            class,
+            "aim_ms",
+            rules,
+            Key::Aim(name.clone()),
+            Value::Ms(ms as u64),
+        );
     }
     if let Some(ms) = class.number("deadline_ms", 1, 86_400_000) {
-        put(class, "deadline_ms", rules, Key::Deadline(name), Value::Ms(ms as u64));
+        put(
+            class,
+            "deadline_ms",
+            rules,
+            Key::Deadline(name),
+            Value::Ms(ms as u64),
+        );
     }
 }
--- a/crates/operator-config/src/etcd.rs
+++ b/crates/operator-config/src/etcd.rs
@@ -2,13 +2,16 @@
 
 use crate::reader::Section;
 use sillward_balancer::settings::Site;
-use sillward_etcd::{Terms, Times};
 use sillward_endpoints::Guard;
+use sillward_etcd::{Terms, Times};
 use std::time::Duration;
 
 pub fn read(section: &Section<'_>, site: Option<&Site>) -> Option<(Terms, Guard)> {
     if site.is_some_and(|site| site.settings.list_on_request) {
-        section.fault("endpoints", "the settings' RegistryMode is \"ask\": etcd goes with pushed lists only");
+        section.fault(
+            "endpoints",
+            "the settings' RegistryMode is \"ask\": etcd goes with pushed lists only",
+        );
     }
     let endpoints = section.texts("endpoints");
     if endpoints.is_empty() {
@@ -17,7 +20,10 @@
     let parsed: Vec<_> = endpoints.iter().map(|text| text.parse()).collect();
     for (text, parsed) in endpoints.iter().zip(&parsed) {
         if parsed.is_err() {
-            section.fault("endpoints", format!("{text:?} is no address like \"127.0.0.1:2379\""));
+            section.fault(
+                "endpoints",
+                format!("{text:?} is no address like \"127.0.0.1:2379\""),
+            );
         }
     }
     let prefix = section.needed("prefix")?.to_owned();
@@ -28,7 +34,9 @@
     }
     let usual = Times::default();
     let time = |name, usual: Duration| {
-        section.number(name, 1, 86_400_000).map_or(usual, |ms| Duration::from_millis(ms as u64))
+        section
+            .number(name, 1, 86_400_000)
+            .map_or(usual, |ms| Duration::from_millis(ms as u64))
     };
     let times = Times {
         connect: time("connect_ms", usual.connect),
@@ -42,11 +50,20 @@
     }
     let usual = Guard::default();
     let guard = Guard {
-        most_percent: section.number("guard_percent", 0, 100).map_or(usual.most_percent, |n| n as usize),
-        least: section.number("guard_least", 1, 1 << 20).map_or(usual.least, |n| n as usize),
+        most_percent: section
+            .number("guard_percent", 0, 100)
+            .map_or(usual.most_percent, |n| n as usize),
+        least: section
+            .number("guard_least", 1, 1 << 20)
+            .map_or(usual.least, |n| n as usize),
         hold: time("guard_hold_ms", usual.hold),
     };
     let endpoints: Result<Vec<_>, _> = parsed.into_iter().collect();
-    let terms = Terms { endpoints: endpoints.ok()?, prefix, user: user.zip(password), times };
+    let terms = Terms {
+        endpoints: endpoints.ok()?,
+        prefix,
+        user: user.zip(password),
+        times,
+    };
     Some((terms, guard))
 }
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -37,8 +37,14 @@
 
 pub fn read(section: &Section<'_>) -> Option<FleetTerms> {
     let name = section.needed("name").map(str::to_owned);
-    if name.as_ref().is_some_and(|name| name.len() > MOST_FLEET || name.chars().any(char::is_control)) {
-        section.fault("name", format!("is longer than {MOST_FLEET} bytes, or has control characters"));
+    if name
+        .as_ref()
+        .is_some_and(|name| name.len() > MOST_FLEET || name.chars().any(char::is_control))
+    {
+        section.fault(
+            "name",
+            format!("is longer than {MOST_FLEET} bytes, or has control characters"),
+        );
     }
     let key_file = section.needed("key_file").map(PathBuf::from);
     if !section.has("listen") {
@@ -47,10 +53,16 @@
     let listen: Option<SocketAddr> = section.parsed("listen");
     let advertise: Option<SocketAddr> = section.parsed("advertise");
     if listen.is_some_and(|at| at.ip().is_unspecified()) && advertise.is_none() {
-        section.fault("advertise", "is needed where \"listen\" is every address: the others must know one");
+        section.fault(
+            "advertise",
+            "is needed where \"listen\" is every address: the others must know one",
+        );
     }
     if advertise.is_some_and(|at| at.port() == 0 || at.ip().is_unspecified()) {
-        section.fault("advertise", "must be an address with a port that the others can reach");
+        section.fault(
+            "advertise",
+            "must be an address with a port that the others can reach",
+        );
     }
     let texts = section.texts("seeds");
     if texts.len() > MOST_SEEDS {
@@ -60,20 +72,28 @@
     for text in texts {
         match text.parse::<SocketAddr>() {
             Ok(seed) if seed.port() != 0 => seeds.push(seed),
-            _ => section.fault("seeds", format!("{text:?} is no address like \"127.0.0.1:7946\"")),
+            _ => section.fault(
+                "seeds",
+                format!("{text:?} is no address like \"127.0.0.1:7946\""),
+            ),
         }
     }
     let place = |name| {
         let text = section.text(name).unwrap_or_default();
         if text.len() > MOST_PLACE || text.chars().any(char::is_control) {
-            section.fault(name, format!("is longer than {MOST_PLACE} bytes, or has control characters"));
+            section.fault(
+                name,
+                format!("is longer than {MOST_PLACE} bytes, or has control characters"),
+            );
         }
         text.to_owned()
     };
     let (zone, region) = (place("zone"), place("region"));
     let usual = sillward_membership::Terms::default();
     let ms = |name, least, most, usual: Duration| {
-        section.number(name, least, most).map_or(usual, |ms| Duration::from_millis(ms as u64))
+        section
+            .number(name, least, most)
+            .map_or(usual, |ms| Duration::from_millis(ms as u64))
     };
     let peers = sillward_membership::Terms {
         probe: ms("probe_ms", 50, 60_000, usual.probe),
@@ -81,18 +101,36 @@
         suspicion: ms("suspicion_ms", 200, 600_000, usual.suspicion),
         gossip: ms("gossip_ms", 20, 10_000, usual.gossip),
         forget: ms("forget_ms", 1_000, 86_400_000, usual.forget),
-        most: section.number("members", 2, 4096).map_or(usual.most, |n| n as usize),
+        most: section
+            .number("members", 2, 4096)
+            .map_or(usual.most, |n| n as usize),
         ..usual
     };
     if peers.least_wait >= peers.probe {
-        section.fault("wait_ms", "must be shorter than probe_ms: a probe is over before the next one");
+        section.fault(
+            "wait_ms",
+            "must be shorter than probe_ms: a probe is over before the next one",
+        );
     }
     if peers.suspicion < peers.least_wait * 4 {
-        section
-            .fault("suspicion_ms", "must be four times wait_ms at least: who is suspected has to hear of it");
+        section.fault(
+            "suspicion_ms",
+            "must be four times wait_ms at least: who is suspected has to hear of it",
+        );
     }
     let frame_bytes = section.number("frame_bytes", 256, 1400).unwrap_or(256) as usize;
     let folder = section.text("folder").map(PathBuf::from);
     let (name, key_file, listen) = (name?, key_file?, listen?);
-    Some(FleetTerms { name, key_file, listen, advertise, seeds, zone, region, folder, frame_bytes, peers })
+    Some(FleetTerms {
+        name,
+        key_file,
+        listen,
+        advertise,
+        seeds,
+        zone,
+        region,
+        folder,
+        frame_bytes,
+        peers,
+    })
 }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -14,8 +14,8 @@
 pub use fleet::FleetTerms;
 pub use reader::Fault;
 
-use sillward_balancer::settings::Site;
 use reader::Reader;
+use sillward_balancer::settings::Site;
 use sillward_endpoints::Guard;
 use sillward_thrift::{BackendTerms, FrontTerms};
 use std::net::SocketAddr;
@@ -73,7 +73,10 @@
         if let Some(section) = root.table("agreement") {
             operator.agreement = agreement::read(&section);
             if !root.has("fleet") {
-                section.fault("log", "needs [fleet]: nodes that do not know each other agree on nothing");
+                section.fault(
+                    "log",
+                    "needs [fleet]: nodes that do not know each other agree on nothing",
+                );
             }
             section.end();
         }
--- a/crates/operator-config/src/outcomes.rs
+++ b/crates/operator-config/src/outcomes.rs
@@ -7,11 +7,15 @@
 pub fn read(section: &Section<'_>) -> Terms {
     let usual = Terms::default();
     let ms = |name, least, most, usual: Duration| {
-        section.number(name, least, most).map_or(usual, |ms| Duration::from_millis(ms as u64))
+        section
+            .number(name, least, most)
+            .map_or(usual, |ms| Duration::from_millis(ms as u64))
     };
     let terms = Terms {
         window: ms("window_ms", 200, 10_000, usual.window),
-        keep: section.number("windows", 1, 30).map_or(usual.keep, |n| n as usize),
+        keep: section
+            .number("windows", 1, 30)
+            .map_or(usual.keep, |n| n as usize),
         bytes_a_second: section
             .number("bytes_a_second", 2_000, 1_000_000)
             .map_or(usual.bytes_a_second, |n| n as f64),
--- a/crates/operator-config/src/reader.rs
+++ b/crates/operator-config/src/reader.rs
@@ -40,7 +40,11 @@
 
 impl<'a> Reader<'a> {
     pub fn new(file: &'a str, text: &'a str) -> Self {
-        Reader { file, text, faults: RefCell::default() }
+        Reader {
+            file,
+            text,
+            faults: RefCell::default(),
+        }
     }
 
     /// Reads the whole file by what `read` asks of its root.
@@ -61,13 +65,22 @@
     pub fn finish<T>(self, read: T) -> Result<T, Vec<Fault>> {
         let mut faults = self.faults.into_inner();
         faults.sort();
-        if faults.is_empty() { Ok(read) } else { Err(faults) }
+        if faults.is_empty() {
+            Ok(read)
+        } else {
+            Err(faults)
+        }
     }
 
     fn fault(&self, span: Range<usize>, key: String, what: String) {
         let before = self.text.get(..span.start).unwrap_or(self.text);
         let line = 1 + before.matches('\n').count();
-        self.faults.borrow_mut().push(Fault { line, file: self.file.to_owned(), key, what });
+        self.faults.borrow_mut().push(Fault {
+            line,
+            file: self.file.to_owned(),
+            key,
+            what,
+        });
     }
 }
 
@@ -81,17 +94,35 @@
 }
 
 impl<'a> Section<'a> {
-    fn new(reader: &'a Reader<'a>, table: &'a DeTable<'a>, path: String, span: Range<usize>) -> Self {
-        Section { reader, table, path, span, asked: RefCell::default() }
+    fn new(
+        reader: &'a Reader<'a>,
+        table: &'a DeTable<'a>,
+        path: String,
+        span: Range<usize>,
+    ) -> Self {
+        Section {
+            reader,
+            table,
+            path,
+            span,
+            asked: RefCell::default(),
+        }
     }
 
     fn key(&self, name: &str) -> String {
-        if self.path.is_empty() { name.to_owned() } else { format!("{}.{name}", self.path) }
+        if self.path.is_empty() {
+            name.to_owned()
+        } else {
+            format!("{}.{name}", self.path)
+        }
     }
 
     fn get(&self, name: &'static str) -> Option<&'a Spanned<DeValue<'a>>> {
         self.asked.borrow_mut().insert(name);
-        self.table.iter().find(|(key, _)| key.get_ref() == name).map(|(_, value)| value)
+        self.table
+            .iter()
+            .find(|(key, _)| key.get_ref() == name)
+            .map(|(_, value)| value)
     }
 
     /// Whether the key is there.
@@ -108,7 +139,11 @@
     /// Tells of every key that nobody has asked for.
     pub fn end(&self) {
         let asked = self.asked.borrow();
-        for (key, _) in self.table.iter().filter(|(key, _)| !asked.contains(key.get_ref().as_ref())) {
+        for (key, _) in self
+            .table
+            .iter()
+            .filter(|(key, _)| !asked.contains(key.get_ref().as_ref()))
+        {
             let known: Vec<&str> = asked.iter().copied().collect();
             let what = format!("unknown key; known here: {}", known.join(", "));
             self.reader.fault(key.span(), self.key(key.get_ref()), what);
@@ -119,7 +154,12 @@
     pub fn table(&self, name: &'static str) -> Option<Section<'a>> {
         let value = self.get(name)?;
         match value.get_ref() {
-            DeValue::Table(table) => Some(Section::new(self.reader, table, self.key(name), value.span())),
+            DeValue::Table(table) => Some(Section::new(
+                self.reader,
+                table,
+                self.key(name),
+                value.span(),
+            )),
             other => {
                 self.wrong(name, "a table", other);
                 None
@@ -129,20 +169,28 @@
 
     /// The tables of an array of tables.
     pub fn tables(&self, name: &'static str) -> Vec<Section<'a>> {
-        let Some(value) = self.get(name) else { return Vec::new() };
+        let Some(value) = self.get(name) else {
+            return Vec::new();
+        };
         let DeValue::Array(all) = value.get_ref() else {
             self.wrong(name, "an array of tables", value.get_ref());
             return Vec::new();
         };
-        let sections = all.iter().enumerate().filter_map(|(i, value)| match value.get_ref() {
-            DeValue::Table(table) => {
-                Some(Section::new(self.reader, table, format!("{}[{i}]", self.key(name)), value.span()))
-            }
-            other => {
-                self.wrong(name, "an array of tables", other);
-                None
-            }
-        });
+        let sections = all
+            .iter()
+            .enumerate()
+            .filter_map(|(i, value)| match value.get_ref() {
+                DeValue::Table(table) => Some(Section::new(
+                    self.reader,
+                    table,
+                    format!("{}[{i}]", self.key(name)),
+                    value.span(),
+                )),
+                other => {
+                    self.wrong(name, "an array of tables", other);
+                    None
+                }
+            });
         sections.collect()
     }
 
@@ -171,7 +219,9 @@
 
     /// Texts of an array.
     pub fn texts(&self, name: &'static str) -> Vec<&'a str> {
-        let Some(value) = self.get(name) else { return Vec::new() };
+        let Some(value) = self.get(name) else {
+            return Vec::new();
+        };
         let all = value.get_ref().as_array();
         let texts: Option<Vec<&str>> =
             all.and_then(|all| all.iter().map(|text| text.get_ref().as_str()).collect());
@@ -197,7 +247,8 @@
     pub fn number(&self, name: &'static str, least: i64, most: i64) -> Option<i64> {
         let value = self.get(name)?;
         let number = value.get_ref().as_integer();
-        let number = number.and_then(|n| i64::from_str_radix(&n.as_str().replace('_', ""), n.radix()).ok());
+        let number =
+            number.and_then(|n| i64::from_str_radix(&n.as_str().replace('_', ""), n.radix()).ok());
         match number {
             Some(number) if (least..=most).contains(&number) => Some(number),
             Some(number) => {
@@ -227,7 +278,13 @@
         let Some(known) = known else { return Some(0) };
         let place = known.iter().position(|known| known == text);
         if place.is_none() {
-            self.fault(name, format!("{text:?} is no {what} of the settings: {}", known.join(", ")));
+            self.fault(
+                name,
+                format!(
+                    "{text:?} is no {what} of the settings: {}",
+                    known.join(", ")
+                ),
+            );
         }
         place
     }
--- a/crates/operator-config/src/thrift.rs
+++ b/crates/operator-config/src/thrift.rs
@@ -16,11 +16,16 @@
     let methods = methods(section, site);
     if section.has("listen") {
         if methods.is_empty() {
-            section.fault("method", "no method is served: at least one [[thrift.method]] is needed");
+            section.fault(
+                "method",
+                "no method is served: at least one [[thrift.method]] is needed",
+            );
         }
         operator.thrift = section.parsed("listen").map(|listen| FrontTerms {
             listen,
-            connections: section.number("connections", 1, 1 << 20).map(|n| n as usize),
+            connections: section
+                .number("connections", 1, 1 << 20)
+                .map(|n| n as usize),
             calls_in_flight: section.number("calls_in_flight", 1, 1024).unwrap_or(32) as usize,
             order: match section.word("order", &["finished", "called"]) {
                 Some(1) => Order::Called,
@@ -30,7 +35,10 @@
             methods,
         });
     } else if section.has("method") {
-        section.fault("method", "methods without a \"listen\": nobody could call them");
+        section.fault(
+            "method",
+            "methods without a \"listen\": nobody could call them",
+        );
     }
     let mut seen = Vec::new();
     for backend in section.tables("backend") {
@@ -52,7 +60,9 @@
 fn bounds(section: &Section<'_>) -> Bounds {
     let usual = Bounds::default();
     let number = |name, least, most, usual: usize| {
-        section.number(name, least, most).map_or(usual, |number| number as usize)
+        section
+            .number(name, least, most)
+            .map_or(usual, |number| number as usize)
     };
     Bounds {
         // Bodies are bounded by 64 KiB whichever protocol carries them.
@@ -66,7 +76,10 @@
     let mut methods: Vec<Method> = Vec::new();
     for table in section.tables("method") {
         if let Some(method) = read_method(&table, site) {
-            if methods.iter().any(|m| m.service == method.service && m.name == method.name) {
+            if methods
+                .iter()
+                .any(|m| m.service == method.service && m.name == method.name)
+            {
                 table.fault("name", "this method stands twice");
             }
             methods.push(method);
@@ -80,7 +93,10 @@
     let service = table.text("service").map(str::to_owned);
     let name = table.needed("name").map(str::to_owned);
     if name.as_ref().is_some_and(|name| name.contains(':')) {
-        table.fault("name", "a multiplexed name's service goes under \"service\"");
+        table.fault(
+            "name",
+            "a multiplexed name's service goes under \"service\"",
+        );
     }
     table.needed("class");
     let class = table.named("class", "class", site.map(|site| &site.class_names[..]));
@@ -91,13 +107,23 @@
         && !table.has("idempotency_key")
         && !key_from_content
     {
-        table.fault("idempotency_key", "is missing: this class is repeated by its key");
+        table.fault(
+            "idempotency_key",
+            "is missing: this class is repeated by its key",
+        );
     }
     let tenant = table.parsed("tenant");
-    let default_tenant = table.named("default_tenant", "tenant", site.map(|site| &site.tenant_names[..]));
+    let default_tenant = table.named(
+        "default_tenant",
+        "tenant",
+        site.map(|site| &site.tenant_names[..]),
+    );
     let tenants = site.is_some_and(|site| !site.tenant_names.is_empty());
     if tenants && !table.has("tenant") && !table.has("default_tenant") {
-        table.fault("tenant", "is missing, and so is default_tenant: the settings have tenants");
+        table.fault(
+            "tenant",
+            "is missing, and so is default_tenant: the settings have tenants",
+        );
     }
     let budget = table.parsed("budget_ms");
     let default_budget = table.number("default_budget_ms", 1, LONGEST_BUDGET_MS);
@@ -107,25 +133,35 @@
         name: name?,
         class: class?,
         station_key: table.parsed("station_key"),
-        default_station_key: table.text("default_station_key").unwrap_or_default().to_owned(),
+        default_station_key: table
+            .text("default_station_key")
+            .unwrap_or_default()
+            .to_owned(),
         idempotency_key,
         key_from_content,
         tenant,
         default_tenant,
         budget,
-        default_budget: default_budget.map_or(class_deadline, |ms| Duration::from_millis(ms as u64)),
+        default_budget: default_budget
+            .map_or(class_deadline, |ms| Duration::from_millis(ms as u64)),
     })
 }
 
 fn read_backend(table: &Section<'_>, site: Option<&Site>, bounds: Bounds) -> Option<BackendTerms> {
     table.needed("type");
-    let kind = table.named("type", "machine type", site.map(|site| &site.kind_names[..]));
+    let kind = table.named(
+        "type",
+        "machine type",
+        site.map(|site| &site.kind_names[..]),
+    );
     table.needed("encoding");
-    let encoding = table.word("encoding", &["binary", "compact", "binary-old"]).map(|word| match word {
-        0 => Encoding::Binary { strict: true },
-        1 => Encoding::Compact,
-        _ => Encoding::Binary { strict: false },
-    });
+    let encoding = table
+        .word("encoding", &["binary", "compact", "binary-old"])
+        .map(|word| match word {
+            0 => Encoding::Binary { strict: true },
+            1 => Encoding::Compact,
+            _ => Encoding::Binary { strict: false },
+        });
     let mut turned_away = Vec::new();
     for text in table.texts("turned_away") {
         match turned(text) {
@@ -153,7 +189,9 @@
         load_report: table.parsed("load_report"),
         probe: table.text("probe").map(str::to_owned),
         http_calls,
-        send_buffer: table.number("send_buffer", 1, 1 << 24).map(|bytes| bytes as usize),
+        send_buffer: table
+            .number("send_buffer", 1, 1 << 24)
+            .map(|bytes| bytes as usize),
         bounds,
     })
 }
@@ -163,7 +201,11 @@
     match what {
         "exception" => number.parse().ok().map(TurnedAway::Exception),
         // Field 0 is the result itself.
-        "field" => number.parse().ok().filter(|field| *field > 0).map(TurnedAway::Field),
+        "field" => number
+            .parse()
+            .ok()
+            .filter(|field| *field > 0)
+            .map(TurnedAway::Field),
         _ => None,
     }
 }
@@ -172,11 +214,23 @@
     table.needed("class");
     let class = table.named("class", "class", site.map(|site| &site.class_names[..]));
     let method = table.needed("method").map(str::to_owned);
-    let field = |name, usual| table.number(name, 1, i64::from(i16::MAX)).map_or(usual, |n| n as i16);
+    let field = |name, usual| {
+        table
+            .number(name, 1, i64::from(i16::MAX))
+            .map_or(usual, |n| n as i16)
+    };
     let (target, body) = (field("target", 1), field("body", 2));
-    let key = table.number("key", 1, i64::from(i16::MAX)).map(|n| n as i16);
+    let key = table
+        .number("key", 1, i64::from(i16::MAX))
+        .map(|n| n as i16);
     if target == body || key.is_some_and(|key| key == target || key == body) {
         table.fault("body", "two of target, body and key are the same argument");
     }
-    Some(HttpCall { class: class?, method: method?, target, body, key })
+    Some(HttpCall {
+        class: class?,
+        method: method?,
+        target,
+        body,
+        key,
+    })
 }
--- a/crates/outcome-stats/src/board.rs
+++ b/crates/outcome-stats/src/board.rs
@@ -53,7 +53,12 @@
 impl<K: Ord + Clone> Board<K> {
     /// For so many words at the most.
     pub fn new(most: usize) -> Self {
-        Board { words: BTreeMap::new(), by_arrival: BTreeMap::new(), arrivals: 0, most }
+        Board {
+            words: BTreeMap::new(),
+            by_arrival: BTreeMap::new(),
+            arrivals: 0,
+            most,
+        }
     }
 
     /// Takes a word in if it says something new; of the same version the one that is known to be younger counts. False if
@@ -72,7 +77,13 @@
         }
         self.arrivals += 1;
         self.by_arrival.insert(self.arrivals, key.clone());
-        self.words.insert(key, Word { arrival: self.arrivals, ..word });
+        self.words.insert(
+            key,
+            Word {
+                arrival: self.arrivals,
+                ..word
+            },
+        );
         true
     }
 
--- a/crates/outcome-stats/src/book.rs
+++ b/crates/outcome-stats/src/book.rs
@@ -46,7 +46,11 @@
             }
             self.number = number;
             let oldest = number.saturating_sub(self.keep as u64);
-            while self.closed.front().is_some_and(|(number, _)| *number < oldest) {
+            while self
+                .closed
+                .front()
+                .is_some_and(|(number, _)| *number < oldest)
+            {
                 self.closed.pop_front();
             }
         }
--- a/crates/outcome-stats/src/counts.rs
+++ b/crates/outcome-stats/src/counts.rs
@@ -86,13 +86,18 @@
             (&mut self.work_ms, other.work_ms),
             (&mut self.probes, other.probes),
         ];
-        pairs.into_iter().for_each(|(own, other)| *own = own.saturating_add(other));
+        pairs
+            .into_iter()
+            .for_each(|(own, other)| *own = own.saturating_add(other));
         self.times.merge(&other.times);
     }
 
     /// Attempts that have ended.
     pub fn ended(&self) -> u64 {
-        [self.in_time, self.late, self.refused, self.failed].iter().map(|n| u64::from(*n)).sum()
+        [self.in_time, self.late, self.refused, self.failed]
+            .iter()
+            .map(|n| u64::from(*n))
+            .sum()
     }
 }
 
@@ -109,9 +114,14 @@
 
 impl Asked {
     fn merge(&mut self, other: &Asked) {
-        let pairs =
-            [(&mut self.first, other.first), (&mut self.again, other.again), (&mut self.shed, other.shed)];
-        pairs.into_iter().for_each(|(own, other)| *own = own.saturating_add(other));
+        let pairs = [
+            (&mut self.first, other.first),
+            (&mut self.again, other.again),
+            (&mut self.shed, other.shed),
+        ];
+        pairs
+            .into_iter()
+            .for_each(|(own, other)| *own = own.saturating_add(other));
     }
 }
 
@@ -140,7 +150,11 @@
         let of = |count: u32| (f64::from(count) * by).round().min(f64::from(u32::MAX)) as u32;
         let tally = |tally: &Tally| {
             let mut times = Sketch::default();
-            tally.times.buckets().iter().for_each(|(bucket, count)| times.put(*bucket, of(*count)));
+            tally
+                .times
+                .buckets()
+                .iter()
+                .for_each(|(bucket, count)| times.put(*bucket, of(*count)));
             Tally {
                 sent: of(tally.sent),
                 in_time: of(tally.in_time),
@@ -152,17 +166,31 @@
                 times,
             }
         };
-        let asked =
-            |asked: &Asked| Asked { first: of(asked.first), again: of(asked.again), shed: of(asked.shed) };
+        let asked = |asked: &Asked| Asked {
+            first: of(asked.first),
+            again: of(asked.again),
+            shed: of(asked.shed),
+        };
         Counts {
-            cells: self.cells.iter().map(|(cell, own)| (*cell, tally(own))).collect(),
-            asked: self.asked.iter().map(|(class, own)| (*class, asked(own))).collect(),
+            cells: self
+                .cells
+                .iter()
+                .map(|(cell, own)| (*cell, tally(own)))
+                .collect(),
+            asked: self
+                .asked
+                .iter()
+                .map(|(class, own)| (*class, asked(own)))
+                .collect(),
         }
     }
 
     /// Calls that clients asked, repeats among them.
     pub fn calls(&self) -> u64 {
-        self.asked.values().map(|asked| u64::from(asked.first) + u64::from(asked.again)).sum()
+        self.asked
+            .values()
+            .map(|asked| u64::from(asked.first) + u64::from(asked.again))
+            .sum()
     }
 
     /// Of each count the middle one of several nodes' words; of two the lower. Times are those of the middle one by its calls.
@@ -178,12 +206,18 @@
         by_calls.sort_by_key(|counts| counts.calls());
         let times = by_calls.get(by_calls.len().saturating_sub(1) / 2);
         let none = Tally::default();
-        let cells: std::collections::BTreeSet<Cell> =
-            all.iter().flat_map(|counts| counts.cells.keys().copied()).collect();
+        let cells: std::collections::BTreeSet<Cell> = all
+            .iter()
+            .flat_map(|counts| counts.cells.keys().copied())
+            .collect();
         let cell = |cell: Cell| {
-            let tallies: Vec<&Tally> =
-                all.iter().map(|counts| counts.cells.get(&cell).unwrap_or(&none)).collect();
-            let of = |field: fn(&Tally) -> u32| middle(tallies.iter().map(|tally| field(tally)).collect());
+            let tallies: Vec<&Tally> = all
+                .iter()
+                .map(|counts| counts.cells.get(&cell).unwrap_or(&none))
+                .collect();
+            let of = |field: fn(&Tally) -> u32| {
+                middle(tallies.iter().map(|tally| field(tally)).collect())
+            };
             let tally = Tally {
                 sent: of(|t| t.sent),
                 in_time: of(|t| t.in_time),
@@ -199,13 +233,24 @@
             };
             (cell, tally)
         };
-        let classes: std::collections::BTreeSet<Class> =
-            all.iter().flat_map(|counts| counts.asked.keys().copied()).collect();
+        let classes: std::collections::BTreeSet<Class> = all
+            .iter()
+            .flat_map(|counts| counts.asked.keys().copied())
+            .collect();
         let class = |class: Class| {
-            let asked: Vec<Asked> =
-                all.iter().map(|counts| counts.asked.get(&class).copied().unwrap_or_default()).collect();
+            let asked: Vec<Asked> = all
+                .iter()
+                .map(|counts| counts.asked.get(&class).copied().unwrap_or_default())
+                .collect();
             let of = |field: fn(&Asked) -> u32| middle(asked.iter().map(field).collect());
-            (class, Asked { first: of(|a| a.first), again: of(|a| a.again), shed: of(|a| a.shed) })
+            (
+                class,
+                Asked {
+                    first: of(|a| a.first),
+                    again: of(|a| a.again),
+                    shed: of(|a| a.shed),
+                },
+            )
         };
         Counts {
             cells: cells.into_iter().map(cell).collect(),
@@ -221,7 +266,11 @@
     /// A call was taken.
     pub fn taken(&mut self, class: Class, again: bool) {
         let asked = self.asked.entry(class).or_default();
-        let count = if again { &mut asked.again } else { &mut asked.first };
+        let count = if again {
+            &mut asked.again
+        } else {
+            &mut asked.first
+        };
         *count = count.saturating_add(1);
     }
 
@@ -235,7 +284,9 @@
     pub fn sent(&mut self, cell: Cell, work: Duration) {
         let tally = self.cells.entry(cell).or_default();
         tally.sent = tally.sent.saturating_add(1);
-        tally.work_ms = tally.work_ms.saturating_add(u32::try_from(work.as_millis()).unwrap_or(u32::MAX));
+        tally.work_ms = tally
+            .work_ms
+            .saturating_add(u32::try_from(work.as_millis()).unwrap_or(u32::MAX));
     }
 
     /// An attempt has ended, after so long if it was served.
@@ -253,7 +304,13 @@
 
     /// A backend was probed.
     pub fn probed(&mut self, backend: Backend) {
-        let tally = self.cells.entry(Cell { backend, class: Class(0) }).or_default();
+        let tally = self
+            .cells
+            .entry(Cell {
+                backend,
+                class: Class(0),
+            })
+            .or_default();
         tally.probes = tally.probes.saturating_add(1);
     }
 }
@@ -263,19 +320,40 @@
     use super::*;
 
     fn counts(calls: u32, good: u32) -> Counts {
-        let cell = Cell { backend: Backend(1), class: Class(1) };
-        let tally = Tally { sent: calls, in_time: good, ..Tally::default() };
-        let asked = Asked { first: calls, ..Asked::default() };
-        Counts { cells: BTreeMap::from([(cell, tally)]), asked: BTreeMap::from([(Class(1), asked)]) }
+        let cell = Cell {
+            backend: Backend(1),
+            class: Class(1),
+        };
+        let tally = Tally {
+            sent: calls,
+            in_time: good,
+            ..Tally::default()
+        };
+        let asked = Asked {
+            first: calls,
+            ..Asked::default()
+        };
+        Counts {
+            cells: BTreeMap::from([(cell, tally)]),
+            asked: BTreeMap::from([(Class(1), asked)]),
+        }
     }
 
     #[test]
     fn of_three_that_speak_for_a_group_one_that_lies_is_outvoted_in_every_count() {
         let (one, other) = (counts(100, 97), counts(104, 100));
-        for lie in [counts(100_000, 0), Counts::default(), counts(0, 0), counts(102, 0)] {
+        for lie in [
+            counts(100_000, 0),
+            Counts::default(),
+            counts(0, 0),
+            counts(102, 0),
+        ] {
             let middle = Counts::middle(&[&one, &lie, &other]);
             let asked = middle.asked[&Class(1)].first;
-            let tally = &middle.cells[&Cell { backend: Backend(1), class: Class(1) }];
+            let tally = &middle.cells[&Cell {
+                backend: Backend(1),
+                class: Class(1),
+            }];
             assert!((100..=104).contains(&asked), "{asked}");
             assert!((97..=100).contains(&tally.in_time), "{tally:?}");
         }
--- a/crates/outcome-stats/src/sketch.rs
+++ b/crates/outcome-stats/src/sketch.rs
@@ -14,7 +14,11 @@
 
 fn bucket(time: Duration) -> u8 {
     let ms = time.as_secs_f64() * 1e3;
-    if ms <= 1.0 { 0 } else { (ms.ln() / GROWTH.ln()).ceil().min(f64::from(LAST)) as u8 }
+    if ms <= 1.0 {
+        0
+    } else {
+        (ms.ln() / GROWTH.ln()).ceil().min(f64::from(LAST)) as u8
+    }
 }
 
 impl Sketch {
@@ -40,7 +44,10 @@
 
     /// Adds what another has counted.
     pub fn merge(&mut self, other: &Sketch) {
-        other.0.iter().for_each(|(bucket, count)| self.put(*bucket, *count));
+        other
+            .0
+            .iter()
+            .for_each(|(bucket, count)| self.put(*bucket, *count));
     }
 
     /// The buckets that are not empty, in order.
@@ -55,14 +62,20 @@
 
     /// So much of all took no longer than this, within [`Sketch::ERROR`].
     pub fn quantile(&self, share: f64) -> Option<Duration> {
-        let rank = (share.clamp(0.0, 1.0) * self.count() as f64).ceil().max(1.0) as u64;
+        let rank = (share.clamp(0.0, 1.0) * self.count() as f64)
+            .ceil()
+            .max(1.0) as u64;
         let mut below = 0;
         let (bucket, _) = self.0.iter().find(|(_, count)| {
             below += u64::from(*count);
             below >= rank
         })?;
         let bound = GROWTH.powi(i32::from(*bucket));
-        let middle = if *bucket == 0 { 1.0 } else { 2.0 * bound / (GROWTH + 1.0) };
+        let middle = if *bucket == 0 {
+            1.0
+        } else {
+            2.0 * bound / (GROWTH + 1.0)
+        };
         Some(Duration::from_secs_f64(middle / 1e3))
     }
 }
--- a/crates/outcome-stats/src/spread.rs
+++ b/crates/outcome-stats/src/spread.rs
@@ -101,11 +101,16 @@
 
 impl Bucket {
     fn new(rate: f64, now: Duration) -> Self {
-        Bucket { rate, left: rate, at: now }
+        Bucket {
+            rate,
+            left: rate,
+            at: now,
+        }
     }
 
     fn left(&mut self, now: Duration) -> f64 {
-        self.left = (self.left + self.rate * now.saturating_sub(self.at).as_secs_f64()).min(self.rate);
+        self.left =
+            (self.left + self.rate * now.saturating_sub(self.at).as_secs_f64()).min(self.rate);
         self.at = now;
         self.left
     }
@@ -221,8 +226,10 @@
             self.asked.clear();
             self.next_word = now;
         }
-        let mut known: BTreeMap<Name, Life> =
-            living.take(self.terms.most).map(|(name, life)| (name.clone(), life)).collect();
+        let mut known: BTreeMap<Name, Life> = living
+            .take(self.terms.most)
+            .map(|(name, life)| (name.clone(), life))
+            .collect();
         known.insert(self.me.clone(), life);
         let changed = known.keys().ne(self.living.keys());
         self.living = known;
@@ -241,8 +248,15 @@
         // Of one that is gone or in a new life what it closed is kept until it is too old to be read.
         let mates = &self.mates;
         let me = &self.me;
-        let wanted = |name: &Name| if alone { mates.contains_key(name) } else { name == me };
-        self.board.retain(|(name, _), word| wanted(name) && word.age(now) < oldest);
+        let wanted = |name: &Name| {
+            if alone {
+                mates.contains_key(name)
+            } else {
+                name == me
+            }
+        };
+        self.board
+            .retain(|(name, _), word| wanted(name) && word.age(now) < oldest);
         self.sums.retain(|(of, _, name, _), word| {
             *of == groups && living.contains_key(name) && word.age(now) < oldest
         });
@@ -256,7 +270,11 @@
     /// When the next turn is due.
     pub fn next(&self) -> Duration {
         let next = self.next_round.min(self.next_word);
-        if self.speaks { next.min(self.next_mate).min(self.next_sum) } else { next }
+        if self.speaks {
+            next.min(self.next_mate).min(self.next_sum)
+        } else {
+            next
+        }
     }
 
     /// A message came over a link from that member in that life.
@@ -268,7 +286,10 @@
         if let Some(answer) = said.answer {
             self.take_in(now, from, life, &answer, bytes.len());
         }
-        said.ask.and_then(|ask| self.answer(now, from, &ask)).into_iter().collect()
+        said.ask
+            .and_then(|ask| self.answer(now, from, &ask))
+            .into_iter()
+            .collect()
     }
 
     /// What is known at `now`.
@@ -276,8 +297,20 @@
         let times = (self.fresh(), self.terms.oldest);
         // A speaker knows its group by its nodes' words, and all others know it by its speakers'.
         let group = (self.groups == 1 || self.speaks).then_some(self.group);
-        let known = view::Known { board: &self.board, mates: &self.mates, sums: &self.sums, group };
-        view::read(&known, &self.living, now, times, self.drift, self.terms.plant)
+        let known = view::Known {
+            board: &self.board,
+            mates: &self.mates,
+            sums: &self.sums,
+            group,
+        };
+        view::read(
+            &known,
+            &self.living,
+            now,
+            times,
+            self.drift,
+            self.terms.plant,
+        )
     }
 
     /// What was counted.
@@ -292,7 +325,9 @@
 
     /// How long a word counts whole: some of the times between two of them, within bounds.
     pub fn fresh(&self) -> Duration {
-        (4 * self.interval).max(5 * self.terms.window).min(self.terms.oldest / 2)
+        (4 * self.interval)
+            .max(5 * self.terms.window)
+            .min(self.terms.oldest / 2)
     }
 
     /// Who is in this node's group, who speaks for it, and whom to ask: of the group, and of all, those whose names fall next to
@@ -302,31 +337,48 @@
         self.group = group_of(&self.me, self.groups);
         let (groups, group) = (self.groups, self.group);
         let by = |seed: u64| move |name: &&Name| xxh3_64_with_seed(name.as_str().as_bytes(), seed);
-        let mut mates: Vec<&Name> =
-            self.living.keys().filter(|name| group_of(name, groups) == group).collect();
+        let mut mates: Vec<&Name> = self
+            .living
+            .keys()
+            .filter(|name| group_of(name, groups) == group)
+            .collect();
         mates.sort_by_key(by(u64::from(group) + 7));
         // Nobody else is believed to speak for a group: so many sums there can be, and no more.
         let speakers: BTreeSet<Name> = (0..if groups > 1 { groups } else { 0 })
             .flat_map(|of| {
-                let mut all: Vec<&Name> =
-                    self.living.keys().filter(|name| group_of(name, groups) == of).collect();
+                let mut all: Vec<&Name> = self
+                    .living
+                    .keys()
+                    .filter(|name| group_of(name, groups) == of)
+                    .collect();
                 all.sort_by_key(by(u64::from(of) + 7));
-                all.into_iter().take(SPEAKERS).cloned().collect::<Vec<Name>>()
+                all.into_iter()
+                    .take(SPEAKERS)
+                    .cloned()
+                    .collect::<Vec<Name>>()
             })
             .collect();
         let speaks = speakers.contains(&self.me);
         if speaks && !self.speaks {
             self.next_sum = now + self.terms.window * self.terms.keep as u32;
         }
-        let round =
-            mates.iter().filter(|name| speaks && ***name != self.me).map(|name| (*name).clone()).collect();
+        let round = mates
+            .iter()
+            .filter(|name| speaks && ***name != self.me)
+            .map(|name| (*name).clone())
+            .collect();
         // On a circle of names in the order of a hash: each asks the same steps ahead, so that all are asked by as many.
         let ahead = |circle: &[&Name], count: usize| -> Vec<Name> {
-            let Some(own) = circle.iter().position(|name| **name == self.me) else { return Vec::new() };
+            let Some(own) = circle.iter().position(|name| **name == self.me) else {
+                return Vec::new();
+            };
             let others = circle.len() - 1;
             let at = |i: usize| 1 + others * i / count.max(1);
             let steps: BTreeSet<usize> = (0..count.min(others)).map(at).collect();
-            steps.into_iter().map(|ahead| circle[(own + ahead) % circle.len()].clone()).collect()
+            steps
+                .into_iter()
+                .map(|ahead| circle[(own + ahead) % circle.len()].clone())
+                .collect()
         };
         let mut all: Vec<&Name> = self.living.keys().collect();
         all.sort_by_key(by(3));
@@ -346,7 +398,11 @@
         }
         let (counts, windows) = self.book.word(now);
         // Where there are groups a node's own word goes to three alone, and costs little.
-        let pause = if self.groups > 1 { self.terms.window } else { self.interval };
+        let pause = if self.groups > 1 {
+            self.terms.window
+        } else {
+            self.interval
+        };
         self.next_word = now.max(self.book.told_until()) + pause;
         if windows == 0 {
             self.next_word = self.book.told_until() + self.terms.window;
@@ -376,7 +432,14 @@
         self.next_sum = now + self.interval * SPEAKERS as u32 / 2;
         let span = self.terms.window * self.terms.keep as u32;
         let fresh = self.fresh();
-        let Some(sum) = view::sum(&self.board, &self.mates, now, span, fresh, self.terms.oldest) else {
+        let Some(sum) = view::sum(
+            &self.board,
+            &self.mates,
+            now,
+            span,
+            fresh,
+            self.terms.oldest,
+        ) else {
             return;
         };
         self.spoken += 1;
@@ -392,7 +455,8 @@
             largest: sum.largest,
             arrival: 0,
         };
-        self.sums.take((self.groups, self.group, self.me.clone(), self.life), word);
+        self.sums
+            .take((self.groups, self.group, self.me.clone(), self.life), word);
     }
 
     /// How fast the sum changes: what words of some age may be wrong by.
@@ -410,7 +474,8 @@
         let change = (sum - before).abs() / (sum + before).max(1e-9) * 2.0 / passed.as_secs_f64();
         // A sum of few calls changes by chance, and the first is compared with nothing.
         let known = before > 0.0 && sum > 0.0;
-        self.drift = (self.drift * (1.0 - FORGOTTEN)).max(if known { change.min(1.0) } else { 0.0 });
+        self.drift =
+            (self.drift * (1.0 - FORGOTTEN)).max(if known { change.min(1.0) } else { 0.0 });
         self.looked_at = (sum, now);
     }
 
@@ -427,17 +492,32 @@
 
     /// Asks the next of those that are asked in turn, or anybody, for all that is new.
     fn ask_next(&mut self, now: Duration) -> Option<Action> {
-        let marks = if self.groups > 1 { self.sums.len() } else { self.board.len() }.min(MARKS);
-        let cost = (marks * 4 + AROUND_MESSAGE) as f64 / (ASKING * self.terms.bytes_a_second).max(1.0);
-        self.next_round = now + self.terms.pause.max(Duration::from_secs_f64(cost.min(10.0)));
+        let marks = if self.groups > 1 {
+            self.sums.len()
+        } else {
+            self.board.len()
+        }
+        .min(MARKS);
+        let cost =
+            (marks * 4 + AROUND_MESSAGE) as f64 / (ASKING * self.terms.bytes_a_second).max(1.0);
+        self.next_round = now
+            + self
+                .terms
+                .pause
+                .max(Duration::from_secs_f64(cost.min(10.0)));
         let room = self.into.left(now).min(self.terms.bytes_a_second);
         // Where there is much to hear, seldom and much at a time: a group's sum would never fit in what is left over.
         if room < self.terms.bytes_a_second / 2.0 || self.out.left(now) < AROUND_MESSAGE as f64 {
             return None;
         }
-        let to = if self.number % ANYBODY == ANYBODY - 1 && self.living.len() > self.ring.len() + 1 {
+        let to = if self.number % ANYBODY == ANYBODY - 1 && self.living.len() > self.ring.len() + 1
+        {
             let at = self.below(self.living.len());
-            self.living.keys().nth(at).filter(|name| **name != self.me)?.clone()
+            self.living
+                .keys()
+                .nth(at)
+                .filter(|name| **name != self.me)?
+                .clone()
         } else {
             let to = self.ring.pop_front()?;
             self.ring.push_back(to.clone());
@@ -454,16 +534,34 @@
         // What is known here need not come again.
         let alone = self.groups == 1;
         let words = self.board.since(0).filter(|_| alone).take(MARKS);
-        let words = words.map(|((name, life), word)| mark(name.as_str(), life.salt, 0, word.version));
+        let words =
+            words.map(|((name, life), word)| mark(name.as_str(), life.salt, 0, word.version));
         let sums = self.sums.since(0).take(MARKS);
-        let sums = sums
-            .map(|((_, group, name, life), word)| mark(name.as_str(), life.salt, group + 1, word.version));
+        let sums = sums.map(|((_, group, name, life), word)| {
+            mark(name.as_str(), life.salt, group + 1, word.version)
+        });
         let have = words.chain(sums).collect();
-        let ask = Ask { number, since, since_sums, salt, have, room: room as u32, own: false };
+        let ask = Ask {
+            number,
+            since,
+            since_sums,
+            salt,
+            have,
+            room: room as u32,
+            own: false,
+        };
         // The least that an answer costs; the rest is charged when it is here.
         self.into.take(LEAST_ROOM);
         self.figures.asks += 1;
-        Some(self.send(now, to, 1, Said { ask: Some(ask), answer: None }))
+        Some(self.send(
+            now,
+            to,
+            1,
+            Said {
+                ask: Some(ask),
+                answer: None,
+            },
+        ))
     }
 
     /// A speaker asks the next of its group for that one's own word.
@@ -482,12 +580,29 @@
         }
         asked.out = Some((number, now));
         let known = self.board.get(&(to.clone(), life));
-        let have = known.map(|word| mark(to.as_str(), life.salt, 0, word.version)).into_iter().collect();
+        let have = known
+            .map(|word| mark(to.as_str(), life.salt, 0, word.version))
+            .into_iter()
+            .collect();
         let room = self.terms.bytes_a_second as u32 / 2;
-        let ask = Ask { number, have, room, own: true, ..Ask::default() };
+        let ask = Ask {
+            number,
+            have,
+            room,
+            own: true,
+            ..Ask::default()
+        };
         self.from_mates.take(LEAST_ROOM);
         self.figures.asks += 1;
-        Some(self.send(now, to, 1, Said { ask: Some(ask), answer: None }))
+        Some(self.send(
+            now,
+            to,
+            1,
+            Said {
+                ask: Some(ask),
+                answer: None,
+            },
+        ))
     }
 
     fn send(&mut self, now: Duration, to: Name, slot: u32, said: Said) -> Action {
@@ -504,7 +619,11 @@
             return None;
         }
         // Not all of it: what this node asks itself, and what those who speak for it ask, goes first.
-        let keeps = if ask.own { 0.0 } else { self.terms.bytes_a_second * OWN };
+        let keeps = if ask.own {
+            0.0
+        } else {
+            self.terms.bytes_a_second * OWN
+        };
         let left = self.out.left(now) - keeps;
         let room = left.min(f64::from(ask.room)).max(0.0) as usize;
         let least = f64::from(ask.room).min(self.terms.bytes_a_second * (1.0 - OWN) / 2.0);
@@ -514,22 +633,39 @@
             return None;
         }
         let mut room = room.saturating_sub(AROUND_MESSAGE);
-        let have: BTreeMap<u32, u8> =
-            ask.have.iter().take(2 * MARKS).map(|mark| (mark >> 8, *mark as u8)).collect();
+        let have: BTreeMap<u32, u8> = ask
+            .have
+            .iter()
+            .take(2 * MARKS)
+            .map(|mark| (mark >> 8, *mark as u8))
+            .collect();
         let same = ask.salt == self.life.salt;
-        let (since, since_sums) = if same { (ask.since, ask.since_sums) } else { (0, 0) };
+        let (since, since_sums) = if same {
+            (ask.since, ask.since_sums)
+        } else {
+            (0, 0)
+        };
         // Sums first: they are few, and stand for many. Of each the last learnt first; what there is no room for comes by
         // another way, or as its next version.
-        let sums =
-            self.sums.since(since_sums).map(|((_, group, name, life), word)| (name, *life, group + 1, word));
+        let sums = self
+            .sums
+            .since(since_sums)
+            .map(|((_, group, name, life), word)| (name, *life, group + 1, word));
         // A node's own word goes to those who speak for its group, or to all where there is one group.
         let alone = self.groups == 1;
         let mate = group_of(to, self.groups) == self.group;
         let own = |name: &Name| {
-            if ask.own { *name == self.me && mate && self.speakers.contains(to) } else { alone }
+            if ask.own {
+                *name == self.me && mate && self.speakers.contains(to)
+            } else {
+                alone
+            }
         };
         let sums = sums.filter(|_| !ask.own);
-        let words = self.board.since(since).map(|((name, life), word)| (name, *life, 0, word));
+        let words = self
+            .board
+            .since(since)
+            .map(|((name, life), word)| (name, *life, 0, word));
         let words = words.filter(|(name, ..)| own(name));
         let (mut told, mut more) = (Vec::new(), false);
         for (name, life, group, word) in sums.chain(words) {
@@ -544,7 +680,13 @@
             room -= cost;
             // Rounded up, and what a slow clock may have missed of it.
             let age = word.age(now).mul_f64(1.0 + CLOCKS) + Duration::from_millis(1);
-            let of = |number: f64| if group > 0 { (number * 1000.0) as u32 } else { 0 };
+            let of = |number: f64| {
+                if group > 0 {
+                    (number * 1000.0) as u32
+                } else {
+                    0
+                }
+            };
             told.push(Told {
                 name: name.as_str().to_owned(),
                 epoch: life.epoch,
@@ -570,21 +712,38 @@
             more,
             own: ask.own,
         };
-        Some(self.send(now, to.clone(), 2, Said { ask: None, answer: Some(answer) }))
+        Some(self.send(
+            now,
+            to.clone(),
+            2,
+            Said {
+                ask: None,
+                answer: Some(answer),
+            },
+        ))
     }
 
     fn take_in(&mut self, now: Duration, from: &Name, life: Life, answer: &Answer, bytes: usize) {
-        let into = if answer.own { &mut self.from_mates } else { &mut self.into };
+        let into = if answer.own {
+            &mut self.from_mates
+        } else {
+            &mut self.into
+        };
         into.left(now);
         into.take(bytes.saturating_sub(LEAST_ROOM));
-        let asked =
-            self.asked.get_mut(from).filter(|asked| asked.out.is_some_and(|(n, _)| n == answer.number));
-        let Some((asked, (_, at))) = asked.and_then(|asked| asked.out.take().map(|out| (asked, out))) else {
+        let asked = self
+            .asked
+            .get_mut(from)
+            .filter(|asked| asked.out.is_some_and(|(n, _)| n == answer.number));
+        let Some((asked, (_, at))) =
+            asked.and_then(|asked| asked.out.take().map(|out| (asked, out)))
+        else {
             self.figures.nonsense += 1; // nobody asked, or too long ago
             return;
         };
         if life.salt == answer.salt && !answer.own {
-            (asked.since, asked.since_sums, asked.salt) = (answer.until, answer.until_sums, answer.salt);
+            (asked.since, asked.since_sums, asked.salt) =
+                (answer.until, answer.until_sums, answer.salt);
         }
         self.figures.answered += 1;
         let by = match (answer.more, answer.own) {
@@ -592,7 +751,11 @@
             (false, false) => SHORTER,
             (false, true) => 1.0,
         };
-        self.interval = self.interval.mul_f64(by).min(self.terms.oldest / 4).max(self.terms.window);
+        self.interval = self
+            .interval
+            .mul_f64(by)
+            .min(self.terms.oldest / 4)
+            .max(self.terms.window);
         for told in &answer.words {
             self.figures.words += 1;
             let new = match self.word(told, at) {
@@ -602,10 +765,13 @@
                     of && self.mates.contains_key(&name) && self.board.take((name, life), word)
                 }
                 Some((name, life, word)) => {
-                    let of = told.groups == self.groups && group_of(&name, told.groups) == told.group - 1;
+                    let of = told.groups == self.groups
+                        && group_of(&name, told.groups) == told.group - 1;
                     let of = of && self.speakers.contains(&name);
                     of && self.living.contains_key(&name)
-                        && self.sums.take((told.groups, told.group - 1, name, life), word)
+                        && self
+                            .sums
+                            .take((told.groups, told.group - 1, name, life), word)
                 }
                 None => {
                     self.figures.nonsense += 1;
@@ -618,20 +784,36 @@
 
     /// A word as it was told, asked for at that time; `None` if it makes no sense.
     fn word(&self, told: &Told, asked_at: Duration) -> Option<(Name, Life, Word)> {
-        let (name, life) = (Name::new(&told.name)?, Life { epoch: told.epoch, salt: told.salt });
+        let (name, life) = (
+            Name::new(&told.name)?,
+            Life {
+                epoch: told.epoch,
+                salt: told.salt,
+            },
+        );
         // Nobody else knows what this node saw.
         if name == self.me || told.span_ms == 0 || told.version == 0 || told.group > told.groups {
             return None;
         }
         let of_group = told.group > 0;
-        let share = |thousandths: u32| if of_group { f64::from(thousandths) / 1000.0 } else { 1.0 };
+        let share = |thousandths: u32| {
+            if of_group {
+                f64::from(thousandths) / 1000.0
+            } else {
+                1.0
+            }
+        };
         let word = Word {
             version: told.version,
             ended_us: micros(asked_at).saturating_sub(i64::from(told.age_ms) * 1000),
             span: Duration::from_millis(told.span_ms.into()),
             counts: unpack(&told.counts)?.into(),
             packed: told.counts.as_slice().into(),
-            nodes: if of_group { f64::from(told.nodes.max(1)) } else { 1.0 },
+            nodes: if of_group {
+                f64::from(told.nodes.max(1))
+            } else {
+                1.0
+            },
             heard: share(told.heard),
             largest: share(told.largest).min(1.0),
             arrival: 0,
--- a/crates/outcome-stats/src/view.rs
+++ b/crates/outcome-stats/src/view.rs
@@ -141,16 +141,25 @@
     plant: Option<Plant>,
 ) -> Vec<Part> {
     let mut nodes: BTreeMap<&Name, Part> = BTreeMap::new();
-    let mut words: Vec<_> = board.iter().filter(|((name, _), _)| mates.contains_key(name)).collect();
+    let mut words: Vec<_> = board
+        .iter()
+        .filter(|((name, _), _)| mates.contains_key(name))
+        .collect();
     // The newest life first: its age is the node's.
     words.sort_by(|((a, life), _), ((b, other), _)| (a, other).cmp(&(b, life)));
     for ((name, _), word) in words {
-        let Some(part) = part(&[word], now, (fresh, oldest), plant) else { continue };
+        let Some(part) = part(&[word], now, (fresh, oldest), plant) else {
+            continue;
+        };
         match nodes.get_mut(name) {
             None => drop(nodes.insert(name, part)),
             Some(node) => {
                 node.counts.merge(&part.counts);
-                node.span += if plant == Some(Plant::DoubleCount) { 0.0 } else { part.span };
+                node.span += if plant == Some(Plant::DoubleCount) {
+                    0.0
+                } else {
+                    part.span
+                };
             }
         }
     }
@@ -158,17 +167,32 @@
 }
 
 /// One part of words that say the same thing: a node's, or a group's by its speakers. `None` if all are too old.
-fn part(words: &[&Word], now: Duration, (fresh, oldest): (f64, f64), plant: Option<Plant>) -> Option<Part> {
+fn part(
+    words: &[&Word],
+    now: Duration,
+    (fresh, oldest): (f64, f64),
+    plant: Option<Plant>,
+) -> Option<Part> {
     let age = |word: &Word| {
-        if plant == Some(Plant::StaleAsFresh) { 0.0 } else { word.age(now).as_secs_f64() }
+        if plant == Some(Plant::StaleAsFresh) {
+            0.0
+        } else {
+            word.age(now).as_secs_f64()
+        }
     };
-    let good: Vec<&&Word> = words.iter().filter(|word| age(word) < oldest && !word.span.is_zero()).collect();
+    let good: Vec<&&Word> = words
+        .iter()
+        .filter(|word| age(word) < oldest && !word.span.is_zero())
+        .collect();
     let count = good.len() as f64;
     let first = good.first()?;
     let span = first.span.as_secs_f64();
     let same: Vec<Counts> = match good.as_slice() {
         [_] => Vec::new(),
-        several => several.iter().map(|word| word.counts.scaled(span / word.span.as_secs_f64())).collect(),
+        several => several
+            .iter()
+            .map(|word| word.counts.scaled(span / word.span.as_secs_f64()))
+            .collect(),
     };
     let counts = if same.is_empty() {
         (*first.counts).clone()
@@ -206,7 +230,13 @@
     fresh: Duration,
     oldest: Duration,
 ) -> Option<Summed> {
-    let parts = parts(board, mates, now, (fresh.as_secs_f64(), oldest.as_secs_f64()), None);
+    let parts = parts(
+        board,
+        mates,
+        now,
+        (fresh.as_secs_f64(), oldest.as_secs_f64()),
+        None,
+    );
     let (mut counts, mut heard, mut aged, mut largest) = (Counts::default(), 0.0, 0.0, 0.0f64);
     for part in &parts {
         let by = part.weight * span.as_secs_f64() / part.span;
@@ -217,7 +247,12 @@
     }
     let largest = largest / (counts.calls() as f64).max(1.0);
     let age = Duration::from_secs_f64(aged / heard.max(1e-9));
-    (heard > 0.0).then_some(Summed { counts, age, heard, largest: largest.min(1.0) })
+    (heard > 0.0).then_some(Summed {
+        counts,
+        age,
+        heard,
+        largest: largest.min(1.0),
+    })
 }
 
 /// Reads the words at `now`. `living` are the members that live, with this node; `drift` is by how much of itself what is asked
@@ -236,14 +271,25 @@
         None => Vec::new(),
     };
     let mut groups: BTreeMap<u32, Vec<&Word>> = BTreeMap::new();
-    for ((_, group, ..), word) in known.sums.iter().filter(|((_, group, ..), _)| known.group != Some(*group))
+    for ((_, group, ..), word) in known
+        .sums
+        .iter()
+        .filter(|((_, group, ..), _)| known.group != Some(*group))
     {
         groups.entry(*group).or_default().push(word);
     }
-    parts.extend(groups.values().filter_map(|words| part(words, now, times, plant)));
+    parts.extend(
+        groups
+            .values()
+            .filter_map(|words| part(words, now, times, plant)),
+    );
     let all = living.len().max(1) as f64;
-    let by =
-        |of: &dyn Fn(&Part) -> f64| parts.iter().map(|part| part.weight * part.nodes * of(part)).sum::<f64>();
+    let by = |of: &dyn Fn(&Part) -> f64| {
+        parts
+            .iter()
+            .map(|part| part.weight * part.nodes * of(part))
+            .sum::<f64>()
+    };
     let weights = by(&|_| 1.0).min(all);
     let share = Share {
         living: living.len(),
@@ -292,12 +338,25 @@
             rates[4] += f64::from(tally.in_time) / part.span;
         }
         for (class, rates) in own {
-            let Part { weight, nodes, largest, .. } = *part;
-            classes.entry(class).or_default().push(Rates { weight, nodes, largest, rates });
+            let Part {
+                weight,
+                nodes,
+                largest,
+                ..
+            } = *part;
+            classes.entry(class).or_default().push(Rates {
+                weight,
+                nodes,
+                largest,
+                rates,
+            });
         }
     }
     let read = |told: Vec<Rates>| class_demand(told, all, weights, (age, drift), lies);
-    classes.into_iter().map(|(class, told)| (class, read(told))).collect()
+    classes
+        .into_iter()
+        .map(|(class, told)| (class, read(told)))
+        .collect()
 }
 
 fn class_demand(
@@ -313,26 +372,55 @@
     let each: Vec<f64> = told
         .iter()
         .flat_map(|told| match told.nodes > 1.0 {
-            true => [asked(told) * (1.0 - told.largest), asked(told) * told.largest],
+            true => [
+                asked(told) * (1.0 - told.largest),
+                asked(told) * told.largest,
+            ],
             false => [asked(told), 0.0],
         })
         .collect();
-    let cut = if lies { each.clone() } else { capped(&each, MOST_OF_SUM) };
+    let cut = if lies {
+        each.clone()
+    } else {
+        capped(&each, MOST_OF_SUM)
+    };
     for (told, cut) in told.iter_mut().zip(cut.chunks(2)) {
         let before = asked(told);
-        let by = if before > 0.0 { cut.iter().sum::<f64>() / before } else { 1.0 };
+        let by = if before > 0.0 {
+            cut.iter().sum::<f64>() / before
+        } else {
+            1.0
+        };
         told.rates.iter_mut().for_each(|rate| *rate *= by);
     }
     let scale = all / weights.max(1e-9);
-    let sum = |at: usize| told.iter().map(|told| told.weight * told.rates[at]).sum::<f64>() * scale;
+    let sum = |at: usize| {
+        told.iter()
+            .map(|told| told.weight * told.rates[at])
+            .sum::<f64>()
+            * scale
+    };
     let total = sum(0) + sum(1);
     // Those that are not heard are like the others, or not: by how far the others differ from each other.
     let mean = cut.iter().sum::<f64>() / weights.max(1e-9);
-    let silent = (weights - told.iter().map(|told| told.weight * told.nodes).sum::<f64>()).max(0.0);
+    let silent = (weights
+        - told
+            .iter()
+            .map(|told| told.weight * told.nodes)
+            .sum::<f64>())
+    .max(0.0);
     let spread = |told: &Rates| {
         let (asked, others) = (told.rates[0] + told.rates[1], (told.nodes - 1.0).max(0.0));
-        let largest = if others > 0.0 { asked * told.largest } else { asked };
-        let rest = if others > 0.0 { (asked - largest) / others } else { 0.0 };
+        let largest = if others > 0.0 {
+            asked * told.largest
+        } else {
+            asked
+        };
+        let rest = if others > 0.0 {
+            (asked - largest) / others
+        } else {
+            0.0
+        };
         told.weight * ((largest - mean).powi(2) + others * (rest - mean).powi(2))
     };
     let spread: f64 = told.iter().map(spread).sum::<f64>() + silent * mean * mean;
@@ -343,27 +431,47 @@
     // A count of few is off by chance alone.
     let chance = total.max(0.0).sqrt();
     let error = DEVIATIONS * (missing + chance) + stale;
-    Demand { first: sum(0), again: sum(1), shed: sum(2), sent: sum(3), in_time: sum(4), error }
+    Demand {
+        first: sum(0),
+        again: sum(1),
+        shed: sum(2),
+        sent: sum(3),
+        in_time: sum(4),
+        error,
+    }
 }
 
 fn judged(parts: &[Part], all: f64, weights: f64, lies: bool) -> BTreeMap<Cell, Judged> {
     let mut cells: BTreeMap<Cell, Vec<(&Part, &Tally)>> = BTreeMap::new();
     for part in parts {
-        for (cell, tally) in part.counts.cells.iter().filter(|(cell, _)| cell.backend != Backend::OTHERS) {
+        for (cell, tally) in part
+            .counts
+            .cells
+            .iter()
+            .filter(|(cell, _)| cell.backend != Backend::OTHERS)
+        {
             cells.entry(*cell).or_default().push((part, tally));
         }
     }
     let scale = all / weights.max(1e-9);
     let read = |told: Vec<(&Part, &Tally)>| {
-        let sent = told.iter().map(|(part, tally)| part.weight * f64::from(tally.sent) / part.span);
-        let weights: Vec<f64> = told.iter().map(|(part, tally)| part.weight * tally.ended() as f64).collect();
-        let weights = if lies { weights } else { capped(&weights, MOST_OF_JUDGEMENT) };
+        let sent = told
+            .iter()
+            .map(|(part, tally)| part.weight * f64::from(tally.sent) / part.span);
+        let weights: Vec<f64> = told
+            .iter()
+            .map(|(part, tally)| part.weight * tally.ended() as f64)
+            .collect();
+        let weights = if lies {
+            weights
+        } else {
+            capped(&weights, MOST_OF_JUDGEMENT)
+        };
         let rests_on: f64 = weights.iter().sum();
         let share = |of: fn(&Tally) -> u32| {
-            let parts = told
-                .iter()
-                .zip(&weights)
-                .map(|((_, tally), weight)| weight * f64::from(of(tally)) / (tally.ended() as f64).max(1.0));
+            let parts = told.iter().zip(&weights).map(|((_, tally), weight)| {
+                weight * f64::from(of(tally)) / (tally.ended() as f64).max(1.0)
+            });
             parts.sum::<f64>() / rests_on.max(1e-9)
         };
         let mut times = Sketch::default();
@@ -377,5 +485,8 @@
             times,
         }
     };
-    cells.into_iter().map(|(cell, told)| (cell, read(told))).collect()
+    cells
+        .into_iter()
+        .map(|(cell, told)| (cell, read(told)))
+        .collect()
 }
--- a/crates/outcome-stats/src/words.rs
+++ b/crates/outcome-stats/src/words.rs
@@ -126,7 +126,9 @@
 
 /// Whether one that has these marks, by their hashes, has that word in this version or a later one.
 pub fn has(marks: &BTreeMap<u32, u8>, mark: u32) -> bool {
-    marks.get(&(mark >> 8)).is_some_and(|version| (*version).wrapping_sub(mark as u8) < 0x80)
+    marks
+        .get(&(mark >> 8))
+        .is_some_and(|version| (*version).wrapping_sub(mark as u8) < 0x80)
 }
 
 fn put(bytes: &mut Vec<u8>, number: u32) {
@@ -161,16 +163,23 @@
         (!tally.times.buckets().is_empty(), TIMES),
         (tally.probes > 0, PROBES),
     ];
-    let flags = flags.iter().filter(|(is, _)| *is).map(|(_, flag)| flag).fold(0, |all, flag| all | flag);
+    let flags = flags
+        .iter()
+        .filter(|(is, _)| *is)
+        .map(|(_, flag)| flag)
+        .fold(0, |all, flag| all | flag);
     bytes.push(flags);
     put(bytes, tally.sent);
     if flags & REST != 0 {
         put(bytes, tally.in_time);
         put(bytes, tally.late);
     }
-    for (flag, count) in
-        [(REFUSED, tally.refused), (FAILED, tally.failed), (WORK, tally.work_ms), (PROBES, tally.probes)]
-    {
+    for (flag, count) in [
+        (REFUSED, tally.refused),
+        (FAILED, tally.failed),
+        (WORK, tally.work_ms),
+        (PROBES, tally.probes),
+    ] {
         if flags & flag != 0 {
             put(bytes, count);
         }
@@ -189,7 +198,11 @@
     let (flags, rest) = bytes.split_first()?;
     *bytes = rest;
     let sent = take(bytes)?;
-    let mut tally = Tally { sent, in_time: sent, ..Tally::default() };
+    let mut tally = Tally {
+        sent,
+        in_time: sent,
+        ..Tally::default()
+    };
     if flags & REST != 0 {
         (tally.in_time, tally.late) = (take(bytes)?, take(bytes)?);
     }
@@ -218,28 +231,46 @@
 /// Counts in at most [`MOST`] bytes: classes by a table, then what was asked of each, then backends by how much went there.
 /// What there is no room for is added to [`Backend::OTHERS`], without its times, so that sums by class stay whole.
 pub fn pack(counts: &Counts) -> Vec<u8> {
-    let named: BTreeSet<Class> =
-        counts.asked.keys().copied().chain(counts.cells.keys().map(|cell| cell.class)).collect();
+    let named: BTreeSet<Class> = counts
+        .asked
+        .keys()
+        .copied()
+        .chain(counts.cells.keys().map(|cell| cell.class))
+        .collect();
     let classes: Vec<Class> = named.into_iter().take(MOST_CLASSES).collect();
     let place = |class: &Class| classes.binary_search(class).ok();
     let mut bytes = vec![LAYOUT];
     put(&mut bytes, classes.len() as u32);
-    classes.iter().for_each(|class| bytes.extend(class.0.to_le_bytes()));
-    let asked: Vec<_> =
-        counts.asked.iter().filter_map(|(class, asked)| Some((place(class)?, asked))).collect();
+    classes
+        .iter()
+        .for_each(|class| bytes.extend(class.0.to_le_bytes()));
+    let asked: Vec<_> = counts
+        .asked
+        .iter()
+        .filter_map(|(class, asked)| Some((place(class)?, asked)))
+        .collect();
     put(&mut bytes, asked.len() as u32);
     for (place, Asked { first, again, shed }) in asked {
-        [place as u32, *first, *again, *shed].into_iter().for_each(|number| put(&mut bytes, number));
+        [place as u32, *first, *again, *shed]
+            .into_iter()
+            .for_each(|number| put(&mut bytes, number));
     }
     let mut backends: BTreeMap<Backend, Vec<(usize, &Tally)>> = BTreeMap::new();
     for (cell, tally) in &counts.cells {
         if let Some(place) = place(&cell.class) {
-            backends.entry(cell.backend).or_default().push((place, tally));
+            backends
+                .entry(cell.backend)
+                .or_default()
+                .push((place, tally));
         }
     }
     let mut backends: Vec<_> = backends.into_iter().collect();
-    let weight =
-        |cells: &[(usize, &Tally)]| cells.iter().map(|(_, tally)| u64::from(tally.sent)).sum::<u64>();
+    let weight = |cells: &[(usize, &Tally)]| {
+        cells
+            .iter()
+            .map(|(_, tally)| u64::from(tally.sent))
+            .sum::<u64>()
+    };
     backends.sort_by_key(|(backend, cells)| (std::cmp::Reverse(weight(cells)), *backend));
     // Room for what is left over, whatever it comes to.
     let reserve = 8 + classes.len() * 32;
@@ -283,12 +314,17 @@
     if *layout != LAYOUT || count > MOST_CLASSES {
         return None;
     }
-    let classes: Vec<Class> =
-        (0..count).map(|_| take_fixed(&mut bytes).map(Class)).collect::<Option<Vec<_>>>()?;
+    let classes: Vec<Class> = (0..count)
+        .map(|_| take_fixed(&mut bytes).map(Class))
+        .collect::<Option<Vec<_>>>()?;
     let mut counts = Counts::default();
     for _ in 0..take(&mut bytes)? {
         let class = *classes.get(take(&mut bytes)? as usize)?;
-        let asked = Asked { first: take(&mut bytes)?, again: take(&mut bytes)?, shed: take(&mut bytes)? };
+        let asked = Asked {
+            first: take(&mut bytes)?,
+            again: take(&mut bytes)?,
+            shed: take(&mut bytes)?,
+        };
         counts.asked.insert(class, asked);
     }
     while !bytes.is_empty() {
@@ -296,7 +332,11 @@
         for _ in 0..take(&mut bytes)? {
             let class = *classes.get(take(&mut bytes)? as usize)?;
             let tally = take_tally(&mut bytes)?;
-            counts.cells.entry(Cell { backend, class }).or_default().merge(&tally);
+            counts
+                .cells
+                .entry(Cell { backend, class })
+                .or_default()
+                .merge(&tally);
         }
     }
     Some(counts)
