--- a/crates/outcome-stats/tests/fleet.rs
+++ b/crates/outcome-stats/tests/fleet.rs
@@ -28,15 +28,31 @@
     for (seed, lost, late) in [(1, 0, 2), (2, 20, 500), (3, 5, 50)] {
         let mut world = World::new(12, 8, 40.0, seed, Terms::default());
         world.nodes[0].rate = 300.0;
-        world.ways = Ways { lost, late: ms(late) };
-        world.nodes.iter_mut().for_each(|node| node.swing = (0.2, 20.0));
+        world.ways = Ways {
+            lost,
+            late: ms(late),
+        };
+        world
+            .nodes
+            .iter_mut()
+            .for_each(|node| node.swing = (0.2, 20.0));
         world.pass(ms(10_000));
         let (within, off) = right(&mut world, 20);
-        assert!(within >= 0.95, "{seed}: {within} of the readings are within their error");
+        assert!(
+            within >= 0.95,
+            "{seed}: {within} of the readings are within their error"
+        );
         assert!(off < 0.2, "{seed}: {off}");
-        assert!(world.most_bytes <= 10_000.0, "{seed}: {} bytes a node and second", world.most_bytes);
+        assert!(
+            world.most_bytes <= 10_000.0,
+            "{seed}: {} bytes a node and second",
+            world.most_bytes
+        );
         let share = world.view(0).share;
-        assert!(share.heard == 12 && share.age < ms(8_000), "{seed}: {share:?}");
+        assert!(
+            share.heard == 12 && share.age < ms(8_000),
+            "{seed}: {share:?}"
+        );
     }
 }
 
@@ -48,11 +64,24 @@
     world.nodes[11].rate = 0.0;
     world.pass(ms(15_000));
     let view = world.view(11);
-    let at = |backend: u64| view.judged[&Cell { backend: Backend::of(1 + backend), class: class() }].clone();
+    let at = |backend: u64| {
+        view.judged[&Cell {
+            backend: Backend::of(1 + backend),
+            class: class(),
+        }]
+            .clone()
+    };
     assert!((0.3..0.5).contains(&at(3).in_time), "{:?}", at(3));
-    assert!(at(4).in_time > 0.9 && at(4).judges == 11 && at(4).rests_on > 50.0, "{:?}", at(4));
+    assert!(
+        at(4).in_time > 0.9 && at(4).judges == 11 && at(4).rests_on > 50.0,
+        "{:?}",
+        at(4)
+    );
     let median = at(4).times.quantile(0.5).expect("times");
-    assert!((22..=27).contains(&median.as_millis()), "24 ms, an eleventh off: {median:?}");
+    assert!(
+        (22..=27).contains(&median.as_millis()),
+        "24 ms, an eleventh off: {median:?}"
+    );
 }
 
 #[test]
@@ -68,23 +97,43 @@
     }
     // By a straight line, and nothing at once.
     assert!(
-        weights.windows(2).all(|pair| pair[1] <= pair[0] + 0.01 && pair[0] - pair[1] < 0.1),
+        weights
+            .windows(2)
+            .all(|pair| pair[1] <= pair[0] + 0.01 && pair[0] - pair[1] < 0.1),
+        "{weights:?}"
+    );
+    assert!(
+        before > 0.99 && (0.45..0.55).contains(&weights[70]),
         "{weights:?}"
     );
-    assert!(before > 0.99 && (0.45..0.55).contains(&weights[70]), "{weights:?}");
     // A half stands for the whole, and says how wrong that may be: its own callers ask as the others do.
     let ((read, error), truth) = (world.read(0), world.truth());
-    assert!((read - truth).abs() <= error && error > 0.1 * truth, "{read} +- {error} of {truth}");
+    assert!(
+        (read - truth).abs() <= error && error > 0.1 * truth,
+        "{read} +- {error} of {truth}"
+    );
     world.cut = None;
     world.pass(ms(10_000));
     let (within, _) = right(&mut world, 10);
-    assert!(within >= 0.95 && world.view(0).share.weight > 0.99, "{within}");
+    assert!(
+        within >= 0.95 && world.view(0).share.weight > 0.99,
+        "{within}"
+    );
 }
 
 #[test]
 fn a_restart_neither_doubles_nor_loses_what_a_node_is_asked() {
     let dip = |plant: Option<Plant>| {
-        let mut world = World::new(12, 8, 40.0, 6, Terms { plant, ..Terms::default() });
+        let mut world = World::new(
+            12,
+            8,
+            40.0,
+            6,
+            Terms {
+                plant,
+                ..Terms::default()
+            },
+        );
         world.nodes[1].rate = 300.0;
         world.pass(ms(10_000));
         let (mut least, mut most) = (f64::MAX, 0.0f64);
@@ -107,17 +156,39 @@
 #[test]
 fn a_liar_sways_sums_and_judgements_no_further_than_is_stated() {
     let sway = |plant: Option<Plant>| {
-        let mut world = World::new(12, 8, 40.0, 7, Terms { plant, ..Terms::default() });
+        let mut world = World::new(
+            12,
+            8,
+            40.0,
+            7,
+            Terms {
+                plant,
+                ..Terms::default()
+            },
+        );
         world.nodes[2].lies = 60.0;
         world.pass(ms(15_000));
-        let judged = world.view(0).judged[&Cell { backend: Backend::of(1), class: class() }].in_time;
+        let judged = world.view(0).judged[&Cell {
+            backend: Backend::of(1),
+            class: class(),
+        }]
+            .in_time;
         (world.read(0).0 / world.truth(), judged)
     };
     let (sum, judged) = sway(None);
-    assert!(sum <= 2.1, "all others together once more at the most: {sum}");
-    assert!(judged >= 0.97 * 0.75, "a fifth of the judgement at the most: {judged}");
+    assert!(
+        sum <= 2.1,
+        "all others together once more at the most: {sum}"
+    );
+    assert!(
+        judged >= 0.97 * 0.75,
+        "a fifth of the judgement at the most: {judged}"
+    );
     let (believed, dead) = sway(Some(Plant::BelieveLiar));
-    assert!(believed > 4.0 && dead < 0.3, "the plant is not seen: {believed} {dead}");
+    assert!(
+        believed > 4.0 && dead < 0.3,
+        "the plant is not seen: {believed} {dead}"
+    );
 }
 
 #[test]
@@ -132,7 +203,16 @@
 #[test]
 fn words_that_are_old_do_not_pass_for_new() {
     let weight = |plant: Option<Plant>| {
-        let mut world = World::new(6, 4, 20.0, 9, Terms { plant, ..Terms::default() });
+        let mut world = World::new(
+            6,
+            4,
+            20.0,
+            9,
+            Terms {
+                plant,
+                ..Terms::default()
+            },
+        );
         world.pass(ms(10_000));
         // Everything that is said from now on is held up for 15 s, and asks are forgotten before that.
         world.ways.late = ms(0);
@@ -141,13 +221,19 @@
         world.view(0).share.weight
     };
     assert!(weight(None) < 0.6, "five of six are 40 s old");
-    assert!(weight(Some(Plant::StaleAsFresh)) > 0.9, "the plant is not seen");
+    assert!(
+        weight(Some(Plant::StaleAsFresh)) > 0.9,
+        "the plant is not seen"
+    );
 }
 
 #[test]
 fn loss_and_delay_never_make_a_word_younger_than_it_is() {
     let mut world = World::new(12, 8, 20.0, 10, Terms::default());
-    world.ways = Ways { lost: 20, late: ms(1500) };
+    world.ways = Ways {
+        lost: 20,
+        late: ms(1500),
+    };
     for _ in 0..30 {
         world.pass(ms(1000));
         for number in 0..12 {
@@ -159,7 +245,10 @@
                 // The word's last window ended so long after its life began.
                 let ended = ms(10_000) + Duration::from_secs(word.version);
                 let true_age = world.now.saturating_sub(ended);
-                assert!(word.age(world.now) + ms(1) >= true_age, "{whose} at n{number}");
+                assert!(
+                    word.age(world.now) + ms(1) >= true_age,
+                    "{whose} at n{number}"
+                );
             }
         }
     }
@@ -170,15 +259,29 @@
     let mut world = World::new(100, 40, 8.0, 11, Terms::default());
     world.nodes[0].rate = 300.0;
     world.good[3] = 40;
-    world.ways = Ways { lost: 2, late: ms(20) };
+    world.ways = Ways {
+        lost: 2,
+        late: ms(20),
+    };
     world.pass(ms(30_000));
     let (within, off) = right(&mut world, 4);
     assert!(within >= 0.95 && off < 0.15, "{within} {off}");
-    assert!(world.most_bytes <= 10_000.0, "{} bytes a node and second", world.most_bytes);
+    assert!(
+        world.most_bytes <= 10_000.0,
+        "{} bytes a node and second",
+        world.most_bytes
+    );
     for number in (0..100).step_by(9) {
         let view = world.view(number);
-        assert!(view.share.heard >= 97 && view.share.age < ms(10_000), "n{number} {:?}", view.share);
-        let bad = &view.judged[&Cell { backend: Backend::of(4), class: class() }];
+        assert!(
+            view.share.heard >= 97 && view.share.age < ms(10_000),
+            "n{number} {:?}",
+            view.share
+        );
+        let bad = &view.judged[&Cell {
+            backend: Backend::of(4),
+            class: class(),
+        }];
         assert!((0.3..0.52).contains(&bad.in_time), "n{number} {bad:?}");
     }
 }
@@ -192,14 +295,20 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     let sizes = std::env::var("SIZES").unwrap_or_else(|_| "12,30,100,300,734".to_owned());
-    for nodes in sizes.split(',').map(|nodes| nodes.parse::<usize>().expect("a number")) {
+    for nodes in sizes
+        .split(',')
+        .map(|nodes| nodes.parse::<usize>().expect("a number"))
+    {
         let backends = (nodes / 2).clamp(8, 147);
         let mut world = World::new(nodes, backends, 3100.0 / 734.0 * 2.0, 1, Terms::default());
         world.nodes.iter_mut().enumerate().for_each(|(i, node)| {
             node.rate *= if i % 20 == 0 { 6.0 } else { 0.74 };
             node.swing = (0.2, 60.0);
         });
-        world.ways = Ways { lost: 2, late: ms(20) };
+        world.ways = Ways {
+            lost: 2,
+            late: ms(20),
+        };
         world.pass(ms(60_000));
         world.bytes = 0;
         let (within, off) = right(&mut world, 10);
--- a/crates/outcome-stats/tests/parts.rs
+++ b/crates/outcome-stats/tests/parts.rs
@@ -1,15 +1,17 @@
 //! Counts, sketches and boards add up in any order; whatever is read from others is read or dropped, and never more.
 
 use proptest::prelude::*;
+use sillward_membership::{Life, Name};
 use sillward_outcome_stats::words::{MOST, pack, unpack};
 use sillward_outcome_stats::{Asked, Backend, Cell, Class, Counts, Sketch, Spread, Tally, Terms};
-use sillward_membership::{Life, Name};
 use std::time::Duration;
 
 fn sketches() -> impl Strategy<Value = Sketch> {
     prop::collection::vec((0u8..70, 1u32..50), 0..6).prop_map(|buckets| {
         let mut sketch = Sketch::default();
-        buckets.into_iter().for_each(|(bucket, count)| sketch.put(bucket, count));
+        buckets
+            .into_iter()
+            .for_each(|(bucket, count)| sketch.put(bucket, count));
         sketch
     })
 }
@@ -35,7 +37,15 @@
     (cells, asked).prop_map(|(cells, asked)| Counts {
         cells: cells
             .into_iter()
-            .map(|((backend, class), tally)| (Cell { backend: Backend(backend), class: Class(class) }, tally))
+            .map(|((backend, class), tally)| {
+                (
+                    Cell {
+                        backend: Backend(backend),
+                        class: Class(class),
+                    },
+                    tally,
+                )
+            })
             .collect(),
         asked: asked
             .into_iter()
@@ -55,9 +65,15 @@
     let mut sums = std::collections::BTreeMap::<u32, (u64, u64, u64)>::new();
     for (cell, tally) in &counts.cells {
         let sum = sums.entry(cell.class.0).or_default();
-        *sum = (sum.0 + u64::from(tally.sent), sum.1 + tally.ended(), sum.2 + u64::from(tally.probes));
+        *sum = (
+            sum.0 + u64::from(tally.sent),
+            sum.1 + tally.ended(),
+            sum.2 + u64::from(tally.probes),
+        );
     }
-    sums.into_iter().map(|(class, (a, b, c))| (class, a, b, c)).collect()
+    sums.into_iter()
+        .map(|(class, (a, b, c))| (class, a, b, c))
+        .collect()
 }
 
 proptest! {
@@ -111,7 +127,10 @@
 }
 
 fn heard(bytes: &[u8]) {
-    let (me, other) = (Name::new("a").expect("a name"), Name::new("b").expect("a name"));
+    let (me, other) = (
+        Name::new("a").expect("a name"),
+        Name::new("b").expect("a name"),
+    );
     let (life, now) = (Life { epoch: 1, salt: 7 }, Duration::from_secs(5));
     let mut spread = Spread::new(Terms::default(), me, life, 1, now);
     let _ = spread.turn(now, life, [(&other, life)].into_iter());
@@ -127,11 +146,21 @@
     let mut dice = rand_pcg::Pcg32::seed_from_u64(1);
     let mut counts = Counts::default();
     for backend in 1..9 {
-        counts.sent(Cell { backend: Backend(backend), class: Class(1) }, Duration::from_millis(3));
+        counts.sent(
+            Cell {
+                backend: Backend(backend),
+                class: Class(1),
+            },
+            Duration::from_millis(3),
+        );
     }
     let whole = pack(&counts);
     for round in 0..1_000_000u32 {
-        let mut bytes = if round % 2 == 0 { whole.clone() } else { vec![0; dice.next_u32() as usize % 200] };
+        let mut bytes = if round % 2 == 0 {
+            whole.clone()
+        } else {
+            vec![0; dice.next_u32() as usize % 200]
+        };
         if round % 2 == 1 {
             dice.fill_bytes(&mut bytes);
         }
@@ -148,15 +177,34 @@
 
 #[test]
 fn windows_that_are_long_against_the_oldest_word_end_nothing() {
-    let (me, other) = (Name::new("a").expect("a name"), Name::new("b").expect("a name"));
+    let (me, other) = (
+        Name::new("a").expect("a name"),
+        Name::new("b").expect("a name"),
+    );
     let (life, now) = (Life { epoch: 1, salt: 7 }, Duration::from_secs(5));
     let window = Duration::from_secs(10);
-    let mut spread = Spread::new(Terms { window, oldest: window, ..Terms::default() }, me, life, 1, now);
+    let mut spread = Spread::new(
+        Terms {
+            window,
+            oldest: window,
+            ..Terms::default()
+        },
+        me,
+        life,
+        1,
+        now,
+    );
     let asked = spread.turn(now, life, [(&other, life)].into_iter());
     assert_eq!(asked.len(), 1);
     use prost::Message;
-    let answer = sillward_outcome_stats::words::Answer { number: 1, ..Default::default() };
-    let said = sillward_outcome_stats::words::Said { ask: None, answer: Some(answer) };
+    let answer = sillward_outcome_stats::words::Answer {
+        number: 1,
+        ..Default::default()
+    };
+    let said = sillward_outcome_stats::words::Said {
+        ask: None,
+        answer: Some(answer),
+    };
     spread.heard(now, &other, life, &said.encode_to_vec());
     assert!(spread.fresh() <= window && spread.view(now).share.living == 2);
 }
@@ -172,7 +220,10 @@
         assert!(spread.turn(now, life, [].into_iter()).is_empty());
     }
     let view = spread.view(now);
-    assert!((8.0..12.0).contains(&view.demand[&Class(1)].first), "{view:?}");
+    assert!(
+        (8.0..12.0).contains(&view.demand[&Class(1)].first),
+        "{view:?}"
+    );
     assert_eq!((view.share.living, view.share.heard), (1, 1));
 }
 
@@ -180,7 +231,10 @@
 fn a_word_that_nobody_asked_for_is_not_believed() {
     use prost::Message;
     use sillward_outcome_stats::words::{Answer, Said, Told};
-    let (me, other) = (Name::new("a").expect("a name"), Name::new("b").expect("a name"));
+    let (me, other) = (
+        Name::new("a").expect("a name"),
+        Name::new("b").expect("a name"),
+    );
     let (life, now) = (Life { epoch: 1, salt: 7 }, Duration::from_secs(5));
     let mut spread = Spread::new(Terms::default(), me, life, 1, now);
     let asked = spread.turn(now, life, [(&other, life)].into_iter());
@@ -198,19 +252,42 @@
         ..Told::default()
     };
     let answer = |number: u64, name: &str| {
-        let answer = Answer { number, until: 1, salt: 7, words: vec![told(name)], ..Answer::default() };
-        Said { ask: None, answer: Some(answer) }.encode_to_vec()
+        let answer = Answer {
+            number,
+            until: 1,
+            salt: 7,
+            words: vec![told(name)],
+            ..Answer::default()
+        };
+        Said {
+            ask: None,
+            answer: Some(answer),
+        }
+        .encode_to_vec()
     };
     spread.heard(now, &other, life, &answer(9, "b"));
     assert!(spread.board().is_empty(), "another number");
     spread.heard(now, &other, life, &answer(1, "a"));
-    assert!(spread.board().is_empty(), "a word of this node's own, from somebody else");
-    let mut again = Spread::new(Terms::default(), Name::new("a").expect("a name"), life, 1, now);
+    assert!(
+        spread.board().is_empty(),
+        "a word of this node's own, from somebody else"
+    );
+    let mut again = Spread::new(
+        Terms::default(),
+        Name::new("a").expect("a name"),
+        life,
+        1,
+        now,
+    );
     again.turn(now, life, [(&other, life)].into_iter());
     let later = now + Duration::from_millis(1500);
     again.heard(later, &other, life, &answer(1, "b"));
     let (_, word) = again.board().iter().next().expect("what was asked for");
-    assert_eq!(word.age(later), Duration::from_millis(1600), "counted from the ask");
+    assert_eq!(
+        word.age(later),
+        Duration::from_millis(1600),
+        "counted from the ask"
+    );
     again.heard(later, &other, life, &answer(1, "b"));
     assert_eq!(again.figures().nonsense, 1, "an answer counts once");
 }
--- a/crates/outcome-stats/tests/world/mod.rs
+++ b/crates/outcome-stats/tests/world/mod.rs
@@ -4,8 +4,8 @@
 
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
-use sillward_outcome_stats::{Action, Backend, Cell, Class, End, Plant, Spread, Terms, View};
 use sillward_membership::{Life, Name};
+use sillward_outcome_stats::{Action, Backend, Cell, Class, End, Plant, Spread, Terms, View};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
@@ -73,7 +73,10 @@
             nodes: Vec::new(),
             backends,
             good: vec![97; backends],
-            ways: Ways { lost: 0, late: ms(2) },
+            ways: Ways {
+                lost: 0,
+                late: ms(2),
+            },
             cut: None,
             terms,
             under_way: BinaryHeap::new(),
@@ -91,10 +94,21 @@
     }
 
     fn fresh(&self, number: usize, epoch: u32, rate: f64) -> Node {
-        let life = Life { epoch, salt: 1 + number as u32 + 10_000 * epoch };
+        let life = Life {
+            epoch,
+            salt: 1 + number as u32 + 10_000 * epoch,
+        };
         let seed = self.seed ^ (number as u64) << 20 ^ u64::from(epoch);
         let spread = Spread::new(self.terms.clone(), name(number), life, seed, self.now);
-        Node { spread, life, rate, swing: (0.0, 1.0), lies: 1.0, owed: 0.0, gap: 1.0 }
+        Node {
+            spread,
+            life,
+            rate,
+            swing: (0.0, 1.0),
+            lies: 1.0,
+            owed: 0.0,
+            gap: 1.0,
+        }
     }
 
     /// A process dies, and another begins under its name.
@@ -127,13 +141,24 @@
             self.nodes[number].gap = -(1.0 - f64::from(self.dice.next_u32()) / 2f64.powi(32)).ln();
             let backend = self.dice.next_u32() as usize % self.backends;
             let good = self.good[backend];
-            let end = if lies > 1.0 || !self.chance(good) { End::Failed } else { End::InTime };
+            let end = if lies > 1.0 || !self.chance(good) {
+                End::Failed
+            } else {
+                End::InTime
+            };
             let now = self.now;
-            let cell = Cell { backend: Backend::of(1 + backend as u64), class: class() };
+            let cell = Cell {
+                backend: Backend::of(1 + backend as u64),
+                class: class(),
+            };
             let counts = self.nodes[number].spread.counts(now);
             counts.taken(class(), false);
             counts.sent(cell, Duration::ZERO);
-            counts.ended(cell, end, (end == End::InTime).then(|| ms(20 + backend as u64)));
+            counts.ended(
+                cell,
+                end,
+                (end == End::InTime).then(|| ms(20 + backend as u64)),
+            );
         }
         self.nodes[number].owed = owed;
     }
@@ -143,11 +168,21 @@
             self.bytes += bytes.len() as u64 + 64;
             let to = to.as_str()[1..].parse().expect("a node");
             let lost = self.chance(self.ways.lost);
-            let late = self.ways.late.mul_f64(f64::from(self.dice.next_u32()) / 2f64.powi(32));
+            let late = self
+                .ways
+                .late
+                .mul_f64(f64::from(self.dice.next_u32()) / 2f64.powi(32));
             self.numbers += 1;
             let life = self.nodes[from].life;
             if !lost {
-                self.under_way.push(Reverse((self.now + late + ms(1), self.numbers, from, to, life, bytes)));
+                self.under_way.push(Reverse((
+                    self.now + late + ms(1),
+                    self.numbers,
+                    from,
+                    to,
+                    life,
+                    bytes,
+                )));
             }
         }
     }
@@ -161,21 +196,34 @@
         let (end, before) = (self.now + time, self.bytes);
         while self.now < end {
             self.now += TICK;
-            while self.under_way.peek().is_some_and(|Reverse((at, ..))| *at <= self.now) {
-                let Some(Reverse((at, _, from, to, life, bytes))) = self.under_way.pop() else { break };
+            while self
+                .under_way
+                .peek()
+                .is_some_and(|Reverse((at, ..))| *at <= self.now)
+            {
+                let Some(Reverse((at, _, from, to, life, bytes))) = self.under_way.pop() else {
+                    break;
+                };
                 if self.apart(from, to) || self.nodes[from].life != life {
                     continue;
                 }
                 let actions = self.nodes[to].spread.heard(at, &name(from), life, &bytes);
                 self.post(to, actions);
             }
-            let living: Vec<(Name, Life)> =
-                self.nodes.iter().enumerate().map(|(number, node)| (name(number), node.life)).collect();
+            let living: Vec<(Name, Life)> = self
+                .nodes
+                .iter()
+                .enumerate()
+                .map(|(number, node)| (name(number), node.life))
+                .collect();
             for number in 0..self.nodes.len() {
                 self.calls(number);
                 let node = &mut self.nodes[number];
                 if node.spread.next() <= self.now {
-                    let others = living.iter().enumerate().filter(|(other, _)| *other != number);
+                    let others = living
+                        .iter()
+                        .enumerate()
+                        .filter(|(other, _)| *other != number);
                     let others = others.map(|(_, (name, life))| (name, *life));
                     let actions = node.spread.turn(self.now, node.life, others);
                     self.post(number, actions);
@@ -192,11 +240,19 @@
 
     /// What a node reads that all callers ask a second, and by how much it may be wrong.
     pub fn read(&self, number: usize) -> (f64, f64) {
-        let demand = self.view(number).demand.get(&class()).copied().unwrap_or_default();
+        let demand = self
+            .view(number)
+            .demand
+            .get(&class())
+            .copied()
+            .unwrap_or_default();
         (demand.first + demand.again, demand.error)
     }
 }
 
 pub fn planted(plant: Plant) -> Terms {
-    Terms { plant: Some(plant), ..Terms::default() }
+    Terms {
+        plant: Some(plant),
+        ..Terms::default()
+    }
 }
--- a/crates/peer-transport/src/envelope.rs
+++ b/crates/peer-transport/src/envelope.rs
@@ -159,13 +159,18 @@
 impl Envelopes {
     /// For a fleet; `most` is the most bytes of an envelope with its frame.
     pub fn new(keys: Keys, fleet: &str, most: usize) -> Self {
-        Envelopes { keys, fleet: fleet.to_owned(), most }
+        Envelopes {
+            keys,
+            fleet: fleet.to_owned(),
+            most,
+        }
     }
 
     /// What is left for a frame of that sender's, in bytes, at the worst.
     pub fn room(&self, name: &Name, address: SocketAddr) -> usize {
         let address = if address.is_ipv4() { 6 } else { 18 };
-        let words = 2 + self.fleet.len() + 2 + name.as_str().len() + 2 + address + 6 + 5 + 11 + 5 + 3;
+        let words =
+            2 + self.fleet.len() + 2 + name.as_str().len() + 2 + address + 6 + 5 + 11 + 5 + 3;
         self.most.saturating_sub(1 + MAC + words)
     }
 
@@ -218,7 +223,11 @@
             return Err(Dropped::Version);
         }
         // In constant time: how long a comparison takes must not tell how much of a guess was right.
-        let differs = self.mac(bytes).iter().zip(&bytes[1..=MAC]).fold(0, |all, (a, b)| all | (a ^ b));
+        let differs = self
+            .mac(bytes)
+            .iter()
+            .zip(&bytes[1..=MAC])
+            .fold(0, |all, (a, b)| all | (a ^ b));
         if differs != 0 {
             return Err(Dropped::Key);
         }
@@ -229,7 +238,10 @@
         if words.fleet != self.fleet {
             return Err(Dropped::Fleet);
         }
-        let life = Life { epoch: words.epoch, salt: words.salt };
+        let life = Life {
+            epoch: words.epoch,
+            salt: words.salt,
+        };
         let good = life.epoch > 0 && life.salt > 0;
         let read = || {
             Some(Sealed {
@@ -238,7 +250,11 @@
                 life,
                 number: words.number,
                 to: words.to,
-                frame: if words.topic == 0 { words.frame? } else { Frame::default() },
+                frame: if words.topic == 0 {
+                    words.frame?
+                } else {
+                    Frame::default()
+                },
                 topic: words.topic,
                 word: words.word,
             })
--- a/crates/peer-transport/src/guard.rs
+++ b/crates/peer-transport/src/guard.rs
@@ -25,7 +25,12 @@
 impl Bucket {
     /// A full one.
     pub fn new(rate: f64, burst: f64, now: Duration) -> Self {
-        Bucket { left: burst, at: now, rate, burst }
+        Bucket {
+            left: burst,
+            at: now,
+            rate,
+            burst,
+        }
     }
 
     /// Takes one, if there is one.
@@ -61,7 +66,13 @@
     /// For at most so many members.
     pub fn new(most: usize, now: Duration) -> Self {
         let reads = Bucket::new(READS, READ_BURST, now);
-        Guard { windows: BTreeMap::new(), most, reads, dropped: BTreeMap::new(), taken: 0 }
+        Guard {
+            windows: BTreeMap::new(),
+            most,
+            reads,
+            dropped: BTreeMap::new(),
+            taken: 0,
+        }
     }
 
     /// Whether one more datagram is looked at.
@@ -88,7 +99,13 @@
     ///
     /// # Errors
     /// Its number was seen, or its sender sends too much.
-    pub fn admit(&mut self, now: Duration, name: &Name, life: Life, number: u64) -> Result<(), Dropped> {
+    pub fn admit(
+        &mut self,
+        now: Duration,
+        name: &Name,
+        life: Life,
+        number: u64,
+    ) -> Result<(), Dropped> {
         if !self.windows.contains_key(name) {
             if self.windows.len() >= self.most {
                 let oldest = self.windows.iter().min_by_key(|(_, window)| window.used);
@@ -97,9 +114,20 @@
                 }
             }
             let bucket = Bucket::new(RATE, BURST, now);
-            self.windows.insert(name.clone(), Window { life, highest: 0, seen: 0, bucket, used: now });
+            self.windows.insert(
+                name.clone(),
+                Window {
+                    life,
+                    highest: 0,
+                    seen: 0,
+                    bucket,
+                    used: now,
+                },
+            );
         }
-        let Some(window) = self.windows.get_mut(name) else { return Err(Dropped::Rate) };
+        let Some(window) = self.windows.get_mut(name) else {
+            return Err(Dropped::Rate);
+        };
         window.used = now;
         if !window.bucket.take(now) {
             return Err(Dropped::Rate);
@@ -129,7 +157,9 @@
 
     /// Whether that is the newest life which was seen of a member.
     pub fn lives(&self, name: &Name, life: Life) -> bool {
-        self.windows.get(name).is_some_and(|window| window.life == life)
+        self.windows
+            .get(name)
+            .is_some_and(|window| window.life == life)
     }
 
     /// Members whose numbers are remembered.
--- a/crates/peer-transport/src/lib.rs
+++ b/crates/peer-transport/src/lib.rs
@@ -146,8 +146,9 @@
         let epoch = match &terms.folder {
             None => 0,
             Some(folder) => {
-                let wrong =
-                    |e: std::io::Error| format!("cannot use the fleet's folder {}: {e}", folder.display());
+                let wrong = |e: std::io::Error| {
+                    format!("cannot use the fleet's folder {}: {e}", folder.display())
+                };
                 files::folder(folder).map_err(wrong)?;
                 let bytes = files::read(&folder.join(memory::FILE), memory::MOST).map_err(wrong)?;
                 match bytes.map(|bytes| memory::epoch(&terms.name, &bytes)) {
@@ -164,13 +165,28 @@
                 }
             }
         };
-        let seed = random::entropy().map_err(|e| format!("no random numbers for the fleet: {e}"))?;
+        let seed =
+            random::entropy().map_err(|e| format!("no random numbers for the fleet: {e}"))?;
         let envelopes = Envelopes::new(terms.keys.clone(), &terms.fleet, terms.frame_bytes);
         let room = envelopes.room(&terms.name, address);
         let (about, seeds) = (terms.about, terms.seeds);
-        let me = Me { name: terms.name.clone(), address, about, seeds };
+        let me = Me {
+            name: terms.name.clone(),
+            address,
+            about,
+            seeds,
+        };
         let most = terms.peers.most;
-        let peers = Peers::new(sillward_membership::Terms { frame: room, ..terms.peers }, me, epoch, seed, now);
+        let peers = Peers::new(
+            sillward_membership::Terms {
+                frame: room,
+                ..terms.peers
+            },
+            me,
+            epoch,
+            seed,
+            now,
+        );
         let kept = Rc::new(Cell::new(None));
         let keep = terms.folder.map(|folder| {
             let (keep, lives) = mpsc::unbounded_channel();
@@ -250,8 +266,14 @@
         actions.extend(self.peers.borrow_mut().handle(self.clock.now(), event));
         self.act(udp, actions);
         loop {
-            let Some((to, topic, word)) = self.words.borrow_mut().pop_front() else { break };
-            let sealed = Sealed { topic, word, ..self.numbered(0, Default::default()) };
+            let Some((to, topic, word)) = self.words.borrow_mut().pop_front() else {
+                break;
+            };
+            let sealed = Sealed {
+                topic,
+                word,
+                ..self.numbered(0, Default::default())
+            };
             self.send(udp, &sealed, to);
         }
     }
@@ -273,7 +295,15 @@
                 }
                 Action::Sync { to, address, words } => {
                     let slot = words.step;
-                    self.post(&to, address, Posted { topic: SYNC, slot, bytes: words.encode_to_vec() });
+                    self.post(
+                        &to,
+                        address,
+                        Posted {
+                            topic: SYNC,
+                            slot,
+                            bytes: words.encode_to_vec(),
+                        },
+                    );
                 }
                 Action::Keep(life) => {
                     self.kept.set(None);
@@ -314,11 +344,21 @@
         let (frames, all) = self.received.get();
         self.received.set((frames + 1, all + bytes.len() as u64));
         let opened = self.envelopes.open(bytes);
-        let admitted = opened
-            .and_then(|sealed| guard.admit(now, &sealed.name, sealed.life, sealed.number).map(|()| sealed));
+        let admitted = opened.and_then(|sealed| {
+            guard
+                .admit(now, &sealed.name, sealed.life, sealed.number)
+                .map(|()| sealed)
+        });
         match admitted {
             Err(why) => guard.note(why),
-            Ok(Sealed { name, address, life, topic: topic @ 1.., word, .. }) => {
+            Ok(Sealed {
+                name,
+                address,
+                life,
+                topic: topic @ 1..,
+                word,
+                ..
+            }) => {
                 let lives = guard.lives(&name, life);
                 drop(guard);
                 let hearer = self.word_hearers.borrow().get(&topic).cloned();
@@ -326,9 +366,25 @@
                     hearer(&name, address, &word); // another topic is a newer build's
                 }
             }
-            Ok(Sealed { name, address, life, to, frame, .. }) => {
+            Ok(Sealed {
+                name,
+                address,
+                life,
+                to,
+                frame,
+                ..
+            }) => {
                 drop(guard);
-                self.event(udp, Event::Frame { name, address, life, to, frame });
+                self.event(
+                    udp,
+                    Event::Frame {
+                        name,
+                        address,
+                        life,
+                        to,
+                        frame,
+                    },
+                );
             }
         }
         true
@@ -339,15 +395,27 @@
         let (frames, all) = self.received.get();
         self.received.set((frames, all + long.bytes.len() as u64));
         // A pause is seen before anything is believed that came before it was over.
-        let actions = self.peers.borrow_mut().handle(self.clock.now(), Event::Turn);
+        let actions = self
+            .peers
+            .borrow_mut()
+            .handle(self.clock.now(), Event::Turn);
         self.act_later(actions);
         if self.life() != own {
             return false;
         }
         if long.topic == SYNC {
-            let Ok(words) = Sync::decode(&*long.bytes) else { return false };
-            let step = SyncStep { name: name.clone(), life, words };
-            let actions = self.peers.borrow_mut().handle(self.clock.now(), Event::Sync(step));
+            let Ok(words) = Sync::decode(&*long.bytes) else {
+                return false;
+            };
+            let step = SyncStep {
+                name: name.clone(),
+                life,
+                words,
+            };
+            let actions = self
+                .peers
+                .borrow_mut()
+                .handle(self.clock.now(), Event::Sync(step));
             self.act_later(actions);
             return true;
         }
@@ -411,7 +479,9 @@
 
     /// Hears words of a topic, 2 or higher, from now on; with each the address at which its sender says that it is reached.
     pub fn hear_words(&self, topic: u32, hearer: impl Fn(&Name, SocketAddr, &[u8]) + 'static) {
-        self.word_hearers.borrow_mut().insert(topic, Rc::new(hearer));
+        self.word_hearers
+            .borrow_mut()
+            .insert(topic, Rc::new(hearer));
     }
 
     /// Sends a word in a datagram: it may be lost, come late or twice over a restart, and must fit [`envelope::MOST_WORD`].
@@ -443,7 +513,10 @@
         let text = memory::text(&name, life.epoch);
         let done = files::keep_aside(&folder.join(memory::FILE), text.into_bytes()).await;
         if let Err(e) = &done {
-            log(format_args!("cannot keep life {life} in {}: {e}", folder.display()));
+            log(format_args!(
+                "cannot keep life {life} in {}: {e}",
+                folder.display()
+            ));
         }
         kept.set(Some(done.is_ok()));
     }
--- a/crates/peer-transport/src/link.rs
+++ b/crates/peer-transport/src/link.rs
@@ -27,7 +27,12 @@
 impl Link {
     fn new(dialled: bool) -> Rc<Self> {
         let (outbox, posted) = (RefCell::default(), Notify::new());
-        Rc::new(Link { outbox, posted, dialled, used: Cell::new(true) })
+        Rc::new(Link {
+            outbox,
+            posted,
+            dialled,
+            used: Cell::new(true),
+        })
     }
 
     fn post(&self, posted: Posted) {
@@ -74,9 +79,13 @@
 
     async fn dial(self: Rc<Self>, to: &Name, address: SocketAddr, link: &Rc<Link>) {
         let connect = TcpStream::connect_from(self.own_ip, address);
-        let Ok(Ok(stream)) = timeout(PATIENCE, connect).await else { return };
+        let Ok(Ok(stream)) = timeout(PATIENCE, connect).await else {
+            return;
+        };
         let (stream, _) = Stream::new(stream);
-        let Ok(Some(ends)) = timeout(PATIENCE, self.greet(&stream)).await else { return };
+        let Ok(Some(ends)) = timeout(PATIENCE, self.greet(&stream)).await else {
+            return;
+        };
         if ends.name == *to {
             self.carry(&stream, ends, link).await;
         }
@@ -95,7 +104,13 @@
         }
         out.bind(nonce, hello.nonce);
         into.bind(nonce, hello.nonce);
-        Some(Ends { name, life, own, out, into })
+        Some(Ends {
+            name,
+            life,
+            own,
+            out,
+            into,
+        })
     }
 
     /// Serves a connection that was taken.
@@ -109,7 +124,9 @@
         {
             let mut links = self.links.borrow_mut();
             // Of two that cross the one counts that the lesser name dialled; the other is read until it is idle.
-            let ours = links.get(&name).is_some_and(|other| other.dialled && self.name < name);
+            let ours = links
+                .get(&name)
+                .is_some_and(|other| other.dialled && self.name < name);
             if !ours && (links.len() < self.most_links || links.contains_key(&name)) {
                 if let Some(old) = links.insert(name.clone(), link.clone()) {
                     // What waited for the other goes by this one.
@@ -136,12 +153,24 @@
         write(stream, &out.seal(&answer.encode_to_vec())).await?;
         out.bind(hello.nonce, nonce);
         into.bind(hello.nonce, nonce);
-        Some(Ends { name, life, own, out, into })
+        Some(Ends {
+            name,
+            life,
+            own,
+            out,
+            into,
+        })
     }
 
     /// Both ways, until either end has had enough.
     async fn carry(self: &Rc<Self>, stream: &Stream, ends: Ends, link: &Rc<Link>) {
-        let Ends { name, life, own, mut out, mut into } = ends;
+        let Ends {
+            name,
+            life,
+            own,
+            mut out,
+            mut into,
+        } = ends;
         let reading = async {
             while let Some(bytes) = read(stream).await {
                 let long = into.open(&bytes).and_then(|body| Long::decode(body).ok());
@@ -162,7 +191,10 @@
                     continue;
                 };
                 link.used.set(true);
-                let long = Long { topic: posted.topic, bytes: posted.bytes };
+                let long = Long {
+                    topic: posted.topic,
+                    bytes: posted.bytes,
+                };
                 let bytes = out.seal(&long.encode_to_vec());
                 self.note_sent(bytes.len(), true);
                 // A peer that takes nothing for so long is cut off; what it missed comes by the next comparison.
--- a/crates/peer-transport/src/page.rs
+++ b/crates/peer-transport/src/page.rs
@@ -35,8 +35,10 @@
     let now = fleet.clock.now();
     let age = |at: Duration| now.saturating_sub(at).as_millis() as u64;
     let guard = fleet.guard.borrow();
-    let dropped: serde_json::Map<String, Value> =
-        Dropped::ALL.iter().map(|why| (why.word().to_owned(), guard.dropped(*why).into())).collect();
+    let dropped: serde_json::Map<String, Value> = Dropped::ALL
+        .iter()
+        .map(|why| (why.word().to_owned(), guard.dropped(*why).into()))
+        .collect();
     fleet.with(|peers| {
         let members: Vec<Value> = peers
             .members()
--- a/crates/peer-transport/src/session.rs
+++ b/crates/peer-transport/src/session.rs
@@ -67,7 +67,12 @@
 impl Channel {
     /// Before both nonces are known, they count as 0.
     pub fn new(keys: &Keys, way: Way) -> Self {
-        Channel { key: keys.links, label: way as u8, nonces: (0, 0), count: 0 }
+        Channel {
+            key: keys.links,
+            label: way as u8,
+            nonces: (0, 0),
+            count: 0,
+        }
     }
 
     /// From now on under both nonces: the dialler's and the acceptor's.
@@ -107,7 +112,11 @@
     /// The message in what came behind the length; `None` if it is not this link's, at this place.
     pub fn open<'a>(&mut self, bytes: &'a [u8]) -> Option<&'a [u8]> {
         let (mac, body) = bytes.split_at_checked(MAC)?;
-        let differs = self.mac(body).iter().zip(mac).fold(0, |all, (a, b)| all | (a ^ b));
+        let differs = self
+            .mac(body)
+            .iter()
+            .zip(mac)
+            .fold(0, |all, (a, b)| all | (a ^ b));
         self.count += 1;
         (differs == 0).then_some(body)
     }
@@ -117,13 +126,25 @@
     /// What an end says of itself.
     pub fn of(fleet: &str, name: &Name, life: Life, nonce: u64, heard: u64) -> Self {
         let (fleet, name) = (fleet.to_owned(), name.as_str().to_owned());
-        Hello { fleet, name, epoch: life.epoch, salt: life.salt, nonce, heard }
+        Hello {
+            fleet,
+            name,
+            epoch: life.epoch,
+            salt: life.salt,
+            nonce,
+            heard,
+        }
     }
 
     /// Reads it; `None` if it is of another fleet or makes no sense.
     pub fn read(body: &[u8], fleet: &str) -> Option<(Name, Life, Self)> {
-        let hello = Hello::decode(body).ok().filter(|hello| hello.fleet == fleet && hello.nonce != 0)?;
-        let life = Life { epoch: hello.epoch, salt: hello.salt };
+        let hello = Hello::decode(body)
+            .ok()
+            .filter(|hello| hello.fleet == fleet && hello.nonce != 0)?;
+        let life = Life {
+            epoch: hello.epoch,
+            salt: hello.salt,
+        };
         (life.epoch > 0 && life.salt > 0).then_some(())?;
         Some((Name::new(&hello.name)?, life, hello))
     }
--- a/crates/peer-transport/tests/wire.rs
+++ b/crates/peer-transport/tests/wire.rs
@@ -3,13 +3,13 @@
 
 use proptest::prelude::*;
 use prost::Message;
+use sillward_membership::words::{Frame, Kind, Told, Update};
+use sillward_membership::{Life, Name};
 use sillward_peer_transport::envelope::{Dropped, Envelopes, Keys, Sealed};
 use sillward_peer_transport::guard::Guard;
 use sillward_peer_transport::memory;
 use sillward_peer_transport::outbox::{self, Outbox, Posted};
 use sillward_peer_transport::session::{Channel, Hello, Way};
-use sillward_membership::words::{Frame, Kind, Told, Update};
-use sillward_membership::{Life, Name};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -70,21 +70,45 @@
     assert_eq!(envelopes().open(&[]), Err(Dropped::Length));
     assert_eq!(envelopes().open(&[1; 1401]), Err(Dropped::Length));
     // Another part's word may be longer than a frame may.
-    let word = |long| Sealed { frame: Frame::default(), topic: 2, word: vec![7; long], ..sealed(1) };
-    assert_eq!(envelopes().open(&envelopes().seal(&word(1000))), Ok(word(1000)));
-    assert_eq!(envelopes().open(&envelopes().seal(&word(1400))), Err(Dropped::Length));
+    let word = |long| Sealed {
+        frame: Frame::default(),
+        topic: 2,
+        word: vec![7; long],
+        ..sealed(1)
+    };
+    assert_eq!(
+        envelopes().open(&envelopes().seal(&word(1000))),
+        Ok(word(1000))
+    );
+    assert_eq!(
+        envelopes().open(&envelopes().seal(&word(1400))),
+        Err(Dropped::Length)
+    );
     let mut long = sealed(1);
     long.frame.values[0].value = vec![7; 300];
-    assert_eq!(envelopes().open(&envelopes().seal(&long)), Err(Dropped::Length));
+    assert_eq!(
+        envelopes().open(&envelopes().seal(&long)),
+        Err(Dropped::Length)
+    );
     let mut other = bytes.clone();
     other[0] = 2;
     assert_eq!(envelopes().open(&other), Err(Dropped::Version));
-    let key = Envelopes::new(Keys::of(b"another key, as long as the first one is"), "jateng", 256);
+    let key = Envelopes::new(
+        Keys::of(b"another key, as long as the first one is"),
+        "jateng",
+        256,
+    );
     assert_eq!(key.open(&bytes), Err(Dropped::Key));
     let fleet = Envelopes::new(Keys::of(SECRET), "diy", 256);
     assert_eq!(fleet.open(&bytes), Err(Dropped::Fleet));
-    let nobody = Sealed { life: Life { epoch: 0, salt: 0 }, ..sealed(1) };
-    assert_eq!(envelopes().open(&envelopes().seal(&nobody)), Err(Dropped::Nonsense));
+    let nobody = Sealed {
+        life: Life { epoch: 0, salt: 0 },
+        ..sealed(1)
+    };
+    assert_eq!(
+        envelopes().open(&envelopes().seal(&nobody)),
+        Err(Dropped::Nonsense)
+    );
 }
 
 proptest! {
@@ -127,7 +151,10 @@
     let mut guard = Guard::new(8, SECOND);
     assert!(guard.admit(SECOND, &name, old, 500).is_ok());
     assert!(guard.admit(SECOND, &name, new, 1).is_ok());
-    assert!(guard.admit(SECOND, &name, old, 501).is_ok(), "the machine tells it that it has ended");
+    assert!(
+        guard.admit(SECOND, &name, old, 501).is_ok(),
+        "the machine tells it that it has ended"
+    );
     assert_eq!(guard.admit(SECOND, &name, new, 1), Err(Dropped::Replayed));
     assert!(guard.admit(SECOND, &name, new, 2).is_ok());
 }
@@ -148,7 +175,9 @@
         let _ = guard.admit(SECOND * 3, &name, life, 1);
         assert!(guard.known() <= 8);
     }
-    let read = (0..100_000u64).filter(|n| guard.may_read(SECOND * 4 + Duration::from_micros(n * 10))).count();
+    let read = (0..100_000u64)
+        .filter(|n| guard.may_read(SECOND * 4 + Duration::from_micros(n * 10)))
+        .count();
     assert!(read <= 2_000 + 10_000 + 1, "{read} in one second");
 }
 
@@ -161,15 +190,24 @@
         let text = std::fs::read_to_string(path).expect("a kept file");
         let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
         let digit = |d: u8| (d as char).to_digit(16).expect("a digit") as u8;
-        digits.chunks(2).map(|pair| digit(pair[0]) << 4 | digit(pair[1])).collect::<Vec<u8>>()
+        digits
+            .chunks(2)
+            .map(|pair| digit(pair[0]) << 4 | digit(pair[1]))
+            .collect::<Vec<u8>>()
     };
     // What the first build sent.
     assert_eq!(envelopes().open(&kept("build-1.hex")), Ok(sealed(9)));
     // What a newer build may send: fields of the envelope, of the frame, of an update and of a value that this one does not
     // know, a kind of frame that it does not know, and a state of a member that makes no sense to it.
     let newer = envelopes().open(&kept("newer.hex")).expect("it is read");
-    assert_eq!((newer.name.as_str(), newer.number, newer.to), ("n3", 9, 1234));
-    assert_eq!(newer.frame.updates[0].claim().map(|claim| claim.word), Some(2));
+    assert_eq!(
+        (newer.name.as_str(), newer.number, newer.to),
+        ("n3", 9, 1234)
+    );
+    assert_eq!(
+        newer.frame.updates[0].claim().map(|claim| claim.word),
+        Some(2)
+    );
     assert!(newer.frame.updates[1].claim().is_none());
     assert_eq!(newer.frame.values, sealed(9).frame.values);
     assert!(Kind::try_from(newer.frame.kind).is_err());
@@ -184,7 +222,10 @@
 fn a_link_opens_only_what_was_sealed_for_it_and_at_its_place() {
     let keys = Keys::of(SECRET);
     let pair = |nonces: (u64, u64)| {
-        let (mut out, mut into) = (Channel::new(&keys, Way::There), Channel::new(&keys, Way::There));
+        let (mut out, mut into) = (
+            Channel::new(&keys, Way::There),
+            Channel::new(&keys, Way::There),
+        );
         out.bind(nonces.0, nonces.1);
         into.bind(nonces.0, nonces.1);
         (out, into)
@@ -202,14 +243,24 @@
     assert_eq!(back.open(&first[4..]), None, "the other way");
     assert_eq!(Channel::length([0xff; 4]), None);
     assert_eq!(Channel::length([0, 0, 0, 3]), None);
-    let hello = Hello::of("jateng", &Name::new("n1").expect("a name"), Life { epoch: 1, salt: 1 }, 5, 0);
+    let hello = Hello::of(
+        "jateng",
+        &Name::new("n1").expect("a name"),
+        Life { epoch: 1, salt: 1 },
+        5,
+        0,
+    );
     assert!(Hello::read(&hello.encode_to_vec(), "diy").is_none());
 }
 
 #[test]
 fn who_is_slow_gets_the_newest_of_each_kind_within_a_bound() {
     let mut outbox = Outbox::default();
-    let post = |slot, byte, length| Posted { topic: 9, slot, bytes: vec![byte; length] };
+    let post = |slot, byte, length| Posted {
+        topic: 9,
+        slot,
+        bytes: vec![byte; length],
+    };
     for version in 0..200 {
         outbox.post(post(1, version, 1_000));
         outbox.post(post(2, version, 1_000));
@@ -225,7 +276,10 @@
     while let Some(posted) = outbox.take() {
         bytes += posted.bytes.len();
     }
-    assert!(bytes <= outbox::MOST && bytes > outbox::MOST - 2_000, "{bytes}");
+    assert!(
+        bytes <= outbox::MOST && bytes > outbox::MOST - 2_000,
+        "{bytes}"
+    );
     assert!(outbox.dropped > 700);
 }
 
@@ -236,19 +290,32 @@
     let text = memory::text(&name, 41);
     assert_eq!(memory::epoch(&name, text.as_bytes()), Some(41));
     for cut in 0..text.len() {
-        assert_eq!(memory::epoch(&name, &text.as_bytes()[..cut]), None, "cut at {cut}");
+        assert_eq!(
+            memory::epoch(&name, &text.as_bytes()[..cut]),
+            None,
+            "cut at {cut}"
+        );
         let mut spoilt = text.clone().into_bytes();
         spoilt[cut] ^= 1;
         assert_eq!(memory::epoch(&name, &spoilt), None, "spoilt at {cut}");
     }
-    assert_eq!(memory::epoch(&Name::new("n2").expect("a name"), text.as_bytes()), None);
+    assert_eq!(
+        memory::epoch(&Name::new("n2").expect("a name"), text.as_bytes()),
+        None
+    );
 }
 
 /// Makes the kept files of this build: run by hand, once, when there is something new to keep.
 #[test]
 #[ignore = "writes the files that are kept"]
 fn keep() {
-    let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>() + "\n";
+    let hex = |bytes: &[u8]| {
+        bytes
+            .iter()
+            .map(|byte| format!("{byte:02x}"))
+            .collect::<String>()
+            + "\n"
+    };
     let path = |name: &str| format!("{}/tests/kept/{name}", env!("CARGO_MANIFEST_DIR"));
     let first = envelopes().seal(&sealed(9));
     std::fs::write(path("build-1.hex"), hex(&first)).expect("a file");
@@ -271,14 +338,39 @@
     let head = &first[17..first.len() - field(8, &frame.encode_to_vec()).len()];
     let unknown = field(60, b"new");
     let update = [frame.updates[0].encode_to_vec(), unknown.clone()].concat();
-    let strange = Update { state: 9, ..frame.updates[0].clone() }.encode_to_vec();
+    let strange = Update {
+        state: 9,
+        ..frame.updates[0].clone()
+    }
+    .encode_to_vec();
     let told = [frame.values[0].encode_to_vec(), unknown.clone()].concat();
-    let bare = Frame { kind: 42, number: 77, ..Frame::default() }.encode_to_vec();
-    let newer = [bare, field(4, &update), field(4, &strange), field(5, &told), unknown.clone()].concat();
+    let bare = Frame {
+        kind: 42,
+        number: 77,
+        ..Frame::default()
+    }
+    .encode_to_vec();
+    let newer = [
+        bare,
+        field(4, &update),
+        field(4, &strange),
+        field(5, &told),
+        unknown.clone(),
+    ]
+    .concat();
     let newer = [head, &unknown, &field(8, &newer)].concat();
     std::fs::write(path("newer.hex"), hex(&enveloped(&newer))).expect("a file");
-    let older = Update { word: 0, by: 0, ..frame.updates[0].clone() };
-    let older = Frame { values: Vec::new(), print: 0, updates: vec![older], ..frame };
+    let older = Update {
+        word: 0,
+        by: 0,
+        ..frame.updates[0].clone()
+    };
+    let older = Frame {
+        values: Vec::new(),
+        print: 0,
+        updates: vec![older],
+        ..frame
+    };
     let older = [head, &field(8, &older.encode_to_vec())].concat();
     std::fs::write(path("older.hex"), hex(&enveloped(&older))).expect("a file");
 }
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -54,7 +54,10 @@
     }
 
     pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(Sockets { open: Cell::new(0), most: Cell::new(most) })
+        Rc::new(Sockets {
+            open: Cell::new(0),
+            most: Cell::new(most),
+        })
     }
 
     /// Those that are open or being dialled, idle ones among them.
@@ -197,7 +200,14 @@
     pub fn start(clock: Clock, protocol: P, terms: Terms, sockets: Rc<Sockets>) -> Rc<Self> {
         let places = RefCell::default();
         let usual_dial = Cell::new(terms.connect_timeout / SLOW);
-        let pool = Rc::new(Pool { clock, protocol, terms: Cell::new(terms), places, sockets, usual_dial });
+        let pool = Rc::new(Pool {
+            clock,
+            protocol,
+            terms: Cell::new(terms),
+            places,
+            sockets,
+            usual_dial,
+        });
         let sweeper = pool.clone();
         spawn_local(async move {
             loop {
@@ -230,7 +240,8 @@
         let News { kind, backends } = news;
         let mut places = self.places.borrow_mut();
         if matches!(kind, ListKind::Full | ListKind::Cached) {
-            let listed: std::collections::BTreeSet<_> = backends.iter().map(|b| b.entry.id).collect();
+            let listed: std::collections::BTreeSet<_> =
+                backends.iter().map(|b| b.entry.id).collect();
             for (_, place) in places.iter_mut().filter(|(id, _)| !listed.contains(id)) {
                 place.state = ServerState::Gone;
                 place.told.get_or_insert(now);
@@ -240,7 +251,8 @@
         for Backend { entry, address } in backends {
             let place = places.entry(entry.id).or_default();
             let moved = place.address != Some(*address) || place.started != entry.started;
-            (place.address, place.started, place.state) = (Some(*address), entry.started, entry.state);
+            (place.address, place.started, place.state) =
+                (Some(*address), entry.started, entry.state);
             if entry.state == ServerState::Ready {
                 place.told = None;
             } else {
@@ -271,7 +283,9 @@
                 if let Some(connection) = place.rested(now, self.terms.get().idle_limit) {
                     return Ok(connection);
                 }
-                let Some(rested) = place.next_rested() else { break };
+                let Some(rested) = place.next_rested() else {
+                    break;
+                };
                 place.patient += 1;
                 rested
             };
@@ -291,7 +305,8 @@
                 let address = place.address.ok_or(Outcome::NotSent)?;
                 let epoch = place.epoch;
                 drop(places);
-                if self.sockets.open.get() >= self.sockets.most.get() && !self.close_longest_idle() {
+                if self.sockets.open.get() >= self.sockets.most.get() && !self.close_longest_idle()
+                {
                     log_peer("no connection is left for an attempt: it was not sent");
                     return Err(Outcome::NotSent);
                 }
@@ -299,14 +314,24 @@
                 places = self.places.borrow_mut();
                 let place = places.get_mut(&server).ok_or(Outcome::NotSent)?;
                 place.dialling += 1;
-                let (pool, until) = (self.clone(), Instant::now() + self.terms.get().connect_timeout);
+                let (pool, until) = (
+                    self.clone(),
+                    Instant::now() + self.terms.get().connect_timeout,
+                );
                 spawn_local(async move { pool.dial(server, address, epoch, until, true).await });
             }
             let (waiting, deliver) = oneshot::channel();
-            places.get_mut(&server).ok_or(Outcome::NotSent)?.waiting.push_back(waiting);
+            places
+                .get_mut(&server)
+                .ok_or(Outcome::NotSent)?
+                .waiting
+                .push_back(waiting);
             deliver
         };
-        let mut waiter = Waiter { pool: self, deliver };
+        let mut waiter = Waiter {
+            pool: self,
+            deliver,
+        };
         (&mut waiter.deliver).await.unwrap_or(Err(Outcome::NotSent))
     }
 
@@ -367,12 +392,20 @@
     }
 
     /// Tries a second connection while somebody waits for the first, if descriptors are plenty.
-    fn dial_beside(self: &Rc<Self>, server: ServerId, address: SocketAddr, epoch: u64, until: Instant) {
+    fn dial_beside(
+        self: &Rc<Self>,
+        server: ServerId,
+        address: SocketAddr,
+        epoch: u64,
+        until: Instant,
+    ) {
         if 2 * self.sockets.open.get() > self.sockets.most.get() {
             return;
         }
         let mut places = self.places.borrow_mut();
-        let Some(place) = places.get_mut(&server) else { return };
+        let Some(place) = places.get_mut(&server) else {
+            return;
+        };
         place.waiting.retain(|waiting| !waiting.is_closed());
         if place.waiting.is_empty() || place.epoch != epoch {
             return;
@@ -383,14 +416,21 @@
         spawn_local(async move { Box::pin(pool.dial(server, address, epoch, until, false)).await });
     }
 
-    async fn opened(self: &Rc<Self>, server: ServerId, address: SocketAddr, epoch: u64) -> Delivery<P> {
+    async fn opened(
+        self: &Rc<Self>,
+        server: ServerId,
+        address: SocketAddr,
+        epoch: u64,
+    ) -> Delivery<P> {
         // Counted until the connection counts itself, or there is none.
         let place = Open(self.sockets.clone());
         let opened = match TcpStream::connect(address).await {
             Ok(stream) => {
                 let (stream, handle) = Stream::new(stream);
                 let opened = self.protocol.open(stream).await;
-                opened.map(|opened| (opened, handle)).map_err(|_| Outcome::ConnectFailed)
+                opened
+                    .map(|opened| (opened, handle))
+                    .map_err(|_| Outcome::ConnectFailed)
             }
             // This node's own want of descriptors or ports says nothing of the backend.
             Err(e) if matches!(e.raw_os_error(), Some(EMFILE | ENFILE | EADDRNOTAVAIL)) => {
@@ -401,7 +441,13 @@
             Err(_) => Err(Outcome::ConnectFailed),
         };
         let (carrier, socket) = opened?;
-        Ok(Connection { server, epoch, carrier, socket, _open: place })
+        Ok(Connection {
+            server,
+            epoch,
+            carrier,
+            socket,
+            _open: place,
+        })
     }
 
     fn dialled(&self, server: ServerId) {
@@ -415,7 +461,9 @@
         if let Some(place) = self.places.borrow_mut().get_mut(&server) {
             place.waiting.retain(|waiting| !waiting.is_closed());
             while place.waiting.len() > place.dialling {
-                let Some(waiting) = place.waiting.pop_front() else { break };
+                let Some(waiting) = place.waiting.pop_front() else {
+                    break;
+                };
                 let _ = waiting.send(Err(failed));
             }
         }
@@ -425,7 +473,12 @@
     pub fn put(self: &Rc<Self>, connection: Connection<P>) {
         let (server, rested) = (connection.server, self.clock.now() + REST);
         self.keep(connection, rested);
-        if self.places.borrow().get(&server).is_some_and(|place| !place.waiting.is_empty()) {
+        if self
+            .places
+            .borrow()
+            .get(&server)
+            .is_some_and(|place| !place.waiting.is_empty())
+        {
             let pool = self.clone();
             spawn_local(async move {
                 sleep_until(pool.clock.instant(rested)).await;
@@ -443,23 +496,39 @@
 
     fn keep(&self, connection: Connection<P>, rested: Duration) {
         let mut places = self.places.borrow_mut();
-        let Some(place) = places.get_mut(&connection.server) else { return };
+        let Some(place) = places.get_mut(&connection.server) else {
+            return;
+        };
         if connection.is_usable() && connection.epoch == place.epoch {
-            place.idle.push(Idle { connection, since: self.clock.now(), rested });
+            place.idle.push(Idle {
+                connection,
+                since: self.clock.now(),
+                rested,
+            });
         }
     }
 
     /// Gives what has rested to those who have waited longest for a dial: that one serves the next request.
     fn hand_out(&self, server: ServerId) {
         let mut places = self.places.borrow_mut();
-        let Some(place) = places.get_mut(&server) else { return };
+        let Some(place) = places.get_mut(&server) else {
+            return;
+        };
         let now = self.clock.now();
         place.waiting.retain(|waiting| !waiting.is_closed());
         while !place.waiting.is_empty() {
-            let Some(connection) = place.rested(now, self.terms.get().idle_limit) else { return };
-            let Some(waiting) = place.waiting.pop_front() else { return };
+            let Some(connection) = place.rested(now, self.terms.get().idle_limit) else {
+                return;
+            };
+            let Some(waiting) = place.waiting.pop_front() else {
+                return;
+            };
             if let Err(Ok(back)) = waiting.send(Ok(connection)) {
-                place.idle.push(Idle { connection: back, since: now, rested: Duration::ZERO });
+                place.idle.push(Idle {
+                    connection: back,
+                    since: now,
+                    rested: Duration::ZERO,
+                });
             }
         }
     }
@@ -468,7 +537,9 @@
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
         let places = self.places.borrow();
         let place = places.get(&server)?;
-        let drained = place.told.is_some_and(|told| self.clock.now() >= told + self.terms.get().drain_grace);
+        let drained = place
+            .told
+            .is_some_and(|told| self.clock.now() >= told + self.terms.get().drain_grace);
         place.address.filter(|_| !drained)
     }
 }
--- a/crates/pool/src/tests.rs
+++ b/crates/pool/src/tests.rs
@@ -51,13 +51,29 @@
     test: impl AsyncFnOnce(Rc<Pool<P>>, TcpListener),
 ) {
     block_on(async {
-        let listener = TcpListener::bind(([127, 0, 0, 1], 0).into()).await.expect("a port");
+        let listener = TcpListener::bind(([127, 0, 0, 1], 0).into())
+            .await
+            .expect("a port");
         let idle_limit = Duration::from_secs(60);
-        let terms = Terms { idle_limit, connect_timeout, drain_grace: Duration::ZERO };
+        let terms = Terms {
+            idle_limit,
+            connect_timeout,
+            drain_grace: Duration::ZERO,
+        };
         let pool = Pool::start(Clock::start(), protocol, terms, Sockets::new(most));
-        let entry = ServerEntry { id: SERVER, state: ServerState::Ready, ..ServerEntry::default() };
-        let backend = Backend { entry, address: listener.local_addr().expect("its address") };
-        let news = News { kind: ListKind::Full, backends: vec![backend] };
+        let entry = ServerEntry {
+            id: SERVER,
+            state: ServerState::Ready,
+            ..ServerEntry::default()
+        };
+        let backend = Backend {
+            entry,
+            address: listener.local_addr().expect("its address"),
+        };
+        let news = News {
+            kind: ListKind::Full,
+            backends: vec![backend],
+        };
         pool.update(&news, pool.clock.now());
         test(pool, listener).await;
     })
@@ -66,7 +82,10 @@
 
 /// How many connections to the backend are idle in the pool.
 fn idle<P: Protocol>(pool: &Pool<P>) -> usize {
-    pool.places.borrow().get(&SERVER).map_or(0, |place| place.idle.len())
+    pool.places
+        .borrow()
+        .get(&SERVER)
+        .map_or(0, |place| place.idle.len())
 }
 
 #[test]
@@ -93,32 +112,42 @@
 
 #[test]
 fn a_dial_that_came_too_late_for_who_waited_serves_the_next() {
-    with_pool_of(Late::default(), Duration::from_millis(30), 10, async |pool, _listener| {
-        assert_eq!(pool.take(SERVER).await.err(), Some(Outcome::ConnectFailed));
-        assert_eq!(pool.sockets.open.get(), 1, "it may yet come");
-        pool.protocol.0.notify_one();
-        while idle(&pool) == 0 {
-            yield_now().await;
-        }
-        assert!(pool.take(SERVER).await.is_ok());
-    });
+    with_pool_of(
+        Late::default(),
+        Duration::from_millis(30),
+        10,
+        async |pool, _listener| {
+            assert_eq!(pool.take(SERVER).await.err(), Some(Outcome::ConnectFailed));
+            assert_eq!(pool.sockets.open.get(), 1, "it may yet come");
+            pool.protocol.0.notify_one();
+            while idle(&pool) == 0 {
+                yield_now().await;
+            }
+            assert!(pool.take(SERVER).await.is_ok());
+        },
+    );
 }
 
 #[test]
 fn a_dial_that_never_comes_up_and_one_where_descriptors_run_short_are_let_go_of() {
     for most in [10, 1] {
-        with_pool_of(Late::default(), Duration::from_millis(10), most, async |pool, _listener| {
-            assert_eq!(pool.take(SERVER).await.err(), Some(Outcome::ConnectFailed));
-            if most == 1 {
-                // The next turn, not the rest of its time.
-                yield_now().await;
-                assert_eq!(pool.sockets.open.get(), 0);
-            }
-            while pool.sockets.open.get() > 0 {
-                sleep(Duration::from_millis(5)).await;
-            }
-            assert_eq!(idle(&pool), 0);
-        });
+        with_pool_of(
+            Late::default(),
+            Duration::from_millis(10),
+            most,
+            async |pool, _listener| {
+                assert_eq!(pool.take(SERVER).await.err(), Some(Outcome::ConnectFailed));
+                if most == 1 {
+                    // The next turn, not the rest of its time.
+                    yield_now().await;
+                    assert_eq!(pool.sockets.open.get(), 0);
+                }
+                while pool.sockets.open.get() > 0 {
+                    sleep(Duration::from_millis(5)).await;
+                }
+                assert_eq!(idle(&pool), 0);
+            },
+        );
     }
 }
 
@@ -136,7 +165,10 @@
         yield_now().await;
         pool.put(first);
         assert_eq!(idle(&pool), 1);
-        backend.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.expect("a node");
+        backend
+            .write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+            .await
+            .expect("a node");
         let next = pool.take(SERVER).await.expect("a connection");
         assert_ne!(next.carrier.0, used);
     });
@@ -156,7 +188,10 @@
         assert_eq!(idle(&pool), 0);
         drop(second);
         assert_eq!(idle(&pool), 1);
-        assert_eq!(pool.take(SERVER).await.ok().map(|back| back.carrier.0), Some(freed));
+        assert_eq!(
+            pool.take(SERVER).await.ok().map(|back| back.carrier.0),
+            Some(freed)
+        );
     });
 }
 
@@ -168,7 +203,11 @@
         let answered = pool.clock.now();
         pool.put(first);
         let again = pool.take(SERVER).await.expect("a connection");
-        assert_eq!((again.carrier.0, pool.sockets.open.get()), (used, 1), "it costs no handshake");
+        assert_eq!(
+            (again.carrier.0, pool.sockets.open.get()),
+            (used, 1),
+            "it costs no handshake"
+        );
         assert!(
             pool.clock.now() >= answered + REST,
             "what comes late behind the answer would be read as the next"
@@ -182,49 +221,59 @@
 
 #[test]
 fn a_dial_that_takes_far_longer_than_usual_has_one_other_beside_it() {
-    with_pool_of(Late::default(), Duration::from_millis(900), 10, async |pool, _listener| {
-        for _ in 0..12 {
+    with_pool_of(
+        Late::default(),
+        Duration::from_millis(900),
+        10,
+        async |pool, _listener| {
+            for _ in 0..12 {
+                pool.protocol.0.notify_one();
+                drop(pool.take(SERVER).await.expect("a connection"));
+            }
+            assert_eq!(pool.sockets.open.get(), 0);
+            let mut taking = Box::pin(pool.take(SERVER));
+            let mut most = 0;
+            let beside = async {
+                while pool.sockets.open.get() < 2 {
+                    sleep(Duration::from_millis(1)).await;
+                }
+            };
+            tokio::select! {
+                biased;
+                _ = &mut taking => panic!("no dial has been up yet"),
+                () = beside => most = most.max(pool.sockets.open.get()),
+            }
+            assert_eq!(most, 2);
             pool.protocol.0.notify_one();
-            drop(pool.take(SERVER).await.expect("a connection"));
-        }
-        assert_eq!(pool.sockets.open.get(), 0);
-        let mut taking = Box::pin(pool.take(SERVER));
-        let mut most = 0;
-        let beside = async {
-            while pool.sockets.open.get() < 2 {
-                sleep(Duration::from_millis(1)).await;
+            let taken = taking.await;
+            assert!(taken.is_ok() && pool.sockets.open.get() == 2);
+            // The other one comes up late, and serves the next.
+            pool.protocol.0.notify_one();
+            while idle(&pool) == 0 {
+                yield_now().await;
             }
-        };
-        tokio::select! {
-            biased;
-            _ = &mut taking => panic!("no dial has been up yet"),
-            () = beside => most = most.max(pool.sockets.open.get()),
-        }
-        assert_eq!(most, 2);
-        pool.protocol.0.notify_one();
-        let taken = taking.await;
-        assert!(taken.is_ok() && pool.sockets.open.get() == 2);
-        // The other one comes up late, and serves the next.
-        pool.protocol.0.notify_one();
-        while idle(&pool) == 0 {
-            yield_now().await;
-        }
-    });
+        },
+    );
 }
 
 #[test]
 fn who_waits_for_a_dial_takes_what_falls_free_once_that_has_rested() {
-    with_pool_of(Late::default(), Duration::from_secs(60), 10, async |pool, _listener| {
-        pool.protocol.0.notify_one();
-        let first = pool.take(SERVER).await.expect("a connection");
-        let mut second = Box::pin(pool.take(SERVER));
-        let answered = pool.clock.now();
-        tokio::select! {
-            biased;
-            _ = &mut second => panic!("the dial has not been up yet"),
-            () = std::future::ready(()) => pool.put(first),
-        }
-        assert!(second.await.is_ok(), "the dial never comes up");
-        assert!(pool.clock.now() >= answered + REST);
-    });
+    with_pool_of(
+        Late::default(),
+        Duration::from_secs(60),
+        10,
+        async |pool, _listener| {
+            pool.protocol.0.notify_one();
+            let first = pool.take(SERVER).await.expect("a connection");
+            let mut second = Box::pin(pool.take(SERVER));
+            let answered = pool.clock.now();
+            tokio::select! {
+                biased;
+                _ = &mut second => panic!("the dial has not been up yet"),
+                () = std::future::ready(()) => pool.put(first),
+            }
+            assert!(second.await.is_ok(), "the dial never comes up");
+            assert!(pool.clock.now() >= answered + REST);
+        },
+    );
 }
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -14,8 +14,11 @@
 impl Clock {
     /// A clock that takes the time of day as it is now.
     pub fn start() -> Self {
-        let system =
-            || std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+        let system = || {
+            std::time::SystemTime::now()
+                .duration_since(std::time::UNIX_EPOCH)
+                .unwrap_or_default()
+        };
         let unix = crate::world::current().map_or_else(system, |world| world.unix());
         Clock {
             started: Instant::now(),
@@ -77,14 +80,27 @@
             let rate = told("SILLWARD_FAULT_CLOCK_RATE").and_then(|rate| rate.parse().ok());
             let jump = told("SILLWARD_FAULT_CLOCK_JUMP").and_then(|jump| {
                 let (far, at) = jump.split_once('@')?;
-                Some((Duration::from_millis(far.parse().ok()?), Duration::from_millis(at.parse().ok()?)))
+                Some((
+                    Duration::from_millis(far.parse().ok()?),
+                    Duration::from_millis(at.parse().ok()?),
+                ))
             });
             let (jump, at) = jump.unwrap_or_default();
-            Fault { rate: rate.filter(|rate| (0.1..10.0).contains(rate)).unwrap_or(1.0), jump, at }
+            Fault {
+                rate: rate
+                    .filter(|rate| (0.1..10.0).contains(rate))
+                    .unwrap_or(1.0),
+                jump,
+                at,
+            }
         }
 
         pub fn shown(self, elapsed: Duration) -> Duration {
-            let jumped = if !self.jump.is_zero() && elapsed >= self.at { self.jump } else { Duration::ZERO };
+            let jumped = if !self.jump.is_zero() && elapsed >= self.at {
+                self.jump
+            } else {
+                Duration::ZERO
+            };
             elapsed.mul_f64(self.rate) + jumped
         }
 
@@ -94,7 +110,8 @@
                 return shown.div_f64(self.rate);
             }
             // Within what was jumped over nothing ever is: it is the moment of the jump.
-            self.at.max(shown.saturating_sub(self.jump).div_f64(self.rate))
+            self.at
+                .max(shown.saturating_sub(self.jump).div_f64(self.rate))
         }
     }
 }
--- a/crates/runtime/src/files.rs
+++ b/crates/runtime/src/files.rs
@@ -76,7 +76,11 @@
 /// # Errors
 /// The system's.
 pub fn folder(path: &Path) -> io::Result<()> {
-    if world::current().is_some() { Ok(()) } else { fs::create_dir_all(path) }
+    if world::current().is_some() {
+        Ok(())
+    } else {
+        fs::create_dir_all(path)
+    }
 }
 
 #[cfg(not(feature = "faults"))]
--- a/crates/runtime/src/net.rs
+++ b/crates/runtime/src/net.rs
@@ -81,7 +81,11 @@
         }
     }
 
-    pub(crate) fn poll_give(&self, cx: &mut Context<'_>, from: &[IoSlice<'_>]) -> Poll<io::Result<usize>> {
+    pub(crate) fn poll_give(
+        &self,
+        cx: &mut Context<'_>,
+        from: &[IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
         let stream = match &self.0 {
             Stands::System(stream) => stream,
             Stands::World(socket) => {
@@ -108,7 +112,11 @@
 
 // For libraries that read and write it themselves.
 impl AsyncRead for TcpStream {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, to: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        to: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         match &mut self.get_mut().0 {
             Stands::System(stream) => Pin::new(stream).poll_read(cx, to),
             Stands::World(socket) => {
@@ -121,7 +129,11 @@
 }
 
 impl AsyncWrite for TcpStream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        from: &[u8],
+    ) -> Poll<io::Result<usize>> {
         match &mut self.get_mut().0 {
             Stands::System(stream) => Pin::new(stream).poll_write(cx, from),
             Stands::World(socket) => socket.poll_write(cx, from),
@@ -207,7 +219,8 @@
             Carries::System(socket) => socket.recv_from(to).await,
             Carries::World(socket) => {
                 let most = to.len();
-                let (bytes, from) = std::future::poll_fn(|cx| socket.poll_receive(cx, most)).await?;
+                let (bytes, from) =
+                    std::future::poll_fn(|cx| socket.poll_receive(cx, most)).await?;
                 let count = bytes.len().min(most);
                 to[..count].copy_from_slice(&bytes[..count]);
                 Ok((count, from))
@@ -251,7 +264,10 @@
     ///
     /// # Errors
     /// The descriptor is none, or no listening TCP socket.
-    #[expect(unsafe_code, reason = "a number can't be owned in safe code; the one place that does")]
+    #[expect(
+        unsafe_code,
+        reason = "a number can't be owned in safe code; the one place that does"
+    )]
     pub fn adopt(descriptor: i32) -> io::Result<Self> {
         let invalid = |what: &str| io::Error::new(ErrorKind::InvalidInput, what.to_owned());
         if descriptor <= 2 {
@@ -262,14 +278,17 @@
         // SAFETY: `from_raw_fd` asks that the descriptor is open and owned by nobody else in this process. It is open, as
         // was just seen. It was inherited: whoever started the process gave it away by naming it, this is called once,
         // before anything else is opened, and nothing else here ever learns its number.
-        let owned = unsafe { <std::os::fd::OwnedFd as std::os::fd::FromRawFd>::from_raw_fd(descriptor) };
+        let owned =
+            unsafe { <std::os::fd::OwnedFd as std::os::fd::FromRawFd>::from_raw_fd(descriptor) };
         let socket = socket2::Socket::from(owned);
         if !socket.is_listener()? {
             return Err(invalid("it does not listen"));
         }
         socket.set_nonblocking(true)?;
         socket.set_cloexec(true)?;
-        Ok(TcpListener(Listens::System(tokio::net::TcpListener::from_std(socket.into())?)))
+        Ok(TcpListener(Listens::System(
+            tokio::net::TcpListener::from_std(socket.into())?,
+        )))
     }
 
     /// Where it listens.
--- a/crates/runtime/src/stream.rs
+++ b/crates/runtime/src/stream.rs
@@ -42,20 +42,28 @@
 
     /// Whether the peer has ended its sending, or either side the connection, as far as it shows without reading.
     pub fn has_ended(&self) -> bool {
-        self.0.upgrade().is_none_or(|shared| shared.stream.has_ended())
+        self.0
+            .upgrade()
+            .is_none_or(|shared| shared.stream.has_ended())
     }
 
     /// Whether it is open and has nothing to read. Asks the kernel: what the runtime has heard of it may be a
     /// turn of the loop old.
     pub fn is_quiet(&self) -> bool {
-        self.0.upgrade().is_some_and(|shared| shared.stream.is_quiet())
+        self.0
+            .upgrade()
+            .is_some_and(|shared| shared.stream.is_quiet())
     }
 }
 
 impl Stream {
     /// Takes a stream over.
     pub fn new(stream: TcpStream) -> (Self, Handle) {
-        let shared = Rc::new(Shared { stream, heard: Cell::default(), blocked: Cell::default() });
+        let shared = Rc::new(Shared {
+            stream,
+            heard: Cell::default(),
+            blocked: Cell::default(),
+        });
         let handle = Handle(Rc::downgrade(&shared));
         (Stream(shared), handle)
     }
@@ -86,7 +94,11 @@
     ///
     /// # Errors
     /// The connection is broken; none of these bytes were taken.
-    pub fn poll_write(&self, cx: &mut Context<'_>, from: &[io::IoSlice<'_>]) -> Poll<io::Result<usize>> {
+    pub fn poll_write(
+        &self,
+        cx: &mut Context<'_>,
+        from: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
         let given = self.0.stream.poll_give(cx, from);
         let blocked = match &given {
             Poll::Pending => self.0.blocked.get().or_else(|| Some(Instant::now())),
--- a/crates/runtime/src/task.rs
+++ b/crates/runtime/src/task.rs
@@ -39,7 +39,10 @@
 
 impl<T: 'static> JoinSet<T> {
     /// None yet.
-    #[expect(clippy::new_without_default, reason = "a set without tasks is nothing to default to")]
+    #[expect(
+        clippy::new_without_default,
+        reason = "a set without tasks is nothing to default to"
+    )]
     pub fn new() -> Self {
         JoinSet(tokio::task::JoinSet::new())
     }
@@ -76,6 +79,8 @@
 /// # Errors
 /// The runtime could not be started.
 pub fn block_on<T>(main: impl Future<Output = T>) -> std::io::Result<T> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     Ok(LocalSet::new().block_on(&runtime, pin!(main)))
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -22,7 +22,10 @@
 impl Instance {
     fn start(settings: &[u8], seed: u64) -> Result<Self, String> {
         let site = settings::parse(settings)?;
-        Ok(Instance { balancer: Balancer::new(site.settings, seed), columns: site.columns })
+        Ok(Instance {
+            balancer: Balancer::new(site.settings, seed),
+            columns: site.columns,
+        })
     }
 
     /// Lets the module decide. An error is the message of its panic.
@@ -47,7 +50,9 @@
 fn guarded(decide: impl FnOnce()) -> Result<(), String> {
     catch_unwind(AssertUnwindSafe(decide)).map_err(|panic| {
         let text = panic.downcast_ref::<String>().map(String::as_str);
-        text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("the decisions panicked").to_string()
+        text.or(panic.downcast_ref::<&str>().copied())
+            .unwrap_or("the decisions panicked")
+            .to_string()
     })
 }
 
@@ -64,7 +69,9 @@
             Input::Stop => drop(instances.remove(&who)),
             Input::Event(event, report) => {
                 // An event for an instance that has stopped is late, and has no effect.
-                let Some(instance) = instances.get_mut(&who) else { continue };
+                let Some(instance) = instances.get_mut(&who) else {
+                    continue;
+                };
                 match instance.handle(batch.clock, event, report) {
                     Ok(actions) => actions.iter().for_each(|action| reply.push(who, action)),
                     Err(text) => {
@@ -89,7 +96,10 @@
 }
 
 fn main() -> ExitCode {
-    match run(&mut BufReader::with_capacity(1 << 16, io::stdin().lock()), &mut io::stdout().lock()) {
+    match run(
+        &mut BufReader::with_capacity(1 << 16, io::stdin().lock()),
+        &mut io::stdout().lock(),
+    ) {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
             eprintln!("sillward-simulator-adapter: {what}");
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,8 +2,8 @@
 
 use sillward_balancer::settings::{Column, millis};
 use sillward_balancer::{
-    Action, AttemptEnd, Event, ListKind, LoadReport, NewRequest, Outcome, ProbeEnd, RequestId, ServerEntry,
-    ServerId, ServerState,
+    Action, AttemptEnd, Event, ListKind, LoadReport, NewRequest, Outcome, ProbeEnd, RequestId,
+    ServerEntry, ServerId, ServerState,
 };
 use std::io::{self, Read};
 use std::time::Duration;
@@ -40,12 +40,19 @@
 pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, String> {
     let mut header = Vec::new();
     let failed = |e: io::Error| format!("cannot read: {e}");
-    input.by_ref().take(BATCH_HEADER as u64).read_to_end(&mut header).map_err(failed)?;
+    input
+        .by_ref()
+        .take(BATCH_HEADER as u64)
+        .read_to_end(&mut header)
+        .map_err(failed)?;
     if header.is_empty() {
         return Ok(None);
     }
     if header.len() < BATCH_HEADER {
-        return Err(format!("batch header: {} of {BATCH_HEADER} bytes", header.len()));
+        return Err(format!(
+            "batch header: {} of {BATCH_HEADER} bytes",
+            header.len()
+        ));
     }
     let at = Fields(&header);
     let (number, count, length) = (at.u32(0), at.u32(4) as usize, at.u32(8) as usize);
@@ -55,26 +62,43 @@
     }
     // The length is only a claim: `take` lets memory grow with what has really arrived.
     let mut body = Vec::new();
-    input.by_ref().take(length as u64).read_to_end(&mut body).map_err(failed)?;
+    input
+        .by_ref()
+        .take(length as u64)
+        .read_to_end(&mut body)
+        .map_err(failed)?;
     if body.len() < length {
         return Err(format!("batch {number}: {} of {length} bytes", body.len()));
     }
-    if count.checked_mul(EVENT).is_none_or(|records| records > length) {
-        return Err(format!("batch {number}: {count} records do not fit in {length} bytes"));
-    }
-    Ok(Some(Batch { number, clock: millis(clock), count, body }))
+    if count
+        .checked_mul(EVENT)
+        .is_none_or(|records| records > length)
+    {
+        return Err(format!(
+            "batch {number}: {count} records do not fit in {length} bytes"
+        ));
+    }
+    Ok(Some(Batch {
+        number,
+        clock: millis(clock),
+        count,
+        body,
+    }))
 }
 
 impl Batch {
     /// The records in order, each with its instance.
     pub fn records(&self) -> impl Iterator<Item = Result<(u16, Input), String>> + '_ {
         let (records, tail) = self.body.split_at(self.count * EVENT);
-        records.chunks_exact(EVENT).enumerate().map(move |(i, record)| {
-            let at = Fields(record);
-            input(at, tail)
-                .map(|input| (at.u16(1), input))
-                .map_err(|what| format!("batch {}: record {i}: {what}", self.number))
-        })
+        records
+            .chunks_exact(EVENT)
+            .enumerate()
+            .map(move |(i, record)| {
+                let at = Fields(record);
+                input(at, tail)
+                    .map(|input| (at.u16(1), input))
+                    .map_err(|what| format!("batch {}: record {i}: {what}", self.number))
+            })
     }
 }
 
@@ -82,8 +106,14 @@
     let id = || RequestId(at.u64(3));
     let plain = |event| Ok(Input::Event(event, None));
     match at.u8(0) {
-        1 => Ok(Input::Start { seed: at.u64(3), settings: slice(tail, at, 11, 1)?.to_vec() }),
-        2 => plain(Event::List { kind: list_kind(at.u8(3))?, entries: entries(slice(tail, at, 8, ENTRY)?)? }),
+        1 => Ok(Input::Start {
+            seed: at.u64(3),
+            settings: slice(tail, at, 11, 1)?.to_vec(),
+        }),
+        2 => plain(Event::List {
+            kind: list_kind(at.u8(3))?,
+            entries: entries(slice(tail, at, 8, ENTRY)?)?,
+        }),
         3 => {
             let flags = at.u8(39);
             plain(Event::Request(NewRequest {
@@ -97,9 +127,12 @@
                 arriving: false,
             }))
         }
-        4 => {
-            plain(Event::Started { id: id(), attempt: at.u8(19).into(), server: at.server(20), report: None })
-        }
+        4 => plain(Event::Started {
+            id: id(),
+            attempt: at.u8(19).into(),
+            server: at.server(20),
+            report: None,
+        }),
         5 => Ok(Input::Event(
             Event::AttemptEnded(AttemptEnd {
                 id: id(),
@@ -124,7 +157,10 @@
             }),
             at.report(18)?,
         )),
-        9 => plain(Event::Peer { from: at.u32(3), data: slice(tail, at, 7, 1)?.to_vec() }),
+        9 => plain(Event::Peer {
+            from: at.u32(3),
+            data: slice(tail, at, 7, 1)?.to_vec(),
+        }),
         10 => Ok(Input::Stop),
         code => Err(format!("unknown event code {code}")),
     }
@@ -133,9 +169,15 @@
 /// The part of the tail that the field at `position` points to; its length counts things of `size` bytes.
 fn slice<'a>(tail: &'a [u8], at: Fields, position: usize, size: usize) -> Result<&'a [u8], String> {
     let (start, count) = (at.u32(position) as usize, at.u32(position + 4) as usize);
-    let end = count.checked_mul(size).and_then(|length| start.checked_add(length));
-    end.and_then(|end| tail.get(start..end))
-        .ok_or_else(|| format!("points to {count} x {size} bytes at {start} of a tail of {}", tail.len()))
+    let end = count
+        .checked_mul(size)
+        .and_then(|length| start.checked_add(length));
+    end.and_then(|end| tail.get(start..end)).ok_or_else(|| {
+        format!(
+            "points to {count} x {size} bytes at {start} of a tail of {}",
+            tail.len()
+        )
+    })
 }
 
 fn list_kind(code: u8) -> Result<ListKind, String> {
@@ -163,7 +205,10 @@
 }
 
 fn entries(bytes: &[u8]) -> Result<Vec<ServerEntry>, String> {
-    bytes.chunks_exact(ENTRY).map(|entry| Fields(entry).entry()).collect()
+    bytes
+        .chunks_exact(ENTRY)
+        .map(|entry| Fields(entry).entry())
+        .collect()
 }
 
 /// Gives the values of a report their names.
@@ -249,23 +294,37 @@
             Action::Fail { id } => self.record(65, instance).u64(id.0),
             Action::Probe { server } => self.record(66, instance).server(*server),
             Action::Log { text } => self.text(67, instance, text),
-            Action::SetTimer { after, token } => self.record(68, instance).millis(*after).u64(*token),
-            Action::Cancel { id, attempt } => self.record(69, instance).u64(id.0).u8(*attempt as u8),
+            Action::SetTimer { after, token } => {
+                self.record(68, instance).millis(*after).u64(*token)
+            }
+            Action::Cancel { id, attempt } => {
+                self.record(69, instance).u64(id.0).u8(*attempt as u8)
+            }
             Action::Subscribe { on } => self.record(70, instance).u8((*on).into()),
             Action::FetchList => self.record(72, instance),
             Action::Tell { to, data } => {
                 let at = self.tail.len() as u32;
                 self.tail.extend(data);
                 let to = to.map_or(u16::MAX, |to| to as u16);
-                self.record(73, instance).u16(to).u32(at).u32(data.len() as u32)
+                self.record(73, instance)
+                    .u16(to)
+                    .u32(at)
+                    .u32(data.len() as u32)
             }
             Action::CloseIdle { server } => self.record(74, instance).server(*server),
-            Action::Refuse { id, retry_after } => {
-                self.record(75, instance).u64(id.0).millis(retry_after.unwrap_or_default())
-            }
-            Action::Send { id, server, timeout } => {
-                self.record(76, instance).u64(id.0).server(*server).millis(*timeout)
-            }
+            Action::Refuse { id, retry_after } => self
+                .record(75, instance)
+                .u64(id.0)
+                .millis(retry_after.unwrap_or_default()),
+            Action::Send {
+                id,
+                server,
+                timeout,
+            } => self
+                .record(76, instance)
+                .u64(id.0)
+                .server(*server)
+                .millis(*timeout),
         };
         self.close_record();
     }
--- a/crates/simulator-adapter/src/wire_tests.rs
+++ b/crates/simulator-adapter/src/wire_tests.rs
@@ -32,7 +32,9 @@
 }
 
 fn one(record: &str, tail: &str) -> (u16, Input) {
-    read(&batch(&[padded(record, EVENT)], &hex(tail))).expect("legal").remove(0)
+    read(&batch(&[padded(record, EVENT)], &hex(tail)))
+        .expect("legal")
+        .remove(0)
 }
 
 fn ms(ms: f64) -> Duration {
@@ -42,8 +44,13 @@
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
     let frame = hex("00000001 00000000 00000000 40c06e2000000000");
-    let batch = read_batch(&mut &frame[..]).expect("legal").expect("a batch");
-    assert_eq!((batch.number, batch.clock, batch.records().count()), (1, ms(8412.25), 0));
+    let batch = read_batch(&mut &frame[..])
+        .expect("legal")
+        .expect("a batch");
+    assert_eq!(
+        (batch.number, batch.clock, batch.records().count()),
+        (1, ms(8412.25), 0)
+    );
     assert_eq!(Reply::default().frame(1), hex("00000001 00000000 00000000"));
 }
 
@@ -74,7 +81,15 @@
         [
             (3, Input::Event(Event::Request(request), None)),
             (3, Input::Event(Event::Timer { token: 0x4d }, None)),
-            (5, Input::Event(Event::ClientGone { id: RequestId(0x0004_ed23_0e6f_2b19) }, None)),
+            (
+                5,
+                Input::Event(
+                    Event::ClientGone {
+                        id: RequestId(0x0004_ed23_0e6f_2b19)
+                    },
+                    None
+                )
+            ),
         ]
     );
 }
@@ -83,11 +98,32 @@
 fn the_shown_reply_of_two_records_and_a_log_line_is_byte_exact() {
     let mut reply = Reply::default();
     let server = ServerId(0x0a12_4a07_1b5b);
-    reply.push(3, &Action::Send { id: RequestId(0x000f_b047_5d3a_91c4), server, timeout: ms(80.0) });
-    reply.push(3, &Action::SetTimer { after: ms(500.0), token: 0x4d });
-    reply.push(5, &Action::Log { text: "two servers known".into() });
+    reply.push(
+        3,
+        &Action::Send {
+            id: RequestId(0x000f_b047_5d3a_91c4),
+            server,
+            timeout: ms(80.0),
+        },
+    );
+    reply.push(
+        3,
+        &Action::SetTimer {
+            after: ms(500.0),
+            token: 0x4d,
+        },
+    );
+    reply.push(
+        5,
+        &Action::Log {
+            text: "two servers known".into(),
+        },
+    );
     let mut expected = hex("0000000c 00000071 00000003");
-    expected.extend(padded("4c 0003 000fb0475d3a91c4 0a124a07 1b5b 4054000000000000", ACTION));
+    expected.extend(padded(
+        "4c 0003 000fb0475d3a91c4 0a124a07 1b5b 4054000000000000",
+        ACTION,
+    ));
     expected.extend(padded("44 0003 407f400000000000 000000000000004d", ACTION));
     expected.extend(padded("43 0005 00000000 00000011", ACTION));
     expected.extend(hex("74776f2073657276657273206b6e6f776e"));
@@ -115,13 +151,19 @@
         started: Some(ms(6100.0)),
         ..near
     };
-    let list = Event::List { kind: ListKind::Cached, entries: vec![near, far] };
+    let list = Event::List {
+        kind: ListKind::Cached,
+        entries: vec![near, far],
+    };
     assert_eq!(input, Input::Event(list, None));
 }
 
 #[test]
 fn the_shown_outcome_reads_as_told() {
-    let (_, input) = one("05 0003 000fb0475d3a91c4 00 0a124a07 1b5b 01 4032800000000000 01 00", "");
+    let (_, input) = one(
+        "05 0003 000fb0475d3a91c4 00 0a124a07 1b5b 01 4032800000000000 01 00",
+        "",
+    );
     let end = AttemptEnd {
         id: RequestId(0x000f_b047_5d3a_91c4),
         attempt: 0,
@@ -137,8 +179,13 @@
 
 #[test]
 fn a_probe_result_brings_its_report_under_the_columns_names() {
-    let (_, input) = one("08 0001 0a124a07 1b5b 01 3ff0000000000000 03 40400000 3f800000 3f000000", "");
-    let Input::Event(Event::Probed(end), Some(raw)) = input else { panic!("{input:?}") };
+    let (_, input) = one(
+        "08 0001 0a124a07 1b5b 01 3ff0000000000000 03 40400000 3f800000 3f000000",
+        "",
+    );
+    let Input::Event(Event::Probed(end), Some(raw)) = input else {
+        panic!("{input:?}")
+    };
     let expected = ProbeEnd {
         server: ServerId(0x0a12_4a07_1b5b),
         outcome: Outcome::Served,
@@ -146,21 +193,54 @@
         report: None,
     };
     assert_eq!(end, expected);
-    let report = named_report(raw, &[Column::Concurrent, Column::Unknown, Column::LoadShare]);
-    let expected = LoadReport { in_flight: Some(3.0), utilisation: Some(0.5), ..LoadReport::default() };
+    let report = named_report(
+        raw,
+        &[Column::Concurrent, Column::Unknown, Column::LoadShare],
+    );
+    let expected = LoadReport {
+        in_flight: Some(3.0),
+        utilisation: Some(0.5),
+        ..LoadReport::default()
+    };
     assert_eq!(report, expected);
 }
 
 #[test]
 fn starts_stops_streams_and_peers_read_as_told() {
     let (who, input) = one("01 0007 0000000000000009 00000001 00000002", "ff7b7d");
-    assert_eq!((who, input), (7, Input::Start { seed: 9, settings: b"{}".to_vec() }));
+    assert_eq!(
+        (who, input),
+        (
+            7,
+            Input::Start {
+                seed: 9,
+                settings: b"{}".to_vec()
+            }
+        )
+    );
     assert_eq!(one("0a 0007", "").1, Input::Stop);
-    let (_, input) = one("04 0001 0000000000000005 4000000000000000 02 00000000 0007", "");
-    let started = Event::Started { id: RequestId(5), attempt: 2, server: ServerId(7), report: None };
+    let (_, input) = one(
+        "04 0001 0000000000000005 4000000000000000 02 00000000 0007",
+        "",
+    );
+    let started = Event::Started {
+        id: RequestId(5),
+        attempt: 2,
+        server: ServerId(7),
+        report: None,
+    };
     assert_eq!(input, Input::Event(started, None));
     let (_, input) = one("09 0001 00000002 00000000 00000002", "6869");
-    assert_eq!(input, Input::Event(Event::Peer { from: 2, data: b"hi".to_vec() }, None));
+    assert_eq!(
+        input,
+        Input::Event(
+            Event::Peer {
+                from: 2,
+                data: b"hi".to_vec()
+            },
+            None
+        )
+    );
 }
 
 #[test]
@@ -169,17 +249,38 @@
     let cases = [
         (Action::Fail { id }, "41 0003 0000000000000005", ""),
         (Action::Probe { server }, "42 0003 01020304 0506", ""),
-        (Action::Cancel { id, attempt: 2 }, "45 0003 0000000000000005 02", ""),
+        (
+            Action::Cancel { id, attempt: 2 },
+            "45 0003 0000000000000005 02",
+            "",
+        ),
         (Action::Subscribe { on: true }, "46 0003 01", ""),
         (Action::FetchList, "48 0003", ""),
-        (Action::Tell { to: None, data: b"hi 7".to_vec() }, "49 0003 ffff 00000000 00000004", "68692037"),
+        (
+            Action::Tell {
+                to: None,
+                data: b"hi 7".to_vec(),
+            },
+            "49 0003 ffff 00000000 00000004",
+            "68692037",
+        ),
         (Action::CloseIdle { server }, "4a 0003 01020304 0506", ""),
         (
-            Action::Refuse { id, retry_after: Some(ms(500.0)) },
+            Action::Refuse {
+                id,
+                retry_after: Some(ms(500.0)),
+            },
             "4b 0003 0000000000000005 407f400000000000",
             "",
         ),
-        (Action::Refuse { id, retry_after: None }, "4b 0003 0000000000000005", ""),
+        (
+            Action::Refuse {
+                id,
+                retry_after: None,
+            },
+            "4b 0003 0000000000000005",
+            "",
+        ),
     ];
     for (action, record, tail) in cases {
         let mut reply = Reply::default();
@@ -189,7 +290,10 @@
     }
     let mut reply = Reply::default();
     reply.push_fault(3, "hi");
-    assert_eq!(reply.frame(1)[12..], [padded("47 0003 00000000 00000002", ACTION), b"hi".to_vec()].concat());
+    assert_eq!(
+        reply.frame(1)[12..],
+        [padded("47 0003 00000000 00000002", ACTION), b"hi".to_vec()].concat()
+    );
 }
 
 #[test]
@@ -199,10 +303,19 @@
     let cases = [
         (hex("00000001 0000"), "batch header: 6 of 20 bytes"),
         (with("0a 0001")[..60].to_vec(), "batch 12: 40 of 100 bytes"),
-        (hex("0000000c 7fffffff 00000000 40c06e2000000000"), "batch 12: 2147483647 records do not fit"),
-        (hex("0000000c 00000000 00000000 7ff8000000000000"), "batch 12: the clock is no number"),
+        (
+            hex("0000000c 7fffffff 00000000 40c06e2000000000"),
+            "batch 12: 2147483647 records do not fit",
+        ),
+        (
+            hex("0000000c 00000000 00000000 7ff8000000000000"),
+            "batch 12: the clock is no number",
+        ),
         (with("0b 0001"), "batch 12: record 1: unknown event code 11"),
-        (with("02 0001 04"), "batch 12: record 1: unknown list form 4"),
+        (
+            with("02 0001 04"),
+            "batch 12: record 1: unknown list form 4",
+        ),
         (
             with("02 0001 01 00000001 00000000 ffffffff"),
             "batch 12: record 1: points to 4294967295 x 23 bytes",
@@ -211,7 +324,10 @@
             with("09 0001 00000001 00000003 00000002"),
             "batch 12: record 1: points to 2 x 1 bytes at 3 of a tail of 4",
         ),
-        (with("08 0001 00000000 0001 08"), "batch 12: record 1: unknown outcome 8"),
+        (
+            with("08 0001 00000000 0001 08"),
+            "batch 12: record 1: unknown outcome 8",
+        ),
         (
             with("08 0001 00000000 0001 01 0000000000000000 05"),
             "batch 12: record 1: a load report of 5 values",
@@ -222,8 +338,14 @@
         assert!(fault.starts_with(expected), "{fault} instead of {expected}");
     }
     let entry = padded("0a124a07 1b5b 00 00 0000 03", ENTRY);
-    let fault = read(&batch(&[padded("02 0001 01 00000001 00000000 00000001", EVENT)], &entry));
-    assert_eq!(fault.expect_err("bad state"), "batch 12: record 0: unknown server state 3");
+    let fault = read(&batch(
+        &[padded("02 0001 01 00000001 00000000 00000001", EVENT)],
+        &entry,
+    ));
+    assert_eq!(
+        fault.expect_err("bad state"),
+        "batch 12: record 0: unknown server state 3"
+    );
 }
 
 #[test]
@@ -235,12 +357,29 @@
 fn ids_go_out_as_they_came_in() {
     let tail = "0a90ffff 1b84 02 00 0000 02 3f800000 0000000000000000";
     let (_, input) = one("02 0003 01 00000001 00000000 00000001", tail);
-    let Input::Event(Event::List { entries, .. }, None) = input else { panic!("{input:?}") };
-    let (_, input) = one("03 0003 000fffffffffffff 0001 0002 0000000000000000 406e000000000000", "");
-    let Input::Event(Event::Request(new), None) = input else { panic!("{input:?}") };
+    let Input::Event(Event::List { entries, .. }, None) = input else {
+        panic!("{input:?}")
+    };
+    let (_, input) = one(
+        "03 0003 000fffffffffffff 0001 0002 0000000000000000 406e000000000000",
+        "",
+    );
+    let Input::Event(Event::Request(new), None) = input else {
+        panic!("{input:?}")
+    };
     assert_eq!((new.class, new.tenant, new.cost), (1, 2, None));
     let mut reply = Reply::default();
-    reply.push(3, &Action::Send { id: new.id, server: entries[0].id, timeout: new.remaining });
-    let expected = padded("4c 0003 000fffffffffffff 0a90ffff 1b84 406e000000000000", ACTION);
+    reply.push(
+        3,
+        &Action::Send {
+            id: new.id,
+            server: entries[0].id,
+            timeout: new.remaining,
+        },
+    );
+    let expected = padded(
+        "4c 0003 000fffffffffffff 0a90ffff 1b84 406e000000000000",
+        ACTION,
+    );
     assert_eq!(reply.frame(1)[12..], expected);
 }
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -26,7 +26,11 @@
 
 impl Batch {
     fn new() -> Self {
-        Batch { count: 0, records: Vec::new(), tail: Vec::new() }
+        Batch {
+            count: 0,
+            records: Vec::new(),
+            tail: Vec::new(),
+        }
     }
     fn record(mut self, code: u8, who: u16, fields: &[&[u8]]) -> Self {
         let mut record = vec![code];
@@ -41,7 +45,15 @@
     fn spawn(mut self, who: u16, settings: &[u8]) -> Self {
         let at = (self.tail.len() as u32).to_be_bytes();
         self.tail.extend(settings);
-        self.record(1, who, &[&9u64.to_be_bytes(), &at, &(settings.len() as u32).to_be_bytes()])
+        self.record(
+            1,
+            who,
+            &[
+                &9u64.to_be_bytes(),
+                &at,
+                &(settings.len() as u32).to_be_bytes(),
+            ],
+        )
     }
     /// A complete list of so many ready servers.
     fn list(mut self, who: u16, servers: u16) -> Self {
@@ -53,7 +65,16 @@
             entry.resize(23, 0);
             self.tail.extend(entry);
         }
-        self.record(2, who, &[&[1], &1u32.to_be_bytes(), &at, &u32::from(servers).to_be_bytes()])
+        self.record(
+            2,
+            who,
+            &[
+                &[1],
+                &1u32.to_be_bytes(),
+                &at,
+                &u32::from(servers).to_be_bytes(),
+            ],
+        )
     }
     fn request(self, who: u16, id: u64) -> Self {
         let remaining = 900f64.to_be_bytes();
@@ -73,7 +94,8 @@
 
 /// The codes of the actions of each reply.
 fn replies(output: &[u8]) -> Vec<Vec<u8>> {
-    let word = |at: usize| u32::from_be_bytes(output[at..at + 4].try_into().expect("four bytes")) as usize;
+    let word =
+        |at: usize| u32::from_be_bytes(output[at..at + 4].try_into().expect("four bytes")) as usize;
     let (mut at, mut replies) = (0, Vec::new());
     while at < output.len() {
         let (length, count) = (word(at + 4), word(at + 8));
@@ -86,7 +108,12 @@
 #[test]
 fn instances_run_side_by_side_restart_in_a_batch_and_end_with_the_input() {
     let settings = SETTINGS.as_bytes();
-    let first = Batch::new().spawn(1, settings).list(1, 2).spawn(2, settings).list(2, 2).frame(1);
+    let first = Batch::new()
+        .spawn(1, settings)
+        .list(1, 2)
+        .spawn(2, settings)
+        .list(2, 2)
+        .frame(1);
     let requests = Batch::new().request(1, 5).request(2, 6).frame(2);
     // Instance 1 restarts in one batch; what comes for instance 2 after its stop is late.
     let restart = Batch::new()
@@ -102,38 +129,70 @@
     let replies = replies(&output.stdout);
     assert_eq!(replies.len(), 4);
     let sends = |reply: usize| replies[reply].iter().filter(|code| **code == 76).count();
-    assert_eq!((sends(0), sends(1), sends(2), replies[3].len()), (0, 2, 1, 0));
+    assert_eq!(
+        (sends(0), sends(1), sends(2), replies[3].len()),
+        (0, 2, 1, 0)
+    );
 }
 
 #[test]
 fn a_megabyte_batch_is_answered_whole() {
-    let start = Batch::new().spawn(1, SETTINGS.as_bytes()).list(1, 40).frame(1);
-    let many = (0..25_000).fold(Batch::new(), |batch, id| batch.request(1, id)).frame(2);
+    let start = Batch::new()
+        .spawn(1, SETTINGS.as_bytes())
+        .list(1, 40)
+        .frame(1);
+    let many = (0..25_000)
+        .fold(Batch::new(), |batch, id| batch.request(1, id))
+        .frame(2);
     assert!(many.len() > 1_000_000);
     let output = run(&[start, many].concat());
     assert!(output.status.success());
     let replies = replies(&output.stdout);
     // Each request is sent, refused or held for a while.
-    let told = replies[1].iter().filter(|code| [76, 75, 68].contains(code)).count();
+    let told = replies[1]
+        .iter()
+        .filter(|code| [76, 75, 68].contains(code))
+        .count();
     assert!(told >= 25_000);
 }
 
 #[test]
 fn bad_input_ends_with_one_plain_line_and_no_half_reply() {
-    let good = Batch::new().spawn(1, SETTINGS.as_bytes()).list(1, 2).frame(1);
+    let good = Batch::new()
+        .spawn(1, SETTINGS.as_bytes())
+        .list(1, 2)
+        .frame(1);
     let cases = [
         (good[..30].to_vec(), "batch 1: 10 of"),
-        (Batch::new().record(77, 1, &[]).frame(9), "batch 9: record 0: unknown event code 77"),
-        (Batch::new().spawn(1, b"{\"Classes\": 5}").frame(3), "batch 3: record 0: bad settings:"),
-        (Batch::new().spawn(1, b"{\"Classes\": []}").frame(3), "batch 3: record 0: bad settings: no classes"),
-        (Batch::new().spawn(1, b"\xff\xfe").frame(3), "batch 3: record 0: bad settings:"),
-        ([&good[..], &[0, 0, 0]].concat(), "batch header: 3 of 20 bytes"),
+        (
+            Batch::new().record(77, 1, &[]).frame(9),
+            "batch 9: record 0: unknown event code 77",
+        ),
+        (
+            Batch::new().spawn(1, b"{\"Classes\": 5}").frame(3),
+            "batch 3: record 0: bad settings:",
+        ),
+        (
+            Batch::new().spawn(1, b"{\"Classes\": []}").frame(3),
+            "batch 3: record 0: bad settings: no classes",
+        ),
+        (
+            Batch::new().spawn(1, b"\xff\xfe").frame(3),
+            "batch 3: record 0: bad settings:",
+        ),
+        (
+            [&good[..], &[0, 0, 0]].concat(),
+            "batch header: 3 of 20 bytes",
+        ),
     ];
     for (input, expected) in cases {
         let output = run(&input);
         let said = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{expected}");
-        assert!(said.starts_with(&format!("sillward-simulator-adapter: {expected}")), "{said}");
+        assert!(
+            said.starts_with(&format!("sillward-simulator-adapter: {expected}")),
+            "{said}"
+        );
         assert_eq!(said.lines().count(), 1, "{said}");
         replies(&output.stdout);
     }
@@ -151,8 +210,17 @@
 #[test]
 fn replies_keep_their_bytes() {
     let settings = SETTINGS.as_bytes();
-    let start = Batch::new().spawn(1, settings).list(1, 2).spawn(2, settings).list(2, 3).frame(1);
-    let requests = (1..12).fold(Batch::new(), |batch, id| batch.request(1 + id as u16 % 2, id)).frame(2);
+    let start = Batch::new()
+        .spawn(1, settings)
+        .list(1, 2)
+        .spawn(2, settings)
+        .list(2, 3)
+        .frame(1);
+    let requests = (1..12)
+        .fold(Batch::new(), |batch, id| {
+            batch.request(1 + id as u16 % 2, id)
+        })
+        .frame(2);
     // Request 1 of instance 2 is served, 2 of instance 1 fails, a timer is due, a client leaves.
     let elapsed = 20f64.to_be_bytes();
     let end = |id: u64, outcome: u8| {
@@ -169,7 +237,15 @@
         .record(6, 2, &[&3u64.to_be_bytes()])
         .frame(30);
     let output = run(&[start, requests, ends].concat());
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let hex: String = output.stdout.iter().map(|byte| format!("{byte:02x}")).collect();
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
+    let hex: String = output
+        .stdout
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect();
     assert_eq!(hex, include_str!("golden/replies.hex").trim());
 }
--- a/crates/thrift/benches/transcode.rs
+++ b/crates/thrift/benches/transcode.rs
@@ -11,7 +11,11 @@
 use thrift::protocol::*;
 use values::{Value, tally_sheet, written_by_apache};
 
-const HEAD: Head<'_> = Head { kind: Kind::Call, name: "submit", seqid: 7 };
+const HEAD: Head<'_> = Head {
+    kind: Kind::Call,
+    name: "submit",
+    seqid: 7,
+};
 const BINARY: Encoding = Encoding::Binary { strict: true };
 
 fn ours(message: &[u8], to: Encoding) -> Vec<u8> {
@@ -60,7 +64,11 @@
     out
 }
 
-fn copied<I: TInputProtocol, O: TOutputProtocol>(from: &mut I, to: &mut O, of: TType) -> thrift::Result<()> {
+fn copied<I: TInputProtocol, O: TOutputProtocol>(
+    from: &mut I,
+    to: &mut O,
+    of: TType,
+) -> thrift::Result<()> {
     match of {
         TType::Bool => to.write_bool(from.read_bool()?),
         TType::I16 => to.write_i16(from.read_i16()?),
@@ -125,23 +133,36 @@
     let sheet = tally_sheet();
     let binary = written_by_apache(BINARY, HEAD, &sheet);
     let compact = written_by_apache(Encoding::Compact, HEAD, &sheet);
-    println!("binary_bytes {}\ncompact_bytes {}", binary.len(), compact.len());
+    println!(
+        "binary_bytes {}\ncompact_bytes {}",
+        binary.len(),
+        compact.len()
+    );
     let mut criterion = Criterion::default().configure_from_args();
-    for (name, message, to) in
-        [("binary to compact", &binary, Encoding::Compact), ("compact to binary", &compact, BINARY)]
-    {
-        criterion.bench_function(&format!("{name}, here"), |b| b.iter(|| ours(black_box(message), to)));
-        criterion.bench_function(&format!("{name}, library"), |b| b.iter(|| theirs(black_box(message), to)));
+    for (name, message, to) in [
+        ("binary to compact", &binary, Encoding::Compact),
+        ("compact to binary", &compact, BINARY),
+    ] {
+        criterion.bench_function(&format!("{name}, here"), |b| {
+            b.iter(|| ours(black_box(message), to))
+        });
+        criterion.bench_function(&format!("{name}, library"), |b| {
+            b.iter(|| theirs(black_box(message), to))
+        });
         assert_eq!(theirs(message, to), theirs_at_once(message, to));
         assert_eq!(theirs(message, to), ours(message, to)[4..]);
-        for (how, theirs) in
-            [("by_values", theirs as fn(&[u8], Encoding) -> Vec<u8>), ("at_once", theirs_at_once)]
-        {
+        for (how, theirs) in [
+            ("by_values", theirs as fn(&[u8], Encoding) -> Vec<u8>),
+            ("at_once", theirs_at_once),
+        ] {
             let ratio = ratio(message, to, theirs);
             println!("{}_{how} {ratio:.2}", name.replace(' ', "_"));
             // A program reads a sheet into values and writes it from values. The library's stream, at once from one
             // encoding to the other, is the harder comparison: a figure, without a bound.
-            assert!(ratio >= 3.0 || how == "at_once", "not 3 times as fast as the library");
+            assert!(
+                ratio >= 3.0 || how == "at_once",
+                "not 3 times as fast as the library"
+            );
         }
     }
 }
--- a/crates/thrift/src/backend.rs
+++ b/crates/thrift/src/backend.rs
@@ -6,16 +6,17 @@
 use crate::names;
 use crate::terms::{BackendTerms, TurnedAway};
 use crate::wire::{
-    BinaryReader, BinaryWriter, CompactReader, CompactWriter, Encoding, FrameReader, Head, Kind, Message,
-    Path, Reader, Scalar, Step, Type, Writer, frame, pick, read_exception, read_head, reword, write_head,
+    BinaryReader, BinaryWriter, CompactReader, CompactWriter, Encoding, FrameReader, Head, Kind,
+    Message, Path, Reader, Scalar, Step, Type, Writer, frame, pick, read_exception, read_head,
+    reword, write_head,
 };
 use crate::{BINARY, COMPACT};
 use bytes::Bytes;
 use sillward_balancer::settings::Site;
 use sillward_balancer::{LoadReport, Outcome, ServerId};
 use sillward_forwarding::{
-    Attempt, Backends, Budget, Call, Content, Ended, Exchanged, Form, News, PROBE_TIMEOUT, READ_BUFFER,
-    Reports, Stop, Task, run,
+    Attempt, Backends, Budget, Call, Content, Ended, Exchanged, Form, News, PROBE_TIMEOUT,
+    READ_BUFFER, Reports, Stop, Task, run,
 };
 use sillward_logging::log_peer;
 use sillward_metrics::Counters;
@@ -51,7 +52,10 @@
         if let Some(bytes) = self.send_buffer {
             stream.bound_unsent(bytes);
         }
-        Ok(Line { stream, seqid: Cell::new(0) })
+        Ok(Line {
+            stream,
+            seqid: Cell::new(0),
+        })
     }
 
     fn is_closed(_: &Line) -> bool {
@@ -81,13 +85,21 @@
     fn attempt(self: Rc<Self>, attempt: Attempt, stopped: oneshot::Receiver<Stop>) -> Task<Ended> {
         Box::pin(async move {
             let written = Cell::new(false);
-            run(&attempt, || written.get(), self.exchange(&attempt, &written), stopped).await
+            run(
+                &attempt,
+                || written.get(),
+                self.exchange(&attempt, &written),
+                stopped,
+            )
+            .await
         })
     }
 
     fn probe(self: Rc<Self>, server: ServerId) -> Task<(Outcome, Option<LoadReport>)> {
         Box::pin(async move {
-            timeout(PROBE_TIMEOUT, self.probed(server)).await.unwrap_or((Outcome::TimedOut, None))
+            timeout(PROBE_TIMEOUT, self.probed(server))
+                .await
+                .unwrap_or((Outcome::TimedOut, None))
         })
     }
 
@@ -112,7 +124,13 @@
         reports: Reports,
         counters: Rc<Counters>,
     ) -> Rc<Self> {
-        Rc::new(Backend { pool, terms, budget, reports, counters })
+        Rc::new(Backend {
+            pool,
+            terms,
+            budget,
+            reports,
+            counters,
+        })
     }
 
     async fn exchange(self: &Rc<Self>, attempt: &Attempt, written: &Cell<bool>) -> Exchanged {
@@ -127,7 +145,10 @@
             let seqid = line.seqid.get();
             // Before the claim: what can't be worded was never begun.
             let Some(frame) = self.worded(call, seqid) else {
-                log_peer(format_args!("server {:x}: a call that can't be worded there", attempt.server.0));
+                log_peer(format_args!(
+                    "server {:x}: a call that can't be worded there",
+                    attempt.server.0
+                ));
                 self.pool.give_back(connection);
                 return (Outcome::NotSent, None, None);
             };
@@ -167,14 +188,20 @@
                             (outcome, report, answer)
                         }
                         None => {
-                            log_peer(format_args!("server {:x}: no reply to its call", attempt.server.0));
+                            log_peer(format_args!(
+                                "server {:x}: no reply to its call",
+                                attempt.server.0
+                            ));
                             (Outcome::Error, None, None)
                         }
                     }
                 }
                 Err(Broken::Ended) => (Outcome::Reset, None, None),
                 Err(Broken::Nonsense(what)) => {
-                    log_peer(format_args!("server {:x}: {what}: dropped", attempt.server.0));
+                    log_peer(format_args!(
+                        "server {:x}: {what}: dropped",
+                        attempt.server.0
+                    ));
                     (Outcome::Error, None, None)
                 }
             };
@@ -186,10 +213,16 @@
     /// The method's name as it goes on.
     fn name<'a>(&'a self, call: &'a Call) -> Option<&'a str> {
         if call.content.form == Form::PLAIN {
-            let terms = self.terms.http_calls.iter().find(|terms| terms.class == call.class)?;
+            let terms = self
+                .terms
+                .http_calls
+                .iter()
+                .find(|terms| terms.class == call.class)?;
             return Some(&terms.method);
         }
-        read_head(&call.content.bytes, &self.terms.bounds).ok().map(|message| message.head.name)
+        read_head(&call.content.bytes, &self.terms.bounds)
+            .ok()
+            .map(|message| message.head.name)
     }
 
     /// The call's frame in these backends' encoding; `None` if it can't be worded there, or would not carry the
@@ -200,7 +233,11 @@
         }
         let (bounds, encoding) = (&self.terms.bounds, self.terms.encoding);
         if call.content.form == Form::PLAIN {
-            let terms = self.terms.http_calls.iter().find(|terms| terms.class == call.class)?;
+            let terms = self
+                .terms
+                .http_calls
+                .iter()
+                .find(|terms| terms.class == call.class)?;
             let key = match (&call.idempotency_key, terms.key) {
                 (Some(key), Some(field)) => Some((field, &key[..])),
                 // By the key alone would these backends know a repeat of it.
@@ -208,8 +245,19 @@
                 _ => None,
             };
             let mut out = vec![0; 4];
-            write_head(&mut out, encoding, Head { kind: Kind::Call, name: &terms.method, seqid });
-            let mut arguments = vec![(terms.target, &call.target[..]), (terms.body, &call.content.bytes[..])];
+            write_head(
+                &mut out,
+                encoding,
+                Head {
+                    kind: Kind::Call,
+                    name: &terms.method,
+                    seqid,
+                },
+            );
+            let mut arguments = vec![
+                (terms.target, &call.target[..]),
+                (terms.body, &call.content.bytes[..]),
+            ];
             arguments.extend(key);
             arguments.sort_unstable_by_key(|(field, _)| *field);
             let out = match encoding {
@@ -227,16 +275,32 @@
             return (out.len() <= bounds.written() + 4).then(|| frame(out));
         }
         let message = read_head(&call.content.bytes, bounds).ok()?;
-        reword(&message, encoding, Head { seqid, ..message.head }, bounds).ok()
+        reword(
+            &message,
+            encoding,
+            Head {
+                seqid,
+                ..message.head
+            },
+            bounds,
+        )
+        .ok()
     }
 
     /// Reads a reply's frame, and whether something came behind it.
     async fn reply(&self, line: &Line) -> Result<(Bytes, bool), Broken> {
-        let mut lease = self.budget.lease(0).ok_or(Broken::Nonsense("no room for a reply"))?;
+        let mut lease = self
+            .budget
+            .lease(0)
+            .ok_or(Broken::Nonsense("no room for a reply"))?;
         let mut reader = FrameReader::new(self.terms.bounds.frame);
         let mut chunk = [0; READ_BUFFER];
         loop {
-            let count = line.stream.read(&mut chunk).await.map_err(|_| Broken::Ended)?;
+            let count = line
+                .stream
+                .read(&mut chunk)
+                .await
+                .map_err(|_| Broken::Ended)?;
             if count == 0 {
                 return Err(Broken::Ended);
             }
@@ -245,7 +309,9 @@
                 Step::More => {}
                 Step::Whole(body) => return Ok((lease.keep(body.into()), used < count)),
                 Step::Discarded(_) => return Err(Broken::Nonsense("no room for a reply")),
-                Step::NotFramed(_) => return Err(Broken::Nonsense("a reply that is too long, or no frame")),
+                Step::NotFramed(_) => {
+                    return Err(Broken::Nonsense("a reply that is too long, or no frame"));
+                }
             }
         }
     }
@@ -260,8 +326,15 @@
             Kind::Reply => {}
             Kind::Exception => {
                 let (number, _) = read_exception(&message, &self.terms.bounds).ok()?;
-                let never_ran = self.terms.turned_away.contains(&TurnedAway::Exception(number));
-                let outcome = if never_ran { Outcome::Rejected } else { Outcome::Error };
+                let never_ran = self
+                    .terms
+                    .turned_away
+                    .contains(&TurnedAway::Exception(number));
+                let outcome = if never_ran {
+                    Outcome::Rejected
+                } else {
+                    Outcome::Error
+                };
                 return Some((outcome, None, None));
             }
             Kind::Call | Kind::Oneway => return None,
@@ -273,16 +346,23 @@
             Encoding::Binary { .. } => {
                 let mut reader = BinaryReader::new(message.body);
                 let found = pick(&mut reader, &paths, &self.terms.bounds).ok()?;
-                (first_field(BinaryReader::new(message.body)), reader.rest().is_empty().then_some(found)?)
+                (
+                    first_field(BinaryReader::new(message.body)),
+                    reader.rest().is_empty().then_some(found)?,
+                )
             }
             Encoding::Compact => {
                 let mut reader = CompactReader::new(message.body);
                 let found = pick(&mut reader, &paths, &self.terms.bounds).ok()?;
-                (first_field(CompactReader::new(message.body)), reader.rest().is_empty().then_some(found)?)
+                (
+                    first_field(CompactReader::new(message.body)),
+                    reader.rest().is_empty().then_some(found)?,
+                )
             }
         };
         let report = found[0].and_then(|report| self.report(report));
-        let turned = field.is_some_and(|field| self.terms.turned_away.contains(&TurnedAway::Field(field)));
+        let turned =
+            field.is_some_and(|field| self.terms.turned_away.contains(&TurnedAway::Field(field)));
         if turned {
             return Some((Outcome::Rejected, report, None));
         }
@@ -293,19 +373,40 @@
                 (None, _) => Some(Content::plain(Bytes::new())),
                 _ => None,
             };
-            let outcome = if answer.is_some() { Outcome::Served } else { Outcome::Error };
+            let outcome = if answer.is_some() {
+                Outcome::Served
+            } else {
+                Outcome::Error
+            };
             return Some((outcome, report, answer));
         }
-        let form = if message.encoding == Encoding::Compact { COMPACT } else { BINARY };
-        Some((Outcome::Served, report, Some(Content { form, bytes: body.clone() })))
+        let form = if message.encoding == Encoding::Compact {
+            COMPACT
+        } else {
+            BINARY
+        };
+        Some((
+            Outcome::Served,
+            report,
+            Some(Content {
+                form,
+                bytes: body.clone(),
+            }),
+        ))
     }
 
     fn report(&self, value: Scalar<'_>) -> Option<LoadReport> {
-        let Scalar::Bytes(text) = value else { return None };
-        let text = std::str::from_utf8(text).ok().filter(|_| self.reports.any())?;
+        let Scalar::Bytes(text) = value else {
+            return None;
+        };
+        let text = std::str::from_utf8(text)
+            .ok()
+            .filter(|_| self.reports.any())?;
         let report = self.reports.read(text);
         if report.is_none() {
-            log_peer(format_args!("a malformed load report was dropped: {text:?}"));
+            log_peer(format_args!(
+                "a malformed load report was dropped: {text:?}"
+            ));
         }
         report
     }
@@ -326,7 +427,15 @@
         line.seqid.set(line.seqid.get().wrapping_add(1));
         let seqid = line.seqid.get();
         let mut out = vec![0; 4];
-        write_head(&mut out, self.terms.encoding, Head { kind: Kind::Call, name, seqid });
+        write_head(
+            &mut out,
+            self.terms.encoding,
+            Head {
+                kind: Kind::Call,
+                name,
+                seqid,
+            },
+        );
         out.push(0); // no arguments: a stop, in either encoding
         if !write_whole(&line.stream, &frame(out)).await {
             return (Outcome::Reset, None);
@@ -349,14 +458,26 @@
     /// The report in a probe's reply; `None` if it is no reply to it.
     fn probe_report(&self, body: &[u8], name: &str, seqid: i32) -> Option<Option<LoadReport>> {
         let message = read_head(body, &self.terms.bounds).ok()?;
-        let Head { kind, name: answered, seqid: to } = message.head;
+        let Head {
+            kind,
+            name: answered,
+            seqid: to,
+        } = message.head;
         if kind != Kind::Reply || to != seqid || !names::answers(answered, name) {
             return None;
         }
         let paths = [self.terms.load_report.as_ref()];
         let found = match message.encoding {
-            Encoding::Binary { .. } => pick(&mut BinaryReader::new(message.body), &paths, &self.terms.bounds),
-            Encoding::Compact => pick(&mut CompactReader::new(message.body), &paths, &self.terms.bounds),
+            Encoding::Binary { .. } => pick(
+                &mut BinaryReader::new(message.body),
+                &paths,
+                &self.terms.bounds,
+            ),
+            Encoding::Compact => pick(
+                &mut CompactReader::new(message.body),
+                &paths,
+                &self.terms.bounds,
+            ),
         };
         Some(found.ok()?[0].and_then(|report| self.report(report)))
     }
@@ -389,7 +510,9 @@
 
 /// Whether a body is a reply to that call, as a backend of another protocol brought it.
 pub fn is_reply(body: &[u8], to: &Message<'_>, bounds: &crate::wire::Bounds) -> bool {
-    let Ok(message) = read_head(body, bounds) else { return false };
+    let Ok(message) = read_head(body, bounds) else {
+        return false;
+    };
     let Head { kind, name, seqid } = message.head;
     kind == Kind::Reply
         && seqid == to.head.seqid
--- a/crates/thrift/src/calls.rs
+++ b/crates/thrift/src/calls.rs
@@ -4,8 +4,8 @@
 use crate::names;
 use crate::terms::{FrontTerms, Method};
 use crate::wire::{
-    BinaryReader, CompactReader, Encoding, ExceptionKind, Fault, Head, Kind, Message, Reader, Scalar,
-    exception, pick, read_head, reword,
+    BinaryReader, CompactReader, Encoding, ExceptionKind, Fault, Head, Kind, Message, Reader,
+    Scalar, exception, pick, read_head, reword,
 };
 use crate::{BINARY, COMPACT};
 use bytes::Bytes;
@@ -32,7 +32,11 @@
 impl Caller {
     pub fn of(message: &Message<'_>) -> Self {
         let Head { name, seqid, .. } = message.head;
-        Caller { encoding: message.encoding, name: names::told(name).to_owned(), seqid }
+        Caller {
+            encoding: message.encoding,
+            name: names::told(name).to_owned(),
+            seqid,
+        }
     }
 }
 
@@ -58,20 +62,29 @@
         let encoding = crate::wire::encoding_of(bytes).unwrap_or(Encoding::Binary { strict: true });
         let text = format!("no message: {fault}");
         let frame = exception(encoding, "", 0, ExceptionKind::ProtocolError, &text, None);
-        Turned { frame: Some(frame), last: true }
+        Turned {
+            frame: Some(frame),
+            last: true,
+        }
     })?;
     match message.head.kind {
         Kind::Call | Kind::Oneway => Ok(message),
-        Kind::Reply | Kind::Exception => {
-            Err(turned(&message, ExceptionKind::InvalidMessageType, "neither a call nor a oneway call"))
-        }
+        Kind::Reply | Kind::Exception => Err(turned(
+            &message,
+            ExceptionKind::InvalidMessageType,
+            "neither a call nor a oneway call",
+        )),
     }
 }
 
 fn turned(message: &Message<'_>, kind: ExceptionKind, text: &str) -> Turned {
     let answered = message.head.kind != Kind::Oneway;
     let frame = answered.then(|| {
-        let Caller { encoding, name, seqid } = Caller::of(message);
+        let Caller {
+            encoding,
+            name,
+            seqid,
+        } = Caller::of(message);
         exception(encoding, &name, seqid, kind, text, None)
     });
     Turned { frame, last: false }
@@ -105,12 +118,18 @@
             pick(&mut reader, &paths, &terms.bounds).map(|found| (found, reader.rest()))
         }
     };
-    let (found, rest) = found.map_err(|fault| bad(&format!("arguments that can't be read: {fault}")))?;
+    let (found, rest) =
+        found.map_err(|fault| bad(&format!("arguments that can't be read: {fault}")))?;
     if !rest.is_empty() {
-        return Err(bad(&format!("arguments that can't be read: {}", Fault::Behind)));
+        return Err(bad(&format!(
+            "arguments that can't be read: {}",
+            Fault::Behind
+        )));
     }
 
-    let station = found[0].map_or(method.default_station_key.clone().into_bytes(), |key| key.text());
+    let station = found[0].map_or(method.default_station_key.clone().into_bytes(), |key| {
+        key.text()
+    });
     let key = found[1].map(|key| key.text());
     if station.len() > LONGEST_KEY || key.as_ref().is_some_and(|key| key.len() > LONGEST_KEY) {
         return Err(bad("a key of more than 256 bytes"));
@@ -139,7 +158,9 @@
         None => method.default_tenant.ok_or_else(|| bad("no tenant"))?,
     };
     let budget = match found[3] {
-        Some(Scalar::Number(ms)) if (1..=LONGEST_BUDGET_MS).contains(&ms) => Duration::from_millis(ms as u64),
+        Some(Scalar::Number(ms)) if (1..=LONGEST_BUDGET_MS).contains(&ms) => {
+            Duration::from_millis(ms as u64)
+        }
         Some(_) => return Err(bad("no budget that makes sense")),
         None => method.default_budget,
     };
@@ -157,7 +178,11 @@
         ..NewRequest::default()
     };
     let caller = Caller::of(&message);
-    let form = if message.encoding == Encoding::Compact { COMPACT } else { BINARY };
+    let form = if message.encoding == Encoding::Compact {
+        COMPACT
+    } else {
+        BINARY
+    };
     let call = Call {
         class: method.class,
         safe: class.repeat == Repeat::Safe,
@@ -166,7 +191,10 @@
         idempotency_key: key.filter(|key| !key.is_empty()).map(Bytes::from),
         judge: Some(judge(&bytes, terms)),
         answered: message.head.kind != Kind::Oneway,
-        content: Content { form, bytes: bytes.clone() },
+        content: Content {
+            form,
+            bytes: bytes.clone(),
+        },
         coming: None,
         here: None, // the front knows the caller; of a oneway call nobody waits
         deadline: Cell::new(now + budget),
@@ -180,12 +208,17 @@
 
 fn judge(call: &Bytes, terms: &FrontTerms) -> Judge {
     let (call, bounds) = (call.clone(), terms.bounds);
-    Rc::new(move |body| read_head(&call, &bounds).is_ok_and(|message| is_reply(body, &message, &bounds)))
+    Rc::new(move |body| {
+        read_head(&call, &bounds).is_ok_and(|message| is_reply(body, &message, &bounds))
+    })
 }
 
 fn method<'a>(terms: &'a FrontTerms, name: &str) -> Option<&'a Method> {
     let (service, name) = names::split(name);
-    terms.methods.iter().find(|method| method.name == name && method.service.as_deref() == service)
+    terms
+        .methods
+        .iter()
+        .find(|method| method.name == name && method.service.as_deref() == service)
 }
 
 /// Where an HTTP backend finds the call: its class first and its station last, whatever bytes that has.
@@ -193,7 +226,9 @@
     let mut target = format!("/{class}/").into_bytes();
     for byte in station {
         match byte {
-            b'A'..=b'Z' | b'a'..=b'z' | b'0'..=b'9' | b'-' | b'.' | b'_' | b'~' => target.push(*byte),
+            b'A'..=b'Z' | b'a'..=b'z' | b'0'..=b'9' | b'-' | b'.' | b'_' | b'~' => {
+                target.push(*byte)
+            }
             other => target.extend_from_slice(format!("%{other:02X}").as_bytes()),
         }
     }
@@ -209,13 +244,27 @@
 /// The frame of a final answer, in its caller's words. Refused, failed and timed out are told apart by the type
 /// of the `TApplicationException`.
 pub fn worded(terms: &FrontTerms, caller: &Caller, answer: Answer) -> Vec<u8> {
-    let Caller { encoding, name, seqid } = caller;
+    let Caller {
+        encoding,
+        name,
+        seqid,
+    } = caller;
     let except = |kind, text: &str, retry| exception(*encoding, name, *seqid, kind, text, retry);
-    let failed = || except(ExceptionKind::InternalError, "failed: it may have run", None);
+    let failed = || {
+        except(
+            ExceptionKind::InternalError,
+            "failed: it may have run",
+            None,
+        )
+    };
     match answer {
         Answer::Served(content) if content.form == BINARY || content.form == COMPACT => {
             let reworded = read_head(&content.bytes, &terms.bounds).and_then(|message| {
-                let head = Head { kind: message.head.kind, name, seqid: *seqid };
+                let head = Head {
+                    kind: message.head.kind,
+                    name,
+                    seqid: *seqid,
+                };
                 reword(&message, *encoding, head, &terms.bounds)
             });
             // A reply that is compact in time may be too large for a frame in binary.
@@ -225,14 +274,21 @@
         Answer::Served(_) | Answer::Streamed(..) | Answer::Failed => failed(),
         Answer::Refused { after, never_ran } => {
             let ms = after.map(|after| i32::try_from(after.as_millis()).unwrap_or(i32::MAX));
-            let ran =
-                if never_ran { "it never ran" } else { "it may have run, and to repeat it is harmless" };
+            let ran = if never_ran {
+                "it never ran"
+            } else {
+                "it may have run, and to repeat it is harmless"
+            };
             let text = match ms {
                 Some(ms) => format!("refused: {ran}; try again in {ms} ms"),
                 None => format!("refused: {ran}"),
             };
             except(ExceptionKind::UnsupportedClientType, &text, ms)
         }
-        Answer::TimedOut => except(ExceptionKind::MissingResult, "timed out: it may have run", None),
+        Answer::TimedOut => except(
+            ExceptionKind::MissingResult,
+            "timed out: it may have run",
+            None,
+        ),
     }
 }
--- a/crates/thrift/src/front.rs
+++ b/crates/thrift/src/front.rs
@@ -21,7 +21,8 @@
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 /// While so many bytes of answers wait to be taken, no further call of that connection is read.
 const UNTAKEN: usize = 64 * 1024;
-const HTTP_ANSWER: &[u8] = b"HTTP/1.1 400 Bad Request\r\nContent-Type: text/plain\r\nContent-Length: 36\r\n\
+const HTTP_ANSWER: &[u8] =
+    b"HTTP/1.1 400 Bad Request\r\nContent-Type: text/plain\r\nContent-Length: 36\r\n\
 Connection: close\r\n\r\nThis listener speaks framed Thrift.\n";
 
 /// The front for callers that speak Thrift.
@@ -46,7 +47,15 @@
         seed: u64,
     ) -> Rc<Self> {
         let random = RefCell::new(Random::seeded(seed.rotate_left(32)));
-        Rc::new(Front { intake, live, terms, door, budget, random, oneway: Cell::new(0) })
+        Rc::new(Front {
+            intake,
+            live,
+            terms,
+            door,
+            budget,
+            random,
+            oneway: Cell::new(0),
+        })
     }
 
     /// How many oneway calls have been taken.
@@ -63,7 +72,9 @@
 
 impl Serve for Front {
     async fn serve(self: Rc<Self>, stream: Stream, client: Rc<Client>) {
-        let Some(room) = self.budget.lease(0) else { return };
+        let Some(room) = self.budget.lease(0) else {
+            return;
+        };
         let reader = FrameReader::new(self.terms.bounds.frame);
         let mut session = Session {
             front: self,
@@ -128,15 +139,24 @@
                     // A frame that has begun has its own time, `until`.
                     self.front.door.done(&self.client, false);
                 }
-                let nothing_more = self.leaving && !self.reader.is_within() && self.client.is_quiet();
+                let nothing_more =
+                    self.leaving && !self.reader.is_within() && self.client.is_quiet();
                 if self.ended || nothing_more {
                     break;
                 }
             }
-            let Session { calls, stream, client, out, .. } = self;
+            let Session {
+                calls,
+                stream,
+                client,
+                out,
+                ..
+            } = self;
             let may_read = self.waiting.is_none() && !self.ended && self.unread.is_empty();
             let taken_by = self.progress + WRITE_TIMEOUT;
-            let answer = out.front().map_or(&[][..], |(frame, _)| &frame[self.taken..]);
+            let answer = out
+                .front()
+                .map_or(&[][..], |(frame, _)| &frame[self.taken..]);
             tokio::select! {
                 biased;
                 Some(done) = calls.join_next(), if !calls.is_empty() => {
@@ -181,7 +201,11 @@
     fn took(&mut self, count: usize) {
         self.progress = Instant::now();
         self.taken += count;
-        if self.out.front().is_some_and(|(frame, _)| self.taken >= frame.len()) {
+        if self
+            .out
+            .front()
+            .is_some_and(|(frame, _)| self.taken >= frame.len())
+        {
             self.out.pop_front();
             self.taken = 0;
         }
@@ -206,7 +230,11 @@
                     self.until = self.until.or_else(|| Some(Instant::now() + READ_TIMEOUT));
                     continue;
                 }
-                _ => self.front.budget.lease(0).map(|new| std::mem::replace(&mut self.room, new)),
+                _ => self
+                    .front
+                    .budget
+                    .lease(0)
+                    .map(|new| std::mem::replace(&mut self.room, new)),
             };
             self.until = None;
             match (step, lease) {
@@ -245,7 +273,11 @@
                     let _ = front.intake.submit(new, call, at).await;
                 });
             }
-            Ok(Checked { new, mut call, caller }) => {
+            Ok(Checked {
+                new,
+                mut call,
+                caller,
+            }) => {
                 call.here = Some(self.client.here());
                 self.open.insert(caller.seqid);
                 self.calls.spawn_local(async move {
@@ -256,7 +288,11 @@
                         Some(lease) => (caller.seqid, frame, Some(lease)),
                         None => {
                             log_peer("no room for an answer's frame: dropped");
-                            (caller.seqid, calls::worded(&front.terms, &caller, Answer::Failed), None)
+                            (
+                                caller.seqid,
+                                calls::worded(&front.terms, &caller, Answer::Failed),
+                                None,
+                            )
                         }
                     }
                 });
@@ -275,8 +311,9 @@
     /// Answers what will not be read.
     fn turn_down(&mut self, what: NotWhole<'_>) {
         let strict = Encoding::Binary { strict: true };
-        let refuse =
-            |encoding, text: &str| exception(encoding, "", 0, ExceptionKind::ProtocolError, text, None);
+        let refuse = |encoding, text: &str| {
+            exception(encoding, "", 0, ExceptionKind::ProtocolError, text, None)
+        };
         self.until = None;
         let (frame, last) = match what {
             NotWhole::NoRoom(begin) => match calls::head(&self.front.terms, begin) {
@@ -284,12 +321,18 @@
                     log_peer("no room for a call's frame: refused");
                     let caller = Caller::of(&message);
                     let after = self.front.live.get().settings.limits.max_retry_after;
-                    let refused = Answer::Refused { after, never_ran: true };
+                    let refused = Answer::Refused {
+                        after,
+                        never_ran: true,
+                    };
                     (calls::worded(&self.front.terms, &caller, refused), false)
                 }
                 Err(turned) => return self.turned(turned),
             },
-            NotWhole::Slow => (refuse(strict, "too slow: the frame is not whole after 2 s"), true),
+            NotWhole::Slow => (
+                refuse(strict, "too slow: the frame is not whole after 2 s"),
+                true,
+            ),
             NotWhole::NotFramed(NotFramed::Http) => (HTTP_ANSWER.to_vec(), true),
             NotWhole::NotFramed(NotFramed::Unframed) => {
                 let text = "this listener takes framed messages only";
@@ -299,7 +342,13 @@
             NotWhole::NotFramed(NotFramed::Tls) => (Vec::new(), true),
             NotWhole::NotFramed(NotFramed::Length(length)) => {
                 let most = self.front.terms.bounds.frame;
-                (refuse(strict, &format!("a frame of {length} bytes: {most} at most")), true)
+                (
+                    refuse(
+                        strict,
+                        &format!("a frame of {length} bytes: {most} at most"),
+                    ),
+                    true,
+                )
             }
         };
         if !frame.is_empty() {
--- a/crates/thrift/src/names.rs
+++ b/crates/thrift/src/names.rs
@@ -44,9 +44,20 @@
     #[test]
     fn a_call_is_answered_as_its_method_or_as_it_was_called_and_not_otherwise() {
         assert!(
-            answers("read", "Tally:read") && answers("Tally:read", "Tally:read") && answers("read", "read")
+            answers("read", "Tally:read")
+                && answers("Tally:read", "Tally:read")
+                && answers("read", "read")
         );
-        for stranger in ["", "reads", "Other:read", "Tally", "Tally:", ":read", "Tally:Tally:read", "read:"] {
+        for stranger in [
+            "",
+            "reads",
+            "Other:read",
+            "Tally",
+            "Tally:",
+            ":read",
+            "Tally:Tally:read",
+            "read:",
+        ] {
             assert!(!answers(stranger, "Tally:read"), "{stranger}");
         }
         assert!(!answers("Tally:read", "read"), "the call named no service");
--- a/crates/thrift/src/wire.rs
+++ b/crates/thrift/src/wire.rs
@@ -15,7 +15,8 @@
 pub use copy::{copy, copy_struct, skip};
 pub use frame::{FrameReader, NotFramed, Step, frame};
 pub use message::{
-    ExceptionKind, Head, Kind, Message, encoding_of, exception, read_exception, read_head, reword, write_head,
+    ExceptionKind, Head, Kind, Message, encoding_of, exception, read_exception, read_head, reword,
+    write_head,
 };
 pub use pick::{Path, Scalar, pick};
 
@@ -109,7 +110,11 @@
 
 impl Default for Bounds {
     fn default() -> Self {
-        Bounds { frame: 64 * 1024, depth: 32, name: 256 }
+        Bounds {
+            frame: 64 * 1024,
+            depth: 32,
+            name: 256,
+        }
     }
 }
 
@@ -275,6 +280,10 @@
             return Err(Fault::Type(0)); // nothing ends a loop over elements that take no bytes
         }
         let most = self.0.len().checked_div(each).unwrap_or_default();
-        if count > most { Err(Fault::Count) } else { Ok(count) }
+        if count > most {
+            Err(Fault::Count)
+        } else {
+            Ok(count)
+        }
     }
 }
--- a/crates/thrift/src/wire/binary.rs
+++ b/crates/thrift/src/wire/binary.rs
@@ -110,12 +110,19 @@
 
     #[inline]
     fn map(&mut self) -> Result<(Type, Type, usize), Fault> {
-        let (keys, values) = (Type::from_binary(self.0.byte()?)?, Type::from_binary(self.0.byte()?)?);
+        let (keys, values) = (
+            Type::from_binary(self.0.byte()?)?,
+            Type::from_binary(self.0.byte()?)?,
+        );
         let count = self.length()?;
         if count > 0 && (keys == Type::Stop || values == Type::Stop) {
             return Err(Fault::Type(0));
         }
-        Ok((keys, values, self.0.met(count, Self::least(keys) + Self::least(values))?))
+        Ok((
+            keys,
+            values,
+            self.0.met(count, Self::least(keys) + Self::least(values))?,
+        ))
     }
 }
 
--- a/crates/thrift/src/wire/compact.rs
+++ b/crates/thrift/src/wire/compact.rs
@@ -62,7 +62,11 @@
 impl<'a> CompactReader<'a> {
     /// A reader of these bytes.
     pub fn new(bytes: &'a [u8]) -> Self {
-        CompactReader { slice: Slice(bytes), last: 0, pending: None }
+        CompactReader {
+            slice: Slice(bytes),
+            last: 0,
+            pending: None,
+        }
     }
 
     /// A varint of at most `bits` bits.
@@ -99,7 +103,11 @@
     #[inline]
     fn length(&mut self) -> Result<usize, Fault> {
         let length = self.varint(32)?;
-        if length > i32::MAX as u64 { Err(Fault::Negative) } else { Ok(length as usize) }
+        if length > i32::MAX as u64 {
+            Err(Fault::Negative)
+        } else {
+            Ok(length as usize)
+        }
     }
 }
 
@@ -136,11 +144,18 @@
         let of = from_compact(number)?;
         if of == Type::Stop {
             // A stop is the byte 0: with a delta before it, it is nothing that anybody writes.
-            return if head == 0 { Ok(None) } else { Err(Fault::Type(0)) };
+            return if head == 0 {
+                Ok(None)
+            } else {
+                Err(Fault::Type(0))
+            };
         }
         self.last = match head >> 4 {
             0 => self.i16()?,
-            delta => self.last.checked_add(i16::from(delta)).ok_or(Fault::FieldId)?,
+            delta => self
+                .last
+                .checked_add(i16::from(delta))
+                .ok_or(Fault::FieldId)?,
         };
         if of == Type::Bool {
             self.pending = Some(number == TRUE);
@@ -223,7 +238,12 @@
         if keys == Type::Stop || values == Type::Stop {
             return Err(Fault::Type(0));
         }
-        Ok((keys, values, self.slice.met(count, Self::least(keys) + Self::least(values))?))
+        Ok((
+            keys,
+            values,
+            self.slice
+                .met(count, Self::least(keys) + Self::least(values))?,
+        ))
     }
 }
 
@@ -240,7 +260,11 @@
 impl CompactWriter {
     /// A writer that goes on behind these bytes.
     pub fn after(out: Vec<u8>) -> Self {
-        CompactWriter { out, last: 0, pending: None }
+        CompactWriter {
+            out,
+            last: 0,
+            pending: None,
+        }
     }
 
     #[inline]
--- a/crates/thrift/src/wire/copy.rs
+++ b/crates/thrift/src/wire/copy.rs
@@ -67,14 +67,23 @@
     }
     from.struct_end(read);
     to.struct_end(written);
-    if to.len() > bounds.frame { Err(Fault::Large) } else { Ok(()) }
+    if to.len() > bounds.frame {
+        Err(Fault::Large)
+    } else {
+        Ok(())
+    }
 }
 
 /// Reads over a value, and so checks it.
 ///
 /// # Errors
 /// As [`copy`].
-pub fn skip<'a, R: Reader<'a>>(from: &mut R, of: Type, bounds: &Bounds, depth: usize) -> Result<(), Fault> {
+pub fn skip<'a, R: Reader<'a>>(
+    from: &mut R,
+    of: Type,
+    bounds: &Bounds,
+    depth: usize,
+) -> Result<(), Fault> {
     copy(from, &mut Nowhere, of, bounds, depth)
 }
 
--- a/crates/thrift/src/wire/frame.rs
+++ b/crates/thrift/src/wire/frame.rs
@@ -47,7 +47,14 @@
 impl FrameReader {
     /// A reader of frames of at most `most` bytes.
     pub fn new(most: usize) -> Self {
-        FrameReader { most, head: [0; 4], had: 0, left: 0, body: Vec::new(), discard: false }
+        FrameReader {
+            most,
+            head: [0; 4],
+            had: 0,
+            left: 0,
+            body: Vec::new(),
+            discard: false,
+        }
     }
 
     /// Whether a frame has begun and not ended.
@@ -82,7 +89,14 @@
         self.had = 0;
         let body = std::mem::take(&mut self.body);
         let discarded = std::mem::take(&mut self.discard);
-        (used, if discarded { Step::Discarded(body) } else { Step::Whole(body) })
+        (
+            used,
+            if discarded {
+                Step::Discarded(body)
+            } else {
+                Step::Whole(body)
+            },
+        )
     }
 
     fn keep(&mut self, part: &[u8], room: &mut dyn FnMut(usize) -> bool) {
@@ -113,7 +127,11 @@
         _ if usize::try_from(length).is_ok_and(|length| length <= most) => Ok(length as usize),
         [0x80, 0x01, 0, _] | [0x82, 0x21 | 0x81, ..] => Err(NotFramed::Unframed),
         [0x16, 0x03, ..] => Err(NotFramed::Tls),
-        head if [b"GET ", b"POST", b"HEAD", b"PUT ", b"DELE", b"OPTI", b"PATC", b"PRI "].contains(&&head) => {
+        head if [
+            b"GET ", b"POST", b"HEAD", b"PUT ", b"DELE", b"OPTI", b"PATC", b"PRI ",
+        ]
+        .contains(&&head) =>
+        {
             Err(NotFramed::Http)
         }
         _ => Err(NotFramed::Length(length)),
@@ -151,15 +169,30 @@
 
     #[test]
     fn frames_come_out_whole_however_the_bytes_come() {
-        let stream = [&[0, 0, 0, 3][..], b"abc", &[0, 0, 0, 0], &[0, 0, 0, 1], b"z"].concat();
+        let stream = [
+            &[0, 0, 0, 3][..],
+            b"abc",
+            &[0, 0, 0, 0],
+            &[0, 0, 0, 1],
+            b"z",
+        ]
+        .concat();
         let whole = |body: &[u8]| Step::Whole(body.to_vec());
         for piece in 1..=stream.len() {
             let mut reader = FrameReader::new(3);
             let mut steps = Vec::new();
             for part in stream.chunks(piece) {
-                steps.extend(all(&mut reader, part).into_iter().filter(|step| *step != Step::More));
+                steps.extend(
+                    all(&mut reader, part)
+                        .into_iter()
+                        .filter(|step| *step != Step::More),
+                );
             }
-            assert_eq!(steps, [whole(b"abc"), whole(b""), whole(b"z")], "pieces of {piece}");
+            assert_eq!(
+                steps,
+                [whole(b"abc"), whole(b""), whole(b"z")],
+                "pieces of {piece}"
+            );
             assert!(!reader.is_within());
         }
     }
@@ -176,7 +209,10 @@
             (&[0xff; 4], NotFramed::Length(-1)),
         ];
         for (bytes, what) in cases {
-            assert_eq!(all(&mut FrameReader::new(3), bytes).last(), Some(&Step::NotFramed(what)));
+            assert_eq!(
+                all(&mut FrameReader::new(3), bytes).last(),
+                Some(&Step::NotFramed(what))
+            );
         }
     }
 
@@ -188,13 +224,23 @@
             asked += bytes;
             true
         };
-        assert_eq!(reader.take(&[0, 0x10, 0, 0, 1, 2, 3], &mut room), (7, Step::More));
+        assert_eq!(
+            reader.take(&[0, 0x10, 0, 0, 1, 2, 3], &mut room),
+            (7, Step::More)
+        );
         assert!(asked <= FIRST_ROOM, "{asked} bytes for three that came");
         let mut reader = FrameReader::new(1 << 20);
         let mut long = vec![0, 0, 0x10, 0];
         long.extend((0..0x1000).map(|i| i as u8));
         let (used, step) = reader.take(&long, &mut |_| false);
-        assert_eq!((used, step), (long.len(), Step::Discarded(long[4..4 + KEPT].to_vec())));
-        assert_eq!(all(&mut reader, &[0, 0, 0, 1, 9]), [Step::Whole(vec![9])], "the next one is read");
+        assert_eq!(
+            (used, step),
+            (long.len(), Step::Discarded(long[4..4 + KEPT].to_vec()))
+        );
+        assert_eq!(
+            all(&mut reader, &[0, 0, 0, 1, 9]),
+            [Step::Whole(vec![9])],
+            "the next one is read"
+        );
     }
 }
--- a/crates/thrift/src/wire/message.rs
+++ b/crates/thrift/src/wire/message.rs
@@ -1,8 +1,8 @@
 //! Messages: a head (what it is, the method's name, the sequence number) before a struct.
 
 use super::{
-    BinaryReader, BinaryWriter, Bounds, CompactReader, CompactWriter, Encoding, Fault, Reader, Slice, Type,
-    Writer, copy_struct, skip,
+    BinaryReader, BinaryWriter, Bounds, CompactReader, CompactWriter, Encoding, Fault, Reader,
+    Slice, Type, Writer, copy_struct, skip,
 };
 
 const BINARY_VERSION: u32 = 0x8001_0000;
@@ -106,11 +106,25 @@
                 }
                 let kind = Kind::from_number(version as u8)?;
                 let name = text(reader.bytes()?)?;
-                (Head { kind, name, seqid: reader.i32()? }, reader.rest())
+                (
+                    Head {
+                        kind,
+                        name,
+                        seqid: reader.i32()?,
+                    },
+                    reader.rest(),
+                )
             } else {
                 let name = text(reader.bytes()?)?;
                 let kind = Kind::from_number(reader.i8()? as u8)?;
-                (Head { kind, name, seqid: reader.i32()? }, reader.rest())
+                (
+                    Head {
+                        kind,
+                        name,
+                        seqid: reader.i32()?,
+                    },
+                    reader.rest(),
+                )
             }
         }
         Encoding::Compact => {
@@ -122,10 +136,21 @@
             let kind = Kind::from_number(second >> 5)?;
             let mut reader = CompactReader::new(slice.0);
             let seqid = reader.varint(32)? as u32 as i32;
-            (Head { kind, name: text(reader.bytes()?)?, seqid }, reader.rest())
+            (
+                Head {
+                    kind,
+                    name: text(reader.bytes()?)?,
+                    seqid,
+                },
+                reader.rest(),
+            )
         }
     };
-    Ok(Message { encoding, head, body })
+    Ok(Message {
+        encoding,
+        head,
+        body,
+    })
 }
 
 /// Writes a message's head.
@@ -146,7 +171,9 @@
         }
         Encoding::Compact => {
             let mut compact = CompactWriter::after(binary.0);
-            compact.out.extend_from_slice(&[COMPACT_PROTOCOL, (head.kind as u8) << 5 | COMPACT_VERSION]);
+            compact
+                .out
+                .extend_from_slice(&[COMPACT_PROTOCOL, (head.kind as u8) << 5 | COMPACT_VERSION]);
             compact.varint(u64::from(head.seqid as u32));
             compact.bytes(head.name.as_bytes());
             *out = compact.out;
@@ -172,7 +199,10 @@
         (message.encoding, to),
         (Encoding::Compact, Encoding::Compact) | (Encoding::Binary { .. }, Encoding::Binary { .. })
     );
-    let whole = Bounds { frame: bounds.written() + 4, ..*bounds };
+    let whole = Bounds {
+        frame: bounds.written() + 4,
+        ..*bounds
+    };
     let behind = match (message.encoding, to) {
         _ if same => {
             out.extend_from_slice(message.body);
@@ -197,7 +227,11 @@
     if !behind.is_empty() {
         return Err(Fault::Behind);
     }
-    if out.len() > whole.frame { Err(Fault::Large) } else { Ok(super::frame(out)) }
+    if out.len() > whole.frame {
+        Err(Fault::Large)
+    } else {
+        Ok(super::frame(out))
+    }
 }
 
 /// Checks that the message's struct reads and ends where the message does.
@@ -214,7 +248,11 @@
             reader.rest()
         }
     };
-    if rest.is_empty() { Ok(()) } else { Err(Fault::Behind) }
+    if rest.is_empty() {
+        Ok(())
+    } else {
+        Err(Fault::Behind)
+    }
 }
 
 /// A frame with a `TApplicationException`: its message (1), its type (2) and, beyond what the libraries know and
@@ -228,7 +266,15 @@
     retry_ms: Option<i32>,
 ) -> Vec<u8> {
     let mut out = vec![0; 4];
-    write_head(&mut out, encoding, Head { kind: Kind::Exception, name, seqid });
+    write_head(
+        &mut out,
+        encoding,
+        Head {
+            kind: Kind::Exception,
+            name,
+            seqid,
+        },
+    );
     fn fields(to: &mut impl Writer, kind: ExceptionKind, text: &str, retry_ms: Option<i32>) {
         let saved = to.struct_begin();
         to.field(Type::Bytes, 1);
--- a/crates/thrift/src/wire/pick.rs
+++ b/crates/thrift/src/wire/pick.rs
@@ -22,7 +22,9 @@
         let parts: Result<Vec<i16>, _> = text.split('.').map(str::parse).collect();
         match parts {
             Ok(parts) if parts.len() <= 8 => Ok(Path(parts)),
-            _ => Err(format!("{text:?} is no field path like \"1.3\" of at most 8 fields")),
+            _ => Err(format!(
+                "{text:?} is no field path like \"1.3\" of at most 8 fields"
+            )),
         }
     }
 }
@@ -51,7 +53,10 @@
         match self {
             Scalar::Bytes(bytes) => bytes.to_vec(),
             Scalar::Number(number) => number.to_string().into_bytes(),
-            Scalar::Uuid(bytes) => bytes.iter().flat_map(|b| format!("{b:02x}").into_bytes()).collect(),
+            Scalar::Uuid(bytes) => bytes
+                .iter()
+                .flat_map(|b| format!("{b:02x}").into_bytes())
+                .collect(),
         }
     }
 }
@@ -71,7 +76,9 @@
 ) -> Result<Vec<Option<Scalar<'a>>>, Fault> {
     assert!(paths.len() <= 32, "one bit each");
     let mut found = vec![None; paths.len()];
-    let all = (0..paths.len()).filter(|i| paths[*i].is_some()).fold(0, |bits, i| bits | 1 << i);
+    let all = (0..paths.len())
+        .filter(|i| paths[*i].is_some())
+        .fold(0, |bits, i| bits | 1 << i);
     walk(from, paths, 0, all, &mut found, bounds, bounds.depth)?;
     Ok(found)
 }
@@ -91,7 +98,11 @@
     let mut met = 0;
     while let Some((of, id)) = from.field()? {
         let (mut ends, mut on) = (0, 0);
-        for (i, path) in paths.iter().enumerate().filter(|(i, _)| active & 1 << i != 0) {
+        for (i, path) in paths
+            .iter()
+            .enumerate()
+            .filter(|(i, _)| active & 1 << i != 0)
+        {
             match path.map(|path| &path.0) {
                 Some(parts) if parts.get(level) == Some(&id) => {
                     if parts.len() == level + 1 {
@@ -111,7 +122,11 @@
             walk(from, paths, level + 1, on, found, bounds, depth)?;
         } else if ends != 0 {
             let value = scalar(from, of, bounds, depth)?;
-            for (_, place) in found.iter_mut().enumerate().filter(|(i, _)| ends & 1 << i != 0) {
+            for (_, place) in found
+                .iter_mut()
+                .enumerate()
+                .filter(|(i, _)| ends & 1 << i != 0)
+            {
                 *place = value;
             }
         } else {
--- a/crates/thrift/tests/interop.rs
+++ b/crates/thrift/tests/interop.rs
@@ -5,10 +5,21 @@
 use sillward_thrift::wire::*;
 use values::{Random, Value, apache_message, read_apache, written_by_apache};
 
-const BOUNDS: Bounds = Bounds { frame: 1 << 20, depth: 32, name: 256 };
-const HEAD: Head<'_> = Head { kind: Kind::Call, name: "Tally:correct", seqid: -7 };
-const ENCODINGS: [Encoding; 3] =
-    [Encoding::Binary { strict: true }, Encoding::Binary { strict: false }, Encoding::Compact];
+const BOUNDS: Bounds = Bounds {
+    frame: 1 << 20,
+    depth: 32,
+    name: 256,
+};
+const HEAD: Head<'_> = Head {
+    kind: Kind::Call,
+    name: "Tally:correct",
+    seqid: -7,
+};
+const ENCODINGS: [Encoding; 3] = [
+    Encoding::Binary { strict: true },
+    Encoding::Binary { strict: false },
+    Encoding::Compact,
+];
 
 #[test]
 fn random_structs_go_through_both_encodings_and_come_out_the_same() {
@@ -17,7 +28,11 @@
         for from in ENCODINGS {
             let theirs = written_by_apache(from, HEAD, &value);
             let message = read_head(&theirs, &BOUNDS).expect("a head");
-            assert_eq!((message.head, message.encoding), (HEAD, from), "seed {seed}");
+            assert_eq!(
+                (message.head, message.encoding),
+                (HEAD, from),
+                "seed {seed}"
+            );
             for to in ENCODINGS {
                 let head = Head { seqid: 99, ..HEAD };
                 let ours = reword(&message, to, head, &BOUNDS).expect("it reads");
@@ -28,7 +43,10 @@
                 assert_eq!(back, value, "seed {seed}, {from:?} to {to:?}");
                 if !value.has_empty_map() {
                     let direct = written_by_apache(to, head, &value);
-                    assert_eq!(ours, direct, "seed {seed}: byte for byte what the library writes");
+                    assert_eq!(
+                        ours, direct,
+                        "seed {seed}: byte for byte what the library writes"
+                    );
                 }
             }
         }
@@ -44,7 +62,11 @@
             for end in 0..whole.len() {
                 let cut = read_head(&whole[..end], &BOUNDS)
                     .and_then(|message| reword(&message, Encoding::Compact, HEAD, &BOUNDS));
-                assert!(cut.is_err(), "seed {seed}, {encoding:?}, {end} of {} bytes", whole.len());
+                assert!(
+                    cut.is_err(),
+                    "seed {seed}, {encoding:?}, {end} of {} bytes",
+                    whole.len()
+                );
             }
             let more = [&whole[..], &[0]].concat();
             let message = read_head(&more, &BOUNDS).expect("a head");
@@ -59,7 +81,11 @@
 /// the bound.
 #[test]
 fn a_million_mutated_frames_bring_no_panic_and_no_growth() {
-    let bounds = Bounds { frame: 4096, depth: 16, name: 64 };
+    let bounds = Bounds {
+        frame: 4096,
+        depth: 16,
+        name: 64,
+    };
     let path: Path = "1.2".parse().expect("a path");
     let mut random = Random::new(1);
     let mut read = 0;
@@ -80,27 +106,52 @@
                 _ => frame.insert(at, [0, 0x7f, 0x80, 0xff][random.below(4)]),
             }
         }
-        let Ok(message) = read_head(&frame, &bounds) else { continue };
+        let Ok(message) = read_head(&frame, &bounds) else {
+            continue;
+        };
         let to = ENCODINGS[i % 3];
         if let Ok(out) = reword(&message, to, HEAD, &bounds) {
             assert!(out.len() <= bounds.written() + 4);
-            assert!(out.capacity() <= 16 * (frame.len() + 64), "{} for {}", out.capacity(), frame.len());
+            assert!(
+                out.capacity() <= 16 * (frame.len() + 64),
+                "{} for {}",
+                out.capacity(),
+                frame.len()
+            );
             read += 1;
         }
         let picked = match message.encoding {
-            Encoding::Compact => pick(&mut CompactReader::new(message.body), &[Some(&path)], &bounds),
-            Encoding::Binary { .. } => pick(&mut BinaryReader::new(message.body), &[Some(&path)], &bounds),
+            Encoding::Compact => pick(
+                &mut CompactReader::new(message.body),
+                &[Some(&path)],
+                &bounds,
+            ),
+            Encoding::Binary { .. } => pick(
+                &mut BinaryReader::new(message.body),
+                &[Some(&path)],
+                &bounds,
+            ),
         };
         drop(picked);
     }
-    assert!((10_000..900_000).contains(&read), "{read} of a million still read: the mutations are no test");
+    assert!(
+        (10_000..900_000).contains(&read),
+        "{read} of a million still read: the mutations are no test"
+    );
 }
 
 /// The whole of a message's struct, of bytes written by hand.
 fn body(encoding: Encoding, bytes: &[u8]) -> Result<Vec<u8>, Fault> {
-    let to =
-        if encoding == Encoding::Compact { Encoding::Binary { strict: true } } else { Encoding::Compact };
-    let message = Message { encoding, head: HEAD, body: bytes };
+    let to = if encoding == Encoding::Compact {
+        Encoding::Binary { strict: true }
+    } else {
+        Encoding::Compact
+    };
+    let message = Message {
+        encoding,
+        head: HEAD,
+        body: bytes,
+    };
     let same = reword(&message, encoding, HEAD, &BOUNDS).map(drop);
     let other = reword(&message, to, HEAD, &BOUNDS);
     assert_eq!(same, other.clone().map(drop), "both ways judge alike");
@@ -111,30 +162,61 @@
 fn traps_of_the_compact_encoding() {
     let compact = |bytes: &[u8]| body(Encoding::Compact, bytes);
     // A list said to have 2^31 - 1 truth values, and nothing behind it.
-    assert_eq!(compact(&[0x19, 0xf1, 0xff, 0xff, 0xff, 0xff, 0x07, 0]), Err(Fault::Count));
+    assert_eq!(
+        compact(&[0x19, 0xf1, 0xff, 0xff, 0xff, 0xff, 0x07, 0]),
+        Err(Fault::Count)
+    );
     // Elements that take no bytes: a list of 2^31 - 1 stops.
-    assert_eq!(compact(&[0x19, 0xf0, 0xff, 0xff, 0xff, 0xff, 0x07, 0]), Err(Fault::Type(0)));
+    assert_eq!(
+        compact(&[0x19, 0xf0, 0xff, 0xff, 0xff, 0xff, 0x07, 0]),
+        Err(Fault::Type(0))
+    );
     // A map of stops.
-    assert_eq!(compact(&[0x1b, 0x02, 0x00, 1, 1, 1, 1, 0]), Err(Fault::Type(0)));
+    assert_eq!(
+        compact(&[0x1b, 0x02, 0x00, 1, 1, 1, 1, 0]),
+        Err(Fault::Type(0))
+    );
     // A length with its 32nd bit.
-    assert_eq!(compact(&[0x18, 0xff, 0xff, 0xff, 0xff, 0x0f, 0]), Err(Fault::Negative));
+    assert_eq!(
+        compact(&[0x18, 0xff, 0xff, 0xff, 0xff, 0x0f, 0]),
+        Err(Fault::Negative)
+    );
     // Numbers longer than their type, by a bit and without end.
-    assert_eq!(compact(&[0x15, 0xff, 0xff, 0xff, 0xff, 0x1f, 0]), Err(Fault::Varint));
-    assert_eq!(compact(&[0x15, 0x80, 0x80, 0x80, 0x80, 0x80, 0x00, 0]), Err(Fault::Varint));
-    assert_eq!(compact(&[0x16, 255, 255, 255, 255, 255, 255, 255, 255, 255, 2, 0]), Err(Fault::Varint));
-    assert_eq!(compact(&[0x14, 0x80, 0x80, 0x04, 0]), Err(Fault::Varint), "32768 as 16 bits");
+    assert_eq!(
+        compact(&[0x15, 0xff, 0xff, 0xff, 0xff, 0x1f, 0]),
+        Err(Fault::Varint)
+    );
+    assert_eq!(
+        compact(&[0x15, 0x80, 0x80, 0x80, 0x80, 0x80, 0x00, 0]),
+        Err(Fault::Varint)
+    );
+    assert_eq!(
+        compact(&[0x16, 255, 255, 255, 255, 255, 255, 255, 255, 255, 2, 0]),
+        Err(Fault::Varint)
+    );
+    assert_eq!(
+        compact(&[0x14, 0x80, 0x80, 0x04, 0]),
+        Err(Fault::Varint),
+        "32768 as 16 bits"
+    );
     // The largest that fit.
     assert!(compact(&[0x16, 255, 255, 255, 255, 255, 255, 255, 255, 255, 1, 0]).is_ok());
     assert!(compact(&[0x15, 0xff, 0xff, 0xff, 0xff, 0x0f, 0]).is_ok());
     // A field's number beyond 16 bits by its delta: 32767, then 1 more.
-    assert_eq!(compact(&[0x03, 0xfe, 0xff, 0x03, 7, 0x13, 7, 0]), Err(Fault::FieldId));
+    assert_eq!(
+        compact(&[0x03, 0xfe, 0xff, 0x03, 7, 0x13, 7, 0]),
+        Err(Fault::FieldId)
+    );
     // A step of 15, the short way and the long way.
     assert!(compact(&[0xf3, 7, 0]).is_ok() && compact(&[0x03, 30, 7, 0]).is_ok());
     // An empty map is one byte; a truth value in a field's head takes none.
     assert!(compact(&[0x1b, 0x00, 0x11, 0x12, 0]).is_ok());
     // Elements that are false by the specification (0) and by the libraries (2).
     let by_book = compact(&[0x19, 0x31, 1, 0, 2, 0]).expect("three truth values");
-    assert!(by_book.ends_with(&[2, 0, 0, 0, 3, 1, 0, 0, 0]), "{by_book:?}");
+    assert!(
+        by_book.ends_with(&[2, 0, 0, 0, 3, 1, 0, 0, 0]),
+        "{by_book:?}"
+    );
     assert_eq!(compact(&[0x19, 0x11, 3, 0]), Err(Fault::Bool(3)));
     assert_eq!(compact(&[0x1e, 0]), Err(Fault::Type(14)));
 }
@@ -142,13 +224,33 @@
 #[test]
 fn traps_of_the_binary_encoding() {
     let binary = |bytes: &[u8]| body(Encoding::Binary { strict: true }, bytes);
-    assert_eq!(binary(&[11, 0, 1, 0xff, 0xff, 0xff, 0xff, 0]), Err(Fault::Negative));
-    assert_eq!(binary(&[11, 0, 1, 0x7f, 0xff, 0xff, 0xff, 0]), Err(Fault::Count));
-    assert_eq!(binary(&[15, 0, 1, 2, 0x80, 0, 0, 0, 0]), Err(Fault::Negative));
+    assert_eq!(
+        binary(&[11, 0, 1, 0xff, 0xff, 0xff, 0xff, 0]),
+        Err(Fault::Negative)
+    );
+    assert_eq!(
+        binary(&[11, 0, 1, 0x7f, 0xff, 0xff, 0xff, 0]),
+        Err(Fault::Count)
+    );
+    assert_eq!(
+        binary(&[15, 0, 1, 2, 0x80, 0, 0, 0, 0]),
+        Err(Fault::Negative)
+    );
     assert_eq!(binary(&[15, 0, 1, 12, 0x10, 0, 0, 0, 0]), Err(Fault::Count));
-    assert_eq!(binary(&[15, 0, 1, 0, 0, 0, 0, 9, 0]), Err(Fault::Type(0)), "elements that take no bytes");
-    assert_eq!(binary(&[15, 0, 1, 1, 0, 0, 0, 9, 0]), Err(Fault::Type(1)), "void is no value");
-    assert_eq!(binary(&[13, 0, 1, 0, 11, 0, 0, 0, 1, 0, 0, 0, 0, 0]), Err(Fault::Type(0)));
+    assert_eq!(
+        binary(&[15, 0, 1, 0, 0, 0, 0, 9, 0]),
+        Err(Fault::Type(0)),
+        "elements that take no bytes"
+    );
+    assert_eq!(
+        binary(&[15, 0, 1, 1, 0, 0, 0, 9, 0]),
+        Err(Fault::Type(1)),
+        "void is no value"
+    );
+    assert_eq!(
+        binary(&[13, 0, 1, 0, 11, 0, 0, 0, 1, 0, 0, 0, 0, 0]),
+        Err(Fault::Type(0))
+    );
     assert_eq!(binary(&[2, 0, 1, 2, 0]), Err(Fault::Bool(2)));
     // An empty list whose element type nobody told, as some libraries write it.
     assert!(binary(&[15, 0, 1, 0, 0, 0, 0, 0, 0]).is_ok());
@@ -177,10 +279,20 @@
     // Zeros of a byte in compact, of eight in binary.
     let mut zeros = vec![0x19, 0xf6, 0x80, 0x80, 0x04];
     zeros.extend(vec![0; 65536 + 1]);
-    let bounds = Bounds { frame: 70_000, ..BOUNDS };
-    let message = Message { encoding: Encoding::Compact, head: HEAD, body: &zeros };
+    let bounds = Bounds {
+        frame: 70_000,
+        ..BOUNDS
+    };
+    let message = Message {
+        encoding: Encoding::Compact,
+        head: HEAD,
+        body: &zeros,
+    };
     assert!(reword(&message, Encoding::Compact, HEAD, &bounds).is_ok());
-    assert_eq!(reword(&message, Encoding::Binary { strict: true }, HEAD, &bounds), Err(Fault::Large));
+    assert_eq!(
+        reword(&message, Encoding::Binary { strict: true }, HEAD, &bounds),
+        Err(Fault::Large)
+    );
 }
 
 #[test]
@@ -200,8 +312,9 @@
     writer.field(Type::Bool, 5);
     writer.bool(true);
     writer.struct_end(outer);
-    let paths: Vec<Path> =
-        ["1.3", "2.3", "5", "1.4", "3.3", "1.3.1", "2"].map(|p| p.parse().expect("one")).into();
+    let paths: Vec<Path> = ["1.3", "2.3", "5", "1.4", "3.3", "1.3.1", "2"]
+        .map(|p| p.parse().expect("one"))
+        .into();
     let paths: Vec<Option<&Path>> = paths.iter().map(Some).chain([None]).collect();
     let found = pick(&mut CompactReader::new(&writer.out), &paths, &BOUNDS).expect("it reads");
     let expected = [
@@ -217,18 +330,41 @@
     assert_eq!(found, expected);
     let twice = [11, 0, 1, 0, 0, 0, 1, b'a', 11, 0, 1, 0, 0, 0, 1, b'b', 0];
     let path = "1".parse().expect("a path");
-    assert_eq!(pick(&mut BinaryReader::new(&twice), &[Some(&path)], &BOUNDS), Err(Fault::Twice(1)));
-    assert!(pick(&mut BinaryReader::new(&twice), &[None], &BOUNDS).is_ok(), "nobody asked for it");
+    assert_eq!(
+        pick(&mut BinaryReader::new(&twice), &[Some(&path)], &BOUNDS),
+        Err(Fault::Twice(1))
+    );
+    assert!(
+        pick(&mut BinaryReader::new(&twice), &[None], &BOUNDS).is_ok(),
+        "nobody asked for it"
+    );
 }
 
 #[test]
 fn an_exception_reads_in_the_library() {
     for encoding in ENCODINGS {
         let kind = ExceptionKind::UnsupportedClientType;
-        let frame = exception(encoding, "Tally:correct", 5, kind, "refused: full", Some(250));
+        let frame = exception(
+            encoding,
+            "Tally:correct",
+            5,
+            kind,
+            "refused: full",
+            Some(250),
+        );
         let message = read_head(&frame[4..], &BOUNDS).expect("a head");
-        assert_eq!(message.head, Head { kind: Kind::Exception, name: "Tally:correct", seqid: 5 });
-        assert_eq!(read_exception(&message, &BOUNDS), Ok((10, "refused: full".to_owned())));
+        assert_eq!(
+            message.head,
+            Head {
+                kind: Kind::Exception,
+                name: "Tally:correct",
+                seqid: 5
+            }
+        );
+        assert_eq!(
+            read_exception(&message, &BOUNDS),
+            Ok((10, "refused: full".to_owned()))
+        );
         let (seqid, read) = apache_message(encoding, &frame[4..], |protocol| {
             thrift::Error::read_application_error_from_in_protocol(protocol).expect("it reads")
         });
--- a/crates/thrift/tests/values/mod.rs
+++ b/crates/thrift/tests/values/mod.rs
@@ -26,7 +26,11 @@
     fn number(&mut self) -> i64 {
         let shift = self.below(64);
         let number = (self.next() >> shift) as i64;
-        if self.below(2) == 0 { number } else { number.wrapping_neg() }
+        if self.below(2) == 0 {
+            number
+        } else {
+            number.wrapping_neg()
+        }
     }
 }
 
@@ -122,16 +126,28 @@
             TType::Uuid => Value::Uuid(std::array::from_fn(|_| random.next() as u8)),
             TType::Struct => Value::random_struct(random, depth),
             TType::Map => {
-                let (keys, values) = (Value::random_type(random, below), Value::random_type(random, below));
+                let (keys, values) = (
+                    Value::random_type(random, below),
+                    Value::random_type(random, below),
+                );
                 let pair = |random: &mut Random| {
-                    (Value::random(random, keys, below), Value::random(random, values, below))
+                    (
+                        Value::random(random, keys, below),
+                        Value::random(random, values, below),
+                    )
                 };
                 Value::Map(keys, values, (0..count).map(|_| pair(random)).collect())
             }
             of => {
                 let elements = Value::random_type(random, below);
-                let all = (0..count).map(|_| Value::random(random, elements, below)).collect();
-                if of == TType::List { Value::List(elements, all) } else { Value::Set(elements, all) }
+                let all = (0..count)
+                    .map(|_| Value::random(random, elements, below))
+                    .collect();
+                if of == TType::List {
+                    Value::List(elements, all)
+                } else {
+                    Value::Set(elements, all)
+                }
             }
         }
     }
@@ -141,7 +157,10 @@
             Value::Struct(fields) => fields.iter().any(|(_, value)| value.has_empty_map()),
             Value::List(_, all) | Value::Set(_, all) => all.iter().any(Value::has_empty_map),
             Value::Map(_, _, all) => {
-                all.is_empty() || all.iter().any(|(k, v)| k.has_empty_map() || v.has_empty_map())
+                all.is_empty()
+                    || all
+                        .iter()
+                        .any(|(k, v)| k.has_empty_map() || v.has_empty_map())
             }
             _ => false,
         }
@@ -232,20 +251,24 @@
             }
             TType::List => {
                 let list = from.read_list_begin()?;
-                let all: thrift::Result<_> =
-                    (0..list.size).map(|_| Value::read(from, list.element_type)).collect();
+                let all: thrift::Result<_> = (0..list.size)
+                    .map(|_| Value::read(from, list.element_type))
+                    .collect();
                 Value::List(list.element_type, all?)
             }
             TType::Set => {
                 let set = from.read_set_begin()?;
-                let all: thrift::Result<_> =
-                    (0..set.size).map(|_| Value::read(from, set.element_type)).collect();
+                let all: thrift::Result<_> = (0..set.size)
+                    .map(|_| Value::read(from, set.element_type))
+                    .collect();
                 Value::Set(set.element_type, all?)
             }
             TType::Map => {
                 let map = from.read_map_begin()?;
-                let (keys, values) =
-                    (map.key_type.unwrap_or(TType::Stop), map.value_type.unwrap_or(TType::Stop));
+                let (keys, values) = (
+                    map.key_type.unwrap_or(TType::Stop),
+                    map.value_type.unwrap_or(TType::Stop),
+                );
                 let all: thrift::Result<_> = (0..map.size)
                     .map(|_| Ok((Value::read(from, keys)?, Value::read(from, values)?)))
                     .collect();
@@ -306,7 +329,9 @@
 
 /// The sequence number and the struct of a message.
 pub fn read_apache(encoding: Encoding, bytes: &[u8]) -> (i32, Value) {
-    apache_message(encoding, bytes, |from| Value::read(from, TType::Struct).expect("a struct"))
+    apache_message(encoding, bytes, |from| {
+        Value::read(from, TType::Struct).expect("a struct")
+    })
 }
 
 /// A tally sheet of 2 KiB or so: a station, its counts by candidate, its signatures.
@@ -318,7 +343,10 @@
     let pages = (0..24).map(|i| {
         Value::Struct(vec![
             (1, Value::I16(i)),
-            (2, Value::Bytes(format!("page {i}, table {}", i % 5).into_bytes())),
+            (
+                2,
+                Value::Bytes(format!("page {i}, table {}", i % 5).into_bytes()),
+            ),
             (3, Value::I64(1_800_000_000_000 + i64::from(i) * 7919)),
             (4, Value::Bool(i % 3 != 0)),
             (5, Value::Double((0.25 * f64::from(i)).to_bits())),
@@ -331,7 +359,13 @@
             (2, Value::Uuid([7; 16])),
             (3, Value::Map(TType::String, TType::I32, counts.collect())),
             (4, Value::List(TType::Struct, pages.collect())),
-            (5, Value::List(TType::I64, (0..16).map(|i| Value::I64(i * 1_000_003)).collect())),
+            (
+                5,
+                Value::List(
+                    TType::I64,
+                    (0..16).map(|i| Value::I64(i * 1_000_003)).collect(),
+                ),
+            ),
         ]),
     )])
 }
--- a/src/ctl.rs
+++ b/src/ctl.rs
@@ -111,7 +111,8 @@
     if *json {
         return Ok(text);
     }
-    let page = serde_json::from_str(&text).map_err(|e| format!("{admin} says what is no page: {e}"))?;
+    let page =
+        serde_json::from_str(&text).map_err(|e| format!("{admin} says what is no page: {e}"))?;
     Ok(fleet(&page))
 }
 
@@ -147,12 +148,20 @@
         }
     }
     let answer = String::from_utf8(answer).map_err(|e| e.to_string())?;
-    let (head, body) = answer.split_once("\r\n\r\n").ok_or("its answer is cut off")?;
+    let (head, body) = answer
+        .split_once("\r\n\r\n")
+        .ok_or("its answer is cut off")?;
     match head.split(' ').nth(1) {
         Some("200") => Ok(body.to_owned()),
         Some("404") => {
-            let table = if path == SETTINGS { "agreement" } else { "fleet" };
-            Err(format!("it has no such page: its operator file has no [{table}]"))
+            let table = if path == SETTINGS {
+                "agreement"
+            } else {
+                "fleet"
+            };
+            Err(format!(
+                "it has no such page: its operator file has no [{table}]"
+            ))
         }
         Some("400" | "409" | "413") => Err(body.trim_end().to_owned()),
         status => Err(format!("it answers {}", status.unwrap_or_default())),
@@ -173,18 +182,29 @@
 
 /// What is not 0, as `word count` pairs.
 fn counts(of: &Value) -> String {
-    let counts = of.as_object().into_iter().flatten().filter(|(_, count)| count.as_u64() != Some(0));
-    let said: Vec<String> =
-        counts.map(|(word, count)| format!("{} {count}", word.replace('_', " "))).collect();
-    if said.is_empty() { "nothing".to_owned() } else { said.join(", ") }
+    let counts = of
+        .as_object()
+        .into_iter()
+        .flatten()
+        .filter(|(_, count)| count.as_u64() != Some(0));
+    let said: Vec<String> = counts
+        .map(|(word, count)| format!("{} {count}", word.replace('_', " ")))
+        .collect();
+    if said.is_empty() {
+        "nothing".to_owned()
+    } else {
+        said.join(", ")
+    }
 }
 
 fn fleet(page: &Value) -> String {
     let none = Vec::new();
     let members = page["members"].as_array().unwrap_or(&none);
     let mut rows: Vec<[String; 10]> = vec![
-        ["member", "state", "since", "life", "heard", "trip", "loss", "zone", "region", "build"]
-            .map(str::to_owned),
+        [
+            "member", "state", "since", "life", "heard", "trip", "loss", "zone", "region", "build",
+        ]
+        .map(str::to_owned),
     ];
     rows.push([
         text(page, "name").to_owned(),
@@ -206,13 +226,20 @@
             text(member, "life").to_owned(),
             time(member, "heard_ms"),
             time(member, "trip_ms"),
-            member["loss"].as_f64().map_or("-".to_owned(), |loss| format!("{:.0} %", loss * 100.0)),
+            member["loss"]
+                .as_f64()
+                .map_or("-".to_owned(), |loss| format!("{:.0} %", loss * 100.0)),
             text(member, "zone").to_owned(),
             text(member, "region").to_owned(),
             text(member, "build").to_owned(),
         ]);
     }
-    let width = |column: usize| rows.iter().map(|row| row[column].chars().count()).max().unwrap_or_default();
+    let width = |column: usize| {
+        rows.iter()
+            .map(|row| row[column].chars().count())
+            .max()
+            .unwrap_or_default()
+    };
     let widths: Vec<usize> = (0..10).map(width).collect();
     let mut out = format!(
         "fleet {}: {} is {}, knows {} living, print {}, health {} (0 is best)\n",
@@ -224,7 +251,10 @@
         page["health"]
     );
     for row in &rows {
-        let cells = row.iter().zip(&widths).map(|(cell, width)| format!("{cell:width$}"));
+        let cells = row
+            .iter()
+            .zip(&widths)
+            .map(|(cell, width)| format!("{cell:width$}"));
         out.push_str(cells.collect::<Vec<_>>().join("  ").trim_end());
         out.push('\n');
     }
@@ -259,7 +289,9 @@
     if number == 0 {
         return Ok(Rules::default());
     }
-    let version = versions(page).iter().find(|version| version["number"] == number);
+    let version = versions(page)
+        .iter()
+        .find(|version| version["number"] == number);
     let version = version.ok_or_else(|| format!("version {number} is not kept here"))?;
     Rules::read(text(version, "rules")).map_err(|e| format!("version {number} can't be read: {e}"))
 }
@@ -267,8 +299,13 @@
 fn file(path: &Path) -> Result<Rules, String> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {name}: {e}"))?;
-    sillward_operator_config::rules(&name, &text)
-        .map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
+    sillward_operator_config::rules(&name, &text).map_err(|faults| {
+        faults
+            .iter()
+            .map(ToString::to_string)
+            .collect::<Vec<_>>()
+            .join("\n")
+    })
 }
 
 async fn settings(admin: SocketAddr, what: &Settings) -> Result<String, String> {
@@ -277,7 +314,9 @@
         Settings::Show { json: false } => Ok(shown(&look(admin).await?)),
         Settings::Check { file: path } => {
             let body = change(0, 0, "", "", &file(path)?, false, true);
-            page(admin, SETTINGS, Some(&body)).await.map(|text| text.trim_end().to_owned())
+            page(admin, SETTINGS, Some(&body))
+                .await
+                .map(|text| text.trim_end().to_owned())
         }
         Settings::Propose { file: path, how } => propose(admin, &file(path)?, how).await,
         Settings::Revert { version, how } => {
@@ -289,22 +328,43 @@
             let page = look(admin).await?;
             let all = differences(&held(&page, *from)?, &held(&page, *to)?);
             let line = |d: &sillward_fleet_settings::Difference| {
-                let word = if d.contradicts { "contradicts" } else { "holds at once" };
+                let word = if d.contradicts {
+                    "contradicts"
+                } else {
+                    "holds at once"
+                };
                 format!("{}: {} -> {} ({word})", d.key, d.from, d.to)
             };
             let lines: Vec<String> = all.iter().map(line).collect();
-            Ok(if lines.is_empty() { "nothing".to_owned() } else { lines.join("\n") })
+            Ok(if lines.is_empty() {
+                "nothing".to_owned()
+            } else {
+                lines.join("\n")
+            })
         }
         Settings::History => {
             let page = look(admin).await?;
-            let line = |v: &Value| format!("{}  {}  {}", v["number"], text(v, "author"), text(v, "why"));
+            let line =
+                |v: &Value| format!("{}  {}  {}", v["number"], text(v, "author"), text(v, "why"));
             let lines: Vec<String> = versions(&page).iter().rev().map(line).collect();
-            Ok(if lines.is_empty() { "no version yet".to_owned() } else { lines.join("\n") })
+            Ok(if lines.is_empty() {
+                "no version yet".to_owned()
+            } else {
+                lines.join("\n")
+            })
         }
     }
 }
 
-fn change(base: u64, id: u64, author: &str, why: &str, rules: &Rules, despite: bool, check: bool) -> String {
+fn change(
+    base: u64,
+    id: u64,
+    author: &str,
+    why: &str,
+    rules: &Rules,
+    despite: bool,
+    check: bool,
+) -> String {
     serde_json::json!({ "base": base, "id": id, "author": author, "why": why, "rules": rules.text(),
         "despite": despite, "check": check })
     .to_string()
@@ -313,33 +373,50 @@
 async fn propose(admin: SocketAddr, rules: &Rules, how: &How) -> Result<String, String> {
     let draw = || random::entropy().map_err(|e| format!("no random numbers: {e}"));
     let id = how.id.map_or_else(draw, Ok)?;
-    let body = change(how.base, id, &how.author, &how.why, rules, how.despite, false);
+    let body = change(
+        how.base,
+        id,
+        &how.author,
+        &how.why,
+        rules,
+        how.despite,
+        false,
+    );
     page(admin, SETTINGS, Some(&body)).await?;
     let begun = Instant::now();
     let mut confirmed = None;
     while begun.elapsed() < OUTCOME {
         let page = look(admin).await?;
         let own = format!("{id:016x}");
-        let own = versions(&page).iter().find(|version| text(version, "id") == own);
+        let own = versions(&page)
+            .iter()
+            .find(|version| text(version, "id") == own);
         let has = page["has"].as_u64().unwrap_or_default();
         match own.and_then(|own| own["number"].as_u64()) {
             Some(number) if page["in_force"].as_u64() >= Some(number) => {
                 let ms = begun.elapsed().as_millis();
-                return Ok(format!("version {number} is confirmed, and in force after {ms} ms"));
+                return Ok(format!(
+                    "version {number} is confirmed, and in force after {ms} ms"
+                ));
             }
             Some(number) => confirmed = Some(number),
             None if has > how.base => {
-                return Err(format!("nothing was changed: the newest version is {has}, not {}", how.base));
+                return Err(format!(
+                    "nothing was changed: the newest version is {has}, not {}",
+                    how.base
+                ));
             }
             None => {}
         }
         sleep(LOOK).await;
     }
     match confirmed {
-        Some(number) => Ok(format!("version {number} is confirmed, and not in force yet: see settings show")),
-        None => {
-            Err(format!("no voter has confirmed it in time; it may be yet. Send it again with --id {id}"))
-        }
+        Some(number) => Ok(format!(
+            "version {number} is confirmed, and not in force yet: see settings show"
+        )),
+        None => Err(format!(
+            "no voter has confirmed it in time; it may be yet. Send it again with --id {id}"
+        )),
     }
 }
 
@@ -347,7 +424,11 @@
     let (begun, mut before) = (Instant::now(), None);
     while seconds.is_none_or(|seconds| begun.elapsed() < Duration::from_secs(seconds)) {
         let page = look(admin).await?;
-        let now = (page["newest"].as_u64(), page["in_force"].as_u64(), page["right"].as_bool());
+        let now = (
+            page["newest"].as_u64(),
+            page["in_force"].as_u64(),
+            page["right"].as_bool(),
+        );
         if before != Some(now) {
             println!("{}", standing(&page));
             before = Some(now);
@@ -372,7 +453,11 @@
     let mut out = format!("log {}: {}\n", text(page, "log"), standing(page));
     if let Some(voter) = page["voter"].as_object() {
         let voter = Value::Object(voter.clone());
-        out.push_str(&format!("this voter: {}; leader {}\n", text(&voter, "stands"), text(&voter, "leader")));
+        out.push_str(&format!(
+            "this voter: {}; leader {}\n",
+            text(&voter, "stands"),
+            text(&voter, "leader")
+        ));
         for held in voter["held_up_by"].as_array().into_iter().flatten() {
             let (node, version) = (text(held, "node"), &held["may_act_on"]);
             out.push_str(&format!(
@@ -382,9 +467,16 @@
         }
     }
     for reading in page["readings"].as_array().into_iter().flatten() {
-        let how = if reading["careful"] == true { ", careful" } else { "" };
+        let how = if reading["careful"] == true {
+            ", careful"
+        } else {
+            ""
+        };
         let (key, value) = (text(reading, "key"), text(reading, "value"));
-        out.push_str(&format!("{key} = {value} (version {}{how})\n", reading["version"]));
+        out.push_str(&format!(
+            "{key} = {value} (version {}{how})\n",
+            reading["version"]
+        ));
     }
     out.trim_end().to_owned()
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,10 +6,10 @@
 mod ctl;
 
 use clap::{Parser, Subcommand};
-use sillward_balancer::settings::Site;
 use sillward_app::{Controls, fit};
-use sillward_node_config::Config;
+use sillward_balancer::settings::Site;
 use sillward_logging::log;
+use sillward_node_config::Config;
 use sillward_operator_config::Operator;
 use sillward_runtime::signal::{Signal, SignalKind, signal};
 use sillward_runtime::task::{block_on, spawn_local};
@@ -64,17 +64,25 @@
         None => {}
     }
     let ended = block_on(run(arguments.operator.as_deref()));
-    let ended = ended.map_err(|e| format!("cannot start: {e}")).and_then(|ended| ended);
+    let ended = ended
+        .map_err(|e| format!("cannot start: {e}"))
+        .and_then(|ended| ended);
     if let Err(what) = &ended {
         what.lines().for_each(log);
     }
     sillward_logging::flush();
-    if ended.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if ended.is_ok() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
 }
 
 /// Reads an operator file, if there is one; all that is wrong with it, a line each.
 fn read_operator(path: Option<&Path>, site: Option<&Site>) -> Result<Operator, String> {
-    let Some(path) = path else { return Ok(Operator::default()) };
+    let Some(path) = path else {
+        return Ok(Operator::default());
+    };
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {name}: {e}"))?;
     sillward_operator_config::parse(&name, &text, site).map_err(|faults| {
@@ -84,7 +92,11 @@
 }
 
 fn tell(admin: SocketAddr, ask: &ctl::Ask) -> ExitCode {
-    said(block_on(ctl::ask(admin, ask)).map_err(|e| e.to_string()).and_then(|answered| answered))
+    said(
+        block_on(ctl::ask(admin, ask))
+            .map_err(|e| e.to_string())
+            .and_then(|answered| answered),
+    )
 }
 
 fn found(operator: &Path) -> Result<String, String> {
@@ -109,9 +121,15 @@
 fn check(operator: Option<&Path>) -> ExitCode {
     let config = Config::from_env();
     let operator = read_operator(operator, config.as_ref().ok().map(|config| &config.site));
-    let fit = config.as_ref().ok().zip(operator.as_ref().ok()).map(|(c, o)| fit(c, o));
-    let faults: Vec<String> =
-        [config.err(), operator.err(), fit.and_then(Result::err)].into_iter().flatten().collect();
+    let fit = config
+        .as_ref()
+        .ok()
+        .zip(operator.as_ref().ok())
+        .map(|(c, o)| fit(c, o));
+    let faults: Vec<String> = [config.err(), operator.err(), fit.and_then(Result::err)]
+        .into_iter()
+        .flatten()
+        .collect();
     for fault in &faults {
         eprintln!("{fault}");
     }
@@ -127,14 +145,21 @@
     // Before all else: a signal that comes without its handler ends the process.
     let listen = |kind| signal(kind).map_err(|e| format!("cannot listen for signals: {e}"));
     let hang_up = listen(SignalKind::hangup())?;
-    let (terminate, interrupt) = (listen(SignalKind::terminate())?, listen(SignalKind::interrupt())?);
+    let (terminate, interrupt) = (
+        listen(SignalKind::terminate())?,
+        listen(SignalKind::interrupt())?,
+    );
     let config = Config::from_env()?;
     let operator = read_operator(operator, Some(&config.site))?;
     let (again, reload) = mpsc::channel(1);
     let (end, stop) = watch::channel(false);
     spawn_local(reloads(hang_up, again));
     spawn_local(ends(terminate, interrupt, end));
-    let controls = Controls { reload, read: Box::new(Config::from_env), stop };
+    let controls = Controls {
+        reload,
+        read: Box::new(Config::from_env),
+        stop,
+    };
     sillward_app::run(config, operator, controls, None, drop).await
 }
 
