--- a/testing/cluster/src/fleet.rs
+++ b/testing/cluster/src/fleet.rs
@@ -5,10 +5,12 @@
 use crate::relays::Relays;
 use crate::script::{Fault, Folder, Places, What};
 use serde_json::{Value, json};
-use sillward_peer_transport::envelope::{Envelopes, Keys, Sealed};
 use sillward_membership::words::{Frame, Update};
 use sillward_membership::{Life, Name};
-use sillward_test_servers::peers::{Backend, Client, Discovery, Reply, config, entry_in, list, ok, settings};
+use sillward_peer_transport::envelope::{Envelopes, Keys, Sealed};
+use sillward_test_servers::peers::{
+    Backend, Client, Discovery, Reply, config, entry_in, list, ok, settings,
+};
 use sillward_test_servers::random::Random;
 use std::net::{IpAddr, Ipv4Addr, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -151,17 +153,21 @@
         let id = std::process::id();
         // Loopback addresses of this ground's own, so that several can stand side by side.
         let own: Vec<IpAddr> = (0..nodes)
-            .map(|node| Ipv4Addr::new(127, 64 + (id >> 8 & 63) as u8, id as u8, node as u8 + 1).into())
+            .map(|node| {
+                Ipv4Addr::new(127, 64 + (id >> 8 & 63) as u8, id as u8, node as u8 + 1).into()
+            })
             .collect();
         let envelopes = Envelopes::new(Keys::of(SECRET.as_bytes()), FLEET, FRAME);
-        let relays = Relays::start(own.clone(), options.seed, envelopes, history.clone()).map_err(wrong)?;
+        let relays =
+            Relays::start(own.clone(), options.seed, envelopes, history.clone()).map_err(wrong)?;
         let folder = folder_of(id);
         std::fs::create_dir_all(&folder).map_err(wrong)?;
         let key = folder.join("key");
         std::fs::write(&key, SECRET).map_err(wrong)?;
         {
             use std::os::unix::fs::PermissionsExt;
-            std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o600)).map_err(wrong)?;
+            std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o600))
+                .map_err(wrong)?;
         }
         let boxes: Vec<Backend> = (0..BOXES)
             .map(|at| {
@@ -180,11 +186,21 @@
             .iter()
             .enumerate()
             .map(|(i, backend)| {
-                entry_in(["a", "b"][i % 2], "m", &format!("b-{i}"), backend.address, "in_service")
+                entry_in(
+                    ["a", "b"][i % 2],
+                    "m",
+                    &format!("b-{i}"),
+                    backend.address,
+                    "in_service",
+                )
             })
             .collect();
-        let seeds: Vec<String> =
-            relays.addresses.iter().take(options.places.zones.min(3)).map(|at| format!("\"{at}\"")).collect();
+        let seeds: Vec<String> = relays
+            .addresses
+            .iter()
+            .take(options.places.zones.min(3))
+            .map(|at| format!("\"{at}\""))
+            .collect();
         let mut places = Vec::new();
         for (node, ip) in own.iter().enumerate() {
             let discovery = Discovery::start();
@@ -197,8 +213,10 @@
             debug_assert!(text.contains(&address.to_string()));
             let own = folder.join(format!("n{node}"));
             std::fs::create_dir_all(&own).map_err(wrong)?;
-            let (config, operator) =
-                (folder.join(format!("n{node}.json")), folder.join(format!("n{node}.toml")));
+            let (config, operator) = (
+                folder.join(format!("n{node}.json")),
+                folder.join(format!("n{node}.toml")),
+            );
             std::fs::write(&config, text).map_err(wrong)?;
             let text = format!(
                 "[fleet]\nname = \"{FLEET}\"\nkey_file = \"{}\"\nlisten = \"{ip}:0\"\nadvertise = \"{}\"\n\
@@ -212,36 +230,63 @@
                 own.display(),
                 options.more,
             );
-            let agreement = options.agreed.map(|agreed| agreement(agreed, &own)).unwrap_or_default();
+            let agreement = options
+                .agreed
+                .map(|agreed| agreement(agreed, &own))
+                .unwrap_or_default();
             std::fs::write(&operator, text + &agreement).map_err(wrong)?;
             if options.agreed.is_some_and(|agreed| node < agreed.voters) {
                 let mut found = std::process::Command::new(&options.program);
-                found.arg("found").arg("--operator").arg(&operator).env("PROXY_CONFIG", &config);
+                found
+                    .arg("found")
+                    .arg("--operator")
+                    .arg(&operator)
+                    .env("PROXY_CONFIG", &config);
                 let done = found.output().map_err(wrong)?;
                 if !done.status.success() {
                     return Err(String::from_utf8_lossy(&done.stderr).into_owned());
                 }
             }
-            let rate = options.clocks.iter().find(|(which, _)| *which == node).map(|(_, rate)| *rate);
+            let rate = options
+                .clocks
+                .iter()
+                .find(|(which, _)| *which == node)
+                .map(|(_, rate)| *rate);
             let mut environment = Vec::new();
-            environment.extend(rate.map(|rate| ("SILLWARD_FAULT_CLOCK_RATE".to_owned(), rate.to_string())));
+            environment.extend(
+                rate.map(|rate| ("SILLWARD_FAULT_CLOCK_RATE".to_owned(), rate.to_string())),
+            );
             let jump = options.jumps.iter().find(|(which, ..)| *which == node);
-            let jump =
-                jump.map(|(_, far, at)| ("SILLWARD_FAULT_CLOCK_JUMP".to_owned(), format!("{far}@{at}")));
+            let jump = jump.map(|(_, far, at)| {
+                (
+                    "SILLWARD_FAULT_CLOCK_JUMP".to_owned(),
+                    format!("{far}@{at}"),
+                )
+            });
             environment.extend(jump);
-            environment
-                .extend(options.disk_ms.map(|ms| ("SILLWARD_FAULT_DISK_MS".to_owned(), ms.to_string())));
+            environment.extend(
+                options
+                    .disk_ms
+                    .map(|ms| ("SILLWARD_FAULT_DISK_MS".to_owned(), ms.to_string())),
+            );
             let plant = options.plant.clone().filter(|plant| plant != UNREADABLE);
             environment.extend(plant.map(|plant| ("SILLWARD_FAULT_PLANT".to_owned(), plant)));
             let program = match (&options.faulty, environment.is_empty()) {
                 (_, true) => options.program.clone(),
                 (Some(faulty), false) => faulty.clone(),
-                (None, false) => return Err("plants and clocks need the program with faults".to_owned()),
+                (None, false) => {
+                    return Err("plants and clocks need the program with faults".to_owned());
+                }
             };
             places.push(Place {
                 process: Mutex::default(),
                 folder: own,
-                start: Start { program, config, operator, environment },
+                start: Start {
+                    program,
+                    config,
+                    operator,
+                    environment,
+                },
                 run: AtomicU64::new(0),
                 paused: AtomicBool::new(false),
                 before: Mutex::default(),
@@ -276,7 +321,9 @@
             })
             .collect();
         for starting in starting {
-            starting.join().map_err(|_| "a start panicked".to_owned())??;
+            starting
+                .join()
+                .map_err(|_| "a start panicked".to_owned())??;
         }
         let mut workers = self.workers.lock().expect("the workers");
         for node in 0..self.places.len() {
@@ -300,7 +347,10 @@
         if slot.is_some() {
             return Ok(());
         }
-        let files = std::fs::read_dir(&place.folder).into_iter().flatten().flatten();
+        let files = std::fs::read_dir(&place.folder)
+            .into_iter()
+            .flatten()
+            .flatten();
         let files = files.filter_map(|file| Some((file.path(), std::fs::read(file.path()).ok()?)));
         *place.before.lock().expect("the folder") = files.collect();
         let mut start = place.start.clone();
@@ -308,12 +358,15 @@
             start.program = faulty.clone();
             let unreadable = self.options.plant.as_deref() == Some(UNREADABLE);
             let build = if unreadable { UNREADABLE } else { "newer" };
-            start.environment.push(("SILLWARD_FAULT_BUILD".to_owned(), build.to_owned()));
+            start
+                .environment
+                .push(("SILLWARD_FAULT_BUILD".to_owned(), build.to_owned()));
         }
         let run = place.run.fetch_add(1, Ordering::SeqCst) + 1;
         // Both before it can have sent anything.
         self.relays.run(node, run);
-        self.history.note(Some(node), "started", json!({ "run": run, "newer": newer }));
+        self.history
+            .note(Some(node), "started", json!({ "run": run, "newer": newer }));
         let process = Process::start(&start).map_err(|e| format!("n{node}: {e}"))?;
         self.relays.target(node, Some(process.fleet));
         *slot = Some(process);
@@ -322,7 +375,9 @@
 
     fn down(&self, node: usize, kill: bool) {
         let mut slot = self.places[node].process.lock().expect("a process");
-        let Some(mut process) = slot.take() else { return };
+        let Some(mut process) = slot.take() else {
+            return;
+        };
         if kill {
             self.history.note(Some(node), "killed", json!({}));
             process.kill();
@@ -330,7 +385,8 @@
             self.history.note(Some(node), "told-to-end", json!({}));
             let status = process.end(Duration::from_secs(6));
             let good = status.is_some_and(|status| status.success());
-            self.history.note(Some(node), "ended", json!({ "good": good }));
+            self.history
+                .note(Some(node), "ended", json!({ "good": good }));
         }
         self.places[node].paused.store(false, Ordering::SeqCst);
         self.relays.target(node, None);
@@ -343,8 +399,13 @@
 
     fn spoil(&self, node: usize, folder: Folder) {
         let place = &self.places[node];
-        let files =
-            || std::fs::read_dir(&place.folder).into_iter().flatten().flatten().map(|file| file.path());
+        let files = || {
+            std::fs::read_dir(&place.folder)
+                .into_iter()
+                .flatten()
+                .flatten()
+                .map(|file| file.path())
+        };
         match folder {
             Folder::Kept => {}
             Folder::Lost => files().for_each(|file| drop(std::fs::remove_file(file))),
@@ -383,7 +444,8 @@
     /// A process did not start again.
     pub fn play(self: &Arc<Self>, faults: &[Fault]) -> Result<(), String> {
         let begun = Instant::now();
-        let busy: Arc<Vec<Mutex<()>>> = Arc::new(self.places.iter().map(|_| Mutex::new(())).collect());
+        let busy: Arc<Vec<Mutex<()>>> =
+            Arc::new(self.places.iter().map(|_| Mutex::new(())).collect());
         let striking: Vec<_> = faults
             .iter()
             .cloned()
@@ -399,7 +461,9 @@
             })
             .collect();
         for striking in striking {
-            striking.join().map_err(|_| "a fault panicked".to_owned())??;
+            striking
+                .join()
+                .map_err(|_| "a fault panicked".to_owned())??;
         }
         self.history.note(None, "faults-over", json!({}));
         Ok(())
@@ -409,29 +473,45 @@
         let wait = |ms: u64| sleep(Duration::from_millis(ms));
         let told = serde_json::to_value(what).unwrap_or(Value::Null);
         match what {
-            What::Kill { node, for_ms, folder } => {
+            What::Kill {
+                node,
+                for_ms,
+                folder,
+            } => {
                 let _busy = busy[*node].lock().expect("a process");
-                self.history.note(Some(*node), "fault", json!({ "fault": told }));
+                self.history
+                    .note(Some(*node), "fault", json!({ "fault": told }));
                 self.down(*node, true);
                 self.spoil(*node, *folder);
                 wait(*for_ms);
                 self.start_one(*node, false)?;
             }
-            What::End { node, for_ms, newer } => {
+            What::End {
+                node,
+                for_ms,
+                newer,
+            } => {
                 let _busy = busy[*node].lock().expect("a process");
-                self.history.note(Some(*node), "fault", json!({ "fault": told }));
+                self.history
+                    .note(Some(*node), "fault", json!({ "fault": told }));
                 self.down(*node, false);
                 wait(*for_ms);
                 self.start_one(*node, *newer)?;
             }
             What::Pause { node, for_ms } => {
                 let _busy = busy[*node].lock().expect("a process");
-                self.history.note(Some(*node), "fault", json!({ "fault": told }));
+                self.history
+                    .note(Some(*node), "fault", json!({ "fault": told }));
                 self.pause(*node, true);
                 wait(*for_ms);
                 self.pause(*node, false);
             }
-            What::Cut { from, to, both, for_ms } => {
+            What::Cut {
+                from,
+                to,
+                both,
+                for_ms,
+            } => {
                 let mut ways = self.options.places.ways(from, to);
                 if *both {
                     ways.extend(ways.clone().into_iter().map(|(a, b)| (b, a)));
@@ -439,21 +519,35 @@
                 self.history.note(None, "fault", json!({ "fault": told }));
                 ways.iter().for_each(|(a, b)| self.relays.cut(*a, *b, true));
                 wait(*for_ms);
-                ways.iter().for_each(|(a, b)| self.relays.cut(*a, *b, false));
+                ways.iter()
+                    .for_each(|(a, b)| self.relays.cut(*a, *b, false));
                 self.history.note(None, "mended", json!({ "fault": told }));
             }
-            What::Ways { from, to, way, for_ms } => {
+            What::Ways {
+                from,
+                to,
+                way,
+                for_ms,
+            } => {
                 let ways = self.options.places.ways(from, to);
                 self.history.note(None, "fault", json!({ "fault": told }));
                 ways.iter().for_each(|(a, b)| self.relays.way(*a, *b, *way));
                 wait(*for_ms);
-                ways.iter().for_each(|(a, b)| self.relays.way(*a, *b, Default::default()));
+                ways.iter()
+                    .for_each(|(a, b)| self.relays.way(*a, *b, Default::default()));
                 self.history.note(None, "mended", json!({ "fault": told }));
             }
-            What::Flood { node, a_second, keyed, for_ms } => {
-                self.history.note(Some(*node), "fault", json!({ "fault": told }));
+            What::Flood {
+                node,
+                a_second,
+                keyed,
+                for_ms,
+            } => {
+                self.history
+                    .note(Some(*node), "fault", json!({ "fault": told }));
                 self.flood(*node, *a_second, *keyed, Duration::from_millis(*for_ms));
-                self.history.note(Some(*node), "mended", json!({ "fault": told }));
+                self.history
+                    .note(Some(*node), "mended", json!({ "fault": told }));
             }
         }
         Ok(())
@@ -461,8 +555,15 @@
 
     /// Sends a node what nobody of the fleet would: noise and frames without the key; or a member's lies.
     fn flood(&self, node: usize, a_second: u32, keyed: bool, time: Duration) {
-        let at = self.places[node].process.lock().expect("a process").as_ref().map(|process| process.fleet);
-        let (Some(at), Ok(socket)) = (at, UdpSocket::bind("127.0.0.1:0")) else { return };
+        let at = self.places[node]
+            .process
+            .lock()
+            .expect("a process")
+            .as_ref()
+            .map(|process| process.fleet);
+        let (Some(at), Ok(socket)) = (at, UdpSocket::bind("127.0.0.1:0")) else {
+            return;
+        };
         let mut random = Random::new(self.options.seed ^ node as u64);
         let begun = Instant::now();
         let mut sent = 0u64;
@@ -470,7 +571,11 @@
         while begun.elapsed() < time && !self.is_over() {
             let due = (begun.elapsed().as_secs_f64() * f64::from(a_second)) as u64;
             while sent < due {
-                let bytes = if keyed { lie(&envelopes, &mut random) } else { noise(&mut random, sent) };
+                let bytes = if keyed {
+                    lie(&envelopes, &mut random)
+                } else {
+                    noise(&mut random, sent)
+                };
                 let _ = socket.send_to(&bytes, at);
                 sent += 1;
             }
@@ -485,7 +590,9 @@
             return None;
         }
         let process = place.process.lock().expect("a process");
-        process.as_ref().map(|process| (process.admin, process.clients))
+        process
+            .as_ref()
+            .map(|process| (process.admin, process.clients))
     }
 
     /// Whether all is over.
@@ -513,18 +620,26 @@
         let mut before = Value::Null;
         while !self.is_over() {
             sleep(LOOK);
-            let Some(page) = self.page(node) else { continue };
+            let Some(page) = self.page(node) else {
+                continue;
+            };
             let empty = Vec::new();
             let members = page["members"].as_array().unwrap_or(&empty);
             let members: serde_json::Map<String, Value> = members
                 .iter()
                 .map(|member| {
                     let name = member["name"].as_str().unwrap_or_default().to_owned();
-                    let said = json!([member["state"], member["life"], member["zone"], member["build"]]);
+                    let said = json!([
+                        member["state"],
+                        member["life"],
+                        member["zone"],
+                        member["build"]
+                    ]);
                     (name, said)
                 })
                 .collect();
-            let says = json!({ "standing": page["standing"], "life": page["life"], "members": members });
+            let says =
+                json!({ "standing": page["standing"], "life": page["life"], "members": members });
             if says != before {
                 self.history.note(Some(node), "says", says.clone());
                 before = says;
@@ -542,15 +657,28 @@
             due = (due + pause).max(Instant::now());
             let place = &self.places[node];
             let run = place.run.load(Ordering::SeqCst);
-            let at = place.process.lock().expect("a process").as_ref().map(|process| process.clients);
-            let Some(at) = at.filter(|_| !place.paused.load(Ordering::SeqCst)) else { continue };
+            let at = place
+                .process
+                .lock()
+                .expect("a process")
+                .as_ref()
+                .map(|process| process.clients);
+            let Some(at) = at.filter(|_| !place.paused.load(Ordering::SeqCst)) else {
+                continue;
+            };
             if client.as_ref().is_none_or(|(of, _)| *of != run) {
-                client = Client::try_connect(at, Duration::from_secs(3)).map(|client| (run, client));
+                client =
+                    Client::try_connect(at, Duration::from_secs(3)).map(|client| (run, client));
             }
-            let Some((_, open)) = &mut client else { continue };
+            let Some((_, open)) = &mut client else {
+                continue;
+            };
             let (t_us, begun) = (self.history.now_us(), Instant::now());
             let sent = open.try_send("GET /read/1f", &sillward_test_servers::peers::common(1_500));
-            let status = sent.then(|| open.answer()).flatten().map_or(0, |answer| answer.status());
+            let status = sent
+                .then(|| open.answer())
+                .flatten()
+                .map_or(0, |answer| answer.status());
             if status == 0 {
                 client = None;
             }
@@ -559,7 +687,11 @@
                 let fields = json!({ "status": status, "took_us": took_us });
                 self.history.note_at(t_us, Some(node), "not-served", fields);
             }
-            self.asked[node].lock().expect("calls").push(Asked { t_us, took_us, status });
+            self.asked[node].lock().expect("calls").push(Asked {
+                t_us,
+                took_us,
+                status,
+            });
         }
     }
 
@@ -567,7 +699,8 @@
     pub fn end(&self) -> Vec<(u64, f64)> {
         let used = self.places.iter().map(|place| {
             let slot = place.process.lock().expect("a process");
-            slot.as_ref().map_or((0, 0.0), |process| (process.memory_kb(), process.cpu_s()))
+            slot.as_ref()
+                .map_or((0, 0.0), |process| (process.memory_kb(), process.cpu_s()))
         });
         let used = used.collect();
         self.over.store(true, Ordering::SeqCst);
@@ -590,14 +723,21 @@
     ) -> (usize, f64) {
         let (mut all, mut good) = (0, 0);
         for (node, asked) in self.asked.iter().enumerate() {
-            for asked in asked.lock().expect("calls").iter().filter(|asked| ran(node, asked)) {
+            for asked in asked
+                .lock()
+                .expect("calls")
+                .iter()
+                .filter(|asked| ran(node, asked))
+            {
                 all += 1;
                 good += usize::from(asked.status == 200);
             }
         }
         let share = good as f64 / all.max(1) as f64;
         if all > 0 && share < 0.99 {
-            breaches.push(format!("{good} of {all} calls at nodes that ran were served"));
+            breaches.push(format!(
+                "{good} of {all} calls at nodes that ran were served"
+            ));
         }
         (all, share)
     }
@@ -611,7 +751,9 @@
 
 /// The operator file's table.
 fn agreement(agreed: Agreed, folder: &Path) -> String {
-    let voters: Vec<String> = (0..agreed.voters).map(|node| format!("\"n{node}\"")).collect();
+    let voters: Vec<String> = (0..agreed.voters)
+        .map(|node| format!("\"n{node}\""))
+        .collect();
     format!(
         "[agreement]\nlog = \"ground\"\nvoters = [{}]\nfolder = \"{}\"\nbound_ms = {}\n",
         voters.join(", "),
@@ -622,7 +764,9 @@
 
 fn noise(random: &mut Random, number: u64) -> Vec<u8> {
     let mut bytes = vec![0u8; 20 + random.below(236)];
-    bytes.iter_mut().for_each(|byte| *byte = random.number() as u8);
+    bytes
+        .iter_mut()
+        .for_each(|byte| *byte = random.number() as u8);
     bytes[0] = (number % 3 > 0).into();
     bytes
 }
@@ -638,13 +782,24 @@
         salt: 1 + random.below(1 << 30) as u32,
         ..Update::default()
     };
-    let frame = Frame { kind: random.below(7) as i32, updates: vec![update], ..Frame::default() };
+    let frame = Frame {
+        kind: random.below(7) as i32,
+        updates: vec![update],
+        ..Frame::default()
+    };
     envelopes.seal(&Sealed {
         name: Name::new(&name).expect("a name"),
         address: "127.0.0.1:9".parse().expect("an address"),
-        life: Life { epoch: 1 + random.below(3) as u32, salt: 1 + random.below(3) as u32 },
+        life: Life {
+            epoch: 1 + random.below(3) as u32,
+            salt: 1 + random.below(3) as u32,
+        },
         number: random.number() >> random.below(60),
-        to: if random.percent(50) { 0 } else { random.number() as u32 },
+        to: if random.percent(50) {
+            0
+        } else {
+            random.number() as u32
+        },
         frame,
         topic: 0,
         word: Vec::new(),
@@ -679,7 +834,9 @@
     // Watches stay open for as long as their node reads them.
     let mut watches = Vec::new();
     loop {
-        let Some(mut watch) = discovery.try_call(Duration::from_secs(3600)) else { return };
+        let Some(mut watch) = discovery.try_call(Duration::from_secs(3600)) else {
+            return;
+        };
         if watch.answer_list(&list(8, true, lines)) {
             watches.push(watch);
         }
@@ -692,5 +849,7 @@
 /// The folder of a program that cargo built beside this one.
 pub fn beside(name: &str) -> Option<PathBuf> {
     let own = std::env::current_exe().ok()?;
-    own.ancestors().map(|folder: &Path| folder.join(name)).find(|path| path.is_file())
+    own.ancestors()
+        .map(|folder: &Path| folder.join(name))
+        .find(|path| path.is_file())
 }
--- a/testing/cluster/src/history.rs
+++ b/testing/cluster/src/history.rs
@@ -39,8 +39,14 @@
     /// The file can't be made.
     pub fn new(path: Option<&Path>) -> std::io::Result<Self> {
         let file = path.map(File::create).transpose()?.map(BufWriter::new);
-        let inner = Inner { lines: Vec::new(), file };
-        Ok(History { start: Instant::now(), inner: Arc::new(Mutex::new(inner)) })
+        let inner = Inner {
+            lines: Vec::new(),
+            file,
+        };
+        Ok(History {
+            start: Instant::now(),
+            inner: Arc::new(Mutex::new(inner)),
+        })
     }
 
     /// The time now.
@@ -66,7 +72,12 @@
             }
             let _ = writeln!(file, "{line}"); // a full disk must not end the run
         }
-        inner.lines.push(Line { t_us, node, what, fields });
+        inner.lines.push(Line {
+            t_us,
+            node,
+            what,
+            fields,
+        });
     }
 
     /// All lines, in the order of their times.
--- a/testing/cluster/src/outcomes.rs
+++ b/testing/cluster/src/outcomes.rs
@@ -59,7 +59,10 @@
 /// The ground can't be laid, or a process did not start.
 pub fn play(options: Options, faults: &[Fault]) -> Result<Verdict, String> {
     let nodes = options.places.nodes;
-    let fleet = Fleet::new(Options { more: MORE.to_owned(), ..options })?;
+    let fleet = Fleet::new(Options {
+        more: MORE.to_owned(),
+        ..options
+    })?;
     let played = run(&fleet, faults);
     fleet.end();
     let (reads, begun, mended) = played?;
@@ -91,7 +94,9 @@
         }
         sleep(next.saturating_duration_since(Instant::now()));
     }
-    striking.join().map_err(|_| "the script panicked".to_owned())??;
+    striking
+        .join()
+        .map_err(|_| "the script panicked".to_owned())??;
     Ok((reads, begun, mended.unwrap_or_default()))
 }
 
@@ -107,7 +112,12 @@
     let mut asked: Vec<u64> = Vec::new();
     for of_node in &fleet.asked {
         let of_node = of_node.lock().expect("calls");
-        asked.extend(of_node.iter().filter(|call| call.status != 0).map(|call| call.t_us));
+        asked.extend(
+            of_node
+                .iter()
+                .filter(|call| call.status != 0)
+                .map(|call| call.t_us),
+        );
     }
     asked.sort_unstable();
     let truth = |t_us: u64| {
@@ -133,10 +143,14 @@
         }
     }
     let shares = within.map(|(good, all)| good as f64 / all.max(1) as f64);
-    for (share, least, when) in [(shares[0], 0.95, "in calm"), (shares[1], IN_FAULTS, "among faults")] {
+    for (share, least, when) in [
+        (shares[0], 0.95, "in calm"),
+        (shares[1], IN_FAULTS, "among faults"),
+    ] {
         if share < least {
-            breaches
-                .push(format!("{share:.3} of the readings {when} are within what they say they may be off"));
+            breaches.push(format!(
+                "{share:.3} of the readings {when} are within what they say they may be off"
+            ));
         }
     }
     for read in reads.iter().filter(|read| read.t_us > settled) {
@@ -163,11 +177,27 @@
     let figures = vec![
         ("readings", reads.len().to_string()),
         ("within_stated_error_in_calm", format!("{:.3}", shares[0])),
-        ("within_stated_error_among_faults", format!("{:.3}", shares[1])),
+        (
+            "within_stated_error_among_faults",
+            format!("{:.3}", shares[1]),
+        ),
         ("off_by", format!("{:.3}", off / reads.len().max(1) as f64)),
-        ("age_ms_middle", format!("{:.0}", ages.get(ages.len() / 2).copied().unwrap_or_default())),
+        (
+            "age_ms_middle",
+            format!(
+                "{:.0}",
+                ages.get(ages.len() / 2).copied().unwrap_or_default()
+            ),
+        ),
         ("bytes_a_second_most", format!("{most:.0}")),
-        ("seconds", format!("{:.0}", (mended.saturating_sub(begun)) as f64 / 1e6)),
+        (
+            "seconds",
+            format!("{:.0}", (mended.saturating_sub(begun)) as f64 / 1e6),
+        ),
     ];
-    Verdict { figures, breaches, script: text(faults) }
+    Verdict {
+        figures,
+        breaches,
+        script: text(faults),
+    }
 }
--- a/testing/cluster/src/process.rs
+++ b/testing/cluster/src/process.rs
@@ -44,12 +44,21 @@
     /// It does not: its last lines.
     pub fn start(start: &Start) -> Result<Self, String> {
         let mut command = Command::new(&start.program);
-        command.arg("--operator").arg(&start.operator).env("PROXY_CONFIG", &start.config);
+        command
+            .arg("--operator")
+            .arg(&start.operator)
+            .env("PROXY_CONFIG", &start.config);
         command.envs(start.environment.iter().map(|(name, value)| (name, value)));
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-        let mut child =
-            command.spawn().map_err(|e| format!("cannot start {}: {e}", start.program.display()))?;
-        let Some(stderr) = child.stderr.take() else { return Err("no log".to_owned()) };
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped());
+        let mut child = command
+            .spawn()
+            .map_err(|e| format!("cannot start {}: {e}", start.program.display()))?;
+        let Some(stderr) = child.stderr.take() else {
+            return Err("no log".to_owned());
+        };
         let mut lines = BufReader::new(stderr).lines().map_while(Result::ok);
         let (mut clients, mut fleet, mut admin, mut seen) = (None, None, None, Vec::new());
         while clients.is_none() || fleet.is_none() || admin.is_none() {
@@ -76,7 +85,13 @@
             }
         });
         let address = |at: Option<SocketAddr>| at.ok_or("no address".to_owned());
-        Ok(Process { child, clients: address(clients)?, fleet: address(fleet)?, admin: address(admin)?, log })
+        Ok(Process {
+            child,
+            clients: address(clients)?,
+            fleet: address(fleet)?,
+            admin: address(admin)?,
+            log,
+        })
     }
 
     fn signal(&self, signal: Signal) {
@@ -127,17 +142,25 @@
 
     /// What it has in memory, in kB; 0 once it has ended.
     pub fn memory_kb(&self) -> u64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap_or_default();
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
+            .unwrap_or_default();
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-        line.and_then(|line| line.trim_end_matches("kB").trim().parse().ok()).unwrap_or_default()
+        line.and_then(|line| line.trim_end_matches("kB").trim().parse().ok())
+            .unwrap_or_default()
     }
 
     /// The processor time it has used, in seconds.
     pub fn cpu_s(&self) -> f64 {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
+        let stat =
+            std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
         let fields = stat.rsplit_once(") ").map_or("", |(_, fields)| fields);
-        let ticks =
-            |n: usize| fields.split(' ').nth(n).and_then(|t| t.parse::<f64>().ok()).unwrap_or_default();
+        let ticks = |n: usize| {
+            fields
+                .split(' ')
+                .nth(n)
+                .and_then(|t| t.parse::<f64>().ok())
+                .unwrap_or_default()
+        };
         // utime and stime, in the hundredths of a second that Linux counts them in.
         (ticks(11) + ticks(12)) / 100.0
     }
--- a/testing/cluster/src/relays.rs
+++ b/testing/cluster/src/relays.rs
@@ -3,8 +3,8 @@
 
 use crate::history::History;
 use serde_json::json;
-use sillward_peer_transport::envelope::{Envelopes, Sealed};
 use sillward_membership::Life;
+use sillward_peer_transport::envelope::{Envelopes, Sealed};
 use sillward_test_servers::random::Random;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -108,7 +108,10 @@
                 listeners.push(listener);
             }
         }
-        let addresses = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
+        let addresses = listeners
+            .iter()
+            .map(TcpListener::local_addr)
+            .collect::<Result<_, _>>()?;
         let state = State {
             ways: vec![vec![Way::default(); count]; count],
             cuts: vec![vec![0; count]; count],
@@ -176,17 +179,23 @@
     pub fn cut(&self, from: usize, to: usize, cut: bool) {
         let mut state = self.state.lock().expect("the relays");
         let cuts = &mut state.cuts[from][to];
-        *cuts = if cut { *cuts + 1 } else { cuts.saturating_sub(1) };
+        *cuts = if cut {
+            *cuts + 1
+        } else {
+            cuts.saturating_sub(1)
+        };
     }
 
     /// What a process has sent to all others.
     pub fn sent(&self, from: usize) -> Count {
         let state = self.state.lock().expect("the relays");
-        state.counts[from].iter().fold(Count::default(), |all, one| Count {
-            frames: all.frames + one.frames,
-            bytes: all.bytes + one.bytes,
-            long: all.long + one.long,
-        })
+        state.counts[from]
+            .iter()
+            .fold(Count::default(), |all, one| Count {
+                frames: all.frames + one.frames,
+                bytes: all.bytes + one.bytes,
+                long: all.long + one.long,
+            })
     }
 
     /// Every life that was seen on a way.
@@ -201,8 +210,12 @@
     fn datagrams(&self, to: usize, socket: &UdpSocket) {
         let mut buffer = vec![0; 2048];
         while !self.is_over() {
-            let Ok((count, source)) = socket.recv_from(&mut buffer) else { continue };
-            let Some(from) = self.from(source) else { continue };
+            let Ok((count, source)) = socket.recv_from(&mut buffer) else {
+                continue;
+            };
+            let Some(from) = self.from(source) else {
+                continue;
+            };
             let opened = self.envelopes.open(&buffer[..count]).ok();
             self.pass(from, to, &buffer[..count], opened.as_ref());
         }
@@ -217,11 +230,16 @@
             Some(sealed) => {
                 let key = (sealed.name.as_str().to_owned(), sealed.life);
                 let new = !state.lives.contains_key(&key);
-                let seen = SeenLife { run, first_us: now_us, last_us: now_us };
+                let seen = SeenLife {
+                    run,
+                    first_us: now_us,
+                    last_us: now_us,
+                };
                 state.lives.entry(key).or_insert(seen).last_us = now_us;
                 if new {
                     let life = sealed.life.to_string();
-                    self.history.note(Some(from), "life", json!({ "life": life, "run": run }));
+                    self.history
+                        .note(Some(from), "life", json!({ "life": life, "run": run }));
                 }
             }
         }
@@ -231,7 +249,11 @@
         if state.cuts[from][to] > 0 || state.random.below(1000) < way.lost as usize {
             return;
         }
-        let copies = if state.random.below(1000) < way.doubled as usize { 2 } else { 1 };
+        let copies = if state.random.below(1000) < way.doubled as usize {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
             let mut bytes = bytes.to_vec();
             if state.random.below(1000) < way.spoilt as usize {
@@ -242,11 +264,18 @@
                 self.hand(&state, to, &bytes);
                 continue;
             }
-            let late =
-                way.late_ms.0 as usize + state.random.below((way.late_ms.1 - way.late_ms.0 + 1) as usize);
+            let late = way.late_ms.0 as usize
+                + state
+                    .random
+                    .below((way.late_ms.1 - way.late_ms.0 + 1) as usize);
             if state.waiting.len() < WAITING {
                 state.made += 1;
-                let entry = (Instant::now() + Duration::from_millis(late as u64), state.made, to, bytes);
+                let entry = (
+                    Instant::now() + Duration::from_millis(late as u64),
+                    state.made,
+                    to,
+                    bytes,
+                );
                 state.waiting.push(Reverse(entry));
                 self.due.notify_one();
             }
@@ -284,7 +313,9 @@
                 return;
             }
             let Ok(near) = near else { continue };
-            let Some(from) = near.peer_addr().ok().and_then(|source| self.from(source)) else { continue };
+            let Some(from) = near.peer_addr().ok().and_then(|source| self.from(source)) else {
+                continue;
+            };
             let own = self.clone();
             spawn(move || own.carry(from, to, near));
         }
@@ -295,8 +326,12 @@
             return;
         }
         let target = self.state.lock().expect("the relays").targets[to];
-        let Some(Ok(far)) = target.map(TcpStream::connect) else { return };
-        let (Ok(near_too), Ok(far_too)) = (near.try_clone(), far.try_clone()) else { return };
+        let Some(Ok(far)) = target.map(TcpStream::connect) else {
+            return;
+        };
+        let (Ok(near_too), Ok(far_too)) = (near.try_clone(), far.try_clone()) else {
+            return;
+        };
         let own = self.clone();
         spawn(move || own.pump(to, from, far_too, near_too));
         self.pump(from, to, near, far);
--- a/testing/cluster/src/settings.rs
+++ b/testing/cluster/src/settings.rs
@@ -19,7 +19,9 @@
 use std::time::{Duration, Instant};
 
 /// Kinds of rounds.
-pub const ROUNDS: [&str; 8] = ["calm", "cut-off", "late", "pause", "restart", "leader", "halves", "bounce"];
+pub const ROUNDS: [&str; 8] = [
+    "calm", "cut-off", "late", "pause", "restart", "leader", "halves", "bounce",
+];
 const CLASS: &str = "read";
 /// A version that nothing holds up is in force within so long, and one that something does within so much more than W.
 const FORCE_MS: u64 = 20_000;
@@ -58,12 +60,23 @@
 /// The ground could not be laid, or a process did not start: no verdict.
 pub fn play(play: &Play) -> Result<Verdict, String> {
     let options = Options {
-        agreed: Some(Agreed { voters: play.voters, bound_ms: play.bound_ms }),
+        agreed: Some(Agreed {
+            voters: play.voters,
+            bound_ms: play.bound_ms,
+        }),
         ..play.options.clone()
     };
     let mut random = Random::new(options.seed.wrapping_mul(0x9e37_79b9).wrapping_add(29));
-    let mut drawn = || (0..play.count).map(|_| ROUNDS[random.below(ROUNDS.len())].to_owned()).collect();
-    let rounds: Vec<String> = if play.rounds.is_empty() { drawn() } else { play.rounds.clone() };
+    let mut drawn = || {
+        (0..play.count)
+            .map(|_| ROUNDS[random.below(ROUNDS.len())].to_owned())
+            .collect()
+    };
+    let rounds: Vec<String> = if play.rounds.is_empty() {
+        drawn()
+    } else {
+        play.rounds.clone()
+    };
     let fleet = Fleet::new(options)?;
     let seen = Arc::new(Mutex::new(Seen::default()));
     fleet.start()?;
@@ -76,7 +89,10 @@
     let played = run(&fleet, play, &rounds, &seen);
     let used = fleet.end();
     let changes = played?;
-    let mut verdict = Verdict { script: rounds.join(" "), ..Verdict::default() };
+    let mut verdict = Verdict {
+        script: rounds.join(" "),
+        ..Verdict::default()
+    };
     let seen = std::mem::take(&mut *seen.lock().expect("what was seen"));
     verdict.breaches.extend(seen.breaches.iter().cloned());
     let (resent, sights) = sights(&fleet, &changes, &mut verdict.breaches);
@@ -89,23 +105,42 @@
         })
     };
     let (calls, share) = fleet.served(ran, &mut verdict.breaches);
-    let mut force: Vec<u64> = changes.iter().map(|c| (c.force_us - c.confirmed_us) / 1000).collect();
+    let mut force: Vec<u64> = changes
+        .iter()
+        .map(|c| (c.force_us - c.confirmed_us) / 1000)
+        .collect();
     force.sort_unstable();
-    let mut asked: Vec<u64> = changes.iter().map(|c| (c.confirmed_us - c.asked_us) / 1000).collect();
+    let mut asked: Vec<u64> = changes
+        .iter()
+        .map(|c| (c.confirmed_us - c.asked_us) / 1000)
+        .collect();
     asked.sort_unstable();
     let at = |times: &[u64], at: usize| times.get(at).map_or("none".to_owned(), u64::to_string);
     verdict.figures = vec![
         ("nodes", fleet.places.len().to_string()),
         ("changes", changes.len().to_string()),
         ("confirmed_median_ms", at(&asked, asked.len() / 2)),
-        ("confirmed_worst_ms", at(&asked, asked.len().saturating_sub(1))),
+        (
+            "confirmed_worst_ms",
+            at(&asked, asked.len().saturating_sub(1)),
+        ),
         ("in_force_median_ms", at(&force, force.len() / 2)),
-        ("in_force_worst_ms", at(&force, force.len().saturating_sub(1))),
+        (
+            "in_force_worst_ms",
+            at(&force, force.len().saturating_sub(1)),
+        ),
         ("calls_that_lost_their_answer", sights.to_string()),
         ("sent_again_while_safe", resent.to_string()),
         ("calls", calls.to_string()),
         ("calls_served", format!("{share:.4}")),
-        ("memory_kb_worst", used.iter().map(|(kb, _)| kb).max().unwrap_or(&0).to_string()),
+        (
+            "memory_kb_worst",
+            used.iter()
+                .map(|(kb, _)| kb)
+                .max()
+                .unwrap_or(&0)
+                .to_string(),
+        ),
     ];
     Ok(verdict)
 }
@@ -126,10 +161,13 @@
 fn look(fleet: &Fleet, node: usize, seen: &Mutex<Seen>) {
     while !fleet.ended() {
         sleep(Duration::from_millis(200));
-        let Some(page) = page(fleet, node) else { continue };
+        let Some(page) = page(fleet, node) else {
+            continue;
+        };
         let mut seen = seen.lock().expect("what was seen");
         for version in page["versions"].as_array().into_iter().flatten() {
-            let (Some(number), Some(id)) = (version["number"].as_u64(), version["id"].as_str()) else {
+            let (Some(number), Some(id)) = (version["number"].as_u64(), version["id"].as_str())
+            else {
                 continue;
             };
             match seen.versions.get(&number) {
@@ -141,12 +179,15 @@
                 }
                 Some(_) => {}
                 None => {
-                    fleet.history.note(None, "confirmed", json!({ "version": number, "id": id }));
+                    fleet
+                        .history
+                        .note(None, "confirmed", json!({ "version": number, "id": id }));
                     seen.versions.insert(number, id.to_owned());
                 }
             }
         }
-        seen.has.insert(node, page["has"].as_u64().unwrap_or_default());
+        seen.has
+            .insert(node, page["has"].as_u64().unwrap_or_default());
     }
 }
 
@@ -161,7 +202,9 @@
         last = Some(at);
         number += 1;
         let call = format!("{:08x}{number:08x}", 0xd0_0000 + node);
-        let Some(mut client) = Client::try_connect(at, Duration::from_millis(700)) else { continue };
+        let Some(mut client) = Client::try_connect(at, Duration::from_millis(700)) else {
+            continue;
+        };
         let headers = format!("X-Call-Id: {call}\r\nX-Caller: acme\r\nX-Budget-Ms: 600\r\n");
         if client.try_send(&format!("GET {DROPPED}"), &headers) {
             let _ = client.answer(); // what it is told is the four rules' business
@@ -181,30 +224,48 @@
 fn change(fleet: &Fleet, random: &mut Random, base: u64, safe: bool) -> Result<Change, String> {
     let (begun, asked_us) = (Instant::now(), fleet.history.now_us());
     let id = random.number() ^ random.number().rotate_left(32);
-    let body =
-        json!({ "base": base, "id": id, "author": "ground", "why": "a turn", "rules": rules(safe).text() });
-    let (own, mut confirmed_us, mut sent) =
-        (format!("{id:016x}"), None, Instant::now() - Duration::from_secs(9));
+    let body = json!({ "base": base, "id": id, "author": "ground", "why": "a turn", "rules": rules(safe).text() });
+    let (own, mut confirmed_us, mut sent) = (
+        format!("{id:016x}"),
+        None,
+        Instant::now() - Duration::from_secs(9),
+    );
     let mut turn = random.below(fleet.places.len());
     while begun.elapsed() < Duration::from_millis(FORCE_MS) {
         // Sent again under its id, to another node each time: it is there once.
         if confirmed_us.is_none() && sent.elapsed() > Duration::from_millis(1_500) {
             turn = (turn + 1) % fleet.places.len();
-            let Some((admin, _)) = fleet.at(turn) else { continue };
+            let Some((admin, _)) = fleet.at(turn) else {
+                continue;
+            };
             if post(admin, "/admin/settings", Some(&body.to_string())).is_some() {
                 sent = Instant::now();
             }
         }
         for node in 0..fleet.places.len() {
-            let Some(page) = page(fleet, node) else { continue };
+            let Some(page) = page(fleet, node) else {
+                continue;
+            };
             let mut versions = page["versions"].as_array().into_iter().flatten();
             let version = versions.rfind(|version| version["id"] == own.as_str());
-            let Some(number) = version.and_then(|version| version["number"].as_u64()) else { continue };
+            let Some(number) = version.and_then(|version| version["number"].as_u64()) else {
+                continue;
+            };
             let now_us = fleet.history.now_us();
             let confirmed_us = *confirmed_us.get_or_insert(now_us);
             if page["in_force"].as_u64() >= Some(number) {
-                fleet.history.note(Some(node), "in-force", json!({ "version": number, "safe": safe }));
-                return Ok(Change { number, safe, asked_us, confirmed_us, force_us: now_us });
+                fleet.history.note(
+                    Some(node),
+                    "in-force",
+                    json!({ "version": number, "safe": safe }),
+                );
+                return Ok(Change {
+                    number,
+                    safe,
+                    asked_us,
+                    confirmed_us,
+                    force_us: now_us,
+                });
             }
         }
         sleep(Duration::from_millis(10));
@@ -234,18 +295,36 @@
                 spawn(move || own.play(&faults))
             });
             // Late words are on their way for some time already when the change comes.
-            let lead = if round == "late" { play.bound_ms * 2 / 5 } else { 0 };
-            sleep(Duration::from_millis(if safe { 0 } else { lead + 60 + random.below(100) as u64 }));
+            let lead = if round == "late" {
+                play.bound_ms * 2 / 5
+            } else {
+                0
+            };
+            sleep(Duration::from_millis(if safe {
+                0
+            } else {
+                lead + 60 + random.below(100) as u64
+            }));
             match change(fleet, &mut random, base, safe) {
                 Ok(change) => {
                     base = change.number;
                     changes.push(change);
                 }
-                Err(what) => seen.lock().expect("what was seen").breaches.push(format!("{round}: {what}")),
+                Err(what) => seen
+                    .lock()
+                    .expect("what was seen")
+                    .breaches
+                    .push(format!("{round}: {what}")),
             }
-            sleep(Duration::from_millis(if safe { 600 } else { play.bound_ms * 5 / 4 }));
+            sleep(Duration::from_millis(if safe {
+                600
+            } else {
+                play.bound_ms * 5 / 4
+            }));
             if let Some(striking) = striking {
-                striking.join().map_err(|_| "a fault panicked".to_owned())??;
+                striking
+                    .join()
+                    .map_err(|_| "a fault panicked".to_owned())??;
             }
             sleep(Duration::from_millis(if safe { 0 } else { 700 }));
             base = base.max(newest(fleet));
@@ -257,7 +336,9 @@
         let behind = {
             let seen = seen.lock().expect("what was seen");
             let most = seen.versions.keys().last().copied().unwrap_or_default();
-            (0..fleet.places.len()).find(|node| seen.has.get(node) != Some(&most)).map(|node| (node, most))
+            (0..fleet.places.len())
+                .find(|node| seen.has.get(node) != Some(&most))
+                .map(|node| (node, most))
         };
         match behind {
             None => break,
@@ -273,7 +354,10 @@
 }
 
 fn newest(fleet: &Fleet) -> u64 {
-    (0..fleet.places.len()).filter_map(|node| page(fleet, node)?["has"].as_u64()).max().unwrap_or_default()
+    (0..fleet.places.len())
+        .filter_map(|node| page(fleet, node)?["has"].as_u64())
+        .max()
+        .unwrap_or_default()
 }
 
 /// What goes wrong in a round, from right before its change on.
@@ -283,28 +367,69 @@
     let voter = random.below(play.voters);
     let span = play.bound_ms * 2;
     let fault = |at_ms, what| Fault { at_ms, what };
-    let cut = |node| What::Cut { from: Which::Node(node), to: Which::All, both: true, for_ms: span };
-    let kill = |node, for_ms| What::Kill { node, for_ms, folder: Folder::Kept };
+    let cut = |node| What::Cut {
+        from: Which::Node(node),
+        to: Which::All,
+        both: true,
+        for_ms: span,
+    };
+    let kill = |node, for_ms| What::Kill {
+        node,
+        for_ms,
+        folder: Folder::Kept,
+    };
     match round {
         "cut-off" => vec![fault(0, cut(plain))],
         "late" => {
             // Every word to it is late by three quarters of W: longer than a right lasts beyond an asking.
             let late = (play.bound_ms * 3 / 4) as u32;
-            let way = Way { late_ms: (late, late + 50), ..Way::default() };
-            vec![fault(0, What::Ways { from: Which::All, to: Which::Node(plain), way, for_ms: span })]
+            let way = Way {
+                late_ms: (late, late + 50),
+                ..Way::default()
+            };
+            vec![fault(
+                0,
+                What::Ways {
+                    from: Which::All,
+                    to: Which::Node(plain),
+                    way,
+                    for_ms: span,
+                },
+            )]
         }
-        "pause" => vec![fault(0, What::Pause { node: plain, for_ms: span })],
+        "pause" => vec![fault(
+            0,
+            What::Pause {
+                node: plain,
+                for_ms: span,
+            },
+        )],
         "restart" => {
             let mut all = vec![fault(0, cut(plain))];
-            all.extend((0..play.voters / 2 + 1).map(|at| fault(10, kill((voter + at) % play.voters, 100))));
+            all.extend(
+                (0..play.voters / 2 + 1).map(|at| fault(10, kill((voter + at) % play.voters, 100))),
+            );
             all
         }
         // All voters at once, when the change has been confirmed, or has not.
-        "bounce" => (0..play.voters).map(|at| fault(400 + random.below(600) as u64, kill(at, 100))).collect(),
-        "leader" => vec![fault(0, kill(voter, 1_500)), fault(100, kill((voter + 1) % play.voters, 800))],
+        "bounce" => (0..play.voters)
+            .map(|at| fault(400 + random.below(600) as u64, kill(at, 100)))
+            .collect(),
+        "leader" => vec![
+            fault(0, kill(voter, 1_500)),
+            fault(100, kill((voter + 1) % play.voters, 800)),
+        ],
         "halves" => {
             let zone = random.below(play.options.places.zones);
-            vec![fault(0, What::Cut { from: Which::Zone(zone), to: Which::All, both: true, for_ms: span })]
+            vec![fault(
+                0,
+                What::Cut {
+                    from: Which::Zone(zone),
+                    to: Which::All,
+                    both: true,
+                    for_ms: span,
+                },
+            )]
         }
         _ => Vec::new(),
     }
@@ -338,7 +463,9 @@
     }
     let unsafe_alone = calls.values().filter(|times| times.len() == 1).count();
     if again == 0 || unsafe_alone == 0 {
-        breaches.push(format!("{again} calls were sent again and {unsafe_alone} were not: that is no test"));
+        breaches.push(format!(
+            "{again} calls were sent again and {unsafe_alone} were not: that is no test"
+        ));
     }
     (again, calls.len())
 }
--- a/testing/scenarios/src/main.rs
+++ b/testing/scenarios/src/main.rs
@@ -2,7 +2,9 @@
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand, ValueEnum};
-use sillward_scenarios::scenario::{self, demo, etcd, few, fleet, load, night, pages, plain, plants, sizes, thrift};
+use sillward_scenarios::scenario::{
+    self, demo, etcd, few, fleet, load, night, pages, plain, plants, sizes, thrift,
+};
 use sillward_scenarios::tally::{BINARY, Caller, End, origin};
 use sillward_thrift::wire::Encoding;
 use std::net::SocketAddr;
@@ -247,21 +249,55 @@
     ExitCode::from(match arguments.what {
         What::List => {
             for listed in scenario::ALL {
-                println!("{}: {}; plants: {}", listed.name, listed.what, listed.plants.join(", "));
+                println!(
+                    "{}: {}; plants: {}",
+                    listed.name,
+                    listed.what,
+                    listed.plants.join(", ")
+                );
             }
             0
         }
         What::Demo { seed, seconds } => demo::run(seed, seconds),
-        What::Thrift { seed, plant, seconds, rate } => {
+        What::Thrift {
+            seed,
+            plant,
+            seconds,
+            rate,
+        } => {
             let double_send = matches!(plant, Some(Plant::DoubleSend));
-            thrift::run(&thrift::Options { seed, seconds, rate, double_send })
+            thrift::run(&thrift::Options {
+                seed,
+                seconds,
+                rate,
+                double_send,
+            })
         }
-        What::Etcd { seed, plant, seconds } => {
+        What::Etcd {
+            seed,
+            plant,
+            seconds,
+        } => {
             let forgets = matches!(plant, Some(EtcdPlant::ForgetCompacted));
             let empties = matches!(plant, Some(EtcdPlant::EmptyOnSilence));
-            etcd::run(&etcd::Options { seed, seconds, forgets, empties })
+            etcd::run(&etcd::Options {
+                seed,
+                seconds,
+                forgets,
+                empties,
+            })
         }
-        What::Few { seed, plant, boxes, callers, calls, most_ms, tail_ms, budget_ms, parallel } => {
+        What::Few {
+            seed,
+            plant,
+            boxes,
+            callers,
+            calls,
+            most_ms,
+            tail_ms,
+            budget_ms,
+            parallel,
+        } => {
             let turn_away = matches!(plant, Some(FewPlant::TurnAway));
             let late = matches!(plant, Some(FewPlant::Late));
             let options = few::Options {
@@ -281,17 +317,36 @@
         What::Fleet(options) => fleet::run(&options),
         What::Load { calls } => load::run(calls),
         What::Night(options) => night::run(&options),
-        What::Pages { pages, plant } => {
-            pages::run(&pages::Options { pages, stale: matches!(plant, Some(PagesPlant::Stale)) })
-        }
-        What::Plain { calls, rounds, nodes, before } => {
-            plain::run(&plain::Options { calls, rounds, nodes, before })
-        }
+        What::Pages { pages, plant } => pages::run(&pages::Options {
+            pages,
+            stale: matches!(plant, Some(PagesPlant::Stale)),
+        }),
+        What::Plain {
+            calls,
+            rounds,
+            nodes,
+            before,
+        } => plain::run(&plain::Options {
+            calls,
+            rounds,
+            nodes,
+            before,
+        }),
         What::Plants { jobs } => plants::run(jobs),
-        What::Sizes { nodes, seeds, rounds, frame_bytes } => {
-            sizes::run(&sizes::Options { nodes, seeds, rounds, frame_bytes })
-        }
-        What::Put { into: PutInto::Etcd { to, key, value } } => match sillward_scenarios::etcd::put(to, &key, &value) {
+        What::Sizes {
+            nodes,
+            seeds,
+            rounds,
+            frame_bytes,
+        } => sizes::run(&sizes::Options {
+            nodes,
+            seeds,
+            rounds,
+            frame_bytes,
+        }),
+        What::Put {
+            into: PutInto::Etcd { to, key, value },
+        } => match sillward_scenarios::etcd::put(to, &key, &value) {
             Ok(revision) => {
                 println!("revision {revision}");
                 0
@@ -301,27 +356,38 @@
                 1
             }
         },
-        What::Call { protocol: CallBy::Thrift { encoding, to, method, station, key } } => {
-            match Caller::try_connect(to, encoding.into()) {
-                Ok(mut caller) => {
-                    let answer = caller.call(&method, &[origin(&station, &key, 1000)]);
-                    println!("{:?}: {answer:?}", answer.end());
-                    u8::from(answer.end() != End::Served)
-                }
-                Err(e) => {
-                    eprintln!("cannot connect to {to}: {e}");
-                    1
-                }
+        What::Call {
+            protocol:
+                CallBy::Thrift {
+                    encoding,
+                    to,
+                    method,
+                    station,
+                    key,
+                },
+        } => match Caller::try_connect(to, encoding.into()) {
+            Ok(mut caller) => {
+                let answer = caller.call(&method, &[origin(&station, &key, 1000)]);
+                println!("{:?}: {answer:?}", answer.end());
+                u8::from(answer.end() != End::Served)
             }
-        }
-        What::Serve { stand_in: StandIn::Etcd { listen } } => {
+            Err(e) => {
+                eprintln!("cannot connect to {to}: {e}");
+                1
+            }
+        },
+        What::Serve {
+            stand_in: StandIn::Etcd { listen },
+        } => {
             let etcd = sillward_scenarios::etcd::Etcd::start_with(listen, None);
             println!("an etcd listens on {}", etcd.address);
             loop {
                 std::thread::park();
             }
         }
-        What::Serve { stand_in: StandIn::Thrift { encoding, listen } } => {
+        What::Serve {
+            stand_in: StandIn::Thrift { encoding, listen },
+        } => {
             let tally = load::serve(encoding.into(), listen);
             println!("a tally box listens on {}", tally.address);
             loop {
@@ -333,12 +399,22 @@
 
 /// Builds the node beside this program, as cargo built this. Started by itself, it takes the node that is there.
 fn build() -> bool {
-    let Some(cargo) = std::env::var_os("CARGO") else { return true };
+    let Some(cargo) = std::env::var_os("CARGO") else {
+        return true;
+    };
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     // The program as it ships, and beside it the one with faults within, for the ground.
-    [&["--bin", "sillward"][..], &["--bin", "sillward-faults", "--features", "faults"]].iter().all(|which| {
+    [
+        &["--bin", "sillward"][..],
+        &["--bin", "sillward-faults", "--features", "faults"],
+    ]
+    .iter()
+    .all(|which| {
         let mut command = Command::new(&cargo);
-        command.args(["build", "--quiet", "-p", "sillward"]).args(*which).current_dir(&root);
+        command
+            .args(["build", "--quiet", "-p", "sillward"])
+            .args(*which)
+            .current_dir(&root);
         if !cfg!(debug_assertions) {
             command.arg("--release");
         }
--- a/testing/scenarios/src/pages.rs
+++ b/testing/scenarios/src/pages.rs
@@ -71,22 +71,34 @@
             }
             (None, None) => {}
         }
-        before = if open.is_none() { line.trim() } else { "in a block" };
+        before = if open.is_none() {
+            line.trim()
+        } else {
+            "in a block"
+        };
     }
     if let Some((line, ..)) = open {
         faults.push(format!("{line}: a block without an end"));
     }
-    if faults.is_empty() { Ok(blocks) } else { Err(faults) }
+    if faults.is_empty() {
+        Ok(blocks)
+    } else {
+        Err(faults)
+    }
 }
 
 fn used(info: &str) -> Result<Use, String> {
     let mut words = info.split_whitespace();
     let language = words.next().ok_or("a block that does not say what it is")?;
-    let more: Vec<(&str, &str)> = words.map(|word| word.split_once('=').unwrap_or((word, ""))).collect();
+    let more: Vec<(&str, &str)> = words
+        .map(|word| word.split_once('=').unwrap_or((word, "")))
+        .collect();
     let text = |text: &str| text.replace('+', " ");
     match (language, &more[..]) {
         ("sh", []) => Ok(Use::Run { prints: None }),
-        ("sh", [("prints", what)]) => Ok(Use::Run { prints: Some(text(what)) }),
+        ("sh", [("prints", what)]) => Ok(Use::Run {
+            prints: Some(text(what)),
+        }),
         ("sh", [("fails", what)]) if !what.is_empty() => Ok(Use::Fails { prints: text(what) }),
         ("sh", [("until", what)]) => Ok(Use::Background { until: text(what) }),
         ("sh", [("seconds", n)]) => match n.parse() {
@@ -94,9 +106,9 @@
             _ => Err(format!("no seconds from 1 to {LONGEST_S}: {n}")),
         },
         ("sh" | "bash" | "shell" | "console", _) => Err(format!("no way to run it: {info}")),
-        (_, [("file", name)]) if !name.contains(['/', ' ']) && !name.is_empty() => {
-            Ok(Use::File { name: (*name).to_owned() })
-        }
+        (_, [("file", name)]) if !name.contains(['/', ' ']) && !name.is_empty() => Ok(Use::File {
+            name: (*name).to_owned(),
+        }),
         (_, []) => Ok(Use::Shown),
         _ => Err(format!("not known: {info}")),
     }
@@ -132,12 +144,20 @@
         let uses: Vec<Use> = found.iter().map(|block| block.used.clone()).collect();
         let expected = [
             Use::Run { prints: None },
-            Use::File { name: "x.json".to_owned() },
-            Use::Background { until: "listens on".to_owned() },
+            Use::File {
+                name: "x.json".to_owned(),
+            },
+            Use::Background {
+                until: "listens on".to_owned(),
+            },
             Use::Bounded { seconds: 5 },
             Use::Shown,
-            Use::Run { prints: Some("two words".to_owned()) },
-            Use::Fails { prints: "a word".to_owned() },
+            Use::Run {
+                prints: Some("two words".to_owned()),
+            },
+            Use::Fails {
+                prints: "a word".to_owned(),
+            },
         ];
         assert_eq!(uses, expected);
         assert_eq!((found[0].line, found[0].text.as_str()), (2, "a\nb\n"));
@@ -148,17 +168,18 @@
         let page = "```\nx\n```\n```bash\ny\n```\n```sh seconds=0\nz\n```\n\n    indented\n\n- an item\n\n  its text\n\
                     ```json file=../x\n{}\n```\n```sh\nno end\n";
         let faults = blocks(page).expect_err("faults");
-        let lines: Vec<&str> = faults.iter().filter_map(|fault| fault.split(':').next()).collect();
+        let lines: Vec<&str> = faults
+            .iter()
+            .filter_map(|fault| fault.split(':').next())
+            .collect();
         assert_eq!(lines, ["1", "4", "7", "11", "16", "19"], "{faults:?}");
     }
 
     #[test]
     fn each_port_has_one_other_wherever_it_stands() {
-        let text =
-            "curl http://127.0.0.1:9901/x --to 127.0.0.1:9090 127.0.0.1:9901 127.0.0.1:0 127.0.0.1: 1:2";
+        let text = "curl http://127.0.0.1:9901/x --to 127.0.0.1:9090 127.0.0.1:9901 127.0.0.1:0 127.0.0.1: 1:2";
         let new = ported(text, |port| port + 1);
-        let expected =
-            "curl http://127.0.0.1:9902/x --to 127.0.0.1:9091 127.0.0.1:9902 127.0.0.1:0 127.0.0.1: 1:2";
+        let expected = "curl http://127.0.0.1:9902/x --to 127.0.0.1:9091 127.0.0.1:9902 127.0.0.1:0 127.0.0.1: 1:2";
         assert_eq!(new, expected);
     }
 }
--- a/testing/scenarios/src/scenario.rs
+++ b/testing/scenarios/src/scenario.rs
@@ -46,7 +46,14 @@
     Listed {
         name: "night",
         what: "whole nights on a virtual clock, several troubles at once, from a range of seeds",
-        plants: &["double-correct", "missed-drain", "answer-twice", "late-bytes", "leak", "busy"],
+        plants: &[
+            "double-correct",
+            "missed-drain",
+            "answer-twice",
+            "late-bytes",
+            "leak",
+            "busy",
+        ],
     },
     Listed {
         name: "pages",
@@ -69,7 +76,10 @@
         println!("ok {scenario} seed={seed} {more}");
         0
     } else {
-        println!("FAILED {scenario} seed={seed} {} breaches {more}", breaches.len());
+        println!(
+            "FAILED {scenario} seed={seed} {} breaches {more}",
+            breaches.len()
+        );
         1
     }
 }
--- a/testing/scenarios/src/scenario/demo.rs
+++ b/testing/scenarios/src/scenario/demo.rs
@@ -44,19 +44,32 @@
              body = 2\n{more}"
         )
     };
-    let calls = [call("read", ""), call("submit", "key = 3\n"), call("correct", "")].concat();
+    let calls = [
+        call("read", ""),
+        call("submit", "key = 3\n"),
+        call("correct", ""),
+    ]
+    .concat();
     let compact = tally::operator("compact", "");
-    let operator = format!("{compact}{calls}{}{calls}", tally::operator_backend("u", "binary"));
+    let operator = format!(
+        "{compact}{calls}{}{calls}",
+        tally::operator_backend("u", "binary")
+    );
     let lines = fleet.lines();
-    let (mut node, watch, _discovery) = peers::serving_operator(&config, discovery, &operator, &lines);
+    let (mut node, watch, _discovery) =
+        peers::serving_operator(&config, discovery, &operator, &lines);
     let thrift = node.thrift.expect("a Thrift listener");
-    println!("a node listens for HTTP on {} and for Thrift on {thrift}", node.address);
+    println!(
+        "a node listens for HTTP on {} and for Thrift on {thrift}",
+        node.address
+    );
     println!("calls a second, by how they ended, and by whom they were served; Ctrl-C ends it");
 
     let over = Arc::new(AtomicBool::new(false));
     let mut workers = Vec::new();
     for i in 0..CALLERS {
-        let (board, ledger, over, http) = (board.clone(), ledger.clone(), over.clone(), node.address);
+        let (board, ledger, over, http) =
+            (board.clone(), ledger.clone(), over.clone(), node.address);
         let random = Random::new(seed ^ (i as u64 + 1) << 32);
         workers.push(if i % 2 == 0 {
             spawn(move || call_http(i, random, http, &board, &ledger, &over))
@@ -77,7 +90,9 @@
         }
     }
     over.store(true, Ordering::SeqCst);
-    workers.into_iter().for_each(|worker| worker.join().expect("a caller"));
+    workers
+        .into_iter()
+        .for_each(|worker| worker.join().expect("a caller"));
     events.join().expect("the events");
     node.terminate();
     let ended = node.exit();
@@ -85,14 +100,28 @@
     if !ended.success() {
         breaches.push(format!("the node ended with {ended}"));
     }
-    super::last_line("demo", seed, &breaches, &format!("calls={}", ledger.verdict().calls))
+    super::last_line(
+        "demo",
+        seed,
+        &breaches,
+        &format!("calls={}", ledger.verdict().calls),
+    )
 }
 
 fn show(second: u64, board: &Board) {
     let shown = std::mem::take(&mut *board.lock().expect("the board"));
-    shown.events.iter().for_each(|event| println!("      {event}"));
+    shown
+        .events
+        .iter()
+        .for_each(|event| println!("      {event}"));
     let ends = |protocol: &'static str| {
-        let count = |end| shown.ends.get(&(protocol, end)).copied().unwrap_or_default();
+        let count = |end| {
+            shown
+                .ends
+                .get(&(protocol, end))
+                .copied()
+                .unwrap_or_default()
+        };
         format!(
             "{protocol} served {:3} refused {:2} failed {:2}",
             count(End::Served),
@@ -100,8 +129,17 @@
             count(End::Failed) + count(End::TimedOut) + count(End::Wrong)
         )
     };
-    let by: Vec<String> = shown.by.iter().map(|(name, count)| format!("{name} {count}")).collect();
-    println!("{second:4}s {} | {} | {}", ends("http"), ends("thrift"), by.join(", "));
+    let by: Vec<String> = shown
+        .by
+        .iter()
+        .map(|(name, count)| format!("{name} {count}"))
+        .collect();
+    println!(
+        "{second:4}s {} | {} | {}",
+        ends("http"),
+        ends("thrift"),
+        by.join(", ")
+    );
 }
 
 enum Kind {
@@ -128,7 +166,13 @@
 
 impl Fleet {
     fn new(board: Board, ledger: Arc<Ledger>) -> Self {
-        Fleet { board, ledger, members: Vec::new(), added: 0, index: 8 }
+        Fleet {
+            board,
+            ledger,
+            members: Vec::new(),
+            added: 0,
+            index: 8,
+        }
     }
 
     fn add(&mut self, kind: &'static str) {
@@ -146,28 +190,47 @@
                 let bounds = Bounds::default();
                 let call = read_head(&message.body, &bounds).expect("a message");
                 ledger.runs(&tally::sheet_of(&call).unwrap_or_default(), 0);
-                let head = Head { kind: wire::Kind::Reply, ..call.head };
+                let head = Head {
+                    kind: wire::Kind::Reply,
+                    ..call.head
+                };
                 let reply = tally::message(call.encoding, head, &[(0, Value::from(&*own))]);
                 peers::Reply::Answer("200 OK", "", reply[4..].to_vec())
             });
             (backend.address, Kind::Http(backend))
         } else {
-            let encoding = if kind == "t" { Encoding::Compact } else { BINARY };
+            let encoding = if kind == "t" {
+                Encoding::Compact
+            } else {
+                BINARY
+            };
             let tally = Tally::start(encoding, move |seen| {
                 sleep(Duration::from_millis(3));
                 // A call that came as a GET has no body, and its name in the query.
-                let query = seen.target.as_deref().and_then(|target| target.split_once('?'));
+                let query = seen
+                    .target
+                    .as_deref()
+                    .and_then(|target| target.split_once('?'));
                 let sheet = seen.sheet.as_deref().filter(|sheet| !sheet.is_empty());
                 ledger.runs(sheet.or(query.map(|(_, name)| name)).unwrap_or_default(), 0);
                 Reply::Result(vec![(0, Value::from(&*own))])
             });
             (tally.address, Kind::Thrift(tally))
         };
-        self.members.push(Member { name, kind, address, status: "in_service", backend });
+        self.members.push(Member {
+            name,
+            kind,
+            address,
+            status: "in_service",
+            backend,
+        });
     }
 
     fn lines(&self) -> Vec<String> {
-        let lines = self.members.iter().map(|m| entry_of(m.kind, &m.name, m.address, m.status));
+        let lines = self
+            .members
+            .iter()
+            .map(|m| entry_of(m.kind, &m.name, m.address, m.status));
         lines.collect()
     }
 
@@ -216,7 +279,11 @@
                 let place = random.below(fleet.members.len());
                 let (name, kind) = (fleet.members[place].name.clone(), fleet.members[place].kind);
                 fleet.add(kind);
-                let new = fleet.members.last().map(|m| m.name.clone()).unwrap_or_default();
+                let new = fleet
+                    .members
+                    .last()
+                    .map(|m| m.name.clone())
+                    .unwrap_or_default();
                 fleet.members[place].status = "terminating";
                 fleet.tell(&mut watch, format!("{name} drains, {new} takes its place"));
                 // It stays for as long as the grace and the longest call.
@@ -228,7 +295,11 @@
             }
             _ if fleet.members.len() < 10 => {
                 fleet.add(["m", "t", "u"][random.below(3)]);
-                let new = fleet.members.last().map(|m| m.name.clone()).unwrap_or_default();
+                let new = fleet
+                    .members
+                    .last()
+                    .map(|m| m.name.clone())
+                    .unwrap_or_default();
                 fleet.tell(&mut watch, format!("{new} was added"));
             }
             _ => {}
@@ -269,12 +340,20 @@
         sleep(PAUSE);
         let sheet = format!("http-{number}-{call}");
         let (class, repeat) = kind_of(&mut random);
-        let (method, body) = if repeat == Repeat::Safe { ("GET", "") } else { ("POST", &*sheet) };
+        let (method, body) = if repeat == Repeat::Safe {
+            ("GET", "")
+        } else {
+            ("POST", &*sheet)
+        };
         let headers = format!(
             "X-Call-Id: {sheet}\r\nX-Caller: acme\r\nX-Budget-Ms: 1000\r\nIdempotency-Key: {sheet}\r\n"
         );
         ledger.begins(&sheet, repeat);
-        client.send(&format!("{method} /{class}/1f?{sheet}"), &headers, body.as_bytes());
+        client.send(
+            &format!("{method} /{class}/1f?{sheet}"),
+            &headers,
+            body.as_bytes(),
+        );
         let begun = Instant::now();
         let Some(answer) = client.answer() else {
             client = Client::connect(address);
--- a/testing/scenarios/src/scenario/etcd.rs
+++ b/testing/scenarios/src/scenario/etcd.rs
@@ -60,18 +60,29 @@
         })
         .collect();
     let etcd = Etcd::start();
-    let put =
-        |i: usize, status: &str| etcd.put(&key(i), &entry(&format!("b-{i}"), backends[i].address, status), 0);
+    let put = |i: usize, status: &str| {
+        etcd.put(
+            &key(i),
+            &entry(&format!("b-{i}"), backends[i].address, status),
+            0,
+        )
+    };
     for i in 0..BACKENDS {
         put(i, "in_service");
     }
     let discovery = Discovery::start();
     let operator = operator(&[etcd.address], 450, "") + "[admin]\nlisten = \"127.0.0.1:0\"\n";
-    let node = Node::start_with(&config(discovery.address, &settings(2_000, ""), 1024), &operator);
+    let node = Node::start_with(
+        &config(discovery.address, &settings(2_000, ""), 1024),
+        &operator,
+    );
     let mut roster = discovery.call();
     roster.open();
     roster.line(&list(1, true, &[]));
-    until(|| node.is_ready() && page(&node, "/admin/membership").contains(r#""backends":8,"#), "a list");
+    until(
+        || node.is_ready() && page(&node, "/admin/membership").contains(r#""backends":8,"#),
+        "a list",
+    );
 
     let (to_decision, round_trip) = calm_times(&etcd, &node, &backends[0]);
     let over = Arc::new(AtomicBool::new(false));
@@ -89,37 +100,66 @@
     let memory = node.memory_kb().saturating_sub(before);
     let disturbed = disturb(options, &etcd, &put);
     over.store(true, Ordering::SeqCst);
-    let asked: Vec<Asked> = clients.into_iter().flat_map(|client| client.join().expect("a client")).collect();
+    let asked: Vec<Asked> = clients
+        .into_iter()
+        .flat_map(|client| client.join().expect("a client"))
+        .collect();
 
     let mut breaches = Vec::new();
     let p99 = |from: Option<Instant>, to: Instant| {
         let within = |at: &Instant| from.is_none_or(|from| *at >= from) && *at < to;
-        let mut times: Vec<Duration> =
-            asked.iter().filter(|(at, ..)| within(at)).map(|(_, took, _)| *took).collect();
+        let mut times: Vec<Duration> = asked
+            .iter()
+            .filter(|(at, ..)| within(at))
+            .map(|(_, took, _)| *took)
+            .collect();
         times.sort();
-        times.get(times.len() * 99 / 100).copied().unwrap_or_default()
+        times
+            .get(times.len() * 99 / 100)
+            .copied()
+            .unwrap_or_default()
     };
     let (calm_p99, large_p99) = (p99(None, calm), p99(Some(calm), large));
-    let statuses = |wanted: fn(u16) -> bool| asked.iter().filter(|(.., status)| wanted(*status)).count();
+    let statuses =
+        |wanted: fn(u16) -> bool| asked.iter().filter(|(.., status)| wanted(*status)).count();
     let (lost, refused) = (statuses(|s| s == 0), statuses(|s| s == 503));
     let failed = asked.len() - statuses(|s| s == 200) - lost - refused;
     if lost + failed > 0 {
-        breaches.push(format!("{lost} requests without an answer, {failed} failed"));
+        breaches.push(format!(
+            "{lost} requests without an answer, {failed} failed"
+        ));
     }
     // A module that has backends may refuse one now and then; one that has none refuses all.
     if refused * 100 > asked.len() {
-        breaches.push(format!("{refused} of {} refused: the list was empty for a while", asked.len()));
+        breaches.push(format!(
+            "{refused} of {} refused: the list was empty for a while",
+            asked.len()
+        ));
     }
     let still = longest_still(large, &arrivals);
     if still > STILL {
-        breaches.push(format!("nothing was sent to anybody for {} ms", still.as_millis()));
+        breaches.push(format!(
+            "nothing was sent to anybody for {} ms",
+            still.as_millis()
+        ));
     }
     let effects = check_drains(&disturbed, &etcd, &arrivals, &mut breaches);
     let median = |mut times: Vec<Duration>| {
         times.sort();
-        times.get(times.len() / 2).copied().unwrap_or_default().as_secs_f64() * 1e3
+        times
+            .get(times.len() / 2)
+            .copied()
+            .unwrap_or_default()
+            .as_secs_f64()
+            * 1e3
     };
-    let worst = effects.iter().max().copied().unwrap_or_default().as_secs_f64() * 1e3;
+    let worst = effects
+        .iter()
+        .max()
+        .copied()
+        .unwrap_or_default()
+        .as_secs_f64()
+        * 1e3;
     let (decision_ms, trip_ms) = (median(to_decision), median(round_trip));
     figure("requests", asked.len());
     figure("refused", refused);
@@ -130,15 +170,32 @@
     figure("put_to_effect_worst_ms", format!("{worst:.1}"));
     figure("put_to_decision_ms", format!("{decision_ms:.3}"));
     figure("bare_round_trip_ms", format!("{trip_ms:.3}"));
-    figure("decision_to_round_trip", format!("{:.2}", decision_ms / trip_ms));
-    figure("calm_p99_ms", format!("{:.2}", calm_p99.as_secs_f64() * 1e3));
-    figure("large_list_p99_ms", format!("{:.2}", large_p99.as_secs_f64() * 1e3));
-    figure("large_to_calm", format!("{:.2}", large_p99.as_secs_f64() / calm_p99.as_secs_f64()));
+    figure(
+        "decision_to_round_trip",
+        format!("{:.2}", decision_ms / trip_ms),
+    );
+    figure(
+        "calm_p99_ms",
+        format!("{:.2}", calm_p99.as_secs_f64() * 1e3),
+    );
+    figure(
+        "large_list_p99_ms",
+        format!("{:.2}", large_p99.as_secs_f64() * 1e3),
+    );
+    figure(
+        "large_to_calm",
+        format!("{:.2}", large_p99.as_secs_f64() / calm_p99.as_secs_f64()),
+    );
     figure("bytes_a_backend", memory * 1024 / LARGE);
     if disturbed.drains.len() < 3 || disturbed.ends.len() < 3 {
         breaches.push("too little happened: that is no test".to_owned());
     }
-    last_line("etcd", options.seed, &breaches, &format!("requests={}", asked.len()))
+    last_line(
+        "etcd",
+        options.seed,
+        &breaches,
+        &format!("requests={}", asked.len()),
+    )
 }
 
 fn key(i: usize) -> String {
@@ -154,27 +211,42 @@
 fn calm_times(etcd: &Etcd, node: &Node, backend: &Backend) -> (Vec<Duration>, Vec<Duration>) {
     let mut decisions = Vec::new();
     for i in 0..60 {
-        let status = if i % 2 == 0 { "terminating" } else { "in_service" };
+        let status = if i % 2 == 0 {
+            "terminating"
+        } else {
+            "in_service"
+        };
         let wanted = format!("\"address\":\"{}\",\"state\":\"{status}\"", backend.address);
         let begun = Instant::now();
         etcd.put(&key(0), &entry("b-0", backend.address, status), 0);
         while !page(node, "/admin/membership").contains(&wanted) {
-            assert!(begun.elapsed() < Duration::from_secs(10), "the node follows");
+            assert!(
+                begun.elapsed() < Duration::from_secs(10),
+                "the node follows"
+            );
         }
         decisions.push(begun.elapsed());
         sleep(Duration::from_millis(5));
     }
     let address = etcd.address;
     let trips = spawn(move || {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .expect("a runtime");
         tokio::task::LocalSet::new().block_on(&runtime, async move {
             let mut grpc = Grpc::connect(address).await.expect("a connection");
             let mut times = Vec::new();
             for _ in 0..60 {
-                let request = RangeRequest { key: key(0).into(), ..RangeRequest::default() };
+                let request = RangeRequest {
+                    key: key(0).into(),
+                    ..RangeRequest::default()
+                };
                 let begun = Instant::now();
-                let _: RangeResponse =
-                    grpc.unary("/etcdserverpb.KV/Range", &request).await.expect("an answer");
+                let _: RangeResponse = grpc
+                    .unary("/etcdserverpb.KV/Range", &request)
+                    .await
+                    .expect("an answer");
                 times.push(begun.elapsed());
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
@@ -187,8 +259,13 @@
 /// Ten thousand entries that nobody may use, told in whole lists, several times over.
 fn large_lists(etcd: &Etcd, node: &Node) {
     let nowhere: SocketAddr = "127.0.0.1:1".parse().expect("an address");
-    let put =
-        |i| etcd.put(&format!("/tally/far-{i:05}"), &entry(&format!("far-{i}"), nowhere, "terminating"), 0);
+    let put = |i| {
+        etcd.put(
+            &format!("/tally/far-{i:05}"),
+            &entry(&format!("far-{i}"), nowhere, "terminating"),
+            0,
+        )
+    };
     for round in 0..LISTS {
         etcd.down();
         if round == 0 {
@@ -225,20 +302,33 @@
     let (mut random, mut disturbed) = (Random::new(options.seed), Disturbed::default());
     let end = Instant::now() + Duration::from_secs(options.seconds);
     let drain = |disturbed: &mut Disturbed, random: &mut Random| {
-        let out: Vec<usize> =
-            disturbed.drains.iter().filter(|d| d.until.is_none()).map(|d| d.backend).collect();
+        let out: Vec<usize> = disturbed
+            .drains
+            .iter()
+            .filter(|d| d.until.is_none())
+            .map(|d| d.backend)
+            .collect();
         if out.len() < 3 {
             let free: Vec<usize> = (0..BACKENDS).filter(|i| !out.contains(i)).collect();
             let backend = free[random.below(free.len())];
             let (instant, revision) = (Instant::now(), put(backend, "terminating"));
-            disturbed.drains.push(Drain { backend, put: instant, revision, until: None });
+            disturbed.drains.push(Drain {
+                backend,
+                put: instant,
+                revision,
+                until: None,
+            });
         }
     };
     let mut second = 0;
     while Instant::now() < end {
         sleep(random.millis(150..450));
         // Back into service once it has been out for long enough.
-        for drain in disturbed.drains.iter_mut().filter(|drain| drain.until.is_none()) {
+        for drain in disturbed
+            .drains
+            .iter_mut()
+            .filter(|drain| drain.until.is_none())
+        {
             if drain.put.elapsed() > GRACE + 3 * CATCH_UP {
                 drain.until = Some(Instant::now());
                 put(drain.backend, "in_service");
@@ -256,7 +346,10 @@
                 // What was drained is behind the compaction.
                 etcd.put("/other", "", 0);
                 etcd.compact();
-                etcd.behave(Manner { forgets: options.forgets, ..Manner::default() });
+                etcd.behave(Manner {
+                    forgets: options.forgets,
+                    ..Manner::default()
+                });
                 etcd.up();
                 // Left alone for long enough that it must be known.
                 calm = true;
@@ -268,14 +361,24 @@
             }
             4 => {
                 let empties = options.empties;
-                etcd.behave(Manner { empties, ..Manner::default() });
+                etcd.behave(Manner {
+                    empties,
+                    ..Manner::default()
+                });
                 if empties {
                     sleep(Duration::from_millis(100));
                 }
-                etcd.behave(Manner { stalled: true, empties, ..Manner::default() });
+                etcd.behave(Manner {
+                    stalled: true,
+                    empties,
+                    ..Manner::default()
+                });
                 drain(&mut disturbed, &mut random);
                 sleep(random.millis(300..1200));
-                etcd.behave(Manner { empties, ..Manner::default() });
+                etcd.behave(Manner {
+                    empties,
+                    ..Manner::default()
+                });
             }
             _ => etcd.behave(Manner {
                 split: 1,
@@ -288,7 +391,9 @@
         if calm {
             sleep(CATCH_UP + SLACK);
         }
-        let seconds = options.seconds.saturating_sub(end.saturating_duration_since(Instant::now()).as_secs());
+        let seconds = options
+            .seconds
+            .saturating_sub(end.saturating_duration_since(Instant::now()).as_secs());
         if seconds >= second + 2 {
             second = seconds;
             eprintln!(
@@ -308,10 +413,19 @@
 fn longest_still(from: Instant, arrivals: &[Arc<Mutex<Vec<Instant>>>]) -> Duration {
     let mut all: Vec<Instant> = vec![from];
     for arrivals in arrivals {
-        all.extend(arrivals.lock().expect("arrivals").iter().filter(|at| **at > from));
+        all.extend(
+            arrivals
+                .lock()
+                .expect("arrivals")
+                .iter()
+                .filter(|at| **at > from),
+        );
     }
     all.sort();
-    all.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap_or_default()
+    all.windows(2)
+        .map(|pair| pair[1] - pair[0])
+        .max()
+        .unwrap_or_default()
 }
 
 /// No send later than the grace after a drain was told, nor after it should have been; returns how long after the
@@ -326,7 +440,9 @@
     let mut effects = Vec::new();
     for drain in &disturbed.drains {
         let told = sent.iter().find(|(_, sent)| match sent {
-            Sent::Event(name, revision) => *name == key(drain.backend) && *revision >= drain.revision,
+            Sent::Event(name, revision) => {
+                *name == key(drain.backend) && *revision >= drain.revision
+            }
             Sent::List(revision) => *revision >= drain.revision,
         });
         // Whatever happens, it is known when etcd has been left alone for long enough.
@@ -336,14 +452,23 @@
                 quiet = *end;
             }
         }
-        let due = told.map_or(quiet + CATCH_UP, |(at, _)| (*at).min(quiet + CATCH_UP)) + GRACE + SLACK;
-        let until = drain.until.unwrap_or_else(|| drain.put + Duration::from_secs(3600));
+        let due =
+            told.map_or(quiet + CATCH_UP, |(at, _)| (*at).min(quiet + CATCH_UP)) + GRACE + SLACK;
+        let until = drain
+            .until
+            .unwrap_or_else(|| drain.put + Duration::from_secs(3600));
         let arrivals = arrivals[drain.backend].lock().expect("arrivals");
-        let late = arrivals.iter().filter(|at| **at > due && **at < until).count();
+        let late = arrivals
+            .iter()
+            .filter(|at| **at > due && **at < until)
+            .count();
         if late > 0 {
             breaches.push(format!("b-{}: {late} sends past the grace", drain.backend));
         }
-        let last = arrivals.iter().filter(|at| **at > drain.put && **at < until).max();
+        let last = arrivals
+            .iter()
+            .filter(|at| **at > drain.put && **at < until)
+            .max();
         effects.push(last.map_or(Duration::ZERO, |last| *last - drain.put));
     }
     effects
--- a/testing/scenarios/src/scenario/few.rs
+++ b/testing/scenarios/src/scenario/few.rs
@@ -39,13 +39,24 @@
 /// Runs it, prints its figures, and returns the exit code.
 pub fn run(options: &Options) -> u8 {
     let runs = Runs::default();
-    let boxes: Vec<_> = (0..options.boxes).map(|i| healthy(i, options, &runs)).collect();
+    let boxes: Vec<_> = (0..options.boxes)
+        .map(|i| healthy(i, options, &runs))
+        .collect();
     let line = |(i, tally): (usize, &Arc<Tally>)| {
-        entry_of(["t", "u"][i % 2], &format!("t-{i}"), tally.address, "in_service")
+        entry_of(
+            ["t", "u"][i % 2],
+            &format!("t-{i}"),
+            tally.address,
+            "in_service",
+        )
     };
     let lines: Vec<String> = boxes.iter().enumerate().map(line).collect();
     let discovery = Discovery::start();
-    let more = if options.parallel { r#","ParallelTries":true"# } else { "" };
+    let more = if options.parallel {
+        r#","ParallelTries":true"#
+    } else {
+        ""
+    };
     let config = config(discovery.address, &settings(options.budget_ms, more), 1024);
     let operator = tally::operator("compact", "") + &tally::operator_backend("u", "binary");
     let (node, _watch, _discovery) = peers::serving_operator(&config, discovery, &operator, &lines);
@@ -68,7 +79,12 @@
     let seconds = started.elapsed().as_secs_f64();
     let count = |end| ends.get(&end).copied().unwrap_or_default();
     let all: usize = ends.values().sum();
-    let twice = runs.lock().expect("runs").values().filter(|times| **times > 1).count();
+    let twice = runs
+        .lock()
+        .expect("runs")
+        .values()
+        .filter(|times| **times > 1)
+        .count();
     figure("calls", all);
     figure("calls_per_second", format!("{:.0}", all as f64 / seconds));
     figure("served", count(End::Served));
@@ -87,7 +103,10 @@
     if options.boxes == 1 && twice > 0 {
         breaches.push(format!("{twice} calls reached the box twice"));
     }
-    let more = format!("boxes={} callers={} calls={all}", options.boxes, options.callers);
+    let more = format!(
+        "boxes={} callers={} calls={all}",
+        options.boxes, options.callers
+    );
     last_line("few", options.seed, &breaches, &more)
 }
 
@@ -96,30 +115,46 @@
     let (runs, late) = (runs.clone(), options.budget_ms + 500);
     let (most, tail) = (options.most_ms as usize, options.tail_ms as usize);
     let (turns_away, is_late) = (options.turn_away, options.late);
-    Tally::start(if number % 2 == 0 { BOTH[1] } else { BINARY }, move |seen| {
-        let sheet = seen.sheet.clone().unwrap_or_default();
-        *runs.lock().expect("runs").entry(sheet.clone()).or_default() += 1;
-        let (chance, pause) = {
-            let mut random = random.lock().expect("its chance");
-            let chance = random.below(200);
-            let most = if chance % 50 == 1 { tail } else { most };
-            (chance, random.millis(1..most.max(2)))
-        };
-        if turns_away && chance == 0 {
-            return Reply::Bytes(seen.exception(10));
-        }
-        sleep(if is_late && chance == 0 { Duration::from_millis(late) } else { pause });
-        tally::ok(&sheet)
-    })
+    Tally::start(
+        if number % 2 == 0 { BOTH[1] } else { BINARY },
+        move |seen| {
+            let sheet = seen.sheet.clone().unwrap_or_default();
+            *runs.lock().expect("runs").entry(sheet.clone()).or_default() += 1;
+            let (chance, pause) = {
+                let mut random = random.lock().expect("its chance");
+                let chance = random.below(200);
+                let most = if chance % 50 == 1 { tail } else { most };
+                (chance, random.millis(1..most.max(2)))
+            };
+            if turns_away && chance == 0 {
+                return Reply::Bytes(seen.exception(10));
+            }
+            sleep(if is_late && chance == 0 {
+                Duration::from_millis(late)
+            } else {
+                pause
+            });
+            tally::ok(&sheet)
+        },
+    )
 }
 
-fn call(number: usize, seed: u64, calls: usize, budget: u64, address: SocketAddr) -> Vec<(End, Duration)> {
+fn call(
+    number: usize,
+    seed: u64,
+    calls: usize,
+    budget: u64,
+    address: SocketAddr,
+) -> Vec<(End, Duration)> {
     let mut random = Random::new(seed ^ (number as u64 + 1) << 20);
     let mut caller = Caller::connect(address, BOTH[number % 2]);
     let call = |i| {
         let method = ["Tally:read", "Tally:submit", "Tally:correct"][random.below(3)];
         let sheet = format!("{number}-{i}");
-        let arguments = [origin("1f", &sheet, budget as i64), (2, Value::from(&*sheet))];
+        let arguments = [
+            origin("1f", &sheet, budget as i64),
+            (2, Value::from(&*sheet)),
+        ];
         let begun = Instant::now();
         let answer = caller.call(method, &arguments);
         let own = answer.end() != End::Served || answer.text.as_deref() == Some(&*sheet);
--- a/testing/scenarios/src/scenario/fleet.rs
+++ b/testing/scenarios/src/scenario/fleet.rs
@@ -69,7 +69,9 @@
 }
 
 fn clock(text: &str) -> Result<(usize, f64), String> {
-    let read = text.split_once(':').and_then(|(node, rate)| Some((node.parse().ok()?, rate.parse().ok()?)));
+    let read = text
+        .split_once(':')
+        .and_then(|(node, rate)| Some((node.parse().ok()?, rate.parse().ok()?)));
     read.ok_or_else(|| format!("{text:?} is not NODE:RATE"))
 }
 
@@ -97,11 +99,32 @@
 /// A node killed without its folder, one paused, and a zone cut off.
 fn killed_and_cut(nodes: usize) -> Vec<Fault> {
     let last = nodes - 1;
-    let cut = What::Cut { from: Which::Zone(0), to: Which::All, both: true, for_ms: 6_000 };
+    let cut = What::Cut {
+        from: Which::Zone(0),
+        to: Which::All,
+        both: true,
+        for_ms: 6_000,
+    };
     vec![
-        Fault { at_ms: 0, what: What::Kill { node: last, for_ms: 2_000, folder: Folder::Lost } },
-        Fault { at_ms: 3_000, what: cut },
-        Fault { at_ms: 4_000, what: What::Pause { node: 1, for_ms: 1_500 } },
+        Fault {
+            at_ms: 0,
+            what: What::Kill {
+                node: last,
+                for_ms: 2_000,
+                folder: Folder::Lost,
+            },
+        },
+        Fault {
+            at_ms: 3_000,
+            what: cut,
+        },
+        Fault {
+            at_ms: 4_000,
+            what: What::Pause {
+                node: 1,
+                for_ms: 1_500,
+            },
+        },
     ]
 }
 
@@ -109,14 +132,22 @@
     if options.nodes < 2 || options.zones == 0 || options.zones > options.nodes {
         return Err("a fleet has two nodes at least, and a zone for each of some".to_owned());
     }
-    let places = Places { nodes: options.nodes, zones: options.zones };
-    if let Some(unknown) = options.kinds.iter().find(|kind| !KINDS.contains(&kind.as_str())) {
+    let places = Places {
+        nodes: options.nodes,
+        zones: options.zones,
+    };
+    if let Some(unknown) = options
+        .kinds
+        .iter()
+        .find(|kind| !KINDS.contains(&kind.as_str()))
+    {
         return Err(format!("{unknown:?} is none of {}", KINDS.join(", ")));
     }
     let faults = match &options.faults {
         None => None,
         Some(path) => {
-            let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
+            let text =
+                std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
             Some(read(&text, places).map_err(|e| format!("{}: {e}", path.display()))?)
         }
     };
@@ -141,12 +172,23 @@
         }
         let (voters, bound_ms) = (options.voters, options.bound_ms);
         let (rounds, count) = (options.rounds.clone(), options.count);
-        let verdict = settings::play(&settings::Play { options: ground, voters, bound_ms, rounds, count })?;
+        let verdict = settings::play(&settings::Play {
+            options: ground,
+            voters,
+            bound_ms,
+            rounds,
+            count,
+        })?;
         for (name, value) in &verdict.figures {
             super::figure(name, value);
         }
         let more = format!("nodes={} rounds: {}", options.nodes, verdict.script);
-        return Ok(super::last_line(&options.scenario, seed, &verdict.breaches, &more));
+        return Ok(super::last_line(
+            &options.scenario,
+            seed,
+            &verdict.breaches,
+            &more,
+        ));
     }
     if options.scenario == "outcomes" {
         let faults = faults.unwrap_or_else(|| killed_and_cut(options.nodes));
@@ -155,7 +197,12 @@
             super::figure(name, value);
         }
         let more = format!("nodes={} faults={}", options.nodes, faults.len());
-        return Ok(super::last_line(&options.scenario, seed, &verdict.breaches, &more));
+        return Ok(super::last_line(
+            &options.scenario,
+            seed,
+            &verdict.breaches,
+            &more,
+        ));
     }
     let play = Play {
         options: ground,
@@ -172,8 +219,24 @@
         super::figure(name, value);
     }
     if !verdict.breaches.is_empty() {
-        print!("{}", verdict.script.lines().map(|line| format!("script {line}\n")).collect::<String>());
+        print!(
+            "{}",
+            verdict
+                .script
+                .lines()
+                .map(|line| format!("script {line}\n"))
+                .collect::<String>()
+        );
     }
-    let more = format!("nodes={} faults={}", options.nodes, verdict.script.lines().count());
-    Ok(super::last_line(&options.scenario, seed, &verdict.breaches, &more))
+    let more = format!(
+        "nodes={} faults={}",
+        options.nodes,
+        verdict.script.lines().count()
+    );
+    Ok(super::last_line(
+        &options.scenario,
+        seed,
+        &verdict.breaches,
+        &more,
+    ))
 }
--- a/testing/scenarios/src/scenario/load.rs
+++ b/testing/scenarios/src/scenario/load.rs
@@ -21,7 +21,8 @@
         let answer = answer.clone();
         move |_| peers::ok(&answer)
     });
-    let tallies = [BINARY, Encoding::Compact].map(|encoding| Tally::start(encoding, |_| ok("counted")));
+    let tallies =
+        [BINARY, Encoding::Compact].map(|encoding| Tally::start(encoding, |_| ok("counted")));
     let node = |kind: &str, address| {
         let discovery = Discovery::start();
         let config = config(discovery.address, &settings(5_000, ""), 1024);
@@ -38,7 +39,11 @@
     for round in 0..=ROUNDS {
         for (i, node) in [by_http, by_binary, by_compact].into_iter().enumerate() {
             let before = node.cpu_seconds();
-            let count = if i == 0 { http_calls(node, &body, each) } else { thrift_calls(node, &body, each) };
+            let count = if i == 0 {
+                http_calls(node, &body, each)
+            } else {
+                thrift_calls(node, &body, each)
+            };
             // The first round warms up.
             if round > 0 {
                 cpu[i] += node.cpu_seconds() - before;
@@ -56,7 +61,11 @@
     figure("thrift_to_http", format!("{:.3}", each(1) / each(0)));
     figure("transcoded_to_http", format!("{:.3}", each(2) / each(0)));
     let good = served.iter().all(|count| *count > 0) && each(1).max(each(2)) <= 1.3 * each(0);
-    println!("{} load calls={}", if good { "ok" } else { "FAILED" }, served.iter().sum::<usize>());
+    println!(
+        "{} load calls={}",
+        if good { "ok" } else { "FAILED" },
+        served.iter().sum::<usize>()
+    );
     u8::from(!good)
 }
 
@@ -81,7 +90,8 @@
         move || {
             let mut caller = Caller::connect(address, BINARY);
             let arguments = [origin("1f", "", 5_000), (2, Value::from(&*body))];
-            let call = |_| usize::from(caller.call("Tally:correct", &arguments).end() == End::Served);
+            let call =
+                |_| usize::from(caller.call("Tally:correct", &arguments).end() == End::Served);
             (0..each).map(call).sum()
         }
     })
@@ -89,13 +99,18 @@
 
 fn clients<C: FnOnce() -> usize + Send + 'static>(client: impl Fn() -> C) -> usize {
     let all: Vec<_> = (0..CLIENTS).map(|_| spawn(client())).collect();
-    all.into_iter().map(|client| client.join().expect("a client")).sum()
+    all.into_iter()
+        .map(|client| client.join().expect("a client"))
+        .sum()
 }
 
 /// Keeps a tally box alone for others to call, until it is ended.
 pub fn serve(encoding: Encoding, listen: std::net::SocketAddr) -> Arc<Tally> {
     Tally::start_on(listen, encoding, |seen| {
-        println!("{} seqid={} station={:?} key={:?}", seen.name, seen.seqid, seen.station, seen.key);
+        println!(
+            "{} seqid={} station={:?} key={:?}",
+            seen.name, seen.seqid, seen.station, seen.key
+        );
         ok("counted")
     })
 }
--- a/testing/scenarios/src/scenario/night.rs
+++ b/testing/scenarios/src/scenario/night.rs
@@ -105,13 +105,21 @@
     let (from, to) = text.split_once("..").ok_or("a range is FROM..TO")?;
     let number = |text: &str| text.parse::<u64>().map_err(|e| format!("{text}: {e}"));
     let (from, to) = (number(from)?, number(to)?);
-    if from < to { Ok(from..to) } else { Err(format!("{from}..{to} is empty")) }
+    if from < to {
+        Ok(from..to)
+    } else {
+        Err(format!("{from}..{to} is empty"))
+    }
 }
 
 /// Runs what was asked for; the exit code.
 pub fn run(options: &Options) -> u8 {
     let plant = options.plant.map(plants::Plant::from);
-    let play = Play { plant, often: options.often, ..Play::default() };
+    let play = Play {
+        plant,
+        often: options.often,
+        ..Play::default()
+    };
     let done = if let Some(what) = &options.replay {
         replay(options, &play, what)
     } else if let Some(what) = &options.explain {
@@ -137,7 +145,10 @@
     if script.version == VERSION {
         Ok(script)
     } else {
-        Err(format!("{what}: version {}, and this program plays version {VERSION}", script.version))
+        Err(format!(
+            "{what}: version {}, and this program plays version {VERSION}",
+            script.version
+        ))
     }
 }
 
@@ -148,7 +159,14 @@
 fn replay(options: &Options, play_: &Play, what: &str) -> Result<u8, String> {
     let script = script_of(what)?;
     let lines = options.trace.is_some();
-    let first = play(&script, &Play { lines, ..play_.clone() }).map_err(|e| e.to_string())?;
+    let first = play(
+        &script,
+        &Play {
+            lines,
+            ..play_.clone()
+        },
+    )
+    .map_err(|e| e.to_string())?;
     if let Some(path) = &options.trace {
         let text = first.lines.join("\n") + "\n";
         fs::write(path, text).map_err(|e| format!("cannot write {}: {e}", path.display()))?;
@@ -160,29 +178,46 @@
         if (again.hash, again.steps) == (first.hash, first.steps) {
             same += 1;
         } else {
-            breaches.push(format!("hash {:016x} and then {:016x}", first.hash, again.hash));
+            breaches.push(format!(
+                "hash {:016x} and then {:016x}",
+                first.hash, again.hash
+            ));
         }
     }
     figure("hash", format_args!("{:016x}", first.hash));
     figure("steps", first.steps);
     figure("virtual_ms", first.virtual_time.as_millis());
     figure("same_hash", same);
-    Ok(last_line("night", script.seed, &breaches, &format!("replayed {} times", options.times)))
+    Ok(last_line(
+        "night",
+        script.seed,
+        &breaches,
+        &format!("replayed {} times", options.times),
+    ))
 }
 
 fn explain(script: &Script, play: &Play) -> Result<u8, String> {
     let (outcome, text) = story(script, play).map_err(|e| e.to_string())?;
     print!("{text}");
-    Ok(last_line("night", script.seed, &broken(&outcome), "explained"))
+    Ok(last_line(
+        "night",
+        script.seed,
+        &broken(&outcome),
+        "explained",
+    ))
 }
 
 fn make_smaller(options: &Options, play: &Play, script: &Script) -> Result<u8, String> {
     let Some((smallest, plays)) = shrink(script, play) else {
-        println!("ok night seed={} nothing to make smaller: no rule was broken", script.seed);
+        println!(
+            "ok night seed={} nothing to make smaller: no rule was broken",
+            script.seed
+        );
         return Ok(0);
     };
     let text = serde_json::to_string_pretty(&smallest).map_err(|e| e.to_string())?;
-    fs::write(&options.to, text).map_err(|e| format!("cannot write {}: {e}", options.to.display()))?;
+    fs::write(&options.to, text)
+        .map_err(|e| format!("cannot write {}: {e}", options.to.display()))?;
     figure("nights_played", plays);
     for (name, before, after) in [
         ("faults", script.faults.len(), smallest.faults.len()),
@@ -226,25 +261,38 @@
 
 /// The seeds of a file: one a line, with why behind it; `#` begins a comment.
 fn kept(path: &Path) -> Result<Vec<u64>, String> {
-    let text = fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-    let lines = text.lines().enumerate().filter(|(_, line)| !line.is_empty() && !line.starts_with('#'));
+    let text =
+        fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
+    let lines = text
+        .lines()
+        .enumerate()
+        .filter(|(_, line)| !line.is_empty() && !line.starts_with('#'));
     let seed = |(number, line): (usize, &str)| {
         let first = line.split_whitespace().next().unwrap_or_default();
-        first.parse().map_err(|e| format!("{}:{}: {first}: {e}", path.display(), number + 1))
+        first
+            .parse()
+            .map_err(|e| format!("{}:{}: {first}: {e}", path.display(), number + 1))
     };
     lines.map(seed).collect()
 }
 
 fn search(options: &Options, play_: &Play) -> Result<u8, String> {
     let seeds = seeds(options)?;
-    let jobs = options.jobs.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, usize::from));
-    let style = ProgressStyle::with_template("{wide_bar} {pos}/{len} nights, {per_sec}, {eta} left {msg}");
+    let jobs = options
+        .jobs
+        .unwrap_or_else(|| std::thread::available_parallelism().map_or(1, usize::from));
+    let style =
+        ProgressStyle::with_template("{wide_bar} {pos}/{len} nights, {per_sec}, {eta} left {msg}");
     let bar = ProgressBar::new(seeds.len() as u64);
     bar.set_style(style.map_err(|e| e.to_string())?);
     let (next, over) = (AtomicU64::new(0), AtomicBool::new(false));
     let found = Mutex::new(Found::default());
-    let at_work: Vec<AtWork> =
-        (0..jobs).map(|_| AtWork { seed: AtomicU64::new(u64::MAX), beat: Arc::default() }).collect();
+    let at_work: Vec<AtWork> = (0..jobs)
+        .map(|_| AtWork {
+            seed: AtomicU64::new(u64::MAX),
+            beat: Arc::default(),
+        })
+        .collect();
     let began = Instant::now();
     std::thread::scope(|scope| {
         for own in &at_work {
@@ -256,7 +304,13 @@
                     own.beat.store(0, Ordering::Relaxed);
                     own.seed.store(seed, Ordering::Relaxed);
                     let beat = Some(own.beat.clone());
-                    let outcome = play(&night(seed), &Play { beat, ..play_.clone() });
+                    let outcome = play(
+                        &night(seed),
+                        &Play {
+                            beat,
+                            ..play_.clone()
+                        },
+                    );
                     own.seed.store(u64::MAX, Ordering::Relaxed);
                     let mut found = found.lock().expect("no thread panics with it");
                     match outcome {
@@ -278,7 +332,12 @@
     found.report(wall, jobs);
     let mut breaches: Vec<String> = Vec::new();
     found.breaches.sort();
-    breaches.extend(found.breaches.iter().map(|(seed, what, _)| format!("seed {seed}: {what}")));
+    breaches.extend(
+        found
+            .breaches
+            .iter()
+            .map(|(seed, what, _)| format!("seed {seed}: {what}")),
+    );
     found.hashes.sort_unstable();
     if let Some(path) = &options.hashes {
         let mut text = String::new();
@@ -290,16 +349,27 @@
     if let Some(path) = &options.expect {
         breaches.extend(differ(path, &found.hashes)?);
     }
-    let first = found.breaches.first().map_or(options.seeds.start, |(seed, ..)| *seed);
-    Ok(last_line("night", first, &breaches, &format!("{} nights", found.nights)))
+    let first = found
+        .breaches
+        .first()
+        .map_or(options.seeds.start, |(seed, ..)| *seed);
+    Ok(last_line(
+        "night",
+        first,
+        &breaches,
+        &format!("{} nights", found.nights),
+    ))
 }
 
 fn differ(path: &Path, hashes: &[(u64, u64)]) -> Result<Vec<String>, String> {
-    let text = fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
+    let text =
+        fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
     let mut breaches = Vec::new();
     let mut compared = 0;
     for line in text.lines() {
-        let Some((seed, hash)) = line.split_once(' ') else { continue };
+        let Some((seed, hash)) = line.split_once(' ') else {
+            continue;
+        };
         let own = hashes.iter().find(|(own, _)| seed.parse() == Ok(*own));
         let Some((seed, own)) = own else { continue };
         compared += 1;
@@ -317,19 +387,28 @@
 /// Waits until all seeds are taken or a night has failed. A night that hangs within a turn ends the program: its
 /// thread can't be.
 fn watch(at_work: &[AtWork], over: &AtomicBool, next: &AtomicU64, all: u64) {
-    let mut last: Vec<(u64, u64, Instant)> = at_work.iter().map(|_| (0, 0, Instant::now())).collect();
+    let mut last: Vec<(u64, u64, Instant)> =
+        at_work.iter().map(|_| (0, 0, Instant::now())).collect();
     loop {
         std::thread::sleep(Duration::from_millis(20));
-        let idle = at_work.iter().all(|own| own.seed.load(Ordering::Relaxed) == u64::MAX);
+        let idle = at_work
+            .iter()
+            .all(|own| own.seed.load(Ordering::Relaxed) == u64::MAX);
         if idle && (over.load(Ordering::Relaxed) || next.load(Ordering::Relaxed) >= all) {
             return;
         }
         for (own, last) in at_work.iter().zip(&mut last) {
-            let now = (own.seed.load(Ordering::Relaxed), own.beat.load(Ordering::Relaxed));
+            let now = (
+                own.seed.load(Ordering::Relaxed),
+                own.beat.load(Ordering::Relaxed),
+            );
             if (last.0, last.1) != now {
                 *last = (now.0, now.1, Instant::now());
             } else if now.0 != u64::MAX && last.2.elapsed() > HANGS {
-                println!("breach seed {}: no step in {HANGS:?}: the program hangs within a turn", now.0);
+                println!(
+                    "breach seed {}: no step in {HANGS:?}: the program hangs within a turn",
+                    now.0
+                );
                 println!("FAILED night seed={} 1 breaches hangs", now.0);
                 std::process::exit(1);
             }
@@ -355,20 +434,33 @@
         all.repeats += own.repeats;
         all.resent += own.resent;
         if let Some(breach) = &outcome.breach {
-            self.breaches.push((seed, breach.to_string(), breach.checker));
+            self.breaches
+                .push((seed, breach.to_string(), breach.checker));
         }
     }
 
     fn report(&self, wall: Duration, jobs: usize) {
         let seconds = wall.as_secs_f64().max(1e-6);
         figure("nights", self.nights);
-        figure("nights_a_second", format_args!("{:.1}", self.nights as f64 / seconds));
+        figure(
+            "nights_a_second",
+            format_args!("{:.1}", self.nights as f64 / seconds),
+        );
         let faster = self.virtual_time.as_secs_f64() / seconds / jobs as f64;
         figure("virtual_over_wall_each_core", format_args!("{faster:.0}"));
         figure("steps", self.steps);
         figure("checks", self.checks);
-        let Figures { calls, served, refused, failed, excused, unread, attempts, repeats, resent } =
-            self.figures;
+        let Figures {
+            calls,
+            served,
+            refused,
+            failed,
+            excused,
+            unread,
+            attempts,
+            repeats,
+            resent,
+        } = self.figures;
         let all = [
             ("calls", calls),
             ("served", served),
@@ -382,7 +474,11 @@
         ];
         all.iter().for_each(|(name, value)| figure(name, value));
         let mut by_checker = std::collections::BTreeMap::new();
-        self.breaches.iter().for_each(|(_, _, checker)| *by_checker.entry(*checker).or_insert(0) += 1);
-        by_checker.iter().for_each(|(checker, count)| figure(&format!("breaches_{checker}"), count));
+        self.breaches
+            .iter()
+            .for_each(|(_, _, checker)| *by_checker.entry(*checker).or_insert(0) += 1);
+        by_checker
+            .iter()
+            .for_each(|(checker, count)| figure(&format!("breaches_{checker}"), count));
     }
 }
--- a/testing/scenarios/src/scenario/pages.rs
+++ b/testing/scenarios/src/scenario/pages.rs
@@ -26,9 +26,17 @@
 /// The pages whose blocks are run: the README and all for operators.
 fn all(root: &Path) -> Vec<String> {
     let folder = fs::read_dir(root.join("docs")).expect("docs");
-    let names = folder.map(|entry| entry.expect("an entry").file_name().to_string_lossy().into_owned());
-    let mut pages: Vec<String> =
-        names.filter(|name| name.ends_with(".md")).map(|name| format!("docs/{name}")).collect();
+    let names = folder.map(|entry| {
+        entry
+            .expect("an entry")
+            .file_name()
+            .to_string_lossy()
+            .into_owned()
+    });
+    let mut pages: Vec<String> = names
+        .filter(|name| name.ends_with(".md"))
+        .map(|name| format!("docs/{name}"))
+        .collect();
     pages.push("README.md".to_owned());
     pages.sort();
     pages
@@ -36,8 +44,15 @@
 
 /// Runs it, prints its figures, and returns the exit code.
 pub fn run(options: &Options) -> u8 {
-    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").canonicalize().expect("the repository");
-    let pages = if options.pages.is_empty() { all(&root) } else { options.pages.clone() };
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../..")
+        .canonicalize()
+        .expect("the repository");
+    let pages = if options.pages.is_empty() {
+        all(&root)
+    } else {
+        options.pages.clone()
+    };
     let (mut ran, mut breaches) = (0, Vec::new());
     for page in &pages {
         let text = fs::read_to_string(root.join(page)).unwrap_or_else(|e| panic!("{page}: {e}"));
@@ -46,7 +61,9 @@
                 eprintln!("{page}");
                 ran += Scratch::new(&root, page).page(page, blocks, options.stale, &mut breaches);
             }
-            Err(faults) => breaches.extend(faults.into_iter().map(|fault| format!("{page}:{fault}"))),
+            Err(faults) => {
+                breaches.extend(faults.into_iter().map(|fault| format!("{page}:{fault}")))
+            }
         }
     }
     figure("pages", pages.len());
@@ -54,7 +71,12 @@
     if ran == 0 {
         breaches.push("no block was run".to_owned());
     }
-    last_line("pages", 0, &breaches, &format!("pages={} blocks={ran}", pages.len()))
+    last_line(
+        "pages",
+        0,
+        &breaches,
+        &format!("pages={} blocks={ran}", pages.len()),
+    )
 }
 
 /// Where a page's commands are run: a folder with a copy of `deploy/`, `sillward` on the path, and a `cargo` that
@@ -67,17 +89,26 @@
 impl Scratch {
     fn new(root: &Path, page: &str) -> Self {
         let name = page.replace(['/', '.'], "-");
-        let folder = std::env::temp_dir().join(format!("sillward-pages-{}", std::process::id())).join(name);
+        let folder = std::env::temp_dir()
+            .join(format!("sillward-pages-{}", std::process::id()))
+            .join(name);
         for sub in ["bin", "tmp", "target/release"] {
             fs::create_dir_all(folder.join(sub)).expect("a scratch folder");
         }
-        let mut scratch = Scratch { folder, ports: BTreeMap::new() };
+        let mut scratch = Scratch {
+            folder,
+            ports: BTreeMap::new(),
+        };
         scratch.copied(&root.join("deploy"), &scratch.folder.join("deploy"));
         let program = peers::program();
         let _ = std::os::unix::fs::symlink(&program, scratch.folder.join("bin/sillward"));
-        let _ = std::os::unix::fs::symlink(&program, scratch.folder.join("target/release/sillward"));
+        let _ =
+            std::os::unix::fs::symlink(&program, scratch.folder.join("target/release/sillward"));
         let cargo = std::env::var("CARGO").unwrap_or_else(|_| "cargo".to_owned());
-        let shim = format!("#!/bin/sh\ncd '{}' && exec '{cargo}' \"$@\"\n", root.display());
+        let shim = format!(
+            "#!/bin/sh\ncd '{}' && exec '{cargo}' \"$@\"\n",
+            root.display()
+        );
         let path = scratch.folder.join("bin/cargo");
         fs::write(&path, shim).expect("a command");
         fs::set_permissions(&path, fs::Permissions::from_mode(0o755)).expect("its mode");
@@ -110,7 +141,13 @@
     }
 
     /// Runs a page's blocks in turn; returns how many.
-    fn page(&mut self, page: &str, blocks: Vec<Block>, stale: bool, breaches: &mut Vec<String>) -> usize {
+    fn page(
+        &mut self,
+        page: &str,
+        blocks: Vec<Block>,
+        stale: bool,
+        breaches: &mut Vec<String>,
+    ) -> usize {
         let (mut background, mut ran, mut stale) = (Vec::new(), 0, stale);
         for Block { line, text, used } in blocks {
             let mut text = self.text(&text);
@@ -121,12 +158,16 @@
                 continue;
             }
             if command && std::mem::take(&mut stale) {
-                text = text.replace("sillward", "sillwarb").replace("cargo", "cargp");
+                text = text
+                    .replace("sillward", "sillwarb")
+                    .replace("cargo", "cargp");
             }
             ran += usize::from(command);
             let fault = match used {
                 Use::Shown => None,
-                Use::File { name } => fs::write(self.folder.join(name), text).err().map(|e| e.to_string()),
+                Use::File { name } => fs::write(self.folder.join(name), text)
+                    .err()
+                    .map(|e| e.to_string()),
                 Use::Run { prints } => self.start(&text).ended(LONGEST_S, prints.as_deref()),
                 Use::Fails { prints } => self.start(&text).fails(&prints),
                 Use::Bounded { seconds } => self.start(&text).bounded(seconds),
@@ -154,10 +195,19 @@
         let path = std::env::var("PATH").unwrap_or_default();
         // Whoever reads a page has a shell that goes on to the next line after a failure; this one does not.
         let mut command = Command::new("bash");
-        command.args(["-euo", "pipefail", "-c", text]).current_dir(&self.folder);
-        command.env("PATH", format!("{}:{path}", self.folder.join("bin").display()));
+        command
+            .args(["-euo", "pipefail", "-c", text])
+            .current_dir(&self.folder);
+        command.env(
+            "PATH",
+            format!("{}:{path}", self.folder.join("bin").display()),
+        );
         command.env("TMPDIR", self.folder.join("tmp"));
-        command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped()).process_group(0);
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::piped())
+            .stderr(Stdio::piped())
+            .process_group(0);
         let mut child = command.spawn().expect("a shell");
         let printed = Arc::new(Mutex::new(String::new()));
         read(child.stdout.take().expect("its output"), printed.clone());
@@ -214,7 +264,9 @@
     fn ended(mut self, seconds: u64, prints: Option<&str>) -> Option<String> {
         match (self.end(seconds), prints) {
             (None, _) => Some(format!("did not end within {seconds} s")),
-            (Some(status), _) if !status.success() => Some(format!("{status}: {}", self.last_words())),
+            (Some(status), _) if !status.success() => {
+                Some(format!("{status}: {}", self.last_words()))
+            }
             (Some(_), Some(text)) => self.lacks(text),
             (Some(_), None) => None,
         }
@@ -224,7 +276,9 @@
     fn fails(mut self, text: &str) -> Option<String> {
         match self.end(LONGEST_S) {
             None => Some(format!("did not end within {LONGEST_S} s")),
-            Some(status) if status.success() => Some(format!("did not fail: {}", self.last_words())),
+            Some(status) if status.success() => {
+                Some(format!("did not fail: {}", self.last_words()))
+            }
             Some(_) => self.lacks(text),
         }
     }
@@ -261,10 +315,19 @@
     fn drop(&mut self) {
         // All that it has started is in its group.
         let group = format!("-{}", self.child.id());
-        let _ = Command::new("kill").args(["-TERM", "--", &group]).stderr(Stdio::null()).status();
+        let _ = Command::new("kill")
+            .args(["-TERM", "--", &group])
+            .stderr(Stdio::null())
+            .status();
         if self.end(2).is_none() {
-            let _ = Command::new("kill").args(["-KILL", "--", &group]).stderr(Stdio::null()).status();
-            until(|| self.child.try_wait().is_ok_and(|status| status.is_some()), "a block's end");
+            let _ = Command::new("kill")
+                .args(["-KILL", "--", &group])
+                .stderr(Stdio::null())
+                .status();
+            until(
+                || self.child.try_wait().is_ok_and(|status| status.is_some()),
+                "a block's end",
+            );
         }
     }
 }
--- a/testing/scenarios/src/scenario/plain.rs
+++ b/testing/scenarios/src/scenario/plain.rs
@@ -37,16 +37,35 @@
 
 fn measure(options: &Options) -> Result<usize, String> {
     let program = beside("sillward").ok_or("sillward is not built")?;
-    let places = Places { nodes: options.nodes, zones: 3 };
-    let fleet = Fleet::new(Ground { rate: 0, ..Ground::of(places, 1, program.clone()) })?;
+    let places = Places {
+        nodes: options.nodes,
+        zones: 3,
+    };
+    let fleet = Fleet::new(Ground {
+        rate: 0,
+        ..Ground::of(places, 1, program.clone())
+    })?;
     fleet.start()?;
-    let boxes: Vec<Backend> = (0..BOXES).map(|_| Backend::start(|_| ok("counted"))).collect();
+    let boxes: Vec<Backend> = (0..BOXES)
+        .map(|_| Backend::start(|_| ok("counted")))
+        .collect();
     let lines: Vec<String> = (boxes.iter().enumerate())
-        .map(|(i, b)| entry_in(["a", "b"][i % 2], "m", &format!("b-{i}"), b.address, "in_service"))
+        .map(|(i, b)| {
+            entry_in(
+                ["a", "b"][i % 2],
+                "m",
+                &format!("b-{i}"),
+                b.address,
+                "in_service",
+            )
+        })
         .collect();
     let alone = |program: &PathBuf| {
         let discovery = Discovery::start();
-        let node = Node::start_of(program, &config(discovery.address, &settings(1_500, ""), 512));
+        let node = Node::start_of(
+            program,
+            &config(discovery.address, &settings(1_500, ""), 512),
+        );
         let mut watch = discovery.call();
         watch.answer_list(&list(8, true, &lines));
         peers::until(|| node.is_ready(), "a list");
@@ -55,8 +74,13 @@
     let off = alone(&program);
     let before = options.before.as_ref().map(alone);
     let member = {
-        let slot = fleet.places[0].process.lock().map_err(|_| "a process panicked".to_owned())?;
-        slot.as_ref().map(|process| process.clients).ok_or("no member")?
+        let slot = fleet.places[0]
+            .process
+            .lock()
+            .map_err(|_| "a process panicked".to_owned())?;
+        slot.as_ref()
+            .map(|process| process.clients)
+            .ok_or("no member")?
     };
     sleep(Duration::from_secs(3)); // all know all
     let cpu = |which: usize| match which {
@@ -86,7 +110,10 @@
                 spent[which].push(used * 1e6 / count.max(1) as f64);
                 served += count;
             }
-            eprintln!("round {round}: {which} {count} calls in {:.1} s", begun.elapsed().as_secs_f64());
+            eprintln!(
+                "round {round}: {which} {count} calls in {:.1} s",
+                begun.elapsed().as_secs_f64()
+            );
         }
     }
     let idle = (cpu(0), cpu(1), Instant::now());
@@ -119,11 +146,20 @@
         .map(|_| {
             spawn(move || {
                 let mut client = Client::connect(at);
-                let ask =
-                    |_| usize::from(client.ask("GET /read/1f", &peers::common(1_500), b"").status() == 200);
+                let ask = |_| {
+                    usize::from(
+                        client
+                            .ask("GET /read/1f", &peers::common(1_500), b"")
+                            .status()
+                            == 200,
+                    )
+                };
                 (0..each).map(ask).sum::<usize>()
             })
         })
         .collect();
-    clients.into_iter().map(|client| client.join().expect("a client")).sum()
+    clients
+        .into_iter()
+        .map(|client| client.join().expect("a client"))
+        .sum()
 }
--- a/testing/scenarios/src/scenario/plants.rs
+++ b/testing/scenarios/src/scenario/plants.rs
@@ -18,9 +18,18 @@
 
 /// The longest first, so that they run beside the others.
 const ALL: &[Planted] = &[
-    planted("etcd --seed 1 --seconds 8 --plant empty-on-silence", &["nothing was sent to anybody"]),
-    planted("etcd --seed 2 --seconds 12 --plant forget-compacted", &["sends past the grace"]),
-    planted("thrift --seed 1 --seconds 6 --plant double-send", &["took effect 2 times"]),
+    planted(
+        "etcd --seed 1 --seconds 8 --plant empty-on-silence",
+        &["nothing was sent to anybody"],
+    ),
+    planted(
+        "etcd --seed 2 --seconds 12 --plant forget-compacted",
+        &["sends past the grace"],
+    ),
+    planted(
+        "thrift --seed 1 --seconds 6 --plant double-send",
+        &["took effect 2 times"],
+    ),
     planted(
         "fleet members --nodes 5 --seed 2 --seconds 12 --kinds pause,kill --plant no-incarnation",
         &["sent frames of life"],
@@ -41,8 +50,14 @@
         "fleet settings --nodes 9 --seed 1 --rounds restart,restart --plant forget-right --bound-ms 6000",
         &["was sent again"],
     ),
-    planted("fleet settings --nodes 9 --seed 1 --rounds late --plant from-arrival", &["was sent again"]),
-    planted("fleet settings --nodes 9 --seed 1 --rounds cut-off --plant skip-wait", &["was sent again"]),
+    planted(
+        "fleet settings --nodes 9 --seed 1 --rounds late --plant from-arrival",
+        &["was sent again"],
+    ),
+    planted(
+        "fleet settings --nodes 9 --seed 1 --rounds cut-off --plant skip-wait",
+        &["was sent again"],
+    ),
     planted(
         "fleet settings --nodes 9 --seed 1 --rounds bounce,bounce --plant no-sync --disk-ms 700",
         &["was sent again", "and was", "is not in force"],
@@ -53,12 +68,24 @@
         "night --jobs 1 --seeds 0..100 --often --plant double-correct",
         &["refused-and-ran", "effect-twice"],
     ),
-    planted("night --jobs 1 --seeds 0..100 --often --plant missed-drain", &["drain"]),
-    planted("night --jobs 1 --seeds 0..10 --plant answer-twice", &["answered-twice"]),
-    planted("night --jobs 1 --seeds 0..10 --plant late-bytes", &["foreign-answer"]),
+    planted(
+        "night --jobs 1 --seeds 0..100 --often --plant missed-drain",
+        &["drain"],
+    ),
+    planted(
+        "night --jobs 1 --seeds 0..10 --plant answer-twice",
+        &["answered-twice"],
+    ),
+    planted(
+        "night --jobs 1 --seeds 0..10 --plant late-bytes",
+        &["foreign-answer"],
+    ),
     planted("night --jobs 1 --seeds 0..10 --plant leak", &["leak"]),
     planted("night --jobs 1 --seeds 0..10 --plant busy", &["still"]),
-    planted("pages --plant stale docs/simulation.md", &["command not found"]),
+    planted(
+        "pages --plant stale docs/simulation.md",
+        &["command not found"],
+    ),
 ];
 
 /// Runs them side by side, and returns the exit code.
@@ -79,7 +106,11 @@
         }
     });
     let blind = *blind.lock().expect("the count");
-    println!("{} plants {} played, {blind} not found", if blind == 0 { "ok" } else { "FAILED" }, ALL.len());
+    println!(
+        "{} plants {} played, {blind} not found",
+        if blind == 0 { "ok" } else { "FAILED" },
+        ALL.len()
+    );
     u8::from(blind > 0)
 }
 
@@ -88,12 +119,21 @@
     let own = std::env::current_exe().expect("its own path");
     // Built already by whoever started this.
     let mut command = Command::new(own);
-    command.args(plant.arguments.split(' ')).env_remove("CARGO").stdin(Stdio::null());
-    let Ok(output) = command.output() else { return (false, "it did not start".to_owned()) };
+    command
+        .args(plant.arguments.split(' '))
+        .env_remove("CARGO")
+        .stdin(Stdio::null());
+    let Ok(output) = command.output() else {
+        return (false, "it did not start".to_owned());
+    };
     let text = String::from_utf8_lossy(&output.stdout);
     // What broke off before its last line says why in its log.
     let log = String::from_utf8_lossy(&output.stderr);
-    let last = text.lines().last().or_else(|| log.lines().last()).unwrap_or_default();
+    let last = text
+        .lines()
+        .last()
+        .or_else(|| log.lines().last())
+        .unwrap_or_default();
     let seen = output.status.code() == Some(1)
         && last.starts_with("FAILED")
         && plant.says.iter().any(|what| text.contains(what));
--- a/testing/scenarios/src/scenario/sizes.rs
+++ b/testing/scenarios/src/scenario/sizes.rs
@@ -32,7 +32,11 @@
 fn spread(times: &[Option<Duration>]) -> String {
     let sorted = sorted(times.to_vec());
     let at = |place: usize| sorted.get(place).copied().flatten();
-    format!("{} / {}", ms(at(sorted.len() / 2)), ms(at(sorted.len().saturating_sub(1))))
+    format!(
+        "{} / {}",
+        ms(at(sorted.len() / 2)),
+        ms(at(sorted.len().saturating_sub(1)))
+    )
 }
 
 fn bytes((frames, bytes): (f64, f64)) -> f64 {
@@ -49,8 +53,12 @@
     for nodes in &options.nodes {
         for seed in &options.seeds {
             let begun = Instant::now();
-            let size =
-                Size { nodes: *nodes, seed: *seed, rounds: options.rounds, frame_bytes: options.frame_bytes };
+            let size = Size {
+                nodes: *nodes,
+                seed: *seed,
+                rounds: options.rounds,
+                frame_bytes: options.frame_bytes,
+            };
             let measured = match measure(&size) {
                 Ok(measured) => measured,
                 Err(e) => {
@@ -76,7 +84,12 @@
         }
     }
     let seed = options.seeds.first().copied().unwrap_or_default();
-    super::last_line("sizes", seed, &breaches, &format!("sizes={:?}", options.nodes))
+    super::last_line(
+        "sizes",
+        seed,
+        &breaches,
+        &format!("sizes={:?}", options.nodes),
+    )
 }
 
 fn wrong(nodes: usize, seed: u64, measured: &Measured) -> Vec<String> {
@@ -85,22 +98,44 @@
     if measured.joined.is_none() {
         wrong("they never all knew each other".to_owned());
     }
-    let median = |times: &[Option<Duration>]| sorted(times.to_vec()).get(times.len() / 2).copied().flatten();
+    let median = |times: &[Option<Duration>]| {
+        sorted(times.to_vec())
+            .get(times.len() / 2)
+            .copied()
+            .flatten()
+    };
     // A goal for the middle of the deaths; the worst are told in the table.
     if !measured.deaths.is_empty() && median(&measured.deaths).is_none_or(|time| time > KNOWN) {
-        wrong(format!("a death is known after {} ms", ms(median(&measured.deaths))));
+        wrong(format!(
+            "a death is known after {} ms",
+            ms(median(&measured.deaths))
+        ));
     }
-    if measured.deaths.iter().chain(&measured.births).any(Option::is_none) {
+    if measured
+        .deaths
+        .iter()
+        .chain(&measured.births)
+        .any(Option::is_none)
+    {
         wrong("a death or a birth was never known".to_owned());
     }
     if bytes(measured.calm).max(bytes(measured.busy)) > BYTES {
-        wrong(format!("{:.0} bytes a node and second", bytes(measured.calm).max(bytes(measured.busy))));
+        wrong(format!(
+            "{:.0} bytes a node and second",
+            bytes(measured.calm).max(bytes(measured.busy))
+        ));
     }
     if measured.healed.is_none_or(|healed| healed > HEALED) {
-        wrong(format!("after the cut they agreed after {} ms", ms(measured.healed)));
+        wrong(format!(
+            "after the cut they agreed after {} ms",
+            ms(measured.healed)
+        ));
     }
     if bytes(measured.healing) > HEALING_BYTES {
-        wrong(format!("{:.0} bytes a node and second after the cut", bytes(measured.healing)));
+        wrong(format!(
+            "{:.0} bytes a node and second after the cut",
+            bytes(measured.healing)
+        ));
     }
     if measured.alarms > 0 {
         wrong(format!("{} false alarms without a fault", measured.alarms));
--- a/testing/scenarios/src/scenario/thrift.rs
+++ b/testing/scenarios/src/scenario/thrift.rs
@@ -28,13 +28,19 @@
 /// Runs it, prints its figures, and returns the exit code.
 pub fn run(options: &Options) -> u8 {
     let ledger = Arc::new(Ledger::default());
-    let boxes: Vec<Arc<Tally>> = (0..BOXES).map(|i| tally_box(i, options.seed, &ledger)).collect();
+    let boxes: Vec<Arc<Tally>> = (0..BOXES)
+        .map(|i| tally_box(i, options.seed, &ledger))
+        .collect();
     let addresses: Vec<SocketAddr> = boxes
         .iter()
         .enumerate()
         .map(|(i, tally)| match options.double_send {
             // To a box of the same encoding: two further on.
-            true => relay::start(tally.address, boxes[(i + 2) % BOXES].address, "Tally:correct"),
+            true => relay::start(
+                tally.address,
+                boxes[(i + 2) % BOXES].address,
+                "Tally:correct",
+            ),
             false => tally.address,
         })
         .collect();
@@ -42,11 +48,21 @@
         .iter()
         .enumerate()
         .map(|(i, address)| {
-            entry_in(["a", "b"][zone(i)], ["t", "u"][i % 2], &format!("tally-{i}"), *address, "in_service")
+            entry_in(
+                ["a", "b"][zone(i)],
+                ["t", "u"][i % 2],
+                &format!("tally-{i}"),
+                *address,
+                "in_service",
+            )
         })
         .collect();
     let discovery = Discovery::start();
-    let config = config(discovery.address, &settings(2_000, r#","ParallelTries":true"#), 1024);
+    let config = config(
+        discovery.address,
+        &settings(2_000, r#","ParallelTries":true"#),
+        1024,
+    );
     let operator = tally::operator("compact", "") + &tally::operator_backend("u", "binary");
     let (node, _watch, _discovery) = peers::serving_operator(&config, discovery, &operator, &lines);
 
@@ -59,8 +75,10 @@
         .map(|i| {
             let (ledger, done) = (ledger.clone(), done.clone());
             let address = node.thrift.expect("a Thrift listener");
-            let (seed, pause) =
-                (options.seed, Duration::from_secs(CALLERS as u64) / options.rate.max(1) as u32);
+            let (seed, pause) = (
+                options.seed,
+                Duration::from_secs(CALLERS as u64) / options.rate.max(1) as u32,
+            );
             spawn(move || call_until(end, i, seed, pause, address, &ledger, &done))
         })
         .collect();
@@ -69,14 +87,24 @@
         let (calls, seconds) = (done.load(Ordering::SeqCst), started.elapsed().as_secs());
         eprintln!("{seconds} s: {calls} calls");
     }
-    let strays: usize = callers.into_iter().map(|caller| caller.join().expect("a caller's checks")).sum();
+    let strays: usize = callers
+        .into_iter()
+        .map(|caller| caller.join().expect("a caller's checks"))
+        .sum();
     let seconds = started.elapsed().as_secs_f64();
     over.store(true, Ordering::SeqCst);
     let killed = kills.join().expect("the killer");
     report(options, &ledger, strays, killed, seconds, &node)
 }
 
-fn report(options: &Options, ledger: &Ledger, strays: usize, killed: usize, seconds: f64, node: &Node) -> u8 {
+fn report(
+    options: &Options,
+    ledger: &Ledger,
+    strays: usize,
+    killed: usize,
+    seconds: f64,
+    node: &Node,
+) -> u8 {
     // What is on its way to a box still lands: oneway calls have nobody who waits for them.
     sleep(Duration::from_millis(300));
     let mut verdict = ledger.verdict();
@@ -85,10 +113,14 @@
     }
     let rate = (verdict.calls + verdict.oneway) as f64 / seconds;
     if rate < options.rate as f64 * 0.8 {
-        verdict.breaches.push(format!("only {rate:.0} calls a second of {}", options.rate));
+        verdict
+            .breaches
+            .push(format!("only {rate:.0} calls a second of {}", options.rate));
     }
     if killed == 0 {
-        verdict.breaches.push("no box was killed: that is no test".to_owned());
+        verdict
+            .breaches
+            .push("no box was killed: that is no test".to_owned());
     }
     let ends = |end| verdict.ends.get(&end).copied().unwrap_or_default();
     figure("calls", verdict.calls);
@@ -103,7 +135,10 @@
     figure("latest_after_deadline_ms", verdict.latest.as_millis());
     figure("node_memory_kb", node.memory_kb());
     if ends(End::Wrong) > 0 {
-        verdict.breaches.push(format!("{} calls were turned down as wrong", ends(End::Wrong)));
+        verdict.breaches.push(format!(
+            "{} calls were turned down as wrong",
+            ends(End::Wrong)
+        ));
     }
     let more = format!("calls={} kills={killed}", verdict.calls);
     last_line("thrift", options.seed, &verdict.breaches, &more)
@@ -117,7 +152,11 @@
 fn tally_box(number: usize, seed: u64, ledger: &Arc<Ledger>) -> Arc<Tally> {
     let random = Mutex::new(Random::new(seed ^ (number as u64 + 1) << 40));
     let ledger = ledger.clone();
-    let encoding = if number % 2 == 0 { Encoding::Compact } else { BINARY };
+    let encoding = if number % 2 == 0 {
+        Encoding::Compact
+    } else {
+        BINARY
+    };
     Tally::start(encoding, move |seen| {
         let Some(sheet) = seen.sheet.as_deref().or(seen.key.as_deref()) else {
             return Reply::Cut(Vec::new());
@@ -135,10 +174,16 @@
         let reply = seen.reply(&[(0, Value::from(sheet))]);
         match chance {
             3 => Reply::Cut(reply[..pause.as_millis() as usize % reply.len()].to_vec()),
-            4 => Reply::Bytes(seen.reply_as(seen.told(), seen.seqid ^ 1, &[(0, Value::from("stray"))])),
+            4 => Reply::Bytes(seen.reply_as(
+                seen.told(),
+                seen.seqid ^ 1,
+                &[(0, Value::from("stray"))],
+            )),
             5 => Reply::Bytes([&reply[..], &reply[..]].concat()),
             // As a box answers that looks whole names up.
-            6..16 => Reply::Bytes(seen.reply_as(&seen.name, seen.seqid, &[(0, Value::from(sheet))])),
+            6..16 => {
+                Reply::Bytes(seen.reply_as(&seen.name, seen.seqid, &[(0, Value::from(sheet))]))
+            }
             _ => Reply::Bytes(reply),
         }
     })
@@ -192,7 +237,10 @@
         };
         let budget = random.millis(300..2000);
         let station = format!("{:x}", random.below(64) + 1);
-        let arguments = [origin(&station, &sheet, budget.as_millis() as i64), (2, Value::from(&*sheet))];
+        let arguments = [
+            origin(&station, &sheet, budget.as_millis() as i64),
+            (2, Value::from(&*sheet)),
+        ];
         ledger.begins(&sheet, repeat);
         let mut open = match caller.take() {
             Some(open) => open,
@@ -209,7 +257,12 @@
                 Ok((end, own)) => {
                     let late = begun.elapsed().saturating_sub(budget);
                     let text = own.as_deref();
-                    ledger.ends(&sheet, end, late, end != End::Served || text == Some(&*sheet));
+                    ledger.ends(
+                        &sheet,
+                        end,
+                        late,
+                        end != End::Served || text == Some(&*sheet),
+                    );
                 }
                 Err(_) => continue, // without an answer: the ledger knows
             }
--- a/testing/servers/src/etcd.rs
+++ b/testing/servers/src/etcd.rs
@@ -36,32 +36,55 @@
 impl Store {
     fn new(cluster: u64) -> Self {
         let (keys, leases) = (BTreeMap::new(), BTreeMap::new());
-        Store { cluster, revision: 1, compacted: 0, keys, leases, next_lease: 1 }
+        Store {
+            cluster,
+            revision: 1,
+            compacted: 0,
+            keys,
+            leases,
+            next_lease: 1,
+        }
     }
 
     fn header(&self) -> Option<ResponseHeader> {
-        Some(ResponseHeader { cluster_id: self.cluster, member_id: 1, revision: self.revision, raft_term: 1 })
+        Some(ResponseHeader {
+            cluster_id: self.cluster,
+            member_id: 1,
+            revision: self.revision,
+            raft_term: 1,
+        })
     }
 
     fn put(&mut self, key: Bytes, value: Bytes, lease: i64) {
         self.revision += 1;
         let revision = self.revision;
         let versions = self.keys.entry(key).or_default();
-        let created = versions.last().and_then(|v| v.value.as_ref().map(|(_, created, _)| *created));
-        versions.push(Version { revision, value: Some((value, created.unwrap_or(revision), lease)) });
+        let created = versions
+            .last()
+            .and_then(|v| v.value.as_ref().map(|(_, created, _)| *created));
+        versions.push(Version {
+            revision,
+            value: Some((value, created.unwrap_or(revision), lease)),
+        });
     }
 
     /// All in one revision, as etcd does it.
     fn delete(&mut self, keys: &[Bytes]) -> bool {
-        let live =
-            |key: &&Bytes| self.keys.get(*key).is_some_and(|v| v.last().is_some_and(|v| v.value.is_some()));
+        let live = |key: &&Bytes| {
+            self.keys
+                .get(*key)
+                .is_some_and(|v| v.last().is_some_and(|v| v.value.is_some()))
+        };
         let keys: Vec<Bytes> = keys.iter().filter(live).cloned().collect();
         if keys.is_empty() {
             return false;
         }
         self.revision += 1;
         for key in keys {
-            self.keys.entry(key).or_default().push(Version { revision: self.revision, value: None });
+            self.keys.entry(key).or_default().push(Version {
+                revision: self.revision,
+                value: None,
+            });
         }
         true
     }
@@ -76,7 +99,12 @@
     }
 
     fn at(&self, key: &Bytes, revision: i64) -> Option<KeyValue> {
-        let version = self.keys.get(key)?.iter().rev().find(|version| version.revision <= revision)?;
+        let version = self
+            .keys
+            .get(key)?
+            .iter()
+            .rev()
+            .find(|version| version.revision <= revision)?;
         let (value, create_revision, lease) = version.value.clone()?;
         Some(KeyValue {
             key: key.clone(),
@@ -92,8 +120,15 @@
     fn events(&self, key: &[u8], end: &[u8], from: i64) -> Vec<Event> {
         let mut events = Vec::new();
         for key in self.range(key, end) {
-            for version in self.keys[&key].iter().filter(|version| version.revision >= from) {
-                let kind = if version.value.is_some() { EventType::Put } else { EventType::Delete };
+            for version in self.keys[&key]
+                .iter()
+                .filter(|version| version.revision >= from)
+            {
+                let kind = if version.value.is_some() {
+                    EventType::Put
+                } else {
+                    EventType::Delete
+                };
                 let kv = match &version.value {
                     Some(_) => self.at(&key, version.revision),
                     None => Some(KeyValue {
@@ -102,7 +137,10 @@
                         ..KeyValue::default()
                     }),
                 };
-                events.push(Event { r#type: kind as i32, kv });
+                events.push(Event {
+                    r#type: kind as i32,
+                    kv,
+                });
             }
         }
         events.sort_by_key(|event| event.kv.as_ref().map_or(0, |kv| kv.mod_revision));
@@ -182,8 +220,10 @@
         });
         let served = Arc::downgrade(&etcd);
         std::thread::spawn(move || {
-            let runtime =
-                tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+                .expect("a runtime");
             let local = tokio::task::LocalSet::new();
             local.block_on(&runtime, async move {
                 let listener = tokio::net::TcpListener::from_std(listener).expect("its listener");
@@ -212,7 +252,12 @@
     fn expire(&self) {
         let mut store = self.store.lock().expect("the store");
         let now = Instant::now();
-        let over: Vec<i64> = store.leases.iter().filter(|(_, at)| **at <= now).map(|(id, _)| *id).collect();
+        let over: Vec<i64> = store
+            .leases
+            .iter()
+            .filter(|(_, at)| **at <= now)
+            .map(|(id, _)| *id)
+            .collect();
         for id in over {
             store.leases.remove(&id);
             let revision = store.revision;
@@ -232,7 +277,11 @@
     /// Puts a value, under a lease if that is not 0; returns the revision.
     pub fn put(&self, key: &str, value: &str, lease: i64) -> i64 {
         let mut store = self.store.lock().expect("the store");
-        store.put(Bytes::copy_from_slice(key.as_bytes()), Bytes::copy_from_slice(value.as_bytes()), lease);
+        store.put(
+            Bytes::copy_from_slice(key.as_bytes()),
+            Bytes::copy_from_slice(value.as_bytes()),
+            lease,
+        );
         let revision = store.revision;
         drop(store);
         self.changed();
@@ -240,7 +289,10 @@
     }
 
     pub fn delete(&self, key: &str) {
-        self.store.lock().expect("the store").delete(&[Bytes::copy_from_slice(key.as_bytes())]);
+        self.store
+            .lock()
+            .expect("the store")
+            .delete(&[Bytes::copy_from_slice(key.as_bytes())]);
         self.changed();
     }
 
@@ -316,7 +368,10 @@
     }
 
     fn note(&self, sent: Sent) {
-        self.sent.lock().expect("sent").push((std::time::Instant::now(), sent));
+        self.sent
+            .lock()
+            .expect("sent")
+            .push((std::time::Instant::now(), sent));
     }
 
     /// Whether a call has come with the token that it gave.
@@ -328,11 +383,15 @@
 
     async fn connection(self: Arc<Self>, stream: TcpStream) {
         let mut run = self.run.subscribe();
-        let Some(own) = *run.borrow_and_update() else { return };
+        let Some(own) = *run.borrow_and_update() else {
+            return;
+        };
         self.seen.lock().expect("seen").connections += 1;
         let _ = stream.set_nodelay(true);
         let served = async {
-            let Ok(mut connection) = h2::server::handshake(stream).await else { return };
+            let Ok(mut connection) = h2::server::handshake(stream).await else {
+                return;
+            };
             while let Some(Ok((request, respond))) = connection.accept().await {
                 let mut run = run.clone();
                 let etcd = self.clone();
@@ -368,7 +427,10 @@
 
     async fn call(self: Arc<Self>, request: Request<RecvStream>, mut respond: SendResponse<Bytes>) {
         let path = request.uri().path().to_owned();
-        let token = request.headers().get("token").is_some_and(|token| token == "the-token");
+        let token = request
+            .headers()
+            .get("token")
+            .is_some_and(|token| token == "the-token");
         let mut body = request.into_body();
         let allowed = self.user.is_none() || token || path.ends_with("/Authenticate");
         self.seen.lock().expect("seen").token |= token;
@@ -381,10 +443,18 @@
             let _ = body.flow_control().release_capacity(data.len());
         }
         self.wait().await;
-        let answer = if allowed { self.unary(&path, &mut frames) } else { Err((16, "invalid auth token")) };
-        let response =
-            Response::builder().header("content-type", "application/grpc").body(()).expect("a head");
-        let Ok(mut out) = respond.send_response(response, false) else { return };
+        let answer = if allowed {
+            self.unary(&path, &mut frames)
+        } else {
+            Err((16, "invalid auth token"))
+        };
+        let response = Response::builder()
+            .header("content-type", "application/grpc")
+            .body(())
+            .expect("a head");
+        let Ok(mut out) = respond.send_response(response, false) else {
+            return;
+        };
         let (code, message) = match answer {
             Ok(answer) => {
                 send(&mut out, answer).await;
@@ -407,15 +477,25 @@
             "/etcdserverpb.KV/Range" => {
                 let request: RangeRequest = read(frames)?;
                 self.seen.lock().expect("seen").ranges += 1;
-                let revision = if request.revision > 0 { request.revision } else { store.revision };
+                let revision = if request.revision > 0 {
+                    request.revision
+                } else {
+                    store.revision
+                };
                 if revision < store.compacted {
                     return Err((11, "etcdserver: mvcc: required revision has been compacted"));
                 }
                 if revision > store.revision {
-                    return Err((11, "etcdserver: mvcc: required revision is a future revision"));
+                    return Err((
+                        11,
+                        "etcdserver: mvcc: required revision is a future revision",
+                    ));
                 }
                 let keys = store.range(&request.key, &request.range_end);
-                let mut kvs: Vec<KeyValue> = keys.iter().filter_map(|key| store.at(key, revision)).collect();
+                let mut kvs: Vec<KeyValue> = keys
+                    .iter()
+                    .filter_map(|key| store.at(key, revision))
+                    .collect();
                 let count = kvs.len() as i64;
                 let more = request.limit > 0 && count > request.limit;
                 if more {
@@ -424,49 +504,82 @@
                 if !more {
                     self.note(Sent::List(revision));
                 }
-                Ok(framed(&RangeResponse { header: store.header(), kvs, more, count }))
+                Ok(framed(&RangeResponse {
+                    header: store.header(),
+                    kvs,
+                    more,
+                    count,
+                }))
             }
             "/etcdserverpb.KV/Put" => {
                 let PutRequest { key, value, lease } = read(frames)?;
                 store.put(key, value, lease);
                 self.changed();
-                Ok(framed(&HeaderOnly { header: store.header() }))
+                Ok(framed(&HeaderOnly {
+                    header: store.header(),
+                }))
             }
             "/etcdserverpb.KV/DeleteRange" => {
                 let request: DeleteRangeRequest = read(frames)?;
                 let keys = store.range(&request.key, &request.range_end);
                 store.delete(&keys);
                 self.changed();
-                Ok(framed(&HeaderOnly { header: store.header() }))
+                Ok(framed(&HeaderOnly {
+                    header: store.header(),
+                }))
             }
             "/etcdserverpb.KV/Compact" => {
                 let request: CompactionRequest = read(frames)?;
                 store.compacted = request.revision.min(store.revision);
-                Ok(framed(&HeaderOnly { header: store.header() }))
+                Ok(framed(&HeaderOnly {
+                    header: store.header(),
+                }))
             }
             "/etcdserverpb.Lease/LeaseGrant" => {
                 let request: LeaseGrantRequest = read(frames)?;
                 store.next_lease += 1;
-                let id = if request.id == 0 { store.next_lease } else { request.id };
+                let id = if request.id == 0 {
+                    store.next_lease
+                } else {
+                    request.id
+                };
                 let ttl = Duration::from_secs(u64::try_from(request.ttl).unwrap_or_default());
                 store.leases.insert(id, Instant::now() + ttl);
-                Ok(framed(&LeaseGrantResponse { header: store.header(), id, ttl: request.ttl }))
+                Ok(framed(&LeaseGrantResponse {
+                    header: store.header(),
+                    id,
+                    ttl: request.ttl,
+                }))
             }
             "/etcdserverpb.Auth/Authenticate" => {
                 let request: AuthenticateRequest = read(frames)?;
-                if self.user.as_ref().is_some_and(|user| *user != (request.name, request.password)) {
-                    return Err((3, "etcdserver: authentication failed, invalid user ID or password"));
+                if self
+                    .user
+                    .as_ref()
+                    .is_some_and(|user| *user != (request.name, request.password))
+                {
+                    return Err((
+                        3,
+                        "etcdserver: authentication failed, invalid user ID or password",
+                    ));
                 }
-                Ok(framed(&AuthenticateResponse { header: store.header(), token: "the-token".to_owned() }))
+                Ok(framed(&AuthenticateResponse {
+                    header: store.header(),
+                    token: "the-token".to_owned(),
+                }))
             }
             _ => Err((12, "no such method")),
         }
     }
 
     async fn watch(&self, mut body: RecvStream, mut respond: SendResponse<Bytes>) {
-        let response =
-            Response::builder().header("content-type", "application/grpc").body(()).expect("a head");
-        let Ok(mut out) = respond.send_response(response, false) else { return };
+        let response = Response::builder()
+            .header("content-type", "application/grpc")
+            .body(())
+            .expect("a head");
+        let Ok(mut out) = respond.send_response(response, false) else {
+            return;
+        };
         let (mut change, mut frames) = (self.change.subscribe(), Frames::default());
         let mut watched: Option<WatchCreateRequest> = None;
         let mut emptied = false;
@@ -476,7 +589,10 @@
             // What the client wishes.
             while let Ok(Some(WatchRequest { wish: Some(wish) })) = frames.message() {
                 let header = self.store.lock().expect("the store").header();
-                let mut response = WatchResponse { header, ..WatchResponse::default() };
+                let mut response = WatchResponse {
+                    header,
+                    ..WatchResponse::default()
+                };
                 match wish {
                     WatchWish::Create(mut create) => {
                         self.seen.lock().expect("seen").watches += 1;
@@ -549,10 +665,18 @@
         let keys = store.range(&create.key, &create.range_end);
         let events = keys.into_iter().map(|key| Event {
             r#type: EventType::Delete as i32,
-            kv: Some(KeyValue { key, mod_revision: store.revision, ..KeyValue::default() }),
+            kv: Some(KeyValue {
+                key,
+                mod_revision: store.revision,
+                ..KeyValue::default()
+            }),
         });
         let events = events.collect();
-        WatchResponse { header: store.header(), events, ..WatchResponse::default() }
+        WatchResponse {
+            header: store.header(),
+            events,
+            ..WatchResponse::default()
+        }
     }
 
     /// The responses that are due to a watch, which is moved on.
@@ -563,7 +687,11 @@
             return Vec::new();
         }
         create.start_revision = store.revision + 1;
-        let part = if manner.split > 0 && create.fragment { manner.split } else { events.len() };
+        let part = if manner.split > 0 && create.fragment {
+            manner.split
+        } else {
+            events.len()
+        };
         let parts = events.len().div_ceil(part);
         let responses: Vec<WatchResponse> = events
             .chunks(part)
@@ -575,7 +703,11 @@
                 ..WatchResponse::default()
             })
             .collect();
-        if manner.twice { [responses.clone(), responses].concat() } else { responses }
+        if manner.twice {
+            [responses.clone(), responses].concat()
+        } else {
+            responses
+        }
     }
 }
 
@@ -601,21 +733,37 @@
 /// # Errors
 /// The call failed.
 pub fn put(to: SocketAddr, key: &str, value: &str) -> Result<i64, String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     let local = tokio::task::LocalSet::new();
-    let (key, value) = (Bytes::copy_from_slice(key.as_bytes()), Bytes::copy_from_slice(value.as_bytes()));
+    let (key, value) = (
+        Bytes::copy_from_slice(key.as_bytes()),
+        Bytes::copy_from_slice(value.as_bytes()),
+    );
     local.block_on(&runtime, async {
         let failed = |status: Status| format!("{} (code {})", status.message, status.code);
         let mut grpc = Grpc::connect(to).await.map_err(failed)?;
-        let put = PutRequest { key, value, lease: 0 };
-        let done: HeaderOnly = grpc.unary("/etcdserverpb.KV/Put", &put).await.map_err(failed)?;
+        let put = PutRequest {
+            key,
+            value,
+            lease: 0,
+        };
+        let done: HeaderOnly = grpc
+            .unary("/etcdserverpb.KV/Put", &put)
+            .await
+            .map_err(failed)?;
         Ok(done.header.map_or(0, |header| header.revision))
     })
 }
 
 /// The operator file's part for it, with times that suit tests.
 pub fn operator(endpoints: &[SocketAddr], keep_alive_ms: u64, more: &str) -> String {
-    let endpoints: Vec<String> = endpoints.iter().map(|address| format!("\"{address}\"")).collect();
+    let endpoints: Vec<String> = endpoints
+        .iter()
+        .map(|address| format!("\"{address}\""))
+        .collect();
     format!(
         "[etcd]\nendpoints = [{}]\nprefix = \"/tally/\"\nkeep_alive_ms = {keep_alive_ms}\nconnect_ms = 1000\n\
          first_pause_ms = 20\nlongest_pause_ms = 200\n{more}\n",
--- a/testing/servers/src/ledger.rs
+++ b/testing/servers/src/ledger.rs
@@ -84,10 +84,16 @@
         let mut verdict = Verdict::default();
         for (sheet, entry) in self.entries.lock().expect("the ledger").iter() {
             let Some(repeat) = entry.repeat else {
-                verdict.breaches.push(format!("{sheet} ran and nobody called it"));
+                verdict
+                    .breaches
+                    .push(format!("{sheet} ran and nobody called it"));
                 continue;
             };
-            let mut breach = |what: String| verdict.breaches.push(format!("{sheet} ({repeat:?}): {what}"));
+            let mut breach = |what: String| {
+                verdict
+                    .breaches
+                    .push(format!("{sheet} ({repeat:?}): {what}"))
+            };
             let effects = entry.effects.len();
             if repeat == Repeat::Oneway {
                 verdict.oneway += 1;
@@ -142,7 +148,9 @@
         let one = |repeat, groups: &[usize], end| {
             breaches(|ledger| {
                 ledger.begins("a", repeat);
-                groups.iter().for_each(|group| assert!(ledger.runs("a", *group) || repeat == Repeat::Keyed));
+                groups
+                    .iter()
+                    .for_each(|group| assert!(ledger.runs("a", *group) || repeat == Repeat::Keyed));
                 ledger.ends("a", end, none, true);
             })
         };
@@ -155,8 +163,16 @@
         assert_eq!(one(Repeat::Unsafe, &[0, 0], End::Served), 1);
         assert_eq!(one(Repeat::Unsafe, &[0], End::Refused), 1);
         assert_eq!(one(Repeat::Unsafe, &[], End::Served), 1);
-        assert_eq!(breaches(|ledger| ledger.begins("a", Repeat::Safe)), 1, "no answer");
-        assert_eq!(breaches(|ledger| assert!(ledger.runs("a", 0))), 1, "called by nobody");
+        assert_eq!(
+            breaches(|ledger| ledger.begins("a", Repeat::Safe)),
+            1,
+            "no answer"
+        );
+        assert_eq!(
+            breaches(|ledger| assert!(ledger.runs("a", 0))),
+            1,
+            "called by nobody"
+        );
         let answered = |late, own, times: usize| {
             breaches(|ledger| {
                 ledger.begins("a", Repeat::Safe);
--- a/testing/servers/src/peers.rs
+++ b/testing/servers/src/peers.rs
@@ -27,7 +27,11 @@
 
 impl Message {
     pub fn status(&self) -> u16 {
-        self.start.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
+        self.start
+            .split(' ')
+            .nth(1)
+            .and_then(|status| status.parse().ok())
+            .expect("a status")
     }
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
@@ -38,19 +42,31 @@
 pub fn read_message(stream: &mut impl BufRead) -> Option<Message> {
     let mut line = || {
         let mut line = String::new();
-        stream.read_line(&mut line).ok().filter(|n| *n > 0).map(|_| line.trim_end().to_owned())
+        stream
+            .read_line(&mut line)
+            .ok()
+            .filter(|n| *n > 0)
+            .map(|_| line.trim_end().to_owned())
     };
     let start = line()?;
     let mut headers = BTreeMap::new();
     loop {
         let header = line()?;
-        let Some((name, value)) = header.split_once(": ") else { break };
+        let Some((name, value)) = header.split_once(": ") else {
+            break;
+        };
         headers.insert(name.to_lowercase(), value.to_owned());
     }
-    let length = headers.get("content-length").map_or(0, |length| length.parse().expect("a length"));
+    let length = headers
+        .get("content-length")
+        .map_or(0, |length| length.parse().expect("a length"));
     let mut body = vec![0; length];
     stream.read_exact(&mut body).ok()?;
-    Some(Message { start, headers, body })
+    Some(Message {
+        start,
+        headers,
+        body,
+    })
 }
 
 // ---- Backends -----------------------------------------------------------------------------------
@@ -96,16 +112,26 @@
                 spawn(move || serve(stream, connection, &saw, &count, &*script));
             }
         });
-        Backend { address, seen, requests }
+        Backend {
+            address,
+            seen,
+            requests,
+        }
     }
 
     pub fn next(&self) -> Seen {
-        self.seen.recv_timeout(PATIENCE).expect("something at the backend")
+        self.seen
+            .recv_timeout(PATIENCE)
+            .expect("something at the backend")
     }
     /// The next request, and the number of its connection.
     pub fn request(&self) -> (usize, Message) {
         loop {
-            if let Seen::Request { connection, message } = self.next() {
+            if let Seen::Request {
+                connection,
+                message,
+            } = self.next()
+            {
                 return (connection, message);
             }
         }
@@ -120,7 +146,9 @@
     }
     /// Whether a connection has ended; passes over what came before that.
     pub fn has_closed(&self) -> bool {
-        self.seen.try_iter().any(|seen| matches!(seen, Seen::Closed { .. }))
+        self.seen
+            .try_iter()
+            .any(|seen| matches!(seen, Seen::Closed { .. }))
     }
     pub fn count(&self) -> usize {
         self.requests.load(Ordering::SeqCst)
@@ -138,10 +166,16 @@
     let mut writer = stream;
     while let Some(message) = read_message(&mut reader) {
         count.fetch_add(1, Ordering::SeqCst);
-        let _ = saw.send(Seen::Request { connection, message: message.clone() });
+        let _ = saw.send(Seen::Request {
+            connection,
+            message: message.clone(),
+        });
         match script(&message) {
             Reply::Answer(status, headers, body) => {
-                let head = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
+                let head = format!(
+                    "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n",
+                    body.len()
+                );
                 let _ = writer.write_all(&[head.as_bytes(), &body].concat());
             }
             Reply::Break(bytes) => {
@@ -181,9 +215,17 @@
             for stream in listener.incoming() {
                 let stream = stream.expect("a connection");
                 let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
-                let Some(message) = read_message(&mut reader) else { continue };
+                let Some(message) = read_message(&mut reader) else {
+                    continue;
+                };
                 let stream = Arc::new(Mutex::new(stream));
-                if called.send(Watch { start: message.start, stream }).is_err() {
+                if called
+                    .send(Watch {
+                        start: message.start,
+                        stream,
+                    })
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -191,7 +233,9 @@
         Discovery { address, calls }
     }
     pub fn call(&self) -> Watch {
-        self.calls.recv_timeout(PATIENCE).expect("a call to discovery")
+        self.calls
+            .recv_timeout(PATIENCE)
+            .expect("a call to discovery")
     }
 
     /// The next call, if one comes in time.
@@ -207,8 +251,15 @@
         spawn(move || {
             loop {
                 std::thread::sleep(EMPTY_LINES);
-                let Some(stream) = stream.upgrade() else { return };
-                if stream.lock().expect("a stream").write_all(b"1\r\n\n\r\n").is_err() {
+                let Some(stream) = stream.upgrade() else {
+                    return;
+                };
+                if stream
+                    .lock()
+                    .expect("a stream")
+                    .write_all(b"1\r\n\n\r\n")
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -220,7 +271,12 @@
     }
     /// Nothing more is said, and the connection stays.
     pub fn fall_silent(self) -> TcpStream {
-        let stream = self.stream.lock().expect("a stream").try_clone().expect("a handle");
+        let stream = self
+            .stream
+            .lock()
+            .expect("a stream")
+            .try_clone()
+            .expect("a handle");
         drop(self);
         stream
     }
@@ -233,12 +289,18 @@
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\n\r\n",
             list.len() + 1
         );
-        self.stream.lock().expect("a stream").write_all(text.as_bytes()).is_ok()
+        self.stream
+            .lock()
+            .expect("a stream")
+            .write_all(text.as_bytes())
+            .is_ok()
     }
 
     pub fn write(&mut self, text: &str) {
         let mut stream = self.stream.lock().expect("a stream");
-        stream.write_all(text.as_bytes()).expect("the node listens to discovery");
+        stream
+            .write_all(text.as_bytes())
+            .expect("the node listens to discovery");
     }
     /// Resets the connection.
     pub fn reset(self) {
@@ -248,7 +310,9 @@
 
 /// Resets a connection: nothing of what was written need get there.
 pub fn reset(stream: TcpStream) {
-    socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("its linger");
+    socket2::SockRef::from(&stream)
+        .set_linger(Some(Duration::ZERO))
+        .expect("its linger");
 }
 
 pub fn entry(name: &str, address: SocketAddr, status: &str) -> String {
@@ -268,7 +332,10 @@
 }
 
 pub fn list(index: u64, snapshot: bool, entries: &[String]) -> String {
-    format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, entries.join(","))
+    format!(
+        r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#,
+        entries.join(",")
+    )
 }
 
 // ---- The node -----------------------------------------------------------------------------------
@@ -280,8 +347,12 @@
             r#"{{"Name":"{name}","Target":{aim_ms},"GiveUp":{aim_ms},"Idempotency":"{kind}","Group":"zone","Window":60000}}"#
         )
     };
-    let classes =
-        [class("read", "free"), class("submit", "guarded"), class("correct", "single_shot")].join(",");
+    let classes = [
+        class("read", "free"),
+        class("submit", "guarded"),
+        class("correct", "single_shot"),
+    ]
+    .join(",");
     format!(
         r#"{{"Classes":[{classes}],"Projects":[{{"Name":"acme","AllowancePerS":1000,"Share":1}}],
         "Localities":["a","b"],"HostTypes":["m","t","u"],"Quantum":5,"OverShareWorth":1,"Rules":{{"DrainGrace":2000}},
@@ -308,8 +379,12 @@
 /// The program `sillward` of the build that this one is part of.
 pub fn program() -> PathBuf {
     let own = std::env::current_exe().expect("its own path");
-    let built = own.ancestors().find(|folder| folder.join("sillward").is_file());
-    built.map(|folder| folder.join("sillward")).expect("sillward is built: cargo build builds it")
+    let built = own
+        .ancestors()
+        .find(|folder| folder.join("sillward").is_file());
+    built
+        .map(|folder| folder.join("sillward"))
+        .expect("sillward is built: cargo build builds it")
 }
 
 /// A file of its own for some text.
@@ -331,8 +406,15 @@
 pub fn command_of(program: &Path, config: &str, shell: &str) -> (Command, PathBuf) {
     let path = file("config.json", config);
     let mut command = Command::new("/bin/sh");
-    command.arg("-c").arg(format!("{shell}exec \"$0\" \"$@\"")).arg(program);
-    command.env("PROXY_CONFIG", &path).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+    command
+        .arg("-c")
+        .arg(format!("{shell}exec \"$0\" \"$@\""))
+        .arg(program);
+    command
+        .env("PROXY_CONFIG", &path)
+        .stdin(Stdio::null())
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped());
     (command, path)
 }
 
@@ -345,7 +427,11 @@
 }
 
 pub fn config(discovery: SocketAddr, settings: &str, sockets: usize) -> String {
-    config_with(discovery, settings, &format!(r#""memory_mb":192,"sockets":{sockets}"#))
+    config_with(
+        discovery,
+        settings,
+        &format!(r#""memory_mb":192,"sockets":{sockets}"#),
+    )
 }
 
 pub fn config_with(discovery: SocketAddr, settings: &str, limits: &str) -> String {
@@ -379,33 +465,51 @@
     /// A node with an operator file that has a Thrift listener or not.
     pub fn start_with(config: &str, operator: &str) -> Self {
         let (mut command, path) = command(config, "");
-        command.arg("--operator").arg(file("operator.toml", operator));
+        command
+            .arg("--operator")
+            .arg(file("operator.toml", operator));
         Node::run(command, path, operator)
     }
 
     fn run(mut command: Command, path: PathBuf, operator: &str) -> Self {
         let configured = std::fs::read_to_string(&path).expect("its configuration");
         let mut child = command.spawn().expect("the node starts");
-        let mut lines = BufReader::new(child.stderr.take().expect("its log")).lines().map_while(Result::ok);
+        let mut lines = BufReader::new(child.stderr.take().expect("its log"))
+            .lines()
+            .map_while(Result::ok);
         let mut address = |what: &str| {
             loop {
                 // Other lines may come between; an error in its place is the last.
-                let line = lines.next().unwrap_or_else(|| panic!("no line with {what:?}"));
+                let line = lines
+                    .next()
+                    .unwrap_or_else(|| panic!("no line with {what:?}"));
                 if let Some((_, address)) = line.split_once(what) {
-                    return address.parse().unwrap_or_else(|_| panic!("no address: {line}"));
+                    return address
+                        .parse()
+                        .unwrap_or_else(|_| panic!("no address: {line}"));
                 }
                 assert!(!line.contains("cannot"), "{line}");
             }
         };
         let address_of_http = address("listens on ");
-        let thrift = operator.contains("[thrift]\nlisten").then(|| address("listens for Thrift on "));
+        let thrift = operator
+            .contains("[thrift]\nlisten")
+            .then(|| address("listens for Thrift on "));
         let operators = operator.contains("[admin]") || configured.contains("\"admin\":");
         let admin = operators.then(|| address("listens for operators on "));
         let address = address_of_http;
         let log = Arc::new(Mutex::new(Vec::new()));
         let kept = log.clone();
         spawn(move || lines.for_each(|line| kept.lock().expect("the log").push(line)));
-        Node { child, path, address, thrift, admin, log, _unread: None }
+        Node {
+            child,
+            path,
+            address,
+            thrift,
+            admin,
+            log,
+            _unread: None,
+        }
     }
 
     /// A node whose log nobody reads, and nothing more of it can be written.
@@ -415,9 +519,14 @@
         while full.write(&[b'.'; 4096]).is_ok() {}
         full.set_nonblocking(false).expect("its mode");
         // Nothing says where it listens, so that is chosen here.
-        let free = TcpListener::bind("127.0.0.1:0").and_then(|free| free.local_addr()).expect("a port");
+        let free = TcpListener::bind("127.0.0.1:0")
+            .and_then(|free| free.local_addr())
+            .expect("a port");
         let (mut command, path) = command(&config.replace("127.0.0.1:0", &free.to_string()), "");
-        let child = command.stderr(OwnedFd::from(full)).spawn().expect("the node starts");
+        let child = command
+            .stderr(OwnedFd::from(full))
+            .spawn()
+            .expect("the node starts");
         until(|| TcpStream::connect(free).is_ok(), "a node that listens");
         Node {
             child,
@@ -436,15 +545,23 @@
 
     /// An operator's call: the status and the text of its answer.
     pub fn operate(&self, call: &str) -> (u16, String) {
-        let answer = Client::connect(self.admin.expect("a listener for operators")).ask(call, "", b"");
-        (answer.status(), String::from_utf8_lossy(&answer.body).into_owned())
+        let answer =
+            Client::connect(self.admin.expect("a listener for operators")).ask(call, "", b"");
+        (
+            answer.status(),
+            String::from_utf8_lossy(&answer.body).into_owned(),
+        )
     }
 
     /// A figure among the counters, by its whole name.
     pub fn figure(&self, name: &str) -> u64 {
         let (_, text) = self.operate("GET /control/counters");
-        let value = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix('='));
-        value.and_then(|value| value.parse().ok()).unwrap_or_else(|| panic!("no figure {name} in {text}"))
+        let value = text
+            .lines()
+            .find_map(|line| line.strip_prefix(name)?.strip_prefix('='));
+        value
+            .and_then(|value| value.parse().ok())
+            .unwrap_or_else(|| panic!("no figure {name} in {text}"))
     }
 
     pub fn is_ready(&self) -> bool {
@@ -453,12 +570,26 @@
 
     /// Waits until the log holds such a line.
     pub fn logged(&self, text: &str) {
-        until(|| self.log.lock().expect("the log").iter().any(|line| line.contains(text)), text);
+        until(
+            || {
+                self.log
+                    .lock()
+                    .expect("the log")
+                    .iter()
+                    .any(|line| line.contains(text))
+            },
+            text,
+        );
     }
 
     /// How many lines of the log are such.
     pub fn count_logged(&self, text: &str) -> usize {
-        self.log.lock().expect("the log").iter().filter(|line| line.contains(text)).count()
+        self.log
+            .lock()
+            .expect("the log")
+            .iter()
+            .filter(|line| line.contains(text))
+            .count()
     }
 
     /// How many descriptors it has open; none once it has ended.
@@ -468,24 +599,43 @@
 
     /// What it has in memory.
     pub fn memory_kb(&self) -> usize {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("its state");
-        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("its memory");
-        line.trim_end_matches("kB").trim().parse().expect("a number")
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
+            .expect("its state");
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmRSS:"))
+            .expect("its memory");
+        line.trim_end_matches("kB")
+            .trim()
+            .parse()
+            .expect("a number")
     }
 
     /// The processor time it has used.
     pub fn cpu_seconds(&self) -> f64 {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("its state");
+        let stat =
+            std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("its state");
         let (_, fields) = stat.rsplit_once(") ").expect("fields behind its name");
-        let ticks =
-            |n: usize| fields.split(' ').nth(n).and_then(|t| t.parse::<f64>().ok()).expect("a number");
+        let ticks = |n: usize| {
+            fields
+                .split(' ')
+                .nth(n)
+                .and_then(|t| t.parse::<f64>().ok())
+                .expect("a number")
+        };
         // utime and stime, in the hundredths of a second that Linux counts them in.
         (ticks(11) + ticks(12)) / 100.0
     }
 
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &id]).status().expect("kill runs").success());
+        assert!(
+            Command::new("kill")
+                .args([name, &id])
+                .status()
+                .expect("kill runs")
+                .success()
+        );
     }
 
     pub fn terminate(&self) {
@@ -495,7 +645,9 @@
     /// Puts another configuration in the place of the one it has, and says so.
     pub fn reload(&self, config: &str) {
         let new = self.path.with_extension("new");
-        std::fs::write(&new, config).and_then(|()| std::fs::rename(&new, &self.path)).expect("a new file");
+        std::fs::write(&new, config)
+            .and_then(|()| std::fs::rename(&new, &self.path))
+            .expect("a new file");
         self.signal("-HUP");
     }
 
@@ -545,7 +697,11 @@
 }
 
 /// As `serving`, with these limits.
-pub fn serving_within(settings: &str, backends: &[&Backend], limits: &str) -> (Node, Watch, Discovery) {
+pub fn serving_within(
+    settings: &str,
+    backends: &[&Backend],
+    limits: &str,
+) -> (Node, Watch, Discovery) {
     let discovery = Discovery::start();
     let node = Node::start(&config_with(discovery.address, settings, limits), "");
     told(node, discovery, backends)
@@ -589,7 +745,10 @@
 fn told(node: Node, discovery: Discovery, backends: &[&Backend]) -> (Node, Watch, Discovery) {
     let mut watch = discovery.call();
     watch.open();
-    let entries = backends.iter().enumerate().map(|(i, b)| entry(&format!("s-{i}"), b.address, "in_service"));
+    let entries = backends
+        .iter()
+        .enumerate()
+        .map(|(i, b)| entry(&format!("s-{i}"), b.address, "in_service"));
     watch.line(&list(8, true, &entries.collect::<Vec<_>>()));
     until(|| node.is_ready(), "readiness");
     (node, watch, discovery)
@@ -617,10 +776,16 @@
         self.0.get_mut().write_all(head.as_bytes()).is_ok()
     }
     pub fn send(&mut self, start: &str, headers: &str, body: &[u8]) {
-        let length =
-            if body.is_empty() { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
+        let length = if body.is_empty() {
+            String::new()
+        } else {
+            format!("Content-Length: {}\r\n", body.len())
+        };
         let head = format!("{start} HTTP/1.1\r\nHost: service.internal\r\n{headers}{length}\r\n");
-        self.0.get_mut().write_all(&[head.as_bytes(), body].concat()).expect("the node reads");
+        self.0
+            .get_mut()
+            .write_all(&[head.as_bytes(), body].concat())
+            .expect("the node reads");
     }
     /// The answer; `None` if the connection ends without one.
     pub fn answer(&mut self) -> Option<Message> {
--- a/testing/servers/src/relay.rs
+++ b/testing/servers/src/relay.rs
@@ -22,8 +22,12 @@
 }
 
 fn relay(mut near: TcpStream, to: SocketAddr, other: SocketAddr, method: &'static str) {
-    let Ok(mut far) = TcpStream::connect(to) else { return };
-    let (Ok(mut back), Ok(mut answers)) = (near.try_clone(), far.try_clone()) else { return };
+    let Ok(mut far) = TcpStream::connect(to) else {
+        return;
+    };
+    let (Ok(mut back), Ok(mut answers)) = (near.try_clone(), far.try_clone()) else {
+        return;
+    };
     spawn(move || {
         let _ = std::io::copy(&mut answers, &mut back);
         let _ = back.shutdown(Shutdown::Both);
@@ -33,7 +37,9 @@
         if far.write_all(&frame).is_err() {
             break;
         }
-        let named = body.windows(method.len()).any(|part| part == method.as_bytes());
+        let named = body
+            .windows(method.len())
+            .any(|part| part == method.as_bytes());
         if named && FRAMES.fetch_add(1, Ordering::SeqCst) % 20 == 19 {
             let again = TcpStream::connect(other).and_then(|mut other| {
                 other.write_all(&frame)?;
--- a/testing/servers/src/tally.rs
+++ b/testing/servers/src/tally.rs
@@ -25,7 +25,11 @@
 pub const BINARY: Encoding = Encoding::Binary { strict: true };
 /// Both encodings.
 pub const BOTH: [Encoding; 2] = [BINARY, Encoding::Compact];
-const BOUNDS: Bounds = Bounds { frame: 1 << 24, depth: 64, name: 1024 };
+const BOUNDS: Bounds = Bounds {
+    frame: 1 << 24,
+    depth: 64,
+    name: 1024,
+};
 
 /// A value that peers send.
 #[derive(Clone, Debug)]
@@ -93,7 +97,11 @@
 pub fn read_frame(stream: &mut impl Read) -> io::Result<Option<Vec<u8>>> {
     let mut length = [0; 4];
     if let Err(e) = stream.read_exact(&mut length) {
-        return if e.kind() == io::ErrorKind::UnexpectedEof { Ok(None) } else { Err(e) };
+        return if e.kind() == io::ErrorKind::UnexpectedEof {
+            Ok(None)
+        } else {
+            Err(e)
+        };
     }
     let length = u32::from_be_bytes(length) as usize;
     if length > BOUNDS.frame {
@@ -114,14 +122,20 @@
 
 /// Values at these paths, as text.
 fn values(message: &Message<'_>, paths: &[&str]) -> Vec<Option<String>> {
-    let paths: Vec<Path> = paths.iter().map(|path| path.parse().expect("a path")).collect();
+    let paths: Vec<Path> = paths
+        .iter()
+        .map(|path| path.parse().expect("a path"))
+        .collect();
     let paths: Vec<Option<&Path>> = paths.iter().map(Some).collect();
     let found = match message.encoding {
         Encoding::Binary { .. } => pick(&mut BinaryReader::new(message.body), &paths, &BOUNDS),
         Encoding::Compact => pick(&mut CompactReader::new(message.body), &paths, &BOUNDS),
     };
     let found = found.expect("what the node sends reads");
-    found.iter().map(|value| value.map(|value| String::from_utf8_lossy(&value.text()).into_owned())).collect()
+    found
+        .iter()
+        .map(|value| value.map(|value| String::from_utf8_lossy(&value.text()).into_owned()))
+        .collect()
 }
 
 // ---- Tally boxes --------------------------------------------------------------------------------
@@ -155,7 +169,15 @@
         told(&self.name)
     }
     pub fn reply_as(&self, name: &str, seqid: i32, fields: &[(i16, Value)]) -> Vec<u8> {
-        message(self.encoding, Head { kind: Kind::Reply, name, seqid }, fields)
+        message(
+            self.encoding,
+            Head {
+                kind: Kind::Reply,
+                name,
+                seqid,
+            },
+            fields,
+        )
     }
     /// The call itself, in a frame.
     pub fn bytes_framed(&self) -> Vec<u8> {
@@ -163,7 +185,11 @@
     }
     pub fn exception(&self, number: i32) -> Vec<u8> {
         let fields = [(1, Value::from("from the box")), (2, Value::Number(0))];
-        let head = Head { kind: Kind::Exception, name: self.told(), seqid: self.seqid };
+        let head = Head {
+            kind: Kind::Exception,
+            name: self.told(),
+            seqid: self.seqid,
+        };
         let mut out = vec![0; 4];
         write_head(&mut out, self.encoding, head);
         // The type is an i32, which `Value` has none of.
@@ -227,7 +253,10 @@
 }
 
 impl Tally {
-    pub fn start(encoding: Encoding, script: impl Fn(&Seen) -> Reply + Send + Sync + 'static) -> Arc<Self> {
+    pub fn start(
+        encoding: Encoding,
+        script: impl Fn(&Seen) -> Reply + Send + Sync + 'static,
+    ) -> Arc<Self> {
         Tally::start_on("127.0.0.1:0".parse().expect("an address"), encoding, script)
     }
 
@@ -262,17 +291,25 @@
                 if over.load(Ordering::SeqCst) {
                     return;
                 }
-                kept.lock().expect("streams").push(stream.try_clone().expect("a handle"));
+                kept.lock()
+                    .expect("streams")
+                    .push(stream.try_clone().expect("a handle"));
                 let (script, saw, count) = (script.clone(), saw.clone(), count.clone());
                 spawn(move || answer(stream, connection, encoding, &*script, &saw, &count));
             }
         });
-        *self.run.lock().expect("its run") = Some(Run { ended, streams, accepting });
+        *self.run.lock().expect("its run") = Some(Run {
+            ended,
+            streams,
+            accepting,
+        });
     }
 
     /// Ends it as a crash would: its port refuses, its connections break wherever they are.
     pub fn kill(&self) {
-        let Some(run) = self.run.lock().expect("its run").take() else { return };
+        let Some(run) = self.run.lock().expect("its run").take() else {
+            return;
+        };
         run.ended.store(true, Ordering::SeqCst);
         let _ = TcpStream::connect(self.address); // wakes the accept
         let _ = run.accepting.join();
@@ -296,7 +333,11 @@
 
     /// The next call that it sees.
     pub fn next(&self) -> Seen {
-        self.seen.lock().expect("seen").recv_timeout(PATIENCE).expect("a call at the tally box")
+        self.seen
+            .lock()
+            .expect("seen")
+            .recv_timeout(PATIENCE)
+            .expect("a call at the tally box")
     }
 
     /// How many calls it has seen, over all its runs.
@@ -321,7 +362,9 @@
 ) {
     let _ = stream.set_nodelay(true);
     while let Ok(Some(bytes)) = read_frame(&mut stream) {
-        let Ok(message) = read_head(&bytes, &BOUNDS) else { break };
+        let Ok(message) = read_head(&bytes, &BOUNDS) else {
+            break;
+        };
         if message.encoding != encoding {
             break;
         }
@@ -425,7 +468,11 @@
         let stream = TcpStream::connect(address)?;
         stream.set_read_timeout(Some(PATIENCE))?;
         stream.set_nodelay(true)?;
-        Ok(Caller { stream, encoding, seqid: 0 })
+        Ok(Caller {
+            stream,
+            encoding,
+            seqid: 0,
+        })
     }
 
     /// The frame of the next call.
@@ -434,7 +481,13 @@
         self.frame_as(Kind::Call, name, self.seqid, arguments)
     }
 
-    pub fn frame_as(&self, kind: Kind, name: &str, seqid: i32, arguments: &[(i16, Value)]) -> Vec<u8> {
+    pub fn frame_as(
+        &self,
+        kind: Kind,
+        name: &str,
+        seqid: i32,
+        arguments: &[(i16, Value)],
+    ) -> Vec<u8> {
         message(self.encoding, Head { kind, name, seqid }, arguments)
     }
 
@@ -444,7 +497,9 @@
 
     /// The next answer; `None` if the connection ends without one.
     pub fn answer(&mut self) -> io::Result<Option<Answer>> {
-        let Some(bytes) = read_frame(&mut self.stream)? else { return Ok(None) };
+        let Some(bytes) = read_frame(&mut self.stream)? else {
+            return Ok(None);
+        };
         Ok(Some(read_answer(&bytes)))
     }
 
@@ -474,8 +529,15 @@
     pub fn call(&mut self, name: &str, arguments: &[(i16, Value)]) -> Answer {
         let frame = self.frame(name, arguments);
         self.write(&frame).expect("the node reads");
-        let answer = self.answer().expect("the connection lasts").expect("an answer");
-        assert_eq!((answer.seqid, answer.name.as_str()), (self.seqid, told(name)), "an answer to this call");
+        let answer = self
+            .answer()
+            .expect("the connection lasts")
+            .expect("an answer");
+        assert_eq!(
+            (answer.seqid, answer.name.as_str()),
+            (self.seqid, told(name)),
+            "an answer to this call"
+        );
         answer
     }
 
@@ -484,20 +546,33 @@
     }
 
     pub fn submit(&mut self, key: &str) -> Answer {
-        self.call("Tally:submit", &[origin("1f", key, 20_000), (2, Value::from("sheet"))])
+        self.call(
+            "Tally:submit",
+            &[origin("1f", key, 20_000), (2, Value::from("sheet"))],
+        )
     }
 
     pub fn correct(&mut self) -> Answer {
-        self.call("Tally:correct", &[origin("1f", "", 20_000), (2, Value::from("sheet"))])
+        self.call(
+            "Tally:correct",
+            &[origin("1f", "", 20_000), (2, Value::from("sheet"))],
+        )
     }
 }
 
 impl Caller {
     /// A call whose box says nothing, and how that ends.
     pub fn correct_slowly(&mut self) -> End {
-        let answer = self.call("Tally:correct", &[origin("1f", "", 300), (2, Value::from("slow"))]);
+        let answer = self.call(
+            "Tally:correct",
+            &[origin("1f", "", 300), (2, Value::from("slow"))],
+        );
         // Which of the two depends on whose clock is first: the attempt's or the call's.
-        if answer.end() == End::Failed { End::TimedOut } else { answer.end() }
+        if answer.end() == End::Failed {
+            End::TimedOut
+        } else {
+            answer.end()
+        }
     }
 }
 
@@ -520,7 +595,9 @@
     } else {
         let (number, text) = read_exception(&message, &BOUNDS).expect("an exception");
         (answer.number, answer.text) = (Some(number), Some(text));
-        answer.retry_ms = values(&message, &["3"])[0].as_ref().and_then(|ms| ms.parse().ok());
+        answer.retry_ms = values(&message, &["3"])[0]
+            .as_ref()
+            .and_then(|ms| ms.parse().ok());
     }
     answer
 }
@@ -549,5 +626,8 @@
         method("note", "read", ""),
     ];
     let backend = operator_backend("t", encoding);
-    format!("[thrift]\nlisten = \"127.0.0.1:0\"\n{more}\n{}{backend}", methods.concat())
+    format!(
+        "[thrift]\nlisten = \"127.0.0.1:0\"\n{more}\n{}{backend}",
+        methods.concat()
+    )
 }
--- a/testing/simulation/src/dice.rs
+++ b/testing/simulation/src/dice.rs
@@ -10,10 +10,16 @@
 impl Dice {
     /// The dice of a party: of `kind`, the `number`th.
     pub fn of(seed: u64, kind: &str, number: u64) -> Self {
-        let mixed = kind.bytes().fold(seed ^ 0x9e37_79b9_7f4a_7c15, |hash, byte| {
-            (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3).rotate_left(23)
-        });
-        Dice(Random::seeded(mixed ^ number.wrapping_add(1).wrapping_mul(0xd6e8_feb8_6659_fd93)))
+        let mixed = kind
+            .bytes()
+            .fold(seed ^ 0x9e37_79b9_7f4a_7c15, |hash, byte| {
+                (hash ^ u64::from(byte))
+                    .wrapping_mul(0x0000_0100_0000_01b3)
+                    .rotate_left(23)
+            });
+        Dice(Random::seeded(
+            mixed ^ number.wrapping_add(1).wrapping_mul(0xd6e8_feb8_6659_fd93),
+        ))
     }
 
     /// A number of the range, which is not empty.
