--- a/testing/simulation/src/faults.rs
+++ b/testing/simulation/src/faults.rs
@@ -35,24 +35,36 @@
 impl Stage {
     /// What is true of a backend from now on.
     pub fn list(&self, backend: usize, state: State, since: Duration) {
-        let Some(tally) = self.boxes.get(backend) else { return };
+        let Some(tally) = self.boxes.get(backend) else {
+            return;
+        };
         let line = Line {
             backend,
             address: tally.address,
             zone: if tally.plan.zone == 0 { "a" } else { "b" },
             kind: if self.script.thrift { "t" } else { "m" },
             state,
-            since_ms: if since.is_zero() { 0 } else { (UNIX + since).as_millis() },
+            since_ms: if since.is_zero() {
+                0
+            } else {
+                (UNIX + since).as_millis()
+            },
         };
         if let Some(etcd) = &self.etcd {
-            etcd.put(backend, state, (state != State::Terminated).then(|| line.json()));
+            etcd.put(
+                backend,
+                state,
+                (state != State::Terminated).then(|| line.json()),
+            );
         }
         self.roster.change(&line);
     }
 
     /// Starts a backend that joins in the course of the night, cold.
     pub async fn join(self: Rc<Self>, backend: usize) {
-        let Some(tally) = self.boxes.get(backend).cloned() else { return };
+        let Some(tally) = self.boxes.get(backend).cloned() else {
+            return;
+        };
         sleep_until(self.net.at(Duration::from_millis(tally.plan.from_ms))).await;
         if tally.start(true) {
             self.list(backend, State::InService, self.net.now());
@@ -89,7 +101,9 @@
             What::Reload(node) if node < nodes.count() => nodes.reload(node),
             What::Descriptors { node, left } if node < nodes.count() => {
                 let host = nodes.host(node);
-                let before = self.net.with(host, |m| std::mem::replace(&mut m.descriptors, m.open + left));
+                let before = self.net.with(host, |m| {
+                    std::mem::replace(&mut m.descriptors, m.open + left)
+                });
                 nodes.excuse(node, self.net.now() + span + Duration::from_millis(200));
                 sleep(span).await;
                 self.net.with(host, |machine| machine.descriptors = before);
@@ -106,7 +120,10 @@
                 self.net.slow(1.0);
             }
             What::EtcdCompacts => self.etcd.iter().for_each(|etcd| etcd.compact()),
-            What::EtcdStalls => self.etcd.iter().for_each(|etcd| etcd.stall(self.net.now() + span)),
+            What::EtcdStalls => self
+                .etcd
+                .iter()
+                .for_each(|etcd| etcd.stall(self.net.now() + span)),
             What::Drain(backend) => self.drain(backend, span).await,
             What::Replace { backend, successor } => {
                 // The successor joins by its own plan, at an address of its own.
@@ -114,7 +131,9 @@
                 self.drain(backend, span).await;
             }
             What::Crash(backend) => {
-                let Some(tally) = there(backend).filter(|tally| tally.is_up()) else { return };
+                let Some(tally) = there(backend).filter(|tally| tally.is_up()) else {
+                    return;
+                };
                 tally.die().await;
                 sleep(span).await;
                 self.list(backend, State::Terminated, Duration::ZERO);
@@ -125,10 +144,12 @@
             }
             What::FrontResets { node, permille } if node < nodes.count() => {
                 let clients = self.clients;
-                self.storm(nodes.host(node), Some(clients), permille, span).await;
+                self.storm(nodes.host(node), Some(clients), permille, span)
+                    .await;
             }
             What::FrontCuts { node, permille } if node < nodes.count() => {
-                self.net.cuts(nodes.host(node), permille, self.net.now() + span);
+                self.net
+                    .cuts(nodes.host(node), permille, self.net.now() + span);
             }
             What::CutOff(node) if node < nodes.count() => {
                 // Who asks meanwhile is not heard; what it had taken may be answered late.
@@ -142,17 +163,20 @@
             }
             What::Deaf(backend) => {
                 if let Some(tally) = there(backend) {
-                    self.net.with(tally.host, |machine| machine.deaf_until = until);
+                    self.net
+                        .with(tally.host, |machine| machine.deaf_until = until);
                 }
             }
             What::Refuse(backend) => {
                 if let Some(tally) = there(backend) {
-                    self.net.with(tally.host, |machine| machine.refuses_until = until);
+                    self.net
+                        .with(tally.host, |machine| machine.refuses_until = until);
                 }
             }
             What::Full(backend) => {
                 if let Some(tally) = there(backend) {
-                    self.net.with(tally.host, |machine| machine.full_until = until);
+                    self.net
+                        .with(tally.host, |machine| machine.full_until = until);
                 }
             }
             What::Cuts { backend, permille } => {
@@ -160,10 +184,18 @@
                     self.net.cuts(tally.host, permille, self.net.now() + span);
                 }
             }
-            What::Choke { backend, factor } => self.trouble(backend, span, |t| t.slower = factor).await,
-            What::Spoils { backend, permille } => self.trouble(backend, span, |t| t.spoils = permille).await,
-            What::Behind { backend, permille } => self.trouble(backend, span, |t| t.behind = permille).await,
-            What::Errors { backend, permille } => self.trouble(backend, span, |t| t.errors = permille).await,
+            What::Choke { backend, factor } => {
+                self.trouble(backend, span, |t| t.slower = factor).await
+            }
+            What::Spoils { backend, permille } => {
+                self.trouble(backend, span, |t| t.spoils = permille).await
+            }
+            What::Behind { backend, permille } => {
+                self.trouble(backend, span, |t| t.behind = permille).await
+            }
+            What::Errors { backend, permille } => {
+                self.trouble(backend, span, |t| t.errors = permille).await
+            }
             What::Rejects { backend, permille } => {
                 self.trouble(backend, span, |t| t.rejects = permille).await
             }
@@ -184,7 +216,8 @@
         loop {
             let count = self.net.reset_some(host, with, permille);
             if count > 0 {
-                self.net.step(host, format_args!("{count} connections are reset"));
+                self.net
+                    .step(host, format_args!("{count} connections are reset"));
             }
             if self.net.now() >= end {
                 return;
@@ -194,12 +227,16 @@
     }
 
     fn nodes_slow(&self, node: usize) {
-        self.net.step(self.nodes.host(node), format_args!("had not ended in time and is killed"));
+        self.net.step(
+            self.nodes.host(node),
+            format_args!("had not ended in time and is killed"),
+        );
     }
 
     fn add_lag(&self, more: i64) {
         self.lag.set(self.lag.get().saturating_add_signed(more));
-        self.roster.set_lag(Duration::from_millis(self.script.lag_ms + self.lag.get()));
+        self.roster
+            .set_lag(Duration::from_millis(self.script.lag_ms + self.lag.get()));
     }
 
     async fn trouble(
@@ -208,7 +245,9 @@
         span: Duration,
         change: impl Fn(&mut crate::parties::boxes::Trouble),
     ) {
-        let Some(tally) = self.boxes.get(backend) else { return };
+        let Some(tally) = self.boxes.get(backend) else {
+            return;
+        };
         let mut trouble = tally.trouble.get();
         change(&mut trouble);
         tally.trouble.set(trouble);
@@ -218,7 +257,9 @@
 
     /// A backend drains, finishes what it has, and is gone after the time.
     async fn drain(&self, backend: usize, span: Duration) {
-        let Some(tally) = self.boxes.get(backend).filter(|tally| tally.is_up()) else { return };
+        let Some(tally) = self.boxes.get(backend).filter(|tally| tally.is_up()) else {
+            return;
+        };
         self.list(backend, State::Terminating, Duration::ZERO);
         sleep(span).await;
         self.list(backend, State::Terminated, Duration::ZERO);
--- a/testing/simulation/src/fleet.rs
+++ b/testing/simulation/src/fleet.rs
@@ -6,9 +6,9 @@
 use crate::parties::nodes::UNIX;
 use crate::scoped::Scoped;
 use crate::trace::Trace;
+use sillward_membership::{About, Life, Name, Standing, State};
 use sillward_peer_transport::envelope::Keys;
 use sillward_peer_transport::{Fleet, Terms};
-use sillward_membership::{About, Life, Name, Standing, State};
 use sillward_runtime::time::sleep;
 use sillward_runtime::{Clock, task};
 use std::cell::RefCell;
@@ -73,7 +73,11 @@
 }
 
 fn address(number: usize) -> SocketAddr {
-    ([127, 4, (number / 200) as u8, (number % 200) as u8 + 1], 7946).into()
+    (
+        [127, 4, (number / 200) as u8, (number % 200) as u8 + 1],
+        7946,
+    )
+        .into()
 }
 
 fn name(number: usize) -> Option<Name> {
@@ -138,8 +142,15 @@
     fn share(&self, of: usize, is: impl Fn(Option<(State, Life)>) -> bool) -> f64 {
         let Some(of_name) = name(of) else { return 0.0 };
         let (mut yes, mut all) = (0, 0);
-        for (number, member) in self.members.iter().enumerate().filter(|(number, _)| *number != of) {
-            let Some(fleet) = &*member.fleet.borrow() else { continue };
+        for (number, member) in self
+            .members
+            .iter()
+            .enumerate()
+            .filter(|(number, _)| *number != of)
+        {
+            let Some(fleet) = &*member.fleet.borrow() else {
+                continue;
+            };
             let said = fleet.with(|peers| peers.member(&of_name).map(|m| (m.state, m.life)));
             all += 1;
             yes += usize::from(is(said));
@@ -161,9 +172,12 @@
 
     /// All that live know all that live, in the lives that they are in, and hold nobody else to live.
     fn agreed(&self) -> bool {
-        let living: Vec<(usize, Rc<Fleet>)> =
-            (0..self.members.len()).filter_map(|number| Some((number, self.fleet(number)?))).collect();
-        let Some((_, first)) = living.first() else { return true };
+        let living: Vec<(usize, Rc<Fleet>)> = (0..self.members.len())
+            .filter_map(|number| Some((number, self.fleet(number)?)))
+            .collect();
+        let Some((_, first)) = living.first() else {
+            return true;
+        };
         let print = first.with(|peers| peers.print());
         living.iter().all(|(_, fleet)| {
             fleet.with(|peers| {
@@ -178,7 +192,10 @@
     fn posted(&self) -> (u64, u64) {
         let posted = self.members.iter().enumerate().map(|(number, member)| {
             let (frames, bytes) = self.net.posted(member.host);
-            let [_, _, messages, longs] = self.fleet(number).map(|fleet| fleet.sent()).unwrap_or_default();
+            let [_, _, messages, longs] = self
+                .fleet(number)
+                .map(|fleet| fleet.sent())
+                .unwrap_or_default();
             (frames + messages, bytes + longs)
         });
         posted.fold((0, 0), |(a, b), (c, d)| (a + c, b + d))
@@ -188,13 +205,18 @@
     fn rate(&self, before: (u64, u64), since: Duration) -> (f64, f64) {
         let after = self.posted();
         let over = (self.net.now() - since).as_secs_f64() * self.members.len() as f64;
-        (after.0.saturating_sub(before.0) as f64 / over, after.1.saturating_sub(before.1) as f64 / over)
+        (
+            after.0.saturating_sub(before.0) as f64 / over,
+            after.1.saturating_sub(before.1) as f64 / over,
+        )
     }
 
     /// Members that live and were called gone, since the start, but for those that were meant to be.
     fn alarms(&self) -> u64 {
         let living = (0..self.members.len()).filter_map(|number| self.fleet(number));
-        living.map(|fleet| fleet.with(|peers| peers.figures().lives.saturating_sub(1))).sum()
+        living
+            .map(|fleet| fleet.with(|peers| peers.figures().lives.saturating_sub(1)))
+            .sum()
     }
 }
 
@@ -203,7 +225,10 @@
 /// # Errors
 /// The runtime could not be started.
 pub fn measure(size: &Size) -> std::io::Result<Measured> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build()?;
     let tasks = LocalSet::new();
     let measured = tasks.block_on(&runtime, run(size.clone()));
     runtime.block_on(async { drop(tasks) });
@@ -221,7 +246,11 @@
     });
     let members = members.collect();
     let mut dice = Dice::of(size.seed, "fleet", 0);
-    let world = World { net: net.clone(), size: size.clone(), members };
+    let world = World {
+        net: net.clone(),
+        size: size.clone(),
+        members,
+    };
     let mut measured = Measured::default();
     (0..size.nodes).for_each(|number| world.start(number));
     sleep(LOOK).await;
@@ -236,19 +265,25 @@
     let (before, since) = (world.posted(), net.now());
     for _ in 0..size.rounds {
         let one = dice.within(0..size.nodes as u64) as usize;
-        let Some(life) = world.life(one) else { continue };
+        let Some(life) = world.life(one) else {
+            continue;
+        };
         world.kill(one).await;
         let ended = |said: Option<(State, Life)>| {
             said.is_none_or(|(state, known)| known == life && !state.is_living())
         };
-        measured.deaths.push(world.until(|| world.share(one, ended) >= 0.99).await);
+        measured
+            .deaths
+            .push(world.until(|| world.share(one, ended) >= 0.99).await);
         sleep(Duration::from_secs(2)).await;
         world.start(one);
         sleep(Duration::from_millis(1)).await;
         let born = |said: Option<(State, Life)>| {
             said.is_some_and(|(state, known)| state.is_living() && Some(known) == world.life(one))
         };
-        measured.births.push(world.until(|| world.share(one, born) >= 0.99).await);
+        measured
+            .births
+            .push(world.until(|| world.share(one, born) >= 0.99).await);
         sleep(Duration::from_secs(2)).await;
     }
     measured.busy = world.rate(before, since);
--- a/testing/simulation/src/ledger.rs
+++ b/testing/simulation/src/ledger.rs
@@ -57,8 +57,18 @@
 
 impl Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let call = self.call.as_deref().map(|call| format!(" call {call}")).unwrap_or_default();
-        write!(f, "{} at {} ms{call}: {}", self.checker, self.at.as_millis(), self.what)
+        let call = self
+            .call
+            .as_deref()
+            .map(|call| format!(" call {call}"))
+            .unwrap_or_default();
+        write!(
+            f,
+            "{} at {} ms{call}: {}",
+            self.checker,
+            self.at.as_millis(),
+            self.what
+        )
     }
 }
 
@@ -169,8 +179,15 @@
         if breach.is_none() {
             let at = self.net.now();
             let call = call.map(str::to_owned);
-            self.net.trace.step(at, "checker", format_args!("{checker} {what}"));
-            *breach = Some(Breach { checker, at, call, what });
+            self.net
+                .trace
+                .step(at, "checker", format_args!("{checker} {what}"));
+            *breach = Some(Breach {
+                checker,
+                at,
+                call,
+                what,
+            });
             self.broken.notify_one();
         }
     }
@@ -188,10 +205,21 @@
     /// A client begins a call at a node. Calls are named `OPERATION.TRY`.
     pub fn begins(&self, call: &str, operation: u64, repeat: Repeat, node: usize, due: Duration) {
         self.figures.borrow_mut().calls += 1;
-        let entry = Call { operation, repeat, node, due, arrivals: Vec::new(), answered: None };
+        let entry = Call {
+            operation,
+            repeat,
+            node,
+            due,
+            arrivals: Vec::new(),
+            answered: None,
+        };
         self.calls.borrow_mut().insert(call.to_owned(), entry);
         let now = self.net.now();
-        self.net.trace.step(now, "clients", format_args!("call {call} ({repeat:?}) to n{node}"));
+        self.net.trace.step(
+            now,
+            "clients",
+            format_args!("call {call} ({repeat:?}) to n{node}"),
+        );
     }
 
     /// The last byte of a call has come to a backend, whose first byte was sent at `begun`.
@@ -200,10 +228,16 @@
         self.checks.set(self.checks.get() + 1);
         self.figures.borrow_mut().attempts += 1;
         let backend = who.backend;
-        self.net.trace.step(now, "ledger", format_args!("call {name} at b{backend}"));
+        self.net
+            .trace
+            .step(now, "ledger", format_args!("call {name} at b{backend}"));
         let mut calls = self.calls.borrow_mut();
         let Some(call) = calls.get_mut(name) else {
-            self.breach("no-such-call", Some(name), format!("came to b{backend}, and nobody called it"));
+            self.breach(
+                "no-such-call",
+                Some(name),
+                format!("came to b{backend}, and nobody called it"),
+            );
             return Effect::Repeat;
         };
         if let Some((at, end)) = call.answered.filter(|(at, _)| begun > *at) {
@@ -233,7 +267,10 @@
             (Repeat::Keyed, Some(first))
                 if begun > first.begun + Duration::from_millis(WINDOW_MS) + SLACK =>
             {
-                let what = format!("comes to b{backend} after its window, first sent at {:?}", first.begun);
+                let what = format!(
+                    "comes to b{backend} after its window, first sent at {:?}",
+                    first.begun
+                );
                 self.breach("past-window", Some(name), what);
             }
             _ => {}
@@ -249,7 +286,13 @@
             );
             self.breach("drain", Some(name), what);
         }
-        call.arrivals.push(Arrival { at: now, begun, backend, group: who.group, ran: true });
+        call.arrivals.push(Arrival {
+            at: now,
+            begun,
+            backend,
+            group: who.group,
+            ran: true,
+        });
         let mut operations = self.operations.borrow_mut();
         let operation = operations.entry(call.operation).or_default();
         let effect = match call.repeat {
@@ -259,7 +302,11 @@
         if effect == Effect::New {
             operation.effects.push(who.group);
             if call.repeat == Repeat::Unsafe && operation.effects.len() > 1 {
-                self.breach("effect-twice", Some(name), "an earlier try of it ran".to_owned());
+                self.breach(
+                    "effect-twice",
+                    Some(name),
+                    "an earlier try of it ran".to_owned(),
+                );
             }
         } else {
             self.figures.borrow_mut().repeats += 1;
@@ -278,14 +325,22 @@
         let mut cold = self.cold.borrow_mut();
         let came = &mut cold.entry(who.backend).or_default().came;
         came.push_back(now);
-        while came.front().is_some_and(|first| now - *first > OVERLOAD_TIME) {
+        while came
+            .front()
+            .is_some_and(|first| now - *first > OVERLOAD_TIME)
+        {
             came.pop_front();
         }
-        let warmth = COLD_SHARE + (1.0 - COLD_SHARE) * age.as_secs_f64() / (WARM_MS as f64 / 1000.0);
+        let warmth =
+            COLD_SHARE + (1.0 - COLD_SHARE) * age.as_secs_f64() / (WARM_MS as f64 / 1000.0);
         let can = who.cores as f64 * who.speed * 1000.0 / WORK_ON_AVERAGE_MS * warmth.min(1.0);
         let most = OVERLOAD * can * OVERLOAD_TIME.as_secs_f64();
         if came.len() as f64 > most {
-            let what = format!("b{} got {} in 1.5 s and stands {most:.0}", who.backend, came.len());
+            let what = format!(
+                "b{} got {} in 1.5 s and stands {most:.0}",
+                who.backend,
+                came.len()
+            );
             drop(cold);
             self.breach("cold", None, what);
         }
@@ -293,14 +348,24 @@
 
     /// Whether a call has come to any backend.
     pub fn has_come(&self, name: &str) -> bool {
-        self.calls.borrow().get(name).is_some_and(|call| !call.arrivals.is_empty())
+        self.calls
+            .borrow()
+            .get(name)
+            .is_some_and(|call| !call.arrivals.is_empty())
     }
 
     /// It was turned away, and has not run.
     pub fn never_ran(&self, name: &str, backend: usize) {
         let mut calls = self.calls.borrow_mut();
-        let Some(call) = calls.get_mut(name) else { return };
-        let Some(arrival) = call.arrivals.iter_mut().rev().find(|arrival| arrival.backend == backend) else {
+        let Some(call) = calls.get_mut(name) else {
+            return;
+        };
+        let Some(arrival) = call
+            .arrivals
+            .iter_mut()
+            .rev()
+            .find(|arrival| arrival.backend == backend)
+        else {
             return;
         };
         arrival.ran = false;
@@ -317,7 +382,9 @@
     pub fn answers(&self, name: &str, end: End, own: bool, excused: bool) {
         let now = self.net.now();
         self.checks.set(self.checks.get() + 1);
-        self.net.trace.step(now, "clients", format_args!("call {name} answered {end:?}"));
+        self.net
+            .trace
+            .step(now, "clients", format_args!("call {name} answered {end:?}"));
         let mut figures = self.figures.borrow_mut();
         match end {
             End::Served => figures.served += 1,
@@ -326,30 +393,56 @@
         }
         drop(figures);
         let mut calls = self.calls.borrow_mut();
-        let Some(call) = calls.get_mut(name) else { return };
+        let Some(call) = calls.get_mut(name) else {
+            return;
+        };
         if call.answered.is_some() {
-            self.breach("answered-twice", Some(name), format!("answered again: {end:?}"));
+            self.breach(
+                "answered-twice",
+                Some(name),
+                format!("answered again: {end:?}"),
+            );
         }
         call.answered = Some((now, end));
         if now > call.due + SLACK && !excused {
             let late = (now - call.due).as_millis();
-            self.breach("late", Some(name), format!("answered {late} ms after its deadline"));
+            self.breach(
+                "late",
+                Some(name),
+                format!("answered {late} ms after its deadline"),
+            );
         }
         let ran = call.arrivals.iter().any(|arrival| arrival.ran);
         if end == End::Served && !own {
-            self.breach("foreign-answer", Some(name), "served with another call's answer".to_owned());
+            self.breach(
+                "foreign-answer",
+                Some(name),
+                "served with another call's answer".to_owned(),
+            );
         } else if end == End::Served && !ran {
-            self.breach("foreign-answer", Some(name), "served, and ran nowhere".to_owned());
+            self.breach(
+                "foreign-answer",
+                Some(name),
+                "served, and ran nowhere".to_owned(),
+            );
         }
         if end == End::Refused && ran && call.repeat != Repeat::Safe {
-            self.breach("refused-and-ran", Some(name), "refused, and it ran".to_owned());
+            self.breach(
+                "refused-and-ran",
+                Some(name),
+                "refused, and it ran".to_owned(),
+            );
         }
     }
 
     /// A client has no answer; `excused` if that is no fault of the node's.
     pub fn unanswered(&self, name: &str, excused: bool, why: &str) {
         let now = self.net.now();
-        self.net.trace.step(now, "clients", format_args!("call {name} unanswered, {why}"));
+        self.net.trace.step(
+            now,
+            "clients",
+            format_args!("call {name} unanswered, {why}"),
+        );
         if excused {
             self.figures.borrow_mut().excused += 1;
         } else {
@@ -381,7 +474,9 @@
     /// The life of a call, for a person.
     pub fn life(&self, name: &str) -> Vec<String> {
         let calls = self.calls.borrow();
-        let Some(call) = calls.get(name) else { return Vec::new() };
+        let Some(call) = calls.get(name) else {
+            return Vec::new();
+        };
         let mut all = vec![format!(
             "call {name}: {:?}, to n{}, due at {} ms",
             call.repeat,
@@ -395,10 +490,17 @@
                 arrival.backend,
                 arrival.group,
                 arrival.at.as_millis(),
-                if arrival.ran { "may have run" } else { "turned away" }
+                if arrival.ran {
+                    "may have run"
+                } else {
+                    "turned away"
+                }
             )
         }));
-        all.extend(call.answered.map(|(at, end)| format!("  answered {end:?} at {} ms", at.as_millis())));
+        all.extend(
+            call.answered
+                .map(|(at, end)| format!("  answered {end:?} at {} ms", at.as_millis())),
+        );
         all
     }
 }
--- a/testing/simulation/src/net.rs
+++ b/testing/simulation/src/net.rs
@@ -125,12 +125,32 @@
 }
 
 enum Event {
-    Bytes { conn: u64, end: usize, bytes: Vec<u8>, behind: bool },
-    End { conn: u64, end: usize },
-    Reset { conn: u64, end: usize },
-    Dial { conn: u64 },
-    Dialled { conn: u64, refused: bool },
-    Datagram { to: SocketAddr, from: SocketAddr, bytes: Vec<u8> },
+    Bytes {
+        conn: u64,
+        end: usize,
+        bytes: Vec<u8>,
+        behind: bool,
+    },
+    End {
+        conn: u64,
+        end: usize,
+    },
+    Reset {
+        conn: u64,
+        end: usize,
+    },
+    Dial {
+        conn: u64,
+    },
+    Dialled {
+        conn: u64,
+        refused: bool,
+    },
+    Datagram {
+        to: SocketAddr,
+        from: SocketAddr,
+        bytes: Vec<u8>,
+    },
 }
 
 struct Inner {
@@ -229,13 +249,19 @@
     /// A step of the trace, by a machine.
     pub fn step(&self, host: Host, what: std::fmt::Arguments<'_>) {
         let inner = self.inner.borrow();
-        self.trace.step(self.now(), &inner.machines[host.0].name, what);
+        self.trace
+            .step(self.now(), &inner.machines[host.0].name, what);
     }
 
     /// The world as a machine sees it, at this time of day at the run's start.
     pub fn world(&self, host: Host, unix: Duration) -> Rc<dyn World> {
         let tasks = self.with(host, |machine| machine.tasks.clone());
-        Rc::new(Seen { net: self.clone(), host, unix, tasks })
+        Rc::new(Seen {
+            net: self.clone(),
+            host,
+            unix,
+            tasks,
+        })
     }
 
     /// New connections to a machine are cut after some bytes, so often in a thousand, until then; of those that are
@@ -244,7 +270,10 @@
         let mut inner = self.inner.borrow_mut();
         inner.machines[host.0].cuts = Some((permille, until));
         let Inner { conns, dice, .. } = &mut *inner;
-        for conn in conns.values_mut().filter(|conn| conn.hosts[1] == host && conn.hosts[0] != host) {
+        for conn in conns
+            .values_mut()
+            .filter(|conn| conn.hosts[1] == host && conn.hosts[0] != host)
+        {
             if dice.permille(permille) {
                 conn.cut_after = Some(dice.within(1..900) as usize);
             }
@@ -271,8 +300,11 @@
                 && with.is_none_or(|with| conn.hosts.contains(&with))
                 && conn.dialling.is_none()
         };
-        let hit: Vec<u64> =
-            conns.iter().filter(|(_, c)| hit(c) && dice.permille(permille)).map(|(id, _)| *id).collect();
+        let hit: Vec<u64> = conns
+            .iter()
+            .filter(|(_, c)| hit(c) && dice.permille(permille))
+            .map(|(id, _)| *id)
+            .collect();
         for id in &hit {
             inner.reset_both(*id);
         }
@@ -282,7 +314,9 @@
     /// Connections that a machine has dialled and not dropped, among them dials under way, to these machines.
     pub fn dialled(&self, from: Host, to: &BTreeSet<Host>) -> usize {
         let inner = self.inner.borrow();
-        let of = |conn: &&Conn| conn.hosts[0] == from && to.contains(&conn.hosts[1]) && !conn.ends[0].closed;
+        let of = |conn: &&Conn| {
+            conn.hosts[0] == from && to.contains(&conn.hosts[1]) && !conn.ends[0].closed
+        };
         inner.conns.values().filter(of).count()
     }
 
@@ -291,12 +325,19 @@
         loop {
             let now = self.now();
             loop {
-                let due = self.inner.borrow().events.first_key_value().is_some_and(|((at, _), _)| *at <= now);
+                let due = self
+                    .inner
+                    .borrow()
+                    .events
+                    .first_key_value()
+                    .is_some_and(|((at, _), _)| *at <= now);
                 if !due {
                     break;
                 }
                 let mut inner = self.inner.borrow_mut();
-                let Some((_, event)) = inner.events.pop_first() else { break };
+                let Some((_, event)) = inner.events.pop_first() else {
+                    break;
+                };
                 let told = inner.happen(event, now, &self.trace);
                 drop(inner);
                 if let Some((dialled, how)) = told {
@@ -341,10 +382,19 @@
             inner.machines[from.0].take_descriptor()?;
             inner.made += 1;
             let number = inner.made;
-            let end = || End { room: ROOM, ..End::default() };
+            let end = || End {
+                room: ROOM,
+                ..End::default()
+            };
             let conn = Conn {
                 hosts: [from, from], // the listener's is known when the dial gets there
-                ends: [end(), End { closed: true, ..end() }],
+                ends: [
+                    end(),
+                    End {
+                        closed: true,
+                        ..end()
+                    },
+                ],
                 delay: inner.delay(from, to),
                 spoilt: false,
                 cut_after: None,
@@ -354,7 +404,12 @@
             let at = self.now() + conn.delay;
             inner.conns.insert(number, conn);
             self.push(&mut inner, at, Event::Dial { conn: number });
-            Socket { net: self.clone(), conn: number, end: 0, host: from }
+            Socket {
+                net: self.clone(),
+                conn: number,
+                end: 0,
+                host: from,
+            }
         };
         match up.await {
             Ok(Ok(())) => Ok(socket),
@@ -375,8 +430,22 @@
         inner.machines[host.0].take_descriptor()?;
         inner.made += 1;
         let number = inner.made;
-        inner.listening.insert(at, Listening { host, number, queue: VecDeque::new(), backlog, waker: None });
-        Ok(Listener { net: self.clone(), host, at, number })
+        inner.listening.insert(
+            at,
+            Listening {
+                host,
+                number,
+                queue: VecDeque::new(),
+                backlog,
+                waker: None,
+            },
+        );
+        Ok(Listener {
+            net: self.clone(),
+            host,
+            at,
+            number,
+        })
     }
 }
 
@@ -392,9 +461,16 @@
 
     /// The way between two machines, one way, of one connection.
     fn delay(&mut self, from: Host, to: SocketAddr) -> Duration {
-        let other = self.listening.get(&to).map(|l| self.machines[l.host.0].zone);
+        let other = self
+            .listening
+            .get(&to)
+            .map(|l| self.machines[l.host.0].zone);
         let far = other.is_some_and(|zone| zone != self.machines[from.0].zone);
-        let us = if far { 1400 + self.dice.within(0..1200) } else { 150 + self.dice.within(0..400) };
+        let us = if far {
+            1400 + self.dice.within(0..1200)
+        } else {
+            150 + self.dice.within(0..400)
+        };
         Duration::from_micros(us).mul_f64(self.slow)
     }
 
@@ -415,7 +491,10 @@
                 (conn.hosts[1 - end], conn.hosts[*end])
             }
             Event::Dialled { .. } => (listener, dialler),
-            Event::Dial { .. } => (dialler, self.listening.get(&conn.to).map_or(dialler, |l| l.host)),
+            Event::Dial { .. } => (
+                dialler,
+                self.listening.get(&conn.to).map_or(dialler, |l| l.host),
+            ),
             Event::Datagram { .. } => return None,
         };
         self.post.cut(from, to, now)
@@ -426,7 +505,9 @@
     }
 
     fn reset_both(&mut self, id: u64) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
+        let Some(conn) = self.conns.get_mut(&id) else {
+            return;
+        };
         conn.spoilt = true;
         for end in &mut conn.ends {
             end.break_off();
@@ -469,7 +550,9 @@
             return None;
         }
         match event {
-            Event::Bytes { end, bytes, behind, .. } => {
+            Event::Bytes {
+                end, bytes, behind, ..
+            } => {
                 let conn = self.conns.get_mut(&id)?;
                 let host = conn.hosts[end];
                 let to = &mut conn.ends[end];
@@ -479,7 +562,13 @@
                 }
                 if to.closed {
                     let at = now + conn.delay;
-                    self.push(at, Event::Reset { conn: id, end: 1 - end });
+                    self.push(
+                        at,
+                        Event::Reset {
+                            conn: id,
+                            end: 1 - end,
+                        },
+                    );
                     return None;
                 }
                 if behind {
@@ -488,7 +577,11 @@
                     to.unread.extend(&bytes);
                     wake(&mut to.reader);
                 }
-                trace.step(now, self.name(host), format_args!("c{id} gets {} bytes", bytes.len()));
+                trace.step(
+                    now,
+                    self.name(host),
+                    format_args!("c{id} gets {} bytes", bytes.len()),
+                );
             }
             Event::End { end, .. } => {
                 let conn = self.conns.get_mut(&id)?;
@@ -516,7 +609,11 @@
                     format_args!("c{id} {}", if refused { "is refused" } else { "is up" }),
                 );
                 self.forget(id);
-                let how = if refused { Err(ErrorKind::ConnectionRefused.into()) } else { Ok(()) };
+                let how = if refused {
+                    Err(ErrorKind::ConnectionRefused.into())
+                } else {
+                    Ok(())
+                };
                 return Some((dialling, how));
             }
         }
@@ -525,26 +622,54 @@
 
     /// A dial gets to where it leads.
     fn knock(&mut self, id: u64, now: Duration, trace: &Trace) {
-        let Some(conn) = self.conns.get(&id) else { return };
+        let Some(conn) = self.conns.get(&id) else {
+            return;
+        };
         let (to, back) = (conn.to, now + conn.delay);
         let Some(listening) = self.listening.get(&to) else {
-            return self.push(back, Event::Dialled { conn: id, refused: true });
+            return self.push(
+                back,
+                Event::Dialled {
+                    conn: id,
+                    refused: true,
+                },
+            );
         };
         let host = listening.host;
         let machine = &self.machines[host.0];
-        if until(machine.silent_until, now).or(until(machine.deaf_until, now)).is_some() {
+        if until(machine.silent_until, now)
+            .or(until(machine.deaf_until, now))
+            .is_some()
+        {
             return trace.step(now, &machine.name, format_args!("c{id} is not heard"));
         }
         if until(machine.refuses_until, now).is_some() {
-            return self.push(back, Event::Dialled { conn: id, refused: true });
+            return self.push(
+                back,
+                Event::Dialled {
+                    conn: id,
+                    refused: true,
+                },
+            );
         }
         if listening.queue.len() >= listening.backlog || until(machine.full_until, now).is_some() {
-            trace.step(now, &machine.name, format_args!("c{id} finds the queue full"));
+            trace.step(
+                now,
+                &machine.name,
+                format_args!("c{id} finds the queue full"),
+            );
             return self.push(now + DIAL_AGAIN, Event::Dial { conn: id });
         }
-        let cut = machine.cuts.filter(|(_, until)| *until > now).map(|(permille, _)| permille);
-        let cut = cut.filter(|permille| self.dice.permille(*permille)).map(|_| self.dice.within(1..900));
-        let Some(conn) = self.conns.get_mut(&id) else { return };
+        let cut = machine
+            .cuts
+            .filter(|(_, until)| *until > now)
+            .map(|(permille, _)| permille);
+        let cut = cut
+            .filter(|permille| self.dice.permille(*permille))
+            .map(|_| self.dice.within(1..900));
+        let Some(conn) = self.conns.get_mut(&id) else {
+            return;
+        };
         conn.hosts[1] = host;
         conn.ends[1].closed = false;
         conn.cut_after = cut.map(|bytes| bytes as usize);
@@ -552,7 +677,13 @@
             listening.queue.push_back(id);
             wake(&mut listening.waker);
         }
-        self.push(back, Event::Dialled { conn: id, refused: false });
+        self.push(
+            back,
+            Event::Dialled {
+                conn: id,
+                refused: false,
+            },
+        );
     }
 }
 
@@ -586,13 +717,21 @@
 
     /// Whether a fault has hit it.
     pub fn is_spoilt(&self) -> bool {
-        self.net.inner.borrow().conns.get(&self.conn).is_none_or(|conn| conn.spoilt)
+        self.net
+            .inner
+            .borrow()
+            .conns
+            .get(&self.conn)
+            .is_none_or(|conn| conn.spoilt)
     }
 
     /// Whether a fault has hit it, or hits one of its machines just now.
     pub fn is_excused(&self) -> bool {
         let inner = self.net.inner.borrow();
-        inner.conns.get(&self.conn).is_none_or(|c| c.spoilt || inner.cut(c, self.net.now()).is_some())
+        inner
+            .conns
+            .get(&self.conn)
+            .is_none_or(|c| c.spoilt || inner.cut(c, self.net.now()).is_some())
     }
 
     /// When the first byte was sent here since the last mark, and a new mark.
@@ -602,7 +741,8 @@
 
     /// The machine at the other end.
     pub fn peer(&self) -> Host {
-        self.with(|conn, end| conn.hosts[1 - end]).unwrap_or(self.host)
+        self.with(|conn, end| conn.hosts[1 - end])
+            .unwrap_or(self.host)
     }
 
     /// Resets it, as a process that dies or that closes with linger 0.
@@ -611,12 +751,24 @@
         let mut inner = self.net.inner.borrow_mut();
         if let Some(conn) = inner.conns.get(&self.conn) {
             let at = self.net.now() + conn.delay;
-            self.net.push(&mut inner, at, Event::Reset { conn: self.conn, end: 1 - self.end });
+            self.net.push(
+                &mut inner,
+                at,
+                Event::Reset {
+                    conn: self.conn,
+                    end: 1 - self.end,
+                },
+            );
         }
     }
 
     fn with<T>(&self, act: impl FnOnce(&mut Conn, usize) -> T) -> Option<T> {
-        self.net.inner.borrow_mut().conns.get_mut(&self.conn).map(|conn| act(conn, self.end))
+        self.net
+            .inner
+            .borrow_mut()
+            .conns
+            .get_mut(&self.conn)
+            .map(|conn| act(conn, self.end))
     }
 
     /// As [`world::Socket::poll_read`].
@@ -690,7 +842,11 @@
         to.begun.get_or_insert(now);
         let jitter = Duration::from_micros(dice.within(0..120));
         // What comes right behind an answer gets there with it: no node could tell a later one apart.
-        let at = if behind { to.last.max(now) } else { to.last.max(now + delay + jitter) };
+        let at = if behind {
+            to.last.max(now)
+        } else {
+            to.last.max(now + delay + jitter)
+        };
         to.last = at;
         let mut sent = count;
         if let Some(left) = &mut conn.cut_after {
@@ -705,10 +861,21 @@
         }
         let (id, end) = (self.conn, 1 - self.end);
         let behind = behind && self.net.deaf_to_rest;
-        self.net.push(&mut inner, at, Event::Bytes { conn: id, end, bytes, behind });
+        self.net.push(
+            &mut inner,
+            at,
+            Event::Bytes {
+                conn: id,
+                end,
+                bytes,
+                behind,
+            },
+        );
         if cut {
-            self.net.push(&mut inner, at, Event::Reset { conn: id, end: 0 });
-            self.net.push(&mut inner, at, Event::Reset { conn: id, end: 1 });
+            self.net
+                .push(&mut inner, at, Event::Reset { conn: id, end: 0 });
+            self.net
+                .push(&mut inner, at, Event::Reset { conn: id, end: 1 });
         }
         Poll::Ready(Ok(count))
     }
@@ -756,7 +923,8 @@
 
     /// Whether bytes wait to be read.
     pub fn has_bytes(&self) -> bool {
-        self.with(|conn, end| !conn.ends[end].unread.is_empty()).unwrap_or_default()
+        self.with(|conn, end| !conn.ends[end].unread.is_empty())
+            .unwrap_or_default()
     }
 
     /// Whether nothing is on its way here or waits to be read.
@@ -773,7 +941,9 @@
         let machine = &mut inner.machines[self.host.0];
         machine.open -= 1;
         let dying = machine.dying;
-        let Some(conn) = inner.conns.get_mut(&self.conn) else { return };
+        let Some(conn) = inner.conns.get_mut(&self.conn) else {
+            return;
+        };
         let own = &mut conn.ends[self.end];
         own.closed = true;
         let harsh = dying || !own.unread.is_empty();
@@ -790,7 +960,11 @@
             return;
         }
         if wanted {
-            let event = if harsh { Event::Reset { conn: id, end } } else { Event::End { conn: id, end } };
+            let event = if harsh {
+                Event::Reset { conn: id, end }
+            } else {
+                Event::End { conn: id, end }
+            };
             self.net.push(&mut inner, at, event);
         }
         inner.forget(id);
@@ -804,8 +978,12 @@
 
     fn poll_write(&self, cx: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
         // Planted: an answer that goes to a client (the node is the listener's end) is said twice.
-        let twice = self.net.says_twice.filter(|_| self.end == 1 && from.starts_with(b"HTTP/1.1 200"));
-        let wanted = twice.is_some_and(|often| self.net.inner.borrow_mut().dice.within(0..often) == 0);
+        let twice = self
+            .net
+            .says_twice
+            .filter(|_| self.end == 1 && from.starts_with(b"HTTP/1.1 200"));
+        let wanted =
+            twice.is_some_and(|often| self.net.inner.borrow_mut().dice.within(0..often) == 0);
         let given = self.give(cx, from);
         if wanted && matches!(given, Poll::Ready(Ok(count)) if count == from.len()) {
             let _ = self.give(cx, from);
@@ -816,7 +994,10 @@
     fn shut_write(&self) -> io::Result<()> {
         let mut inner = self.net.inner.borrow_mut();
         let now = self.net.now();
-        let conn = inner.conns.get_mut(&self.conn).ok_or(ErrorKind::NotConnected)?;
+        let conn = inner
+            .conns
+            .get_mut(&self.conn)
+            .ok_or(ErrorKind::NotConnected)?;
         if conn.ends[self.end].reset {
             return Err(ErrorKind::NotConnected.into());
         }
@@ -824,7 +1005,14 @@
             let to = &mut conn.ends[1 - self.end];
             let at = to.last.max(now + conn.delay);
             to.last = at;
-            self.net.push(&mut inner, at, Event::End { conn: self.conn, end: 1 - self.end });
+            self.net.push(
+                &mut inner,
+                at,
+                Event::End {
+                    conn: self.conn,
+                    end: 1 - self.end,
+                },
+            );
         }
         Ok(())
     }
@@ -834,7 +1022,8 @@
     }
 
     fn has_ended(&self) -> bool {
-        self.with(|conn, end| conn.ends[end].ended || conn.ends[end].reset).unwrap_or(true)
+        self.with(|conn, end| conn.ends[end].ended || conn.ends[end].reset)
+            .unwrap_or(true)
     }
 
     fn bound_unsent(&self, bytes: usize) {
@@ -854,8 +1043,15 @@
     /// The next connection.
     pub fn next(&self, cx: &mut Context<'_>) -> Poll<io::Result<Socket>> {
         let mut inner = self.net.inner.borrow_mut();
-        let Inner { listening, machines, .. } = &mut *inner;
-        let Some(own) = listening.get_mut(&self.at).filter(|own| own.number == self.number) else {
+        let Inner {
+            listening,
+            machines,
+            ..
+        } = &mut *inner;
+        let Some(own) = listening
+            .get_mut(&self.at)
+            .filter(|own| own.number == self.number)
+        else {
             return Poll::Pending;
         };
         if own.queue.is_empty() {
@@ -867,8 +1063,15 @@
             return Poll::Ready(Err(io::Error::from_raw_os_error(EMFILE)));
         }
         machine.open += 1;
-        let Some(conn) = own.queue.pop_front() else { return Poll::Pending };
-        Poll::Ready(Ok(Socket { net: self.net.clone(), conn, end: 1, host: self.host }))
+        let Some(conn) = own.queue.pop_front() else {
+            return Poll::Pending;
+        };
+        Poll::Ready(Ok(Socket {
+            net: self.net.clone(),
+            conn,
+            end: 1,
+            host: self.host,
+        }))
     }
 
     /// As [`Listener::next`].
@@ -884,21 +1087,28 @@
     fn drop(&mut self) {
         let mut inner = self.net.inner.borrow_mut();
         inner.machines[self.host.0].open -= 1;
-        let Some(own) = inner.listening.remove(&self.at) else { return };
+        let Some(own) = inner.listening.remove(&self.at) else {
+            return;
+        };
         let now = self.net.now();
         for id in own.queue {
             if let Some(conn) = inner.conns.get_mut(&id) {
                 conn.ends[1].closed = true;
                 let at = now + conn.delay;
-                self.net.push(&mut inner, at, Event::Reset { conn: id, end: 0 });
+                self.net
+                    .push(&mut inner, at, Event::Reset { conn: id, end: 0 });
             }
         }
     }
 }
 
 impl world::Listener for Listener {
-    fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<(Box<dyn world::Socket>, SocketAddr)>> {
-        self.next(cx).map_ok(|socket| (Box::new(socket) as Box<dyn world::Socket>, self.at))
+    fn poll_accept(
+        &self,
+        cx: &mut Context<'_>,
+    ) -> Poll<io::Result<(Box<dyn world::Socket>, SocketAddr)>> {
+        self.next(cx)
+            .map_ok(|socket| (Box::new(socket) as Box<dyn world::Socket>, self.at))
     }
 
     fn address(&self) -> SocketAddr {
@@ -936,7 +1146,8 @@
     }
 
     fn file(&self, path: &Path) -> Option<Vec<u8>> {
-        self.net.with(self.host, |machine| machine.files.get(path).cloned())
+        self.net
+            .with(self.host, |machine| machine.files.get(path).cloned())
     }
 
     fn keep(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
@@ -978,7 +1189,11 @@
                 own.reader = Some(cx.waker().clone());
                 false
             });
-            if gone.unwrap_or(true) { Poll::Ready(()) } else { Poll::Pending }
+            if gone.unwrap_or(true) {
+                Poll::Ready(())
+            } else {
+                Poll::Pending
+            }
         })
         .await;
     }
--- a/testing/simulation/src/net/datagrams.rs
+++ b/testing/simulation/src/net/datagrams.rs
@@ -61,7 +61,10 @@
 
     /// Until when nothing passes from one to the other, if so.
     pub fn cut(&self, from: Host, to: Host, now: Duration) -> Option<Duration> {
-        self.cuts.get(&(from, to)).copied().filter(|until| *until > now)
+        self.cuts
+            .get(&(from, to))
+            .copied()
+            .filter(|until| *until > now)
     }
 
     /// A number for a machine.
@@ -88,7 +91,13 @@
 
     /// What a machine has sent in datagrams: their number and their bytes.
     pub fn posted(&self, host: Host) -> (u64, u64) {
-        self.inner.borrow().post.sent.get(&host).copied().unwrap_or_default()
+        self.inner
+            .borrow()
+            .post
+            .sent
+            .get(&host)
+            .copied()
+            .unwrap_or_default()
     }
 
     /// Opens a socket for datagrams.
@@ -103,20 +112,47 @@
         inner.machines[host.0].take_descriptor()?;
         inner.made += 1;
         let number = inner.made;
-        inner.post.open.insert(at, (host, Open { number, ..Open::default() }));
-        Ok(Mailbox { net: self.clone(), host, at, number })
+        inner.post.open.insert(
+            at,
+            (
+                host,
+                Open {
+                    number,
+                    ..Open::default()
+                },
+            ),
+        );
+        Ok(Mailbox {
+            net: self.clone(),
+            host,
+            at,
+            number,
+        })
     }
 }
 
 impl Inner {
     /// A datagram gets to where it leads, if anybody is there.
-    pub fn arrive(&mut self, to: SocketAddr, from: SocketAddr, bytes: Vec<u8>, now: Duration, trace: &Trace) {
-        let Some((host, open)) = self.post.open.get_mut(&to) else { return };
+    pub fn arrive(
+        &mut self,
+        to: SocketAddr,
+        from: SocketAddr,
+        bytes: Vec<u8>,
+        now: Duration,
+        trace: &Trace,
+    ) {
+        let Some((host, open)) = self.post.open.get_mut(&to) else {
+            return;
+        };
         let machine = &self.machines[host.0];
         if machine.silent_until.is_some_and(|until| until > now) || open.waiting.len() >= WAITING {
             return;
         }
-        trace.step(now, &machine.name, format_args!("gets a datagram of {} from {from}", bytes.len()));
+        trace.step(
+            now,
+            &machine.name,
+            format_args!("gets a datagram of {} from {from}", bytes.len()),
+        );
         open.waiting.push_back((bytes, from));
         wake(&mut open.waker);
     }
@@ -133,8 +169,14 @@
 impl world::Datagrams for Mailbox {
     fn poll_receive(&self, cx: &mut Context<'_>, _: usize) -> Poll<io::Result<Datagram>> {
         let mut inner = self.net.inner.borrow_mut();
-        let own = inner.post.open.get_mut(&self.at).filter(|(_, open)| open.number == self.number);
-        let Some((_, open)) = own else { return Poll::Pending };
+        let own = inner
+            .post
+            .open
+            .get_mut(&self.at)
+            .filter(|(_, open)| open.number == self.number);
+        let Some((_, open)) = own else {
+            return Poll::Pending;
+        };
         match open.waiting.pop_front() {
             Some(datagram) => Poll::Ready(Ok(datagram)),
             None => {
@@ -149,16 +191,31 @@
         let mut inner = self.net.inner.borrow_mut();
         let sent = inner.post.sent.entry(self.host).or_default();
         *sent = (sent.0 + 1, sent.1 + bytes.len() as u64);
-        let Some(host) = inner.post.open.get(&to).map(|(host, _)| *host) else { return Ok(()) };
-        let silent = |host: Host| inner.machines[host.0].silent_until.is_some_and(|until| until > now);
+        let Some(host) = inner.post.open.get(&to).map(|(host, _)| *host) else {
+            return Ok(());
+        };
+        let silent = |host: Host| {
+            inner.machines[host.0]
+                .silent_until
+                .is_some_and(|until| until > now)
+        };
         if silent(self.host) || silent(host) || inner.post.cut(self.host, host, now).is_some() {
             return Ok(());
         }
-        let way = inner.post.ways.get(&(self.host, host)).copied().unwrap_or(inner.post.usual);
+        let way = inner
+            .post
+            .ways
+            .get(&(self.host, host))
+            .copied()
+            .unwrap_or(inner.post.usual);
         if inner.post.dice.permille(way.lost) {
             return Ok(());
         }
-        let copies = if inner.post.dice.permille(way.doubled) { 2 } else { 1 };
+        let copies = if inner.post.dice.permille(way.doubled) {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
             let mut bytes = bytes.to_vec();
             if inner.post.dice.permille(way.spoilt) && !bytes.is_empty() {
@@ -167,11 +224,24 @@
             }
             let far = inner.machines[host.0].zone != inner.machines[self.host.0].zone;
             let dice = &mut inner.post.dice;
-            let us = if far { 1400 + dice.within(0..1200) } else { 150 + dice.within(0..400) };
-            let late = way.late_ms.0 * 1000 + dice.within(0..(way.late_ms.1 - way.late_ms.0) * 1000 + 1);
+            let us = if far {
+                1400 + dice.within(0..1200)
+            } else {
+                150 + dice.within(0..400)
+            };
+            let late =
+                way.late_ms.0 * 1000 + dice.within(0..(way.late_ms.1 - way.late_ms.0) * 1000 + 1);
             let slow = inner.slow;
             let at = now + Duration::from_micros(us).mul_f64(slow) + Duration::from_micros(late);
-            self.net.push(&mut inner, at, Event::Datagram { to, from: self.at, bytes });
+            self.net.push(
+                &mut inner,
+                at,
+                Event::Datagram {
+                    to,
+                    from: self.at,
+                    bytes,
+                },
+            );
         }
         Ok(())
     }
@@ -185,7 +255,12 @@
     fn drop(&mut self) {
         let mut inner = self.net.inner.borrow_mut();
         inner.machines[self.host.0].open -= 1;
-        if inner.post.open.get(&self.at).is_some_and(|(_, open)| open.number == self.number) {
+        if inner
+            .post
+            .open
+            .get(&self.at)
+            .is_some_and(|(_, open)| open.number == self.number)
+        {
             inner.post.open.remove(&self.at);
         }
     }
--- a/testing/simulation/src/parties/boxes.rs
+++ b/testing/simulation/src/parties/boxes.rs
@@ -15,7 +15,11 @@
 use tokio::sync::Semaphore;
 use tokio::task::{JoinHandle, JoinSet, spawn_local};
 
-const BOUNDS: Bounds = Bounds { frame: 1 << 20, depth: 32, name: 256 };
+const BOUNDS: Bounds = Bounds {
+    frame: 1 << 20,
+    depth: 32,
+    name: 256,
+};
 /// Connections that a box holds; those beyond are closed.
 const CONNECTIONS: usize = 76;
 
@@ -109,7 +113,9 @@
 
     /// Starts its process; cold, unless it has been there for long. False if its address is taken.
     pub fn start(self: &Rc<Self>, cold: bool) -> bool {
-        let Ok(listener) = self.net.listen(self.host, self.address, 64) else { return false };
+        let Ok(listener) = self.net.listen(self.host, self.address, 64) else {
+            return false;
+        };
         self.net.with(self.host, |machine| machine.dying = false);
         self.started.set(cold.then(|| self.net.now()));
         *self.cores.borrow_mut() = Rc::new(Semaphore::new(self.plan.cores));
@@ -121,7 +127,9 @@
 
     /// Its process dies: its connections are reset.
     pub async fn die(&self) {
-        let Some(running) = self.running.borrow_mut().take() else { return };
+        let Some(running) = self.running.borrow_mut().take() else {
+            return;
+        };
         self.net.step(self.host, format_args!("dies"));
         self.net.with(self.host, |machine| machine.dying = true);
         running.abort();
@@ -159,14 +167,18 @@
                     Some((message.head, message.body))
                 }
             };
-            let Ok(Some((head, body))) = timeout(self.idle_close, message).await else { return };
+            let Ok(Some((head, body))) = timeout(self.idle_close, message).await else {
+                return;
+            };
             let begun = socket.mark().unwrap_or_else(|| self.net.now());
             let answer = if self.thrift {
                 self.thrift_answer(&socket, &body, begun).await
             } else {
                 self.http_answer(&socket, &head, &body, begun).await
             };
-            let Some((answer, behind)) = answer else { return };
+            let Some((answer, behind)) = answer else {
+                return;
+            };
             if socket.write_all(&answer).await.is_err() {
                 return;
             }
@@ -192,7 +204,10 @@
     ) -> Option<(Vec<u8>, Option<Vec<u8>>)> {
         let load = self.load();
         if head.starts_with("GET /stats ") || head.starts_with("GET /health/live ") {
-            let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{load}", load.len());
+            let answer = format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{load}",
+                load.len()
+            );
             return Some((answer.into_bytes(), None));
         }
         let call = call_in(head.as_bytes()).or_else(|| call_in(body))?;
@@ -207,7 +222,8 @@
             Said::Spoilt => return Some((self.noise(), None)),
         };
         let length = text.len();
-        let answer = format!("HTTP/1.1 {status}\r\n{more}{report}Content-Length: {length}\r\n\r\n{text}");
+        let answer =
+            format!("HTTP/1.1 {status}\r\n{more}{report}Content-Length: {length}\r\n\r\n{text}");
         let answer = answer.into_bytes();
         let behind = self.dice.borrow_mut().permille(self.trouble.get().behind);
         let behind = (behind && status == "200 OK").then(|| answer.clone());
@@ -223,7 +239,10 @@
         let message = read_head(body, &BOUNDS).ok()?;
         let (name, seqid) = (told(message.head.name).to_owned(), message.head.seqid);
         if name == "load" {
-            return Some((speech::thrift_reply(&name, seqid, &self.load(), &self.load()), None));
+            return Some((
+                speech::thrift_reply(&name, seqid, &self.load(), &self.load()),
+                None,
+            ));
         }
         let call = call_in(body)?;
         let work = 10 + call.len() as u64 * 5;
@@ -244,20 +263,32 @@
         match dice.within(0..3) {
             0 => b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nno end".to_vec(),
             1 => b"HTTP/1.1 200 OK\r\nContent-Length: nine\r\n\r\n".to_vec(),
-            _ => (0..dice.within(1..200)).map(|_| dice.within(0x80..0x100) as u8).collect(),
+            _ => (0..dice.within(1..200))
+                .map(|_| dice.within(0x80..0x100) as u8)
+                .collect(),
         }
     }
 
     /// The work that a request names, in milliseconds on a standard core.
     fn work(&self, head: &str) -> u64 {
         let at = head.find("work=").map(|at| &head[at + 5..]);
-        let digits = at.map(|rest| rest.chars().take_while(char::is_ascii_digit).collect::<String>());
+        let digits = at.map(|rest| {
+            rest.chars()
+                .take_while(char::is_ascii_digit)
+                .collect::<String>()
+        });
         digits.and_then(|digits| digits.parse().ok()).unwrap_or(20)
     }
 
     /// Lets a request run: it takes effect when its last byte has come, unless it is turned away. `None` where its
     /// connection has ended while it waited.
-    async fn carry_out(&self, socket: &Socket, call: &str, begun: Duration, work: u64) -> Option<Said> {
+    async fn carry_out(
+        &self,
+        socket: &Socket,
+        call: &str,
+        begun: Duration,
+        work: u64,
+    ) -> Option<Said> {
         let who = Who {
             backend: self.plan.number,
             group: self.plan.zone,
--- a/testing/simulation/src/parties/clients.rs
+++ b/testing/simulation/src/parties/clients.rs
@@ -104,7 +104,8 @@
         // A kept connection may have been closed by its node just now: then once more on a new one.
         let mut kept = if plan.thrift { None } else { self.kept(node) };
         let begun = self.net.now();
-        self.ledger.begins(call, plan.number, repeat, node, begun + budget);
+        self.ledger
+            .begins(call, plan.number, repeat, node, begun + budget);
         loop {
             let (socket, fresh) = match kept.take() {
                 Some(socket) => (socket, false),
@@ -147,17 +148,26 @@
                     Tried::Answered(end, after)
                 }
                 Err(nothing_came) => {
-                    if !fresh && nothing_came && !socket.is_excused() && self.nodes.was_there(node, begun) {
+                    if !fresh
+                        && nothing_came
+                        && !socket.is_excused()
+                        && self.nodes.was_there(node, begun)
+                    {
                         continue;
                     }
                     let unread = fresh && nothing_came && !self.ledger.has_come(call);
                     // Crowded nodes are excused for what they have not read, and for nothing else.
                     let fair = socket.is_excused() || !self.nodes.was_there(node, begun);
-                    let excused = fair || (self.nodes.is_crowded(node) && (unread || !nothing_came));
+                    let excused =
+                        fair || (self.nodes.is_crowded(node) && (unread || !nothing_came));
                     if unread && !fair {
                         self.ledger.unread();
                     }
-                    let why = if nothing_came { "its connection ended" } else { "no whole answer came" };
+                    let why = if nothing_came {
+                        "its connection ended"
+                    } else {
+                        "no whole answer came"
+                    };
                     self.ledger.unanswered(call, excused, why);
                     Tried::Nothing
                 }
@@ -181,7 +191,11 @@
     }
 
     async fn dial(&self, plan: &RequestPlan, node: usize) -> std::io::Result<Socket> {
-        let at = if plan.thrift { self.nodes.thrift_address(node) } else { self.nodes.address(node) };
+        let at = if plan.thrift {
+            self.nodes.thrift_address(node)
+        } else {
+            self.nodes.address(node)
+        };
         self.net.dial(self.host, at).await
     }
 
@@ -206,7 +220,9 @@
             let what = format!("c{} brings bytes behind its answer", socket.number());
             self.ledger.breach("answered-twice", Some(call), what);
         }
-        let after = answer.header("retry-after").and_then(|text| text.parse().ok());
+        let after = answer
+            .header("retry-after")
+            .and_then(|text| text.parse().ok());
         let after = after.map(Duration::from_secs_f64);
         let end = match answer.status() {
             200 => End::Served,
@@ -214,7 +230,11 @@
             502 | 504 => End::Failed,
             _ if written.is_err() => return Err(true),
             status => {
-                self.ledger.breach("turned-down", Some(call), format!("a good request got {status}"));
+                self.ledger.breach(
+                    "turned-down",
+                    Some(call),
+                    format!("a good request got {status}"),
+                );
                 End::TurnedDown
             }
         };
@@ -257,7 +277,9 @@
     /// Sends half a request, and waits to be rid of.
     async fn half(&self, plan: &RequestPlan, node: usize) {
         let begun = self.net.now();
-        let Ok(Ok(socket)) = timeout(BAD_FOR_AT_MOST, self.dial(plan, node)).await else { return };
+        let Ok(Ok(socket)) = timeout(BAD_FOR_AT_MOST, self.dial(plan, node)).await else {
+            return;
+        };
         let request = http_request(plan, &format!("{}.0", plan.number), false);
         let _ = socket.write_all(&request[..request.len() / 2]).await;
         self.bad(&socket, node, begun).await;
@@ -267,7 +289,9 @@
     async fn garbage(&self, dice: &mut Dice, node: usize) {
         let begun = self.net.now();
         let dial = self.net.dial(self.host, self.nodes.address(node));
-        let Ok(Ok(socket)) = timeout(BAD_FOR_AT_MOST, dial).await else { return };
+        let Ok(Ok(socket)) = timeout(BAD_FOR_AT_MOST, dial).await else {
+            return;
+        };
         let bytes: Vec<u8> = match dice.within(0..4) {
             0 => (0..300).map(|_| dice.within(0..256) as u8).collect(),
             1 => b"GET /read/1f HTTP/1.1\r\nContent-Length: -1\r\n\r\n".to_vec(),
@@ -284,7 +308,11 @@
         let excused = self.is_excused(socket, node, begun);
         match heard {
             Ok(Ok(count)) if count > 0 && answer.starts_with(b"HTTP/1.1 200") => {
-                self.ledger.breach("served-nonsense", None, "a bad request was served".to_owned());
+                self.ledger.breach(
+                    "served-nonsense",
+                    None,
+                    "a bad request was served".to_owned(),
+                );
             }
             Ok(_) => {}
             Err(_) if excused => {}
@@ -299,10 +327,18 @@
 fn http_request(plan: &RequestPlan, call: &str, again: bool) -> Vec<u8> {
     let class = CLASSES[plan.class];
     let method = if plan.class == 0 { "GET" } else { "POST" };
-    let key = if plan.class == 1 { format!("Idempotency-Key: k{}\r\n", plan.number) } else { String::new() };
+    let key = if plan.class == 1 {
+        format!("Idempotency-Key: k{}\r\n", plan.number)
+    } else {
+        String::new()
+    };
     let again = if again { "X-Again: 1\r\n" } else { "" };
     let length = if plan.class == 0 { 0 } else { plan.body };
-    let tenant = if plan.number % 3 == 0 { "pati" } else { "semarang" };
+    let tenant = if plan.number % 3 == 0 {
+        "pati"
+    } else {
+        "semarang"
+    };
     let mut out = format!(
         "{method} /{class}/op={call};work={}/{:x} HTTP/1.1\r\nHost: n\r\nX-Call-Id: c{call}\r\nX-Caller: {tenant}\r\n\
          X-Budget-Ms: {}\r\n{key}{again}Content-Length: {length}\r\n\r\n",
--- a/testing/simulation/src/parties/etcd.rs
+++ b/testing/simulation/src/parties/etcd.rs
@@ -9,8 +9,8 @@
 use h2::server::SendResponse;
 use http::{HeaderMap, HeaderValue, Request, Response};
 use sillward_etcd::proto::{
-    Event, EventType, KeyValue, RangeRequest, RangeResponse, ResponseHeader, WatchRequest, WatchResponse,
-    WatchWish,
+    Event, EventType, KeyValue, RangeRequest, RangeResponse, ResponseHeader, WatchRequest,
+    WatchResponse, WatchWish,
 };
 use sillward_etcd::{Frames, framed};
 use sillward_runtime::time::sleep_until;
@@ -52,7 +52,11 @@
 struct Wire(Socket);
 
 impl AsyncRead for Wire {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, to: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        to: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         let count = ready!(self.0.take(cx, to.initialize_unfilled()))?;
         to.advance(count);
         Poll::Ready(Ok(()))
@@ -60,7 +64,11 @@
 }
 
 impl AsyncWrite for Wire {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        from: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.0.give(cx, from)
     }
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -108,7 +116,10 @@
     }
 
     fn revision(&self) -> i64 {
-        self.changes.borrow().last().map_or(1, |change| change.revision)
+        self.changes
+            .borrow()
+            .last()
+            .map_or(1, |change| change.revision)
     }
 
     /// Puts a backend's line, or deletes its key.
@@ -116,14 +127,21 @@
         let revision = self.revision() + 1;
         let key = Bytes::from(format!("/tally/b{backend}"));
         let value = line.map(Bytes::from);
-        self.changes.borrow_mut().push(Change { revision, backend, key, value, state });
+        self.changes.borrow_mut().push(Change {
+            revision,
+            backend,
+            key,
+            value,
+            state,
+        });
         self.changed.ring();
     }
 
     /// Forgets its history, and breaks all watches off.
     pub fn compact(&self) {
         self.compacted.set(self.revision());
-        self.net.step(self.host, format_args!("compacts to {}", self.revision()));
+        self.net
+            .step(self.host, format_args!("compacts to {}", self.revision()));
         self.broken.ring();
     }
 
@@ -144,7 +162,9 @@
         let seen = self.broken.count();
         let node = socket.peer();
         let served = async {
-            let Ok(mut connection) = h2::server::handshake(Wire(socket)).await else { return };
+            let Ok(mut connection) = h2::server::handshake(Wire(socket)).await else {
+                return;
+            };
             let mut calls = JoinSet::new();
             while let Some(Ok((request, respond))) = connection.accept().await {
                 let own = self.clone();
@@ -159,7 +179,12 @@
     }
 
     fn header(&self) -> Option<ResponseHeader> {
-        Some(ResponseHeader { cluster_id: 1, member_id: 1, revision: self.revision(), raft_term: 1 })
+        Some(ResponseHeader {
+            cluster_id: 1,
+            member_id: 1,
+            revision: self.revision(),
+            raft_term: 1,
+        })
     }
 
     async fn call(
@@ -171,9 +196,12 @@
         let path = request.uri().path().to_owned();
         let mut body = request.into_body();
         let mut head = Response::new(());
-        head.headers_mut().insert("content-type", HeaderValue::from_static("application/grpc"));
+        head.headers_mut()
+            .insert("content-type", HeaderValue::from_static("application/grpc"));
         if path == "/etcdserverpb.Watch/Watch" {
-            let Ok(out) = respond.send_response(head, false) else { return };
+            let Ok(out) = respond.send_response(head, false) else {
+                return;
+            };
             return self.watch(node, body, out).await;
         }
         let mut frames = Frames::default();
@@ -186,7 +214,9 @@
             "/etcdserverpb.KV/Range" => self.range(node, &mut frames),
             _ => Err((12, "no such method")),
         };
-        let Ok(mut out) = respond.send_response(head, false) else { return };
+        let Ok(mut out) = respond.send_response(head, false) else {
+            return;
+        };
         let (code, message) = match answer {
             Ok(answer) => {
                 let _ = out.send_data(answer, false);
@@ -202,7 +232,11 @@
 
     fn range(&self, node: Host, frames: &mut Frames) -> Result<Bytes, Failed> {
         let request: RangeRequest = frames.message().ok().flatten().ok_or((3, "no message"))?;
-        let revision = if request.revision > 0 { request.revision } else { self.revision() };
+        let revision = if request.revision > 0 {
+            request.revision
+        } else {
+            self.revision()
+        };
         if revision < self.compacted.get() {
             return Err((11, "etcdserver: mvcc: required revision has been compacted"));
         }
@@ -211,30 +245,50 @@
         for change in changes.iter().filter(|change| change.revision <= revision) {
             latest.insert(&change.key, change);
         }
-        let in_range = latest.into_values().filter(|c| c.key >= request.key && c.key < request.range_end);
+        let in_range = latest
+            .into_values()
+            .filter(|c| c.key >= request.key && c.key < request.range_end);
         let kvs: Vec<KeyValue> = in_range
             .filter_map(|change| {
                 let value = change.value.clone()?;
                 self.tells(node, change);
                 let (key, mod_revision) = (change.key.clone(), change.revision);
                 let create_revision = change.revision;
-                Some(KeyValue { key, value, mod_revision, create_revision, version: 1, lease: 0 })
+                Some(KeyValue {
+                    key,
+                    value,
+                    mod_revision,
+                    create_revision,
+                    version: 1,
+                    lease: 0,
+                })
             })
             .collect();
         let count = kvs.len() as i64;
-        Ok(framed(&RangeResponse { header: self.header(), kvs, more: false, count }))
+        Ok(framed(&RangeResponse {
+            header: self.header(),
+            kvs,
+            more: false,
+            count,
+        }))
     }
 
     /// What it says of a backend that drains or is gone binds the node.
     fn tells(&self, node: Host, change: &Change) {
-        let (node, cut_off) = self
-            .net
-            .with(node, |machine| (machine.name.clone(), machine.silent_until > Some(self.net.now())));
+        let (node, cut_off) = self.net.with(node, |machine| {
+            (
+                machine.name.clone(),
+                machine.silent_until > Some(self.net.now()),
+            )
+        });
         // What a node that is cut off is told gets there later: then its time begins.
         if change.state == State::InService || cut_off {
             return;
         }
-        if let Some(number) = node.strip_prefix('n').and_then(|number| number.parse().ok()) {
+        if let Some(number) = node
+            .strip_prefix('n')
+            .and_then(|number| number.parse().ok())
+        {
             self.ledger.tells(number, change.backend, true);
         }
     }
@@ -245,7 +299,10 @@
         loop {
             self.awake().await;
             while let Ok(Some(WatchRequest { wish: Some(wish) })) = frames.message() {
-                let mut response = WatchResponse { header: self.header(), ..WatchResponse::default() };
+                let mut response = WatchResponse {
+                    header: self.header(),
+                    ..WatchResponse::default()
+                };
                 match wish {
                     WatchWish::Create(create) => {
                         response.created = true;
@@ -271,11 +328,18 @@
             let seen = self.changed.count();
             if let Some(start) = from {
                 let changes = self.changes.borrow();
-                let due: Vec<&Change> = changes.iter().filter(|change| change.revision >= start).collect();
+                let due: Vec<&Change> = changes
+                    .iter()
+                    .filter(|change| change.revision >= start)
+                    .collect();
                 if !due.is_empty() {
                     let events = due.iter().map(|change| {
                         self.tells(node, change);
-                        let kind = if change.value.is_some() { EventType::Put } else { EventType::Delete };
+                        let kind = if change.value.is_some() {
+                            EventType::Put
+                        } else {
+                            EventType::Delete
+                        };
                         Event {
                             r#type: kind as i32,
                             kv: Some(KeyValue {
@@ -289,8 +353,11 @@
                         }
                     });
                     let events = events.collect();
-                    let response =
-                        WatchResponse { header: self.header(), events, ..WatchResponse::default() };
+                    let response = WatchResponse {
+                        header: self.header(),
+                        events,
+                        ..WatchResponse::default()
+                    };
                     let _ = out.send_data(framed(&response), false);
                 }
                 from = Some(self.revision().max(start - 1) + 1);
--- a/testing/simulation/src/parties/nodes.rs
+++ b/testing/simulation/src/parties/nodes.rs
@@ -97,10 +97,19 @@
         let places: Vec<Place> = places.collect();
         for place in &places {
             let key = b"the key of the nights' fleet, 32 bytes or more".to_vec();
-            net.with(place.host, |machine| machine.files.insert("fleet.key".into(), key));
+            net.with(place.host, |machine| {
+                machine.files.insert("fleet.key".into(), key)
+            });
         }
         let (net, ledger, script) = (net.clone(), ledger.clone(), script.clone());
-        Rc::new(Nodes { net, ledger, script, places, plant, etcd })
+        Rc::new(Nodes {
+            net,
+            ledger,
+            script,
+            places,
+            plant,
+            etcd,
+        })
     }
 
     /// How many there are.
@@ -174,14 +183,26 @@
         let (stop, stopped) = watch::channel(false);
         let (end, ended) = watch::channel(false);
         let own = self.clone();
-        let controls = Controls { reload: reloads, read: Box::new(move || own.config(node)), stop: stopped };
-        let started = self.config(node).and_then(|config| Ok((self.operator(node, &config)?, config)));
+        let controls = Controls {
+            reload: reloads,
+            read: Box::new(move || own.config(node)),
+            stop: stopped,
+        };
+        let started = self
+            .config(node)
+            .and_then(|config| Ok((self.operator(node, &config)?, config)));
         if let Ok((operator, config)) = &started {
-            let thrift = if operator.thrift.is_some() { config.client_connections / 2 } else { 0 };
+            let thrift = if operator.thrift.is_some() {
+                config.client_connections / 2
+            } else {
+                0
+            };
             let fleet = sillward_app::fleet_connections(config, operator);
             place.room.set(config.client_connections - thrift - fleet);
         }
-        let wrap = self.plant.and_then(|plant| planted(plant, &self.script, node, &self.net, &place.reloads));
+        let wrap = self
+            .plant
+            .and_then(|plant| planted(plant, &self.script, node, &self.net, &place.reloads));
         let (own, net) = (self.clone(), self.net.clone());
         let shown = move |insight| drop(own.places[node].insight.replace(Some(insight)));
         let program = async move {
@@ -196,14 +217,24 @@
             let place = &own.places[node];
             own.net.step(place.host, format_args!("exits: {how:?}"));
             if let Err(what) = how {
-                let checker = if what.contains("stands still") { "still" } else { "crash" };
+                let checker = if what.contains("stands still") {
+                    "still"
+                } else {
+                    "crash"
+                };
                 own.ledger.breach(checker, None, format!("n{node} {what}"));
             } else if place.told.get().is_none() {
-                own.ledger.breach("crash", None, format!("n{node} ended by itself"));
+                own.ledger
+                    .breach("crash", None, format!("n{node} ended by itself"));
             }
             let _ = end.send(true);
         });
-        *place.run.borrow_mut() = Some(Run { reload, stop, process, ended });
+        *place.run.borrow_mut() = Some(Run {
+            reload,
+            stop,
+            process,
+            ended,
+        });
     }
 
     /// A fault keeps a node down until it says [`Nodes::release`]: two processes of a node never run side by side.
@@ -222,7 +253,9 @@
     /// Kills a node's process outright.
     pub async fn kill(&self, node: usize) {
         let place = &self.places[node];
-        let Some(run) = place.run.borrow_mut().take() else { return };
+        let Some(run) = place.run.borrow_mut().take() else {
+            return;
+        };
         self.net.step(place.host, format_args!("is killed"));
         place.killed.set(Some(self.net.now()));
         self.net.with(place.host, |machine| machine.dying = true);
@@ -234,12 +267,15 @@
     /// Tells a node to end in good order, and waits until it has; false if it has not after `patience`.
     pub async fn stop(&self, node: usize, patience: Duration) -> bool {
         let place = &self.places[node];
-        let Some(mut run) = place.run.borrow_mut().take() else { return true };
+        let Some(mut run) = place.run.borrow_mut().take() else {
+            return true;
+        };
         self.net.step(place.host, format_args!("is told to end"));
         place.told.set(Some(self.net.now()));
         let _ = run.stop.send(true);
-        let in_time =
-            sillward_runtime::time::timeout(patience, run.ended.wait_for(|ended| *ended)).await.is_ok();
+        let in_time = sillward_runtime::time::timeout(patience, run.ended.wait_for(|ended| *ended))
+            .await
+            .is_ok();
         if !in_time {
             place.killed.set(Some(self.net.now()));
             run.process.abort();
@@ -256,7 +292,10 @@
         let Some(run) = run.as_ref() else { return };
         place.agent.set(1 - place.agent.get());
         place.reloads.told(self.net.now());
-        self.net.step(place.host, format_args!("is told to read its configuration again"));
+        self.net.step(
+            place.host,
+            format_args!("is told to read its configuration again"),
+        );
         let _ = run.reload.try_send(()); // one that waits is one with this
     }
 
@@ -296,7 +335,11 @@
             // Writes into a string can't fail.
             let _ = writeln!(text, "[thrift]\nlisten = \"{listen}\"");
             for class in crate::script::CLASSES {
-                let key = if class == "submit" { "idempotency_key = \"1.2\"\n" } else { "" };
+                let key = if class == "submit" {
+                    "idempotency_key = \"1.2\"\n"
+                } else {
+                    ""
+                };
                 let _ = writeln!(
                     text,
                     "[[thrift.method]]\nservice = \"Tally\"\nname = \"{class}\"\nclass = \"{class}\"\n\
@@ -335,9 +378,11 @@
                  keep_alive_ms = 900\nfirst_pause_ms = 20\nlongest_pause_ms = 400\nresync_ms = 5000"
             );
         }
-        sillward_operator_config::parse("operator.toml", &text, Some(&config.site)).map_err(|faults| {
-            let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
-            faults.join("; ")
-        })
+        sillward_operator_config::parse("operator.toml", &text, Some(&config.site)).map_err(
+            |faults| {
+                let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
+                faults.join("; ")
+            },
+        )
     }
 }
--- a/testing/simulation/src/parties/roster.rs
+++ b/testing/simulation/src/parties/roster.rs
@@ -86,7 +86,12 @@
 
 impl Roster {
     /// So far behind what is true.
-    pub fn new(net: &Net, ledger: &Rc<Ledger>, lag: Duration, swallows: Option<(Dice, u64)>) -> Rc<Self> {
+    pub fn new(
+        net: &Net,
+        ledger: &Rc<Ledger>,
+        lag: Duration,
+        swallows: Option<(Dice, u64)>,
+    ) -> Rc<Self> {
         Rc::new(Roster {
             net: net.clone(),
             ledger: ledger.clone(),
@@ -112,12 +117,28 @@
     pub fn change(&self, line: &Line<'_>) {
         let now = self.net.now();
         let mut changes = self.changes.borrow_mut();
-        let lag = if now.is_zero() { Duration::ZERO } else { self.lag.get() };
+        let lag = if now.is_zero() {
+            Duration::ZERO
+        } else {
+            self.lag.get()
+        };
         // Changes are told in their order.
-        let at = changes.last().map_or(Duration::ZERO, |last| last.at).max(now + lag);
-        changes.push(Change { at, backend: line.backend, state: line.state, line: line.json() });
+        let at = changes
+            .last()
+            .map_or(Duration::ZERO, |last| last.at)
+            .max(now + lag);
+        changes.push(Change {
+            at,
+            backend: line.backend,
+            state: line.state,
+            line: line.json(),
+        });
         drop(changes);
-        self.net.trace.step(now, "truth", format_args!("b{} {}", line.backend, line.state.word()));
+        self.net.trace.step(
+            now,
+            "truth",
+            format_args!("b{} {}", line.backend, line.state.word()),
+        );
         self.news.ring();
     }
 
@@ -125,7 +146,9 @@
     pub fn agent(self: &Rc<Self>, node: usize, at: SocketAddr) {
         let host = self.net.machine(&format!("agent{node}"), 0, 4096);
         self.net.with(host, |machine| machine.beside = true);
-        let Ok(listener) = self.net.listen(host, at, 64) else { return };
+        let Ok(listener) = self.net.listen(host, at, 64) else {
+            return;
+        };
         let own = self.clone();
         spawn_local(async move {
             let mut watches = JoinSet::new();
@@ -156,7 +179,10 @@
             } else {
                 let (list, told, _) = self.list(0);
                 self.note(node, &told);
-                let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
+                let answer = format!(
+                    "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
+                    list.len()
+                );
                 socket.write_all(answer.as_bytes()).await
             };
             if ended.is_err() {
@@ -180,7 +206,9 @@
             if index > told_to || first {
                 self.note(node, &told);
                 let line = format!("{list}\n");
-                socket.write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes()).await?;
+                socket
+                    .write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes())
+                    .await?;
                 told_to = index;
                 first = false;
             }
@@ -207,16 +235,26 @@
         if after == 0 {
             latest.retain(|_, change| change.state != State::Terminated);
         }
-        let lines: Vec<&str> = latest.values().map(|change| self.taken_in(change)).collect();
-        let told = latest.values().map(|change| (change.backend, change.state)).collect();
+        let lines: Vec<&str> = latest
+            .values()
+            .map(|change| self.taken_in(change))
+            .collect();
+        let told = latest
+            .values()
+            .map(|change| (change.backend, change.state))
+            .collect();
         let snapshot = after == 0;
-        let text = format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, lines.join(","));
+        let text = format!(
+            r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#,
+            lines.join(",")
+        );
         (text, told, index)
     }
 
     /// A line as the node reads it: with the plant, one that it does not take in.
     fn taken_in<'a>(&self, change: &'a Change) -> &'a str {
-        let swallowed = |(dice, permille): &(RefCell<Dice>, u64)| dice.borrow_mut().permille(*permille);
+        let swallowed =
+            |(dice, permille): &(RefCell<Dice>, u64)| dice.borrow_mut().permille(*permille);
         let drains = change.state != State::InService;
         if drains && self.swallows.as_ref().is_some_and(swallowed) {
             return r#"{"name":"nobody"}"#;
@@ -226,7 +264,8 @@
 
     fn note(&self, node: usize, told: &[(usize, State)]) {
         for (backend, state) in told {
-            self.ledger.tells(node, *backend, *state != State::InService);
+            self.ledger
+                .tells(node, *backend, *state != State::InService);
             self.net.trace.step(
                 self.net.now(),
                 "roster",
@@ -238,7 +277,12 @@
 
 fn wish(head: &str) -> (bool, usize) {
     let line = head.lines().next().unwrap_or_default();
-    let index = line.split("index=").nth(1).map(|rest| rest.chars().take_while(char::is_ascii_digit));
-    let index = index.and_then(|digits| digits.collect::<String>().parse().ok()).unwrap_or(0);
+    let index = line
+        .split("index=")
+        .nth(1)
+        .map(|rest| rest.chars().take_while(char::is_ascii_digit));
+    let index = index
+        .and_then(|digits| digits.collect::<String>().parse().ok())
+        .unwrap_or(0);
     (line.contains("stream=1"), index)
 }
--- a/testing/simulation/src/parties/speech.rs
+++ b/testing/simulation/src/parties/speech.rs
@@ -32,7 +32,10 @@
 
     /// An answer's status.
     pub fn status(&self) -> u16 {
-        self.head.get(9..12).and_then(|status| status.parse().ok()).unwrap_or_default()
+        self.head
+            .get(9..12)
+            .and_then(|status| status.parse().ok())
+            .unwrap_or_default()
     }
 }
 
@@ -51,8 +54,13 @@
 /// The call that bytes name: `op=12.0;`.
 pub fn call_in(bytes: &[u8]) -> Option<String> {
     let from = find(bytes, b"op=")? + 3;
-    let end = bytes[from..].iter().take(24).position(|byte| *byte == b';')?;
-    std::str::from_utf8(&bytes[from..from + end]).ok().map(str::to_owned)
+    let end = bytes[from..]
+        .iter()
+        .take(24)
+        .position(|byte| *byte == b';')?;
+    std::str::from_utf8(&bytes[from..from + end])
+        .ok()
+        .map(str::to_owned)
 }
 
 impl Inbox {
@@ -90,7 +98,9 @@
                 };
             }
         };
-        let length = header(&head, "content-length").and_then(|text| text.parse().ok()).unwrap_or(0);
+        let length = header(&head, "content-length")
+            .and_then(|text| text.parse().ok())
+            .unwrap_or(0);
         while self.bytes.len() < length {
             if !self.more(socket).await? {
                 return Err(io::ErrorKind::UnexpectedEof.into());
@@ -129,9 +139,24 @@
 }
 
 /// A Thrift call of one struct argument, as callers word it.
-pub fn thrift_call(method: &str, seqid: i32, call: &str, key: &str, budget_ms: u64, sheet: usize) -> Vec<u8> {
+pub fn thrift_call(
+    method: &str,
+    seqid: i32,
+    call: &str,
+    key: &str,
+    budget_ms: u64,
+    sheet: usize,
+) -> Vec<u8> {
     let mut out = vec![0; 4];
-    write_head(&mut out, BINARY, Head { kind: Kind::Call, name: method, seqid });
+    write_head(
+        &mut out,
+        BINARY,
+        Head {
+            kind: Kind::Call,
+            name: method,
+            seqid,
+        },
+    );
     let mut writer = BinaryWriter(out);
     let outer = writer.struct_begin();
     writer.field(Type::Struct, 1);
@@ -152,7 +177,15 @@
 /// A Thrift reply with a text as its result.
 pub fn thrift_reply(name: &str, seqid: i32, text: &str, load: &str) -> Vec<u8> {
     let mut out = vec![0; 4];
-    write_head(&mut out, BINARY, Head { kind: Kind::Reply, name, seqid });
+    write_head(
+        &mut out,
+        BINARY,
+        Head {
+            kind: Kind::Reply,
+            name,
+            seqid,
+        },
+    );
     let mut writer = BinaryWriter(out);
     let saved = writer.struct_begin();
     writer.field(Type::Bytes, 0);
@@ -166,7 +199,15 @@
 /// A Thrift reply that says that the call was turned away: the result's field 2.
 pub fn thrift_away(name: &str, seqid: i32) -> Vec<u8> {
     let mut out = vec![0; 4];
-    write_head(&mut out, BINARY, Head { kind: Kind::Reply, name, seqid });
+    write_head(
+        &mut out,
+        BINARY,
+        Head {
+            kind: Kind::Reply,
+            name,
+            seqid,
+        },
+    );
     let mut writer = BinaryWriter(out);
     let saved = writer.struct_begin();
     writer.field(Type::Struct, 2);
@@ -178,5 +219,12 @@
 
 /// A Thrift exception that promises nothing.
 pub fn thrift_error(name: &str, seqid: i32) -> Vec<u8> {
-    exception(BINARY, name, seqid, ExceptionKind::InternalError, "from the box", None)
+    exception(
+        BINARY,
+        name,
+        seqid,
+        ExceptionKind::InternalError,
+        "from the box",
+        None,
+    )
 }
--- a/testing/simulation/src/plants.rs
+++ b/testing/simulation/src/plants.rs
@@ -4,9 +4,9 @@
 use crate::dice::Dice;
 use crate::net::Net;
 use crate::script::Script;
+use sillward_app::Wrap;
 use sillward_balancer::settings::Site;
 use sillward_balancer::{LoadReport, Outcome, ServerId};
-use sillward_app::Wrap;
 use sillward_forwarding::{Attempt, Backends, Ended, News, Stop, Task};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -45,7 +45,9 @@
     }
 
     fn under_way(&self, now: Duration) -> bool {
-        self.0.get().is_some_and(|told| now >= told && now < told + DURING_RELOAD)
+        self.0
+            .get()
+            .is_some_and(|told| now >= told && now < told + DURING_RELOAD)
     }
 }
 
@@ -58,7 +60,10 @@
     net: &Net,
     reloads: &Rc<Reloads>,
 ) -> Option<Wrap> {
-    if matches!(plant, Plant::AnswerTwice | Plant::LateBytes | Plant::MissedDrain) {
+    if matches!(
+        plant,
+        Plant::AnswerTwice | Plant::LateBytes | Plant::MissedDrain
+    ) {
         return None;
     }
     let dice = RefCell::new(Dice::of(script.seed, "plant", node as u64));
@@ -73,7 +78,15 @@
                 }
             });
         }
-        Rc::new(Planted { inner, plant, often, dice, net, reloads, waiting: Cell::new(0) })
+        Rc::new(Planted {
+            inner,
+            plant,
+            often,
+            dice,
+            net,
+            reloads,
+            waiting: Cell::new(0),
+        })
     }))
 }
 
--- a/testing/simulation/src/run.rs
+++ b/testing/simulation/src/run.rs
@@ -72,7 +72,10 @@
 /// # Errors
 /// The runtime could not be started.
 pub fn play(script: &Script, options: &Options) -> std::io::Result<Outcome> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build()?;
     let script = Rc::new(script.clone());
     let tasks = LocalSet::new();
     let outcome = tasks.block_on(&runtime, whole(script, options.clone()));
@@ -97,7 +100,12 @@
             }
         });
     }
-    let night = night(&net, &script, &ledger, options.plant.map(|plant| (plant, options.often)));
+    let night = night(
+        &net,
+        &script,
+        &ledger,
+        options.plant.map(|plant| (plant, options.often)),
+    );
     tokio::select! {
         biased;
         () = ledger.broken.notified() => {}
@@ -106,7 +114,10 @@
         }
     }
     let breach = ledger.first();
-    let life = breach.as_ref().and_then(|breach| breach.call.as_deref()).map(|call| ledger.life(call));
+    let life = breach
+        .as_ref()
+        .and_then(|breach| breach.call.as_deref())
+        .map(|call| ledger.life(call));
     Outcome {
         hash: trace.hash(),
         steps: trace.steps(),
@@ -121,9 +132,10 @@
 
 async fn night(net: &Net, script: &Rc<Script>, ledger: &Rc<Ledger>, plant: Option<(Plant, bool)>) {
     let swallows = match plant {
-        Some((Plant::MissedDrain, often)) => {
-            Some((Dice::of(script.seed, "plant", 0), if often { 500 } else { 1 }))
-        }
+        Some((Plant::MissedDrain, often)) => Some((
+            Dice::of(script.seed, "plant", 0),
+            if often { 500 } else { 1 },
+        )),
         _ => None,
     };
     let roster = Roster::new(net, ledger, Duration::from_millis(script.lag_ms), swallows);
@@ -140,7 +152,12 @@
         .collect();
     let backends: BTreeSet<Host> = boxes.iter().map(|tally| tally.host).collect();
     if let Some((lost, doubled, spoilt)) = script.fleet {
-        net.usual_way(Way { lost, doubled, spoilt, late_ms: (0, 40) });
+        net.usual_way(Way {
+            lost,
+            doubled,
+            spoilt,
+            late_ms: (0, 40),
+        });
     }
     let nodes = Nodes::new(net, ledger, script, plant, script.etcd.then_some(etcd_at));
     let clients = Clients::new(net, ledger, &nodes, script);
@@ -177,7 +194,13 @@
     for fault in &script.faults {
         faults.spawn_local(stage.clone().strike(fault.clone()));
     }
-    let looks = spawn_local(look(net.clone(), ledger.clone(), nodes.clone(), backends.clone(), clients.host));
+    let looks = spawn_local(look(
+        net.clone(),
+        ledger.clone(),
+        nodes.clone(),
+        backends.clone(),
+        clients.host,
+    ));
     while asking.join_next().await.is_some() {}
     while faults.join_next().await.is_some() {}
     clients.leave();
@@ -189,11 +212,20 @@
     }
     for node in 0..nodes.count() {
         if !nodes.stop(node, LAST_ANSWERS).await {
-            ledger.breach("unfinished", None, format!("n{node} does not end when it is told to"));
+            ledger.breach(
+                "unfinished",
+                None,
+                format!("n{node} does not end when it is told to"),
+            );
         }
-        let tasks = net.with(nodes.host(node), |machine| (machine.tasks.get(), machine.open));
+        let tasks = net.with(nodes.host(node), |machine| {
+            (machine.tasks.get(), machine.open)
+        });
         if tasks != (0, 0) {
-            let what = format!("n{node} has ended, {} tasks and {} sockets have not", tasks.0, tasks.1);
+            let what = format!(
+                "n{node} has ended, {} tasks and {} sockets have not",
+                tasks.0, tasks.1
+            );
             ledger.breach("leak", None, what);
         }
     }
@@ -201,7 +233,13 @@
 
 /// Looks at the program's invariants all night: the connections to backends that it counts are those that the network
 /// shows. A difference that lasts is a leak.
-async fn look(net: Net, ledger: Rc<Ledger>, nodes: Rc<Nodes>, backends: BTreeSet<Host>, clients: Host) {
+async fn look(
+    net: Net,
+    ledger: Rc<Ledger>,
+    nodes: Rc<Nodes>,
+    backends: BTreeSet<Host>,
+    clients: Host,
+) {
     let mut off = vec![(0usize, 0i64); nodes.count()];
     loop {
         sleep(LOOK).await;
@@ -213,11 +251,22 @@
             };
             let counted = insight.sockets.open() as i64;
             let shown = net.dialled(nodes.host(node), &backends) as i64;
-            let under_way = net.dialled(nodes.host(node), &BTreeSet::from([nodes.host(node)])) as i64;
-            let difference = if (shown..=shown + under_way).contains(&counted) { 0 } else { counted - shown };
-            *off = if difference == 0 { (0, 0) } else { (off.0 + 1, difference) };
+            let under_way =
+                net.dialled(nodes.host(node), &BTreeSet::from([nodes.host(node)])) as i64;
+            let difference = if (shown..=shown + under_way).contains(&counted) {
+                0
+            } else {
+                counted - shown
+            };
+            *off = if difference == 0 {
+                (0, 0)
+            } else {
+                (off.0 + 1, difference)
+            };
             if off.0 >= LASTS {
-                let what = format!("n{node} counts {counted} connections to backends, the network {shown}");
+                let what = format!(
+                    "n{node} counts {counted} connections to backends, the network {shown}"
+                );
                 ledger.breach("leak", None, what);
             }
         }
@@ -229,15 +278,21 @@
     net.usual_way(Way::default());
     let fleets = || (0..nodes.count()).filter_map(|node| nodes.insight(node)?.fleet);
     let agreed = || {
-        let prints: BTreeSet<u32> = fleets().map(|fleet| fleet.with(|peers| peers.print())).collect();
+        let prints: BTreeSet<u32> = fleets()
+            .map(|fleet| fleet.with(|peers| peers.print()))
+            .collect();
         let known = fleets().all(|fleet| fleet.with(|peers| peers.living() + 1) == nodes.count());
         prints.len() <= 1 && known
     };
     let begun = net.now();
     while !agreed() {
         if net.now() - begun > FLEET_AGREES {
-            let said = fleets().map(|fleet| fleet.with(|p| (p.living() + 1, p.standing(UNIX + net.now()))));
-            let what = format!("the fleet does not agree at rest: {:?}", said.collect::<Vec<_>>());
+            let said = fleets()
+                .map(|fleet| fleet.with(|p| (p.living() + 1, p.standing(UNIX + net.now()))));
+            let what = format!(
+                "the fleet does not agree at rest: {:?}",
+                said.collect::<Vec<_>>()
+            );
             return ledger.breach("fleet", None, what);
         }
         sleep(LOOK).await;
@@ -246,7 +301,9 @@
 
 /// What a node still holds when nobody has asked it anything for long.
 fn leftover(net: &Net, ledger: &Ledger, nodes: &Nodes, node: usize, backends: &BTreeSet<Host>) {
-    let Some(insight) = nodes.insight(node) else { return };
+    let Some(insight) = nodes.insight(node) else {
+        return;
+    };
     let gauges = &insight.gauges;
     let shown = net.dialled(nodes.host(node), backends);
     let left = [
@@ -258,7 +315,11 @@
     ];
     for (what, has, should) in left {
         if has != should {
-            ledger.breach("leak", None, format!("n{node} at rest holds {has} {what}, not {should}"));
+            ledger.breach(
+                "leak",
+                None,
+                format!("n{node} at rest holds {has} {what}, not {should}"),
+            );
         }
     }
     net.step(nodes.host(node), format_args!("at rest"));
--- a/testing/simulation/src/scoped.rs
+++ b/testing/simulation/src/scoped.rs
@@ -33,7 +33,12 @@
         now: Rc<dyn Fn() -> Duration>,
     ) -> Self {
         let program = async move { LocalSet::new().run_until(program).await };
-        Scoped { world, program: Some(Box::pin(program)), now, turns: Cell::new((Duration::ZERO, 0)) }
+        Scoped {
+            world,
+            program: Some(Box::pin(program)),
+            now,
+            turns: Cell::new((Duration::ZERO, 0)),
+        }
     }
 }
 
@@ -46,10 +51,14 @@
         let turns = if at == now { turns + 1 } else { 0 };
         self.turns.set((now, turns));
         if turns > TURNS {
-            return Poll::Ready(Err(format!("time stands still: {turns} turns at one instant")));
+            return Poll::Ready(Err(format!(
+                "time stands still: {turns} turns at one instant"
+            )));
         }
         let world = self.world.clone();
-        let Some(program) = &mut self.program else { return Poll::Pending };
+        let Some(program) = &mut self.program else {
+            return Poll::Pending;
+        };
         within(&world, || program.as_mut().poll(cx))
     }
 }
--- a/testing/simulation/src/script.rs
+++ b/testing/simulation/src/script.rs
@@ -177,7 +177,10 @@
 pub fn night(seed: u64) -> Script {
     let mut dice = Dice::of(seed, "night", 0);
     let nodes: Vec<NodePlan> = (0..1 + dice.within(0..3) as usize)
-        .map(|number| NodePlan { number, zone: (number % 2) as u8 })
+        .map(|number| NodePlan {
+            number,
+            zone: (number % 2) as u8,
+        })
         .collect();
     let thrift = dice.permille(250);
     let etcd = dice.permille(200);
@@ -194,16 +197,39 @@
         .collect();
     let span = 3000 + dice.within(0..4000);
     let mut faults = Vec::new();
-    trouble(&mut dice, nodes.len(), &mut backends, span, thrift, etcd, &mut faults);
-    let capacity: f64 = backends[..count].iter().map(|b| b.cores as f64 * b.speed() * 1000.0 / 30.0).sum();
+    trouble(
+        &mut dice,
+        nodes.len(),
+        &mut backends,
+        span,
+        thrift,
+        etcd,
+        &mut faults,
+    );
+    let capacity: f64 = backends[..count]
+        .iter()
+        .map(|b| b.cores as f64 * b.speed() * 1000.0 / 30.0)
+        .sum();
     // Some nights are overloaded from their start.
-    let load = if dice.permille(150) { 1.0 + dice.fraction() * 0.5 } else { 0.25 + dice.fraction() * 0.6 };
+    let load = if dice.permille(150) {
+        1.0 + dice.fraction() * 0.5
+    } else {
+        0.25 + dice.fraction() * 0.6
+    };
     let rate = (capacity * load).min(130.0);
     let misbehave = if dice.permille(300) { 40 } else { 4 };
     // Large bodies, and little room for them.
     let fat = dice.permille(80);
     let largest = if fat { 60_000 } else { 2000 };
-    let requests = requests(&mut dice, nodes.len(), span, rate, thrift, misbehave, largest);
+    let requests = requests(
+        &mut dice,
+        nodes.len(),
+        span,
+        rate,
+        thrift,
+        misbehave,
+        largest,
+    );
     faults.sort_by_key(|fault| fault.at_ms);
     Script {
         version: VERSION,
@@ -248,7 +274,11 @@
             work_ms: 10 + dice.within(0..40),
             budget_ms: longest * dice.within(40..101) / 100,
             retries: dice.within(0..3),
-            body: if class > 0 { dice.within(0..largest) as usize } else { 0 },
+            body: if class > 0 {
+                dice.within(0..largest) as usize
+            } else {
+                0
+            },
             thrift: thrift && dice.permille(500),
             manner: match dice.within(0..4) {
                 _ if !misbehaves => Manner::Plain,
@@ -282,7 +312,10 @@
             0 => What::KillNode(node),
             1 => What::StopNode(node),
             2..4 => What::Reload(node),
-            4 => What::Descriptors { node, left: 20 + dice.within(0..30) as usize },
+            4 => What::Descriptors {
+                node,
+                left: 20 + dice.within(0..30) as usize,
+            },
             5 => What::Drain(backend),
             6 => What::Crash(backend),
             7 => {
@@ -293,39 +326,79 @@
                 grow(dice, at_ms, backends);
                 continue;
             }
-            9 => What::Choke { backend, factor: 2 + dice.within(0..4) },
+            9 => What::Choke {
+                backend,
+                factor: 2 + dice.within(0..4),
+            },
             10 => What::Silent(backend),
             11 => What::Deaf(backend),
             12 => What::Refuse(backend),
             13 => What::Full(backend),
-            14 => What::Resets { backend, permille: 1000 },
-            15 => What::Resets { backend, permille: 20 + permille / 4 },
+            14 => What::Resets {
+                backend,
+                permille: 1000,
+            },
+            15 => What::Resets {
+                backend,
+                permille: 20 + permille / 4,
+            },
             16 | 17 => What::Cuts { backend, permille },
             18 => What::Spoils { backend, permille },
             19 => What::Behind { backend, permille },
             20 => What::Errors { backend, permille },
             21 => What::Rejects { backend, permille },
             22 => What::Lag(500 + dice.within(0..4000)),
-            23 => What::FrontResets { node, permille: permille / 4 },
+            23 => What::FrontResets {
+                node,
+                permille: permille / 4,
+            },
             24 => What::FrontCuts { node, permille },
             25 => What::CutOff(node),
             _ => What::Slow(2 + dice.within(0..4)),
         };
         // All at once, or for a while.
-        let for_ms = if matches!(what, What::Resets { permille: 1000, .. }) { 0 } else { for_ms };
-        let for_ms = if matches!(what, What::Drain(_)) { for_ms + 1500 } else { for_ms };
-        faults.push(Fault { at_ms, for_ms, what });
+        let for_ms = if matches!(what, What::Resets { permille: 1000, .. }) {
+            0
+        } else {
+            for_ms
+        };
+        let for_ms = if matches!(what, What::Drain(_)) {
+            for_ms + 1500
+        } else {
+            for_ms
+        };
+        faults.push(Fault {
+            at_ms,
+            for_ms,
+            what,
+        });
         if etcd && dice.permille(500) {
-            let what = if dice.permille(500) { What::EtcdCompacts } else { What::EtcdStalls };
-            faults.push(Fault { at_ms: at_ms + dice.within(0..400), for_ms, what });
+            let what = if dice.permille(500) {
+                What::EtcdCompacts
+            } else {
+                What::EtcdStalls
+            };
+            faults.push(Fault {
+                at_ms: at_ms + dice.within(0..400),
+                for_ms,
+                what,
+            });
         }
         // Trouble seldom comes alone: a configuration is changed because something is wrong.
         if dice.permille(250) {
             let after = dice.within(0..60);
-            faults.push(Fault { at_ms: at_ms + after, for_ms: 0, what: What::Reload(node) });
+            faults.push(Fault {
+                at_ms: at_ms + after,
+                for_ms: 0,
+                what: What::Reload(node),
+            });
         }
         if dice.permille(60) {
-            faults.push(Fault { at_ms, for_ms, what: What::RosterSilent(node) });
+            faults.push(Fault {
+                at_ms,
+                for_ms,
+                what: What::RosterSilent(node),
+            });
         }
     }
     // What HTTP calls "spoilt" has no counterpart that Thrift's stand-in box knows.
@@ -352,7 +425,14 @@
                 from_ms: at_ms + 20 + dice.within(0..300),
                 ..backends[backend].clone()
             });
-            faults.push(Fault { at_ms, for_ms, what: What::Replace { backend, successor: number } });
+            faults.push(Fault {
+                at_ms,
+                for_ms,
+                what: What::Replace {
+                    backend,
+                    successor: number,
+                },
+            });
         }
         at_ms += 300 + dice.within(0..500);
     }
@@ -363,6 +443,11 @@
     for _ in 0..1 + dice.within(0..3) {
         let (number, like) = (backends.len(), backends[0].clone());
         let from_ms = at_ms + dice.within(0..400);
-        backends.push(BackendPlan { number, zone: (number % 2) as u8, from_ms, ..like });
+        backends.push(BackendPlan {
+            number,
+            zone: (number % 2) as u8,
+            from_ms,
+            ..like
+        });
     }
 }
--- a/testing/simulation/src/shrink.rs
+++ b/testing/simulation/src/shrink.rs
@@ -20,14 +20,22 @@
         }
         self.plays += 1;
         let outcome = play(script, self.options);
-        outcome.is_ok_and(|outcome| outcome.breach.is_some_and(|breach| breach.checker == self.checker))
+        outcome.is_ok_and(|outcome| {
+            outcome
+                .breach
+                .is_some_and(|breach| breach.checker == self.checker)
+        })
     }
 }
 
 /// The smallest script found, and how many nights were played for it. `None` if this one does not fail.
 pub fn shrink(script: &Script, options: &Options) -> Option<(Script, usize)> {
     let breach = play(script, options).ok()?.breach?;
-    let mut judge = Judge { options, checker: breach.checker, plays: 1 };
+    let mut judge = Judge {
+        options,
+        checker: breach.checker,
+        plays: 1,
+    };
     let mut best = script.clone();
     // Nothing that was to come after the breach has part in it.
     let end = breach.at.as_millis() as u64;
--- a/testing/simulation/src/story.rs
+++ b/testing/simulation/src/story.rs
@@ -13,7 +13,13 @@
 /// # Errors
 /// The runtime could not be started.
 pub fn story(script: &Script, options: &Options) -> std::io::Result<(Outcome, String)> {
-    let outcome = play(script, &Options { lines: true, ..options.clone() })?;
+    let outcome = play(
+        script,
+        &Options {
+            lines: true,
+            ..options.clone()
+        },
+    )?;
     let mut text = String::new();
     let Some(breach) = &outcome.breach else {
         return Ok((outcome, "No rule was broken.\n".to_owned()));
@@ -29,7 +35,11 @@
     }
     let _ = writeln!(text, "\nIn order, what all parties saw of it:");
     let words = words_of(breach.call.as_deref(), &breach.what);
-    let told: Vec<&String> = outcome.lines.iter().filter(|line| concerns(line, &words)).collect();
+    let told: Vec<&String> = outcome
+        .lines
+        .iter()
+        .filter(|line| concerns(line, &words))
+        .collect();
     let left_out = told.len().saturating_sub(LINES);
     if left_out > 0 {
         let _ = writeln!(text, "  ({left_out} lines before these)");
@@ -61,7 +71,9 @@
 fn concerns(line: &str, words: &BTreeSet<String>) -> bool {
     line.contains(" fault ")
         || line.contains(" checker ")
-        || line.split(|c: char| c.is_whitespace() || c == ':').any(|word| words.contains(word))
+        || line
+            .split(|c: char| c.is_whitespace() || c == ':')
+            .any(|word| words.contains(word))
 }
 
 fn bare(line: &str) -> &str {
--- a/testing/simulation/src/trace.rs
+++ b/testing/simulation/src/trace.rs
@@ -32,7 +32,12 @@
         let mut line = self.line.borrow_mut();
         line.clear();
         // A write into a string can't fail.
-        let _ = write!(line, "{}.{:03} {who} {what}", at.as_millis(), at.subsec_micros() % 1000);
+        let _ = write!(
+            line,
+            "{}.{:03} {who} {what}",
+            at.as_millis(),
+            at.subsec_micros() % 1000
+        );
         let mut hash = self.hash.borrow_mut();
         hash.update(line.as_bytes());
         self.steps.set(self.steps.get() + 1);
--- a/testing/simulation/tests/network.rs
+++ b/testing/simulation/tests/network.rs
@@ -12,8 +12,14 @@
 const AT: ([u8; 4], u16) = ([127, 9, 0, 1], 80);
 
 /// Two machines, and a listener with a queue of two.
-fn on(seed: u64, test: impl AsyncFnOnce(Net, Host, Host, sillward_simulation::net::Listener)) -> u64 {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
+fn on(
+    seed: u64,
+    test: impl AsyncFnOnce(Net, Host, Host, sillward_simulation::net::Listener),
+) -> u64 {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build();
     let runtime = runtime.expect("a runtime");
     let tasks = LocalSet::new();
     let hash = tasks.block_on(&runtime, async {
@@ -29,7 +35,11 @@
     hash
 }
 
-async fn pair(net: &Net, here: Host, listener: &sillward_simulation::net::Listener) -> (Socket, Socket) {
+async fn pair(
+    net: &Net,
+    here: Host,
+    listener: &sillward_simulation::net::Listener,
+) -> (Socket, Socket) {
     let near = net.dial(here, SocketAddr::from(AT)).await.expect("up");
     (near, listener.accept().await.expect("a descriptor"))
 }
@@ -87,7 +97,10 @@
         tokio::time::sleep(Duration::from_millis(10)).await;
         near.write_all(b"late").await.expect("the end is no reset");
         tokio::time::sleep(Duration::from_millis(10)).await;
-        assert_eq!(near.write_all(b"more").await.map_err(|e| e.kind()), Err(ErrorKind::ConnectionReset));
+        assert_eq!(
+            near.write_all(b"more").await.map_err(|e| e.kind()),
+            Err(ErrorKind::ConnectionReset)
+        );
     });
 }
 
@@ -105,7 +118,11 @@
         drop(far);
         let heard = timeout(Duration::from_secs(8), all(&near)).await;
         assert!(heard.is_err(), "something came from a silent machine");
-        assert_eq!(all(&near).await, (b"x".to_vec(), Ok(())), "it is sent again once that is over");
+        assert_eq!(
+            all(&near).await,
+            (b"x".to_vec(), Ok(())),
+            "it is sent again once that is over"
+        );
     });
 }
 
@@ -113,15 +130,26 @@
 fn dials_are_refused_wait_for_the_queue_or_are_never_answered() {
     on(3, async |net, here, there, listener| {
         let nowhere = net.dial(here, ([127, 9, 0, 2], 80).into()).await;
-        assert_eq!(nowhere.err().map(|e| e.kind()), Some(ErrorKind::ConnectionRefused));
+        assert_eq!(
+            nowhere.err().map(|e| e.kind()),
+            Some(ErrorKind::ConnectionRefused)
+        );
         let first = net.dial(here, AT.into()).await.expect("up");
         let second = net.dial(here, AT.into()).await.expect("up");
         let began = net.now();
         let mut third = Box::pin(net.dial(here, AT.into()));
-        assert!(timeout(Duration::from_millis(900), &mut third).await.is_err(), "the queue holds two");
+        assert!(
+            timeout(Duration::from_millis(900), &mut third)
+                .await
+                .is_err(),
+            "the queue holds two"
+        );
         let taken = listener.accept().await.expect("a descriptor");
         let third = third.await.expect("there is room now");
-        assert!(net.now() - began >= Duration::from_secs(1), "it is tried again after a second");
+        assert!(
+            net.now() - began >= Duration::from_secs(1),
+            "it is tried again after a second"
+        );
         drop((first, second, third, taken));
         net.with(there, |machine| machine.deaf_until = Some(Duration::MAX));
         let deaf = timeout(Duration::from_secs(60), net.dial(here, AT.into())).await;
@@ -139,9 +167,15 @@
         drop(first);
         let again = net.dial(here, AT.into()).await.expect("it came back");
         net.with(there, |machine| machine.descriptors = 1); // the listener's own
-        assert_eq!(listener.accept().await.err().and_then(|e| e.raw_os_error()), Some(24));
+        assert_eq!(
+            listener.accept().await.err().and_then(|e| e.raw_os_error()),
+            Some(24)
+        );
         drop((again, listener));
-        assert_eq!(net.with(here, |machine| machine.open) + net.with(there, |machine| machine.open), 0);
+        assert_eq!(
+            net.with(here, |machine| machine.open) + net.with(there, |machine| machine.open),
+            0
+        );
     });
 }
 
--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -36,7 +36,10 @@
                 spawn(move || play(number, stream));
             }
         });
-        Raw { address, connections }
+        Raw {
+            address,
+            connections,
+        }
     }
 
     /// Answers each request with these bytes.
@@ -82,14 +85,23 @@
 
 fn serving_raw(backends: &[&Raw]) -> (Node, Watch, Discovery) {
     let (node, mut watch, discovery) = serving_operators(&settings(LONG, ""), &[]);
-    let entries = backends.iter().enumerate().map(|(i, b)| entry(&format!("r-{i}"), b.address, "in_service"));
+    let entries = backends
+        .iter()
+        .enumerate()
+        .map(|(i, b)| entry(&format!("r-{i}"), b.address, "in_service"));
     watch.line(&list(9, true, &entries.collect::<Vec<_>>()));
-    until(|| node.figure("node.known_backends") == backends.len() as u64, "the list");
+    until(
+        || node.figure("node.known_backends") == backends.len() as u64,
+        "the list",
+    );
     (node, watch, discovery)
 }
 
 fn post(class: &str, framing: &str) -> String {
-    format!("POST /{class}/1 HTTP/1.1\r\nHost: s\r\n{}{framing}\r\n", common(LONG))
+    format!(
+        "POST /{class}/1 HTTP/1.1\r\nHost: s\r\n{}{framing}\r\n",
+        common(LONG)
+    )
 }
 
 fn connect(node: &Node) -> TcpStream {
@@ -107,15 +119,29 @@
             break head;
         }
     };
-    let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status");
+    let status = head
+        .split(' ')
+        .nth(1)
+        .and_then(|status| status.parse().ok())
+        .expect("a status");
     let rest = head.split_once("\r\n").map_or("", |(_, rest)| rest);
     let text = format!("POST / HTTP/1.1\r\n{rest}");
-    let body = request(&mut BufReader::new(std::io::Cursor::new(text.into_bytes()).chain(reader)));
-    (status, body.map(|(_, body)| body).ok_or_else(|| "not whole".to_owned()))
+    let body = request(&mut BufReader::new(
+        std::io::Cursor::new(text.into_bytes()).chain(reader),
+    ));
+    (
+        status,
+        body.map(|(_, body)| body)
+            .ok_or_else(|| "not whole".to_owned()),
+    )
 }
 
 fn with_length(body: &[u8]) -> Vec<u8> {
-    [format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).as_bytes(), body].concat()
+    [
+        format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).as_bytes(),
+        body,
+    ]
+    .concat()
 }
 
 fn chunked(body: &[u8], size: usize, end: &str) -> Vec<u8> {
@@ -151,44 +177,77 @@
             let (node, _watch, _discovery) = serving_raw(&[&backend]);
             for _ in 0..2 {
                 let mut client = connect(&node);
-                client.write_all(post("correct", "Content-Length: 0\r\n").as_bytes()).expect("it reads");
+                client
+                    .write_all(post("correct", "Content-Length: 0\r\n").as_bytes())
+                    .expect("it reads");
                 let (status, got) = answer(&client);
                 assert_eq!(status, 200, "{length} in form {form}");
-                assert!(got.as_ref() == Ok(&body), "{length} in form {form}: {:?}", got.map(|b| b.len()));
+                assert!(
+                    got.as_ref() == Ok(&body),
+                    "{length} in form {form}: {:?}",
+                    got.map(|b| b.len())
+                );
             }
-            until(|| node.figure("node.handled.correct.passed") == 2, "the counts");
+            until(
+                || node.figure("node.handled.correct.passed") == 2,
+                "the counts",
+            );
             assert_eq!(node.figure("node.in_progress"), 0);
             let expected = if ends { 2 } else { 1 };
-            assert_eq!(backend.connections.load(Ordering::SeqCst), expected, "{length} in form {form}");
+            assert_eq!(
+                backend.connections.load(Ordering::SeqCst),
+                expected,
+                "{length} in form {form}"
+            );
         }
     }
 }
 
 #[test]
 fn an_answer_over_the_limit_is_dropped_and_one_that_breaks_is_seen_to() {
-    let over = Raw::answering(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n....".to_vec());
+    let over =
+        Raw::answering(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n....".to_vec());
     let (node, _watch, _discovery) = serving_raw(&[&over]);
     assert_eq!(node.client().correct().status(), 502);
     let half = pattern(200_000);
-    let lengthy = [&b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n"[..], &half].concat();
+    let lengthy = [
+        &b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n"[..],
+        &half,
+    ]
+    .concat();
     let chunks = chunked(&half, 10_000, "");
-    let open = [&b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"[..], &chunks[..150_000]].concat();
+    let open = [
+        &b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"[..],
+        &chunks[..150_000],
+    ]
+    .concat();
     for bytes in [lengthy, open] {
         let backend = Raw::start(move |_, mut stream| {
             let _ = request(&mut BufReader::new(stream.try_clone().expect("a handle")));
-            let _ = stream.write_all(&bytes).and_then(|()| stream.shutdown(Shutdown::Both));
+            let _ = stream
+                .write_all(&bytes)
+                .and_then(|()| stream.shutdown(Shutdown::Both));
         });
         let (node, _watch, _discovery) = serving_raw(&[&backend]);
         let mut client = connect(&node);
-        client.write_all(post("correct", "Content-Length: 0\r\n").as_bytes()).expect("it reads");
+        client
+            .write_all(post("correct", "Content-Length: 0\r\n").as_bytes())
+            .expect("it reads");
         let (status, got) = answer(&client);
         assert_eq!(
             (status, got),
             (200, Err("not whole".to_owned())),
             "what is passed on can't be taken back"
         );
-        until(|| node.figure("node.handled.correct.bad_gateway") == 1, "its count");
-        assert_eq!(backend.connections.load(Ordering::SeqCst), 1, "no second attempt");
+        until(
+            || node.figure("node.handled.correct.bad_gateway") == 1,
+            "its count",
+        );
+        assert_eq!(
+            backend.connections.load(Ordering::SeqCst),
+            1,
+            "no second attempt"
+        );
     }
 }
 
@@ -208,7 +267,8 @@
     });
     let (node, _watch, _discovery) = serving_raw(&[&backend]);
     let mut client = connect(&node);
-    let head = post("correct", "Content-Length: 0\r\n").replace("X-Budget-Ms: 20000", "X-Budget-Ms: 500");
+    let head =
+        post("correct", "Content-Length: 0\r\n").replace("X-Budget-Ms: 20000", "X-Budget-Ms: 500");
     client.write_all(head.as_bytes()).expect("it reads");
     let mut first = [0; 16];
     client.read_exact(&mut first).expect("the first bytes");
@@ -219,9 +279,17 @@
     go.send(()).expect("the backend waits");
     let mut rest = Vec::new();
     client.read_to_end(&mut rest).expect("all of it");
-    assert!(rest.ends_with(&body[1000..]) && rest.len() > body.len(), "{}", rest.len());
+    assert!(
+        rest.ends_with(&body[1000..]) && rest.len() > body.len(),
+        "{}",
+        rest.len()
+    );
     until(|| node.figure("node.in_progress") == 0, "its end");
-    assert_eq!(node.figure("node.handled.correct.passed"), 1, "served, whatever its deadline was");
+    assert_eq!(
+        node.figure("node.handled.correct.passed"),
+        1,
+        "served, whatever its deadline was"
+    );
 }
 
 /// Many clients that do not read: what is on its way for them stays within bounds, and small calls go on.
@@ -233,8 +301,11 @@
         let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
         while let Some((head, _)) = request(&mut reader) {
             let small = head.starts_with("GET");
-            let sent =
-                if small { stream.write_all(&with_length(b"small")) } else { stream.write_all(&bytes) };
+            let sent = if small {
+                stream.write_all(&with_length(b"small"))
+            } else {
+                stream.write_all(&bytes)
+            };
             if sent.is_err() {
                 return;
             }
@@ -245,7 +316,9 @@
     let slow: Vec<_> = (0..30)
         .map(|_| {
             let mut client = connect(&node);
-            client.write_all(post("correct", "Content-Length: 0\r\n").as_bytes()).expect("it reads");
+            client
+                .write_all(post("correct", "Content-Length: 0\r\n").as_bytes())
+                .expect("it reads");
             let mut first = [0; 12];
             client.read_exact(&mut first).expect("the first bytes");
             assert_eq!(&first, b"HTTP/1.1 200");
@@ -255,12 +328,19 @@
     for _ in 0..20 {
         let asked = Instant::now();
         assert_eq!(node.client().read().body, b"small");
-        assert!(asked.elapsed() < Duration::from_secs(1), "{:?}", asked.elapsed());
+        assert!(
+            asked.elapsed() < Duration::from_secs(1),
+            "{:?}",
+            asked.elapsed()
+        );
     }
     let grown = node.memory_kb().saturating_sub(before);
     assert!(grown < 8 * 1024, "240 MiB on their way took {grown} kB");
     drop(slow);
-    until(|| node.figure("node.in_progress") == 0, "the end of what nobody reads");
+    until(
+        || node.figure("node.in_progress") == 0,
+        "the end of what nobody reads",
+    );
 }
 
 // ---- Requests' bodies ---------------------------------------------------------------------------
@@ -270,7 +350,10 @@
     Raw::start(|_, mut stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
         while let Some((_, body)) = request(&mut reader) {
-            if stream.write_all(&with_length(summed(&body).as_bytes())).is_err() {
+            if stream
+                .write_all(&with_length(summed(&body).as_bytes()))
+                .is_err()
+            {
                 return;
             }
         }
@@ -278,7 +361,9 @@
 }
 
 fn summed(body: &[u8]) -> String {
-    let sum = body.iter().fold(0u64, |sum, byte| sum.wrapping_mul(31).wrapping_add((*byte).into()));
+    let sum = body.iter().fold(0u64, |sum, byte| {
+        sum.wrapping_mul(31).wrapping_add((*byte).into())
+    });
     format!("{} {sum:x}", body.len())
 }
 
@@ -286,19 +371,41 @@
 fn bodies_of_every_length_and_framing_reach_the_backend_unchanged() {
     let backend = summing();
     let (node, _watch, _discovery) = serving_raw(&[&backend]);
-    for length in [0, 1, 64 * 1024, 64 * 1024 + 1, 256 * 1024, 256 * 1024 + 1, 5 * MIB, 32 * MIB] {
+    for length in [
+        0,
+        1,
+        64 * 1024,
+        64 * 1024 + 1,
+        256 * 1024,
+        256 * 1024 + 1,
+        5 * MIB,
+        32 * MIB,
+    ] {
         let body = pattern(length);
-        let known = [post("correct", &format!("Content-Length: {length}\r\n")).as_bytes(), &body].concat();
-        let head = post("correct", "transfer-encoding: Chunked\r\nTrailer: X-Sum\r\n");
+        let known = [
+            post("correct", &format!("Content-Length: {length}\r\n")).as_bytes(),
+            &body,
+        ]
+        .concat();
+        let head = post(
+            "correct",
+            "transfer-encoding: Chunked\r\nTrailer: X-Sum\r\n",
+        );
         let unknown = [head.as_bytes(), &chunked(&body, 50_000, "X-Sum: 1\r\n")].concat();
         for bytes in [known, unknown] {
             let mut client = connect(&node);
             let mut writer = client.try_clone().expect("a handle");
             let writing = spawn(move || writer.write_all(&bytes));
             let (status, got) = answer(&client);
-            assert_eq!((status, got), (200, Ok(summed(&body).into_bytes())), "{length}");
+            assert_eq!(
+                (status, got),
+                (200, Ok(summed(&body).into_bytes())),
+                "{length}"
+            );
             writing.join().expect("a writer").expect("it reads");
-            client.write_all(post("correct", "Content-Length: 0\r\n").as_bytes()).expect("it is kept");
+            client
+                .write_all(post("correct", "Content-Length: 0\r\n").as_bytes())
+                .expect("it is kept");
             assert_eq!(answer(&client).0, 200);
         }
     }
@@ -315,8 +422,9 @@
         client.write_all(&[byte]).expect("it reads");
     }
     assert_eq!(answer(&client), (200, Ok(summed(b"sheet").into_bytes())));
-    let pipelined: String =
-        (0..3).map(|i| post("correct", "Content-Length: 1\r\n") + &i.to_string()).collect();
+    let pipelined: String = (0..3)
+        .map(|i| post("correct", "Content-Length: 1\r\n") + &i.to_string())
+        .collect();
     client.write_all(pipelined.as_bytes()).expect("it reads");
     let mut reader = BufReader::new(client.try_clone().expect("a handle"));
     for i in 0..3 {
@@ -326,14 +434,20 @@
     let absolute =
         post("correct", "Content-Length: 0\r\n").replace("POST /", "POST http://service.internal/");
     client.write_all(absolute.as_bytes()).expect("it reads");
-    assert_eq!(read_message(&mut reader).map(|message| message.status()), Some(200));
+    assert_eq!(
+        read_message(&mut reader).map(|message| message.status()),
+        Some(200)
+    );
     // The body comes only once it is asked for.
     client
         .write_all(post("correct", "Content-Length: 5\r\nExpect: 100-continue\r\n").as_bytes())
         .expect("it reads");
     assert!(head_of(&mut reader).starts_with("HTTP/1.1 100 "));
     client.write_all(b"sheet").expect("it reads");
-    assert_eq!(read_message(&mut reader).map(|message| message.body), Some(summed(b"sheet").into_bytes()));
+    assert_eq!(
+        read_message(&mut reader).map(|message| message.body),
+        Some(summed(b"sheet").into_bytes())
+    );
 }
 
 fn head_of(reader: &mut impl BufRead) -> String {
@@ -346,19 +460,33 @@
     let (node, _watch, _discovery) = serving_raw(&[&backend]);
     let hidden = post("correct", "Content-Length: 0\r\n");
     let heads = [
-        post("correct", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n"),
-        post("correct", "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n"),
+        post(
+            "correct",
+            "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
+        ),
+        post(
+            "correct",
+            "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n",
+        ),
         post("correct", "Content-Length: 4\r\nContent-Length: 4\r\n"),
         post("correct", "Content-Length: 4\r\nContent-Length: 5\r\n"),
-        post("correct", "Transfer-Encoding: chunked\r\nX-Folded: a\r\n b\r\n"),
+        post(
+            "correct",
+            "Transfer-Encoding: chunked\r\nX-Folded: a\r\n b\r\n",
+        ),
         post("correct", "Transfer-Encoding: gzip, chunked\r\n"),
         post("correct", "Transfer-Encoding: gzip\r\n"),
     ];
     for head in heads {
         let mut client = connect(&node);
-        client.write_all(format!("{head}0\r\n\r\n{hidden}").as_bytes()).expect("it reads");
+        client
+            .write_all(format!("{head}0\r\n\r\n{hidden}").as_bytes())
+            .expect("it reads");
         let (status, _) = answer(&client);
-        assert!((400..600).contains(&status) && ![429, 503].contains(&status), "{status} for {head}");
+        assert!(
+            (400..600).contains(&status) && ![429, 503].contains(&status),
+            "{status} for {head}"
+        );
     }
     for chunk in [
         "4\nbody\r\n0\r\n\r\n",
@@ -370,20 +498,30 @@
     ] {
         let mut client = connect(&node);
         let head = post("correct", "Transfer-Encoding: chunked\r\n");
-        client.write_all(format!("{head}{chunk}{hidden}").as_bytes()).expect("it reads");
+        client
+            .write_all(format!("{head}{chunk}{hidden}").as_bytes())
+            .expect("it reads");
         let (status, _) = answer(&client);
         assert_eq!(status, 400, "{chunk:?}");
     }
     // Too long by its head, and too long as it comes.
     let mut client = connect(&node);
-    client.write_all(post("correct", "Content-Length: 33554433\r\n").as_bytes()).expect("it reads");
+    client
+        .write_all(post("correct", "Content-Length: 33554433\r\n").as_bytes())
+        .expect("it reads");
     assert_eq!(answer(&client).0, 413);
     let mut client = connect(&node);
-    client.write_all(post("correct", "Transfer-Encoding: chunked\r\n").as_bytes()).expect("it reads");
+    client
+        .write_all(post("correct", "Transfer-Encoding: chunked\r\n").as_bytes())
+        .expect("it reads");
     let mut writer = client.try_clone().expect("a handle");
     spawn(move || writer.write_all(&chunked(&pattern(34 * MIB), MIB, "")));
     assert_eq!(answer(&client).0, 413);
-    assert_eq!(node.figure("node.upstream_tries"), 0, "nothing of it was ever whole at a backend");
+    assert_eq!(
+        node.figure("node.upstream_tries"),
+        0,
+        "nothing of it was ever whole at a backend"
+    );
 }
 
 #[test]
@@ -391,9 +529,15 @@
     let backend = summing();
     let (node, _watch, _discovery) = serving_raw(&[&backend]);
     let begun = Instant::now();
-    for framing in ["Content-Length: 400000\r\n", "Content-Length: 9\r\n", "Transfer-Encoding: chunked\r\n"] {
+    for framing in [
+        "Content-Length: 400000\r\n",
+        "Content-Length: 9\r\n",
+        "Transfer-Encoding: chunked\r\n",
+    ] {
         let mut client = connect(&node);
-        client.write_all(format!("{}4\r\n", post("correct", framing)).as_bytes()).expect("it reads");
+        client
+            .write_all(format!("{}4\r\n", post("correct", framing)).as_bytes())
+            .expect("it reads");
         spawn(move || {
             let (status, _) = answer(&client);
             assert_eq!(status, 408);
@@ -401,11 +545,17 @@
         .join()
         .expect("a time-out");
     }
-    assert!(begun.elapsed() < Duration::from_secs(9), "3 s each: {:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_secs(9),
+        "3 s each: {:?}",
+        begun.elapsed()
+    );
     // 64 kB a second in pieces, for a little longer than any stall may be.
     let body = pattern(170_000);
     let mut client = connect(&node);
-    client.write_all(post("correct", "Content-Length: 170000\r\n").as_bytes()).expect("it reads");
+    client
+        .write_all(post("correct", "Content-Length: 170000\r\n").as_bytes())
+        .expect("it reads");
     for piece in body.chunks(16_000) {
         sleep(Duration::from_millis(250));
         client.write_all(piece).expect("it reads");
@@ -455,7 +605,9 @@
     let body = pattern(400_000);
     for _ in 0..20 {
         let mut client = connect(&node);
-        client.write_all(post("correct", "Content-Length: 400000\r\n").as_bytes()).expect("it reads");
+        client
+            .write_all(post("correct", "Content-Length: 400000\r\n").as_bytes())
+            .expect("it reads");
         // What is kept goes on; the rest has not come.
         client.write_all(&body[..256 * 1024]).expect("it reads");
         let broke = broken.recv_timeout(Duration::from_millis(300)).is_ok();
@@ -484,7 +636,11 @@
     assert_eq!(status, 503, "it never ran: to try again is harmless");
     drop(client);
     let _ = writing.join();
-    assert_eq!(backend.connections.load(Ordering::SeqCst), 1, "half a body is no attempt");
+    assert_eq!(
+        backend.connections.load(Ordering::SeqCst),
+        1,
+        "half a body is no attempt"
+    );
     assert_eq!(node.figure("node.upstream_tries"), 0);
     assert_eq!(node.figure("node.handled.correct.dropped"), 1);
 }
@@ -499,13 +655,28 @@
         let _ = came.lock().expect("the way").send(got);
     });
     let (node, _watch, _discovery) = serving_raw(&[&backend]);
-    for framing in ["Content-Length: 900000\r\n", "Transfer-Encoding: chunked\r\n"] {
+    for framing in [
+        "Content-Length: 900000\r\n",
+        "Transfer-Encoding: chunked\r\n",
+    ] {
         let mut client = connect(&node);
-        client.write_all(post("correct", framing).as_bytes()).expect("it reads");
-        client.write_all(&chunked(&pattern(600_000), 600_000, "")[..600_000]).expect("it reads");
-        until(|| node.figure("node.in_progress") == 1, "the request under way");
+        client
+            .write_all(post("correct", framing).as_bytes())
+            .expect("it reads");
+        client
+            .write_all(&chunked(&pattern(600_000), 600_000, "")[..600_000])
+            .expect("it reads");
+        until(
+            || node.figure("node.in_progress") == 1,
+            "the request under way",
+        );
         drop(client);
-        assert!(!whole.recv_timeout(PATIENCE).expect("the end at the backend"), "{framing}");
+        assert!(
+            !whole
+                .recv_timeout(PATIENCE)
+                .expect("the end at the backend"),
+            "{framing}"
+        );
         until(|| node.figure("node.in_progress") == 0, "its end");
     }
     assert_eq!(node.figure("node.upstream_tries"), 0);
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -30,7 +30,11 @@
     assert_eq!(body.answer().map(|answer| answer.status()), Some(408));
     assert!(body.ended());
     // 3 s are what is owed; the rest is for a slow machine.
-    assert!(connected.elapsed() < Duration::from_secs(10), "{:?}", connected.elapsed());
+    assert!(
+        connected.elapsed() < Duration::from_secs(10),
+        "{:?}",
+        connected.elapsed()
+    );
     assert_eq!(idle.read().status(), 200);
     assert_eq!(backend.count(), 3);
 }
@@ -43,7 +47,10 @@
     let mut clients: Vec<Client> = (0..20).map(|_| node.client()).collect();
     let head = |_: &Client| format!("POST /correct/1 HTTP/1.1\r\nHost: s\r\n{}", common(LONG));
     let heads: Vec<String> = clients.iter().map(head).collect();
-    clients.iter_mut().zip(&heads).for_each(|(client, head)| client.write(head.as_bytes()));
+    clients
+        .iter_mut()
+        .zip(&heads)
+        .for_each(|(client, head)| client.write(head.as_bytes()));
     assert!(node.is_ready(), "it has had a turn");
     node.signal("-STOP");
     clients.iter_mut().for_each(|client| client.write(b"\r\n"));
@@ -60,10 +67,16 @@
     // Room for six clients.
     let (node, _watch, _discovery) = serving_with(&settings(LONG, ""), &[&backend], 60, "");
     let mut good = [node.client(), node.client()];
-    good.iter_mut().for_each(|client| assert_eq!(client.read().status(), 200));
+    good.iter_mut()
+        .for_each(|client| assert_eq!(client.read().status(), 200));
     let crowd: Vec<Client> = (0..100).map(|_| node.client()).collect();
-    assert_eq!(node.client().read().status(), 200, "a new one among the crowd");
-    good.iter_mut().for_each(|client| assert_eq!(client.read().status(), 200, "who was there before"));
+    assert_eq!(
+        node.client().read().status(),
+        200,
+        "a new one among the crowd"
+    );
+    good.iter_mut()
+        .for_each(|client| assert_eq!(client.read().status(), 200, "who was there before"));
     drop(crowd);
 }
 
@@ -76,9 +89,16 @@
     let hidden = format!("GET /read/1 HTTP/1.1\r\nHost: s\r\n{}\r\n", common(5000));
     for framing in [[length, encoding].concat(), [encoding, length].concat()] {
         let mut client = node.client();
-        let head = format!("POST /correct/1 HTTP/1.1\r\nHost: s\r\n{}{framing}\r\n", common(5000));
+        let head = format!(
+            "POST /correct/1 HTTP/1.1\r\nHost: s\r\n{}{framing}\r\n",
+            common(5000)
+        );
         client.write(format!("{head}0\r\n\r\n{hidden}").as_bytes());
-        assert_eq!(client.answer().map(|answer| answer.status()), Some(400), "{framing}");
+        assert_eq!(
+            client.answer().map(|answer| answer.status()),
+            Some(400),
+            "{framing}"
+        );
         assert!(client.ended());
     }
     assert_eq!(backend.count(), 0);
@@ -93,7 +113,10 @@
         let mut client = node.client();
         client.send(start, &good, b"");
         client.send("GET /read/1", &common(5000), b"");
-        assert!((400..500).contains(&client.answer().expect("an error").status()), "{start}");
+        assert!(
+            (400..500).contains(&client.answer().expect("an error").status()),
+            "{start}"
+        );
         assert!(client.ended(), "{start}");
     }
     assert_eq!(backend.count(), 0);
@@ -103,12 +126,22 @@
 fn a_body_that_is_too_long_is_turned_down_before_it_comes() {
     let backend = Backend::start(|_| ok(""));
     let (node, _watch, _discovery) = serving(&settings(LONG, ""), &[&backend]);
-    for length in ["33554433", "60000000", "18446744073709551615", "99999999999999999999", "-1", "ten"] {
+    for length in [
+        "33554433",
+        "60000000",
+        "18446744073709551615",
+        "99999999999999999999",
+        "-1",
+        "ten",
+    ] {
         let mut client = node.client();
         let head = "POST /correct/1 HTTP/1.1\r\nHost: s\r\n";
         client.write(format!("{head}{}Content-Length: {length}\r\n\r\n", common(5000)).as_bytes());
         let answer = client.answer().expect("an error").status();
-        assert!((400..500).contains(&answer) && answer != 408, "{length}: {answer}");
+        assert!(
+            (400..500).contains(&answer) && answer != 408,
+            "{length}: {answer}"
+        );
         assert!(client.ended(), "{length}");
     }
     assert_eq!(backend.count(), 0);
@@ -118,9 +151,20 @@
 fn a_header_that_may_stand_once_stands_once() {
     let backend = Backend::start(|_| ok(""));
     let (node, _watch, _discovery) = serving(&settings(LONG, ""), &[&backend]);
-    for twice in ["X-Call-Id: 2\r\n", "X-Budget-Ms: 5000\r\n", KEY, "X-Caller: acme\r\n"] {
+    for twice in [
+        "X-Call-Id: 2\r\n",
+        "X-Budget-Ms: 5000\r\n",
+        KEY,
+        "X-Caller: acme\r\n",
+    ] {
         let headers = format!("{}{KEY}{twice}", common(5000));
-        assert_eq!(node.client().ask("POST /submit/1", &headers, b"sheet").status(), 400, "{twice}");
+        assert_eq!(
+            node.client()
+                .ask("POST /submit/1", &headers, b"sheet")
+                .status(),
+            400,
+            "{twice}"
+        );
     }
     assert_eq!(backend.count(), 0);
 }
@@ -137,19 +181,27 @@
     let (mut open, headers) = (node.client(), common(LONG));
     open.send("POST /correct/1f", &headers, b"sheet");
     backend.request();
-    for (start, body) in
-        [("POST /correct/2e", &b"other"[..]), ("POST /correct/1f", b"sheet"), ("GET /read/3", b"")]
-    {
+    for (start, body) in [
+        ("POST /correct/2e", &b"other"[..]),
+        ("POST /correct/1f", b"sheet"),
+        ("GET /read/3", b""),
+    ] {
         let mut other = node.client();
         assert_eq!(other.ask(start, &headers, body).status(), 409, "{start}");
         assert!(other.ended());
     }
     go.send(()).expect("the backend waits");
     let answer = open.answer().expect("an answer");
-    assert_eq!((answer.status(), answer.body), (200, b"POST /correct/1f HTTP/1.1".to_vec()));
+    assert_eq!(
+        (answer.status(), answer.body),
+        (200, b"POST /correct/1f HTTP/1.1".to_vec())
+    );
     // Once it has its answer, the id is nobody's.
     go.send(()).expect("the backend waits");
-    assert_eq!(open.ask("POST /correct/1f", &headers, b"sheet").status(), 200);
+    assert_eq!(
+        open.ask("POST /correct/1f", &headers, b"sheet").status(),
+        200
+    );
     assert_eq!(backend.count(), 2);
 }
 
@@ -157,7 +209,8 @@
 fn bodies_take_no_more_memory_than_there_is_for_them() {
     let backend = Backend::start(|_| ok(""));
     // 10 MB leave room for 32 clients, and for 16 bodies of the longest.
-    let (node, _watch, _discovery) = serving_within(&settings(LONG, ""), &[&backend], r#""memory_mb":10"#);
+    let (node, _watch, _discovery) =
+        serving_within(&settings(LONG, ""), &[&backend], r#""memory_mb":10"#);
     let half = |node: &Node| {
         let mut client = node.client();
         let head = "POST /correct/1 HTTP/1.1\r\nHost: s\r\nContent-Length: 65536\r\n";
@@ -165,12 +218,25 @@
         client
     };
     let mut halves: Vec<Client> = (0..17).map(|_| half(&node)).collect();
-    let mut answers = halves.iter_mut().map(|client| client.answer().expect("an answer"));
-    let refused = answers.by_ref().find(|answer| answer.status() != 408).expect("one without room");
-    assert_eq!((refused.status(), refused.header("retry-after")), (503, Some("1.500")));
+    let mut answers = halves
+        .iter_mut()
+        .map(|client| client.answer().expect("an answer"));
+    let refused = answers
+        .by_ref()
+        .find(|answer| answer.status() != 408)
+        .expect("one without room");
+    assert_eq!(
+        (refused.status(), refused.header("retry-after")),
+        (503, Some("1.500"))
+    );
     assert!(answers.all(|answer| answer.status() == 408));
     // The room is free again.
-    assert_eq!(node.client().ask("POST /correct/1", &common(5000), &[b'x'; 65536]).status(), 200);
+    assert_eq!(
+        node.client()
+            .ask("POST /correct/1", &common(5000), &[b'x'; 65536])
+            .status(),
+        200
+    );
 }
 
 #[test]
@@ -184,7 +250,8 @@
 
 #[test]
 fn what_peers_do_wrong_fills_no_log() {
-    let backend = Backend::start(|_| Reply::Answer("200 OK", "X-Load-Report: inflight=many\r\n", vec![]));
+    let backend =
+        Backend::start(|_| Reply::Answer("200 OK", "X-Load-Report: inflight=many\r\n", vec![]));
     let (node, _watch, _discovery) = serving(&settings(LONG, ""), &[&backend]);
     let (mut client, start) = (node.client(), Instant::now());
     (0..500).for_each(|_| assert_eq!(client.read().status(), 200));
@@ -208,12 +275,18 @@
             if i % 8 == 0 {
                 let (old, new) = (format!("s-{number}"), format!("s-{}", number + 1));
                 number += 1;
-                let changes =
-                    [entry(&new, backend.address, "in_service"), entry(&old, backend.address, "terminated")];
+                let changes = [
+                    entry(&new, backend.address, "in_service"),
+                    entry(&old, backend.address, "terminated"),
+                ];
                 watch.line(&list(9 + number, false, &changes));
             }
             // Who says that it waits for ten minutes leaves nothing for ten minutes.
-            let answer = client.ask(&format!("POST /correct/{number}{i}"), &common(600_000), b"sheet");
+            let answer = client.ask(
+                &format!("POST /correct/{number}{i}"),
+                &common(600_000),
+                b"sheet",
+            );
             assert_eq!(answer.status(), 200);
         }
         node.memory_kb()
@@ -231,10 +304,16 @@
     let mut client = node.client();
     for number in 0..5 {
         assert_eq!(client.read().status(), 200);
-        assert_eq!(backend.request().0, number, "no connection of the one before");
+        assert_eq!(
+            backend.request().0,
+            number,
+            "no connection of the one before"
+        );
         let (old, new) = (format!("s-{number}"), format!("s-{}", number + 1));
-        let changes =
-            [entry(&old, backend.address, "terminated"), entry(&new, backend.address, "in_service")];
+        let changes = [
+            entry(&old, backend.address, "terminated"),
+            entry(&new, backend.address, "in_service"),
+        ];
         watch.line(&list(9 + number as u64, false, &changes));
         assert_eq!(backend.closed(), number);
     }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -65,7 +65,10 @@
 
 fn asked() -> String {
     let asked = settings(LONG, "").replacen('{', r#"{"RegistryMode":"ask","#, 1);
-    asked.replace(r#""DrainGrace":2000"#, r#""DrainGrace":2000,"MustAskIn":10000"#)
+    asked.replace(
+        r#""DrainGrace":2000"#,
+        r#""DrainGrace":2000,"MustAskIn":10000"#,
+    )
 }
 
 /// A watch falls silent in the moment in which a backend is replaced, and the call that follows fails in each way.
@@ -111,7 +114,10 @@
         let began = Instant::now();
         (0..8).for_each(|_| drop(discovery.call()));
         let took = began.elapsed();
-        assert!(took < Duration::from_secs(5) && took > Duration::from_millis(300), "{took:?}");
+        assert!(
+            took < Duration::from_secs(5) && took > Duration::from_millis(300),
+            "{took:?}"
+        );
     }
 }
 
@@ -129,7 +135,11 @@
                 let began = Instant::now();
                 node.reload(&config(elsewhere.address, &settings(LONG, ""), 1024));
                 let mut next = elsewhere.call();
-                assert!(began.elapsed() < Duration::from_secs(2), "{name}: {:?}", began.elapsed());
+                assert!(
+                    began.elapsed() < Duration::from_secs(2),
+                    "{name}: {:?}",
+                    began.elapsed()
+                );
                 assert!(next.start.contains("index=0 "), "{name}: {}", next.start);
                 next.open();
                 // Its versions need not be the old one's: a lower one is no older list.
@@ -157,7 +167,10 @@
     let mut watch = discovery.call();
     watch.open();
     watch.line(&older);
-    until(|| node.client().read().body == b"old", "discovery that has gone back");
+    until(
+        || node.client().read().body == b"old",
+        "discovery that has gone back",
+    );
 }
 
 #[test]
@@ -165,8 +178,11 @@
     let (one, two) = (Backend::start(|_| ok("one")), Backend::start(|_| ok("two")));
     let (node, mut watch, discovery) = serving(&settings(LONG, ""), &[]);
     let text = list(9, true, &[entry("s-0", one.address, "in_service")]);
-    let indented =
-        text.replace('{', "{\n  ").replace(',', ",\n  ").replace('[', "[\n    ").replace('}', "\n }");
+    let indented = text
+        .replace('{', "{\n  ")
+        .replace(',', ",\n  ")
+        .replace('[', "[\n    ")
+        .replace('}', "\n }");
     watch.line(&format!("  {indented}"));
     until(|| node.client().read().body == b"one", "an indented list");
     // The news of a drain is garbled, and more news follows it: the drain must not be lost with it.
@@ -174,12 +190,19 @@
     watch.line(&list(11, false, &[entry("s-1", two.address, "in_service")]));
     node.logged("a malformed list of");
     let mut next = discovery.call();
-    assert!(next.start.contains("index=9 "), "what was garbled is asked for again: {}", next.start);
+    assert!(
+        next.start.contains("index=9 "),
+        "what was garbled is asked for again: {}",
+        next.start
+    );
     next.open();
     next.line(&list(
         11,
         false,
-        &[entry("s-0", one.address, "terminated"), entry("s-1", two.address, "in_service")],
+        &[
+            entry("s-0", one.address, "terminated"),
+            entry("s-1", two.address, "in_service"),
+        ],
     ));
     one.closed();
     (0..10).for_each(|_| assert_eq!(node.client().read().body, b"two"));
@@ -190,16 +213,26 @@
 fn a_process_that_knows_backends_is_ready_while_discovery_refuses_or_is_silent() {
     let backend = Backend::start(|_| ok("known"));
     let known = entry("s-0", backend.address, "in_service");
-    let refuses = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its address");
+    let refuses = TcpListener::bind("127.0.0.1:0")
+        .expect("a port")
+        .local_addr()
+        .expect("its address");
     let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
     for discovery in [refuses, silent.local_addr().expect("its address")] {
         for index in ["\"index\":7,", "\"index\":0,", ""] {
-            let config = config(discovery, &settings(LONG, ""), 1024).replace("\"index\":7,", index);
+            let config =
+                config(discovery, &settings(LONG, ""), 1024).replace("\"index\":7,", index);
             let began = Instant::now();
-            let node =
-                Node::start(&config.replace("\"endpoints\":[]", &format!("\"endpoints\":[{known}]")), "");
+            let node = Node::start(
+                &config.replace("\"endpoints\":[]", &format!("\"endpoints\":[{known}]")),
+                "",
+            );
             until(|| node.is_ready(), "readiness");
-            assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
+            assert!(
+                began.elapsed() < Duration::from_secs(10),
+                "{:?}",
+                began.elapsed()
+            );
             assert_eq!(node.client().read().body, b"known");
         }
     }
@@ -218,7 +251,11 @@
     waits.line(&list(9, true, &[entry("s-9", new.address, "in_service")]));
     let told = Instant::now();
     until(|| node.client().read().body == b"new", "the new list");
-    assert!(told.elapsed() < Duration::from_secs(2), "{:?}", told.elapsed());
+    assert!(
+        told.elapsed() < Duration::from_secs(2),
+        "{:?}",
+        told.elapsed()
+    );
 }
 
 /// Seven in ten of a fleet are killed at once and start again at once, while discovery is silent and what they know is old.
@@ -237,7 +274,10 @@
     };
     let mut fleet: Vec<Node> = scope(|all| {
         let started: Vec<_> = (0..10).map(|_| all.spawn(start)).collect();
-        started.into_iter().map(|started| started.join().expect("a start")).collect()
+        started
+            .into_iter()
+            .map(|started| started.join().expect("a start"))
+            .collect()
     });
     fleet.drain(..7).for_each(drop); // killed
     let began = Instant::now();
@@ -252,10 +292,15 @@
                 })
             })
             .collect();
-        started.into_iter().map(|started| started.join().expect("a start")).collect()
+        started
+            .into_iter()
+            .map(|started| started.join().expect("a start"))
+            .collect()
     });
     took.sort();
     // Of seven, nine in ten are all.
     assert!(took[6] < Duration::from_secs(10), "{took:?}");
-    fleet.iter().for_each(|node| assert_eq!(node.client().read().body, b"known"));
+    fleet
+        .iter()
+        .for_each(|node| assert_eq!(node.client().read().body, b"known"));
 }
--- a/tests/etcd.rs
+++ b/tests/etcd.rs
@@ -1,7 +1,9 @@
 //! Membership from etcd beside the roster, at the real node: compaction, silence, restarts, and what is told then.
 
 use sillward_scenarios::etcd::{Etcd, Manner, operator};
-use sillward_scenarios::peers::{Backend, Discovery, Node, Watch, config, entry, list, ok, settings, until};
+use sillward_scenarios::peers::{
+    Backend, Discovery, Node, Watch, config, entry, list, ok, settings, until,
+};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -31,17 +33,31 @@
     /// A node that follows these, with an empty roster, and backends that are in none yet.
     fn new(etcds: &[&Arc<Etcd>], names: &[&str], more: &str) -> Self {
         let endpoints: Vec<_> = etcds.iter().map(|etcd| etcd.address).collect();
-        let operator = operator(&endpoints, KEEP_ALIVE, more) + "[admin]\nlisten = \"127.0.0.1:0\"\n";
+        let operator =
+            operator(&endpoints, KEEP_ALIVE, more) + "[admin]\nlisten = \"127.0.0.1:0\"\n";
         let discovery = Discovery::start();
-        let node = Node::start_with(&config(discovery.address, &settings(LONG, ""), 1024), &operator);
+        let node = Node::start_with(
+            &config(discovery.address, &settings(LONG, ""), 1024),
+            &operator,
+        );
         let mut roster = discovery.call();
         roster.open();
         roster.line(&list(1, true, &[]));
-        Site { node, roster, discovery, backends: names.iter().map(|name| named(name)).collect() }
+        Site {
+            node,
+            roster,
+            discovery,
+            backends: names.iter().map(|name| named(name)).collect(),
+        }
     }
 
     fn backend(&self, name: &str) -> &Backend {
-        &self.backends.iter().find(|(known, _)| known == name).expect("a backend").1
+        &self
+            .backends
+            .iter()
+            .find(|(known, _)| known == name)
+            .expect("a backend")
+            .1
     }
 
     fn line(&self, name: &str, status: &str) -> String {
@@ -64,7 +80,12 @@
         while told.elapsed() < GRACE {
             assert_eq!(client.read().status(), 200);
         }
-        let counts = || -> Vec<usize> { names.iter().map(|name| self.backend(name).count()).collect() };
+        let counts = || -> Vec<usize> {
+            names
+                .iter()
+                .map(|name| self.backend(name).count())
+                .collect()
+        };
         let before = counts();
         for _ in 0..100 {
             assert_eq!(client.read().status(), 200);
@@ -73,7 +94,9 @@
     }
 
     fn page(&self) -> String {
-        let mut client = sillward_scenarios::peers::Client::connect(self.node.admin.expect("a listener for operators"));
+        let mut client = sillward_scenarios::peers::Client::connect(
+            self.node.admin.expect("a listener for operators"),
+        );
         let answer = client.ask("GET /admin/membership", "", b"");
         assert_eq!(answer.status(), 200);
         String::from_utf8(answer.body).expect("JSON")
@@ -123,7 +146,10 @@
     site.put(&etcd, "a", "terminating");
     site.until_page(r#""state":"terminating""#);
     let page = site.page();
-    assert!(page.contains(r#""said":{"roster":{"state":"in_service""#), "{page}");
+    assert!(
+        page.contains(r#""said":{"roster":{"state":"in_service""#),
+        "{page}"
+    );
     assert!(page.contains(r#""etcd":{"state":"terminating""#), "{page}");
     site.none_past_the_grace(&["a"]);
     // etcd is lost: its word stays. The roster says again what it said.
@@ -132,7 +158,9 @@
     site.roster.line(&list(3, true, &lines));
     site.none_past_the_grace(&["a"]);
     // And then that it has started anew.
-    let anew = site.line("a", "in_service").replace("\"since_ms\":0", "\"since_ms\":1900000000000");
+    let anew = site
+        .line("a", "in_service")
+        .replace("\"since_ms\":0", "\"since_ms\":1900000000000");
     site.roster.line(&list(4, false, &[anew]));
     site.until_served_by("a");
 }
@@ -142,8 +170,12 @@
 fn drains_and_removals_in_a_stretch_that_is_compacted_away_are_known_after() {
     let etcd = Etcd::start();
     let site = Site::new(&[&etcd], &["a", "b", "c", "d"], "");
-    ["a", "b", "c"].iter().for_each(|name| site.put(&etcd, name, "in_service"));
-    ["a", "b", "c"].iter().for_each(|name| site.until_served_by(name));
+    ["a", "b", "c"]
+        .iter()
+        .for_each(|name| site.put(&etcd, name, "in_service"));
+    ["a", "b", "c"]
+        .iter()
+        .for_each(|name| site.until_served_by(name));
     etcd.down();
     site.until_page(r#""name":"etcd","state":"silent""#);
     site.put(&etcd, "a", "terminating");
@@ -185,9 +217,16 @@
 fn a_silent_etcd_is_noticed_traffic_goes_on_and_no_drain_is_missed() {
     let etcd = Etcd::start();
     let site = Site::new(&[&etcd], &["a", "b"], "");
-    ["a", "b"].iter().for_each(|name| site.put(&etcd, name, "in_service"));
-    ["a", "b"].iter().for_each(|name| site.until_served_by(name));
-    etcd.behave(Manner { stalled: true, ..Manner::default() });
+    ["a", "b"]
+        .iter()
+        .for_each(|name| site.put(&etcd, name, "in_service"));
+    ["a", "b"]
+        .iter()
+        .for_each(|name| site.until_served_by(name));
+    etcd.behave(Manner {
+        stalled: true,
+        ..Manner::default()
+    });
     site.put(&etcd, "a", "terminating");
     site.node.logged("silent");
     site.until_page(r#""name":"etcd","state":"silent""#);
@@ -210,11 +249,17 @@
     let etcds = [Etcd::start(), Etcd::start()];
     let site = Site::new(&[&etcds[0], &etcds[1]], &["a", "b"], "");
     // The same cluster: the same writes at the same revisions.
-    let both = |name: &str, status: &str| etcds.iter().for_each(|etcd| site.put(etcd, name, status));
+    let both =
+        |name: &str, status: &str| etcds.iter().for_each(|etcd| site.put(etcd, name, status));
     ["a", "b"].iter().for_each(|name| both(name, "in_service"));
-    ["a", "b"].iter().for_each(|name| site.until_served_by(name));
+    ["a", "b"]
+        .iter()
+        .for_each(|name| site.until_served_by(name));
     let used = usize::from(etcds[0].seen().2 == 0);
-    etcds[used].behave(Manner { stalled: true, ..Manner::default() });
+    etcds[used].behave(Manner {
+        stalled: true,
+        ..Manner::default()
+    });
     both("a", "terminating");
     site.until_page(r#""state":"terminating""#);
     assert!(etcds[1 - used].seen().2 > 0);
@@ -226,8 +271,12 @@
 fn an_etcd_that_is_older_or_another_is_followed_from_where_it_is() {
     let etcd = Etcd::start();
     let site = Site::new(&[&etcd], &["a", "b", "c"], "");
-    ["a", "b"].iter().for_each(|name| site.put(&etcd, name, "in_service"));
-    ["a", "b"].iter().for_each(|name| site.until_served_by(name));
+    ["a", "b"]
+        .iter()
+        .for_each(|name| site.put(&etcd, name, "in_service"));
+    ["a", "b"]
+        .iter()
+        .for_each(|name| site.until_served_by(name));
     let revision = etcd.revision();
     (0..20).for_each(|_| site.put(&etcd, "c", "in_service"));
     site.until_served_by("c");
@@ -254,10 +303,17 @@
 #[test]
 fn events_that_are_split_and_repeated_count_once() {
     let etcd = Etcd::start();
-    etcd.behave(Manner { split: 1, twice: true, slow: Duration::from_millis(5), ..Manner::default() });
+    etcd.behave(Manner {
+        split: 1,
+        twice: true,
+        slow: Duration::from_millis(5),
+        ..Manner::default()
+    });
     let site = Site::new(&[&etcd], &["a", "b", "c"], "");
     for round in 0..5 {
-        ["a", "b", "c"].iter().for_each(|name| site.put(&etcd, name, "in_service"));
+        ["a", "b", "c"]
+            .iter()
+            .for_each(|name| site.put(&etcd, name, "in_service"));
         site.put(&etcd, "b", "terminating");
         etcd.delete(&key("c"));
         site.until_page(r#""backends":2,"held":0"#);
@@ -276,10 +332,15 @@
     let mut site = Site::new(&[&etcd], &["a", "b"], "");
     let lines = [site.line("a", "in_service"), site.line("b", "in_service")];
     site.roster.line(&list(2, true, &lines));
-    ["a", "b"].iter().for_each(|name| site.put(&etcd, name, "in_service"));
-    ["a", "b"].iter().for_each(|name| site.until_served_by(name));
+    ["a", "b"]
+        .iter()
+        .for_each(|name| site.put(&etcd, name, "in_service"));
+    ["a", "b"]
+        .iter()
+        .for_each(|name| site.until_served_by(name));
     let moved = Discovery::start();
-    site.node.reload(&config(moved.address, &settings(LONG, ""), 1024));
+    site.node
+        .reload(&config(moved.address, &settings(LONG, ""), 1024));
     site.put(&etcd, "a", "terminating");
     let mut roster = moved.call();
     roster.open();
@@ -306,7 +367,11 @@
     let etcd = Etcd::start();
     let nowhere = "127.0.0.1:1".parse().expect("an address");
     for i in 0..10_000 {
-        etcd.put(&key(&format!("{i:05}")), &entry(&format!("far-{i}"), nowhere, "terminating"), 0);
+        etcd.put(
+            &key(&format!("{i:05}")),
+            &entry(&format!("far-{i}"), nowhere, "terminating"),
+            0,
+        );
     }
     let site = Site::new(&[&etcd], &["a"], "");
     site.put(&etcd, "a", "in_service");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,11 +1,11 @@
 //! Fleets of the program's own processes on the ground: the hard cases of membership, each a script. Every case has at least
 //! five processes, and its checks read what was done and what relays and callers saw.
 
+use sillward_scenarios::peers::{Node, config, settings};
 use sillward_test_cluster::fleet::{Options, beside};
 use sillward_test_cluster::members::{self, Play, Verdict};
 use sillward_test_cluster::outcomes;
 use sillward_test_cluster::script::{Fault, Folder, Places, What, Which};
-use sillward_scenarios::peers::{Node, config, settings};
 use std::path::PathBuf;
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -17,24 +17,44 @@
 }
 
 fn played(seed: u64, faults: Vec<(u64, What)>) -> Verdict {
-    let faults = faults.into_iter().map(|(at_ms, what)| Fault { at_ms, what }).collect();
+    let faults = faults
+        .into_iter()
+        .map(|(at_ms, what)| Fault { at_ms, what })
+        .collect();
     let options = Options::of(PLACES, seed, program());
-    let play = Play { options, faults: Some(faults), kinds: Vec::new(), every_ms: 4_000, seconds: 0 };
+    let play = Play {
+        options,
+        faults: Some(faults),
+        kinds: Vec::new(),
+        every_ms: 4_000,
+        seconds: 0,
+    };
     let verdict = members::play(&play).expect("the ground is laid");
-    assert!(verdict.breaches.is_empty(), "{:#?}\n{}", verdict.breaches, verdict.script);
+    assert!(
+        verdict.breaches.is_empty(),
+        "{:#?}\n{}",
+        verdict.breaches,
+        verdict.script
+    );
     verdict
 }
 
 fn figure(verdict: &Verdict, name: &str) -> f64 {
     let figure = verdict.figures.iter().find(|(known, _)| *known == name);
-    figure.and_then(|(_, value)| value.parse().ok()).unwrap_or_else(|| panic!("no figure {name}"))
+    figure
+        .and_then(|(_, value)| value.parse().ok())
+        .unwrap_or_else(|| panic!("no figure {name}"))
 }
 
 /// Hard case 1: nobody is called gone, and nobody has to begin a life.
 #[test]
 fn a_way_that_is_cut_one_way_ends_nobody() {
-    let cut =
-        |from, to, both| What::Cut { from: Which::Node(from), to: Which::Node(to), both, for_ms: 9_000 };
+    let cut = |from, to, both| What::Cut {
+        from: Which::Node(from),
+        to: Which::Node(to),
+        both,
+        for_ms: 9_000,
+    };
     let verdict = played(1, vec![(0, cut(1, 4, false)), (2_000, cut(2, 5, true))]);
     assert_eq!(figure(&verdict, "false_alarms"), 0.0);
 }
@@ -44,20 +64,57 @@
 #[test]
 fn each_process_reads_what_all_are_asked() {
     let faults = [
-        (0, What::Kill { node: 5, for_ms: 2_000, folder: Folder::Lost }),
-        (2_000, What::Cut { from: Which::Zone(0), to: Which::All, both: true, for_ms: 5_000 }),
-        (3_000, What::Pause { node: 1, for_ms: 1_500 }),
+        (
+            0,
+            What::Kill {
+                node: 5,
+                for_ms: 2_000,
+                folder: Folder::Lost,
+            },
+        ),
+        (
+            2_000,
+            What::Cut {
+                from: Which::Zone(0),
+                to: Which::All,
+                both: true,
+                for_ms: 5_000,
+            },
+        ),
+        (
+            3_000,
+            What::Pause {
+                node: 1,
+                for_ms: 1_500,
+            },
+        ),
     ];
-    let faults: Vec<Fault> = faults.into_iter().map(|(at_ms, what)| Fault { at_ms, what }).collect();
-    let options = Options { rate: 20, ..Options::of(PLACES, 7, program()) };
+    let faults: Vec<Fault> = faults
+        .into_iter()
+        .map(|(at_ms, what)| Fault { at_ms, what })
+        .collect();
+    let options = Options {
+        rate: 20,
+        ..Options::of(PLACES, 7, program())
+    };
     let verdict = outcomes::play(options, &faults).expect("the ground is laid");
-    assert!(verdict.breaches.is_empty(), "{:#?}\n{:#?}", verdict.breaches, verdict.figures);
+    assert!(
+        verdict.breaches.is_empty(),
+        "{:#?}\n{:#?}",
+        verdict.breaches,
+        verdict.figures
+    );
 }
 
 /// Hard case 2, and 5 in part: the seed of the zone that is cut off stands within it.
 #[test]
 fn a_zone_that_was_cut_off_for_longer_than_the_gone_are_remembered_is_back() {
-    let cut = What::Cut { from: Which::Zone(0), to: Which::All, both: true, for_ms: 20_000 };
+    let cut = What::Cut {
+        from: Which::Zone(0),
+        to: Which::All,
+        both: true,
+        for_ms: 20_000,
+    };
     played(2, vec![(0, cut)]);
 }
 
@@ -65,13 +122,24 @@
 #[test]
 fn a_process_that_was_paused_goes_on_in_a_new_life() {
     let pause = |node, for_ms| What::Pause { node, for_ms };
-    played(3, vec![(0, pause(2, 15_000)), (2_000, pause(4, 50)), (4_000, pause(5, 300))]);
+    played(
+        3,
+        vec![
+            (0, pause(2, 15_000)),
+            (2_000, pause(4, 50)),
+            (4_000, pause(5, 300)),
+        ],
+    );
 }
 
 /// Hard case 4.
 #[test]
 fn no_life_comes_twice_whatever_becomes_of_the_folder() {
-    let kill = |node, for_ms, folder| What::Kill { node, for_ms, folder };
+    let kill = |node, for_ms, folder| What::Kill {
+        node,
+        for_ms,
+        folder,
+    };
     played(
         4,
         vec![
@@ -88,14 +156,23 @@
 /// Hard case 5: the survivor knows nothing for certain, and all agree once the others are back, seeds or not.
 #[test]
 fn all_but_one_are_killed_at_one_moment() {
-    let kill = |node| What::Kill { node, for_ms: 8_000 + node as u64 * 300, folder: Folder::Lost };
+    let kill = |node| What::Kill {
+        node,
+        for_ms: 8_000 + node as u64 * 300,
+        folder: Folder::Lost,
+    };
     played(5, (0..5).map(|node| (0, kill(node))).collect());
 }
 
 /// Hard case 7: noise at one node, and lies under the key at another, 20,000 datagrams a second.
 #[test]
 fn a_flood_at_one_node_leaves_the_others_agreed_and_it_serving() {
-    let flood = |node, keyed| What::Flood { node, a_second: 20_000, keyed, for_ms: 5_000 };
+    let flood = |node, keyed| What::Flood {
+        node,
+        a_second: 20_000,
+        keyed,
+        for_ms: 5_000,
+    };
     let verdict = played(6, vec![(0, flood(3, false)), (3_000, flood(1, true))]);
     assert!(figure(&verdict, "calls_served") >= 0.99);
 }
@@ -104,7 +181,8 @@
 
 fn check(operator: &str) -> (bool, String) {
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
-    let folder = std::env::temp_dir().join(format!("sillward-fleet-{}-{number}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("sillward-fleet-{}-{number}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let file = |name: &str, text: &str| {
         let path = folder.join(name);
@@ -116,15 +194,26 @@
     std::fs::set_permissions(&key, mode).expect("its mode");
     let open = file("open", &"k".repeat(40));
     let short = file("short", "short");
-    std::fs::set_permissions(&short, std::os::unix::fs::PermissionsExt::from_mode(0o600)).expect("its mode");
+    std::fs::set_permissions(&short, std::os::unix::fs::PermissionsExt::from_mode(0o600))
+        .expect("its mode");
     let text = operator
         .replace("KEY", &key.display().to_string())
         .replace("OPEN", &open.display().to_string())
         .replace("SHORT", &short.display().to_string());
-    let config = config("127.0.0.1:1".parse().expect("an address"), &settings(1_000, ""), 256);
+    let config = config(
+        "127.0.0.1:1".parse().expect("an address"),
+        &settings(1_000, ""),
+        256,
+    );
     let mut command = Command::new(program());
-    command.arg("check").arg("--operator").arg(file("operator.toml", &text));
-    let output = command.env("PROXY_CONFIG", file("config.json", &config)).output().expect("it runs");
+    command
+        .arg("check")
+        .arg("--operator")
+        .arg(file("operator.toml", &text));
+    let output = command
+        .env("PROXY_CONFIG", file("config.json", &config))
+        .output()
+        .expect("it runs");
     let said = String::from_utf8_lossy(&output.stderr).into_owned();
     std::fs::remove_dir_all(&folder).expect("the folder");
     (output.status.success(), said)
@@ -152,11 +241,16 @@
     ] {
         assert!(said.contains(key), "{key} in {said}");
     }
-    for (file, what) in
-        [("OPEN", "others than its owner"), ("SHORT", "32 to 1024 bytes"), ("/none", "cannot use")]
-    {
+    for (file, what) in [
+        ("OPEN", "others than its owner"),
+        ("SHORT", "32 to 1024 bytes"),
+        ("/none", "cannot use"),
+    ] {
         let (fine, said) = check(&good.replace("KEY", file));
-        assert!(!fine && said.contains("fleet.key_file: ") && said.contains(what), "{said}");
+        assert!(
+            !fine && said.contains("fleet.key_file: ") && said.contains(what),
+            "{said}"
+        );
     }
 }
 
@@ -169,7 +263,10 @@
     assert_eq!(node.operate("GET /admin/fleet").0, 404);
     assert_eq!(node.count_logged("fleet"), 0);
     let admin = node.admin.expect("it listens").to_string();
-    let output = Command::new(program()).args(["ctl", "--admin", &admin, "fleet"]).output().expect("it runs");
+    let output = Command::new(program())
+        .args(["ctl", "--admin", &admin, "fleet"])
+        .output()
+        .expect("it runs");
     assert!(!output.status.success());
     assert!(String::from_utf8_lossy(&output.stderr).contains("no [fleet]"));
 }
@@ -179,7 +276,10 @@
 fn the_program_that_ships_has_no_faults_within() {
     let bytes = std::fs::read(program()).expect("the program");
     let holds = |word: &[u8]| bytes.windows(word.len()).any(|part| part == word);
-    assert!(!holds(b"SILLWARD_FAULT"), "the program reads faults from its environment");
+    assert!(
+        !holds(b"SILLWARD_FAULT"),
+        "the program reads faults from its environment"
+    );
     assert!(holds(b"PROXY_CONFIG"), "and this test can see such words");
 }
 
@@ -213,9 +313,15 @@
     };
     let nodes = [start(0, "jateng"), start(1, "diy")];
     let page = |i: usize| nodes[i].operate("GET /admin/fleet").1;
-    sillward_scenarios::peers::until(|| (0..2).all(|i| !page(i).contains("\"fleet\":0")), "frames of the other fleet");
+    sillward_scenarios::peers::until(
+        || (0..2).all(|i| !page(i).contains("\"fleet\":0")),
+        "frames of the other fleet",
+    );
     for page in [page(0), page(1)] {
-        assert!(page.contains("\"members\":[]") && page.contains("\"standing\":\"asking\""), "{page}");
+        assert!(
+            page.contains("\"members\":[]") && page.contains("\"standing\":\"asking\""),
+            "{page}"
+        );
     }
     std::fs::remove_dir_all(&folder).expect("the folder");
 }
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -29,17 +29,30 @@
 #[test]
 fn a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() {
     let backend = Backend::start(|_| {
-        Reply::Answer("200 OK", "X-Load-Report: inflight=1,queue=0\r\n", vec![0, 255, 10])
+        Reply::Answer(
+            "200 OK",
+            "X-Load-Report: inflight=1,queue=0\r\n",
+            vec![0, 255, 10],
+        )
     });
     let (node, _watch, _discovery) = serving(&settings(LONG, ""), &[&backend]);
     let headers = format!("{}Idempotency-Key: 5c0f6e\r\n", common(5000));
-    let answer = node.client().ask("POST /submit/7f3a?x=1%202", &headers, b"body\0");
+    let answer = node
+        .client()
+        .ask("POST /submit/7f3a?x=1%202", &headers, b"body\0");
     assert_eq!((answer.status(), answer.body), (200, vec![0, 255, 10]));
     let (_, seen) = backend.request();
     assert_eq!(seen.start, "POST /submit/7f3a?x=1%202 HTTP/1.1");
-    assert_eq!((seen.body.as_slice(), seen.header("idempotency-key")), (&b"body\0"[..], Some("5c0f6e")));
+    assert_eq!(
+        (seen.body.as_slice(), seen.header("idempotency-key")),
+        (&b"body\0"[..], Some("5c0f6e"))
+    );
     assert!(headers.contains(seen.header("x-call-id").expect("an id")));
-    let budget: u64 = seen.header("x-budget-ms").expect("a budget").parse().expect("a number");
+    let budget: u64 = seen
+        .header("x-budget-ms")
+        .expect("a budget")
+        .parse()
+        .expect("a number");
     assert!((1..=5000).contains(&budget), "{budget}");
 }
 
@@ -58,7 +71,10 @@
         let (one, two) = first(ending);
         let (node, _watch, _discovery) = serving(&settings(LONG, ""), &[&one, &two]);
         let answer = node.client().correct();
-        assert!(![200, 429, 503].contains(&answer.status()), "case {i}: {answer:?}");
+        assert!(
+            ![200, 429, 503].contains(&answer.status()),
+            "case {i}: {answer:?}"
+        );
         assert_eq!(one.count() + two.count(), 1, "case {i}");
 
         let (one, two) = first(ending);
@@ -75,13 +91,19 @@
         assert_eq!(node.client().correct().body, b"second", "{status}");
     }
     // A backend that refuses connections.
-    let gone = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its address");
+    let gone = TcpListener::bind("127.0.0.1:0")
+        .expect("a port")
+        .local_addr()
+        .expect("its address");
     let backend = Backend::start(|_| ok("here"));
     let (node, mut watch, _discovery) = serving(&settings(LONG, ""), &[]);
     watch.line(&list(
         9,
         true,
-        &[entry("s-0", gone, "in_service"), entry("s-1", backend.address, "in_service")],
+        &[
+            entry("s-0", gone, "in_service"),
+            entry("s-1", backend.address, "in_service"),
+        ],
     ));
     for _ in 0..8 {
         assert_eq!(node.client().correct().body, b"here");
@@ -104,7 +126,10 @@
     let mut client = node.client();
     let asked = Instant::now();
     let answer = client.ask("POST /correct/1", &common(600), b"sheet");
-    assert!(asked.elapsed() >= Duration::from_millis(300), "it was waited for");
+    assert!(
+        asked.elapsed() >= Duration::from_millis(300),
+        "it was waited for"
+    );
     // It may still run: to refuse it would promise that it never did.
     assert!(![200, 429, 503].contains(&answer.status()), "{answer:?}");
     backend.closed();
@@ -115,12 +140,17 @@
     let silent = Arc::new(AtomicBool::new(false));
     let start = || {
         let silent = silent.clone();
-        Backend::start(
-            move |m| if silent.swap(false, Ordering::SeqCst) { Reply::Silence } else { ok(&m.start) },
-        )
+        Backend::start(move |m| {
+            if silent.swap(false, Ordering::SeqCst) {
+                Reply::Silence
+            } else {
+                ok(&m.start)
+            }
+        })
     };
     let (one, two) = (start(), start());
-    let (node, _watch, _discovery) = serving(&settings(4000, r#","ParallelTries":true"#), &[&one, &two]);
+    let (node, _watch, _discovery) =
+        serving(&settings(4000, r#","ParallelTries":true"#), &[&one, &two]);
     // Answers first show how fast they come, and so how long an attempt may be silent.
     let mut client = node.client();
     (0..150).for_each(|_| assert_eq!(client.read().status(), 200));
@@ -129,7 +159,10 @@
     silent.store(true, Ordering::SeqCst);
     assert_eq!(client.read().status(), 200);
     assert!(one.count() + two.count() >= before + 2);
-    until(|| one.has_closed() || two.has_closed(), "the end of the silent attempt's connection");
+    until(
+        || one.has_closed() || two.has_closed(),
+        "the end of the silent attempt's connection",
+    );
 }
 
 #[test]
@@ -162,7 +195,12 @@
         let (node, _watch, _discovery) = serving(&settings, &[&one, &two]);
         let mut client = node.client();
         (0..20).for_each(|_| assert_eq!(client.read().body, b"second"));
-        assert!(one.count() >= 5 && two.count() >= 5, "{} and {}", one.count(), two.count());
+        assert!(
+            one.count() >= 5 && two.count() >= 5,
+            "{} and {}",
+            one.count(),
+            two.count()
+        );
     }
 }
 
@@ -174,7 +212,12 @@
     let (node, _watch, _discovery) = serving(&settings, &[&one, &two]);
     let mut client = node.client();
     (0..20).for_each(|_| assert_eq!(client.read().body, b"second"));
-    assert!(one.count() >= 5 && two.count() >= 5, "{} and {}", one.count(), two.count());
+    assert!(
+        one.count() >= 5 && two.count() >= 5,
+        "{} and {}",
+        one.count(),
+        two.count()
+    );
 }
 
 /// Reports name their fields as the settings do, or as the protocol does. A node that reads none of them sends
@@ -182,15 +225,26 @@
 #[test]
 fn who_reports_that_it_is_idle_is_joined() {
     for (idle, crowded) in [
-        ("X-Load-Report: concurrent=0,depth=0\r\n", "X-Load-Report: concurrent=9.970,depth=5.012\r\n"),
-        ("X-Load-Report: inflight=0,queue=0\r\n", "X-Load-Report: inflight=10,queue=5\r\n"),
+        (
+            "X-Load-Report: concurrent=0,depth=0\r\n",
+            "X-Load-Report: concurrent=9.970,depth=5.012\r\n",
+        ),
+        (
+            "X-Load-Report: inflight=0,queue=0\r\n",
+            "X-Load-Report: inflight=10,queue=5\r\n",
+        ),
     ] {
         let idle = Backend::start(move |_| Reply::Answer("200 OK", idle, vec![]));
         let crowded = Backend::start(move |_| Reply::Answer("200 OK", crowded, vec![]));
         let (node, _watch, _discovery) = serving(&settings(LONG, ""), &[&idle, &crowded]);
         let mut client = node.client();
         (0..60).for_each(|_| assert_eq!(client.read().status(), 200));
-        assert!(idle.count() > 2 * crowded.count(), "{} and {}", idle.count(), crowded.count());
+        assert!(
+            idle.count() > 2 * crowded.count(),
+            "{} and {}",
+            idle.count(),
+            crowded.count()
+        );
     }
 }
 
@@ -232,7 +286,9 @@
     let mut connections = [backend.request().0, backend.request().0];
     connections.sort_unstable();
     assert_eq!(connections, [0, 1]);
-    go.send(()).and_then(|()| go.send(())).expect("the backend waits");
+    go.send(())
+        .and_then(|()| go.send(()))
+        .expect("the backend waits");
     for client in &mut clients {
         assert_eq!(client.answer().expect("an answer").status(), 200);
     }
@@ -280,7 +336,8 @@
 #[test]
 fn a_connection_that_broke_while_idle_costs_no_request() {
     // Each answer is the connection's last, and nothing says so.
-    let backend = Backend::start(|_| Reply::Break(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec()));
+    let backend =
+        Backend::start(|_| Reply::Break(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec()));
     let (node, _watch, _discovery) = serving(&settings(LONG, ""), &[&backend]);
     for connection in 0..5 {
         assert_eq!(node.client().correct().status(), 200);
@@ -299,7 +356,10 @@
     watch.line(&list(
         9,
         false,
-        &[entry("s-0", old.address, "terminating"), entry("s-1", new.address, "in_service")],
+        &[
+            entry("s-0", old.address, "terminating"),
+            entry("s-1", new.address, "in_service"),
+        ],
     ));
     old.closed();
     for _ in 0..10 {
@@ -322,7 +382,11 @@
 fn a_broken_watch_is_taken_up_where_it_broke() {
     let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
     let (node, mut watch, discovery) = serving(&settings(LONG, ""), &[&old]);
-    assert!(watch.start.contains("stream=1&index=7 "), "it starts from the known list: {}", watch.start);
+    assert!(
+        watch.start.contains("stream=1&index=7 "),
+        "it starts from the known list: {}",
+        watch.start
+    );
     watch.line(&list(12, false, &[]));
     node.client().read();
     drop(watch);
@@ -341,10 +405,16 @@
 #[test]
 fn a_node_that_starts_while_discovery_is_down_serves_from_the_list_it_last_had() {
     let backend = Backend::start(|_| ok("known"));
-    let down = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its address");
+    let down = TcpListener::bind("127.0.0.1:0")
+        .expect("a port")
+        .local_addr()
+        .expect("its address");
     let config = config(down, &settings(LONG, ""), 1024);
     let known = entry("s-0", backend.address, "in_service");
-    let node = Node::start(&config.replace("\"endpoints\":[]", &format!("\"endpoints\":[{known}]")), "");
+    let node = Node::start(
+        &config.replace("\"endpoints\":[]", &format!("\"endpoints\":[{known}]")),
+        "",
+    );
     until(|| node.is_ready(), "readiness");
     assert_eq!(node.client().read().body, b"known");
 }
@@ -371,13 +441,23 @@
 
 #[test]
 fn malformed_lists_and_reports_are_dropped_alone() {
-    let backend = Backend::start(|_| Reply::Answer("200 OK", "X-Load-Report: inflight=many\r\n", vec![]));
+    let backend =
+        Backend::start(|_| Reply::Answer("200 OK", "X-Load-Report: inflight=many\r\n", vec![]));
     let (node, mut watch, _discovery) = serving(&settings(LONG, ""), &[]);
     watch.line("{\"index\": 9, \"endpoints\": 5}");
     watch.line("\u{1}\u{2}");
-    let nowhere = r#"{"name":"s-2","address":"nowhere","zone":"a","status":"in_service"}"#.to_owned();
+    let nowhere =
+        r#"{"name":"s-2","address":"nowhere","zone":"a","status":"in_service"}"#.to_owned();
     let strange = entry("s-3", backend.address, "asleep");
-    watch.line(&list(10, true, &[nowhere, strange, entry("s-0", backend.address, "in_service")]));
+    watch.line(&list(
+        10,
+        true,
+        &[
+            nowhere,
+            strange,
+            entry("s-0", backend.address, "in_service"),
+        ],
+    ));
     assert_eq!(node.client().read().status(), 200);
     node.logged("malformed list");
     node.logged("malformed line");
@@ -388,13 +468,22 @@
 fn where_the_list_must_be_asked_for_it_is_asked_for() {
     let backend = Backend::start(|_| ok(""));
     let asked = settings(LONG, "").replacen('{', r#"{"RegistryMode":"ask","#, 1);
-    let asked = asked.replace(r#""DrainGrace":2000"#, r#""DrainGrace":2000,"MustAskIn":1000"#);
+    let asked = asked.replace(
+        r#""DrainGrace":2000"#,
+        r#""DrainGrace":2000,"MustAskIn":1000"#,
+    );
     let discovery = Discovery::start();
     let node = Node::start(&config(discovery.address, &asked, 1024), "");
-    discovery.call().write("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
+    discovery
+        .call()
+        .write("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
     let mut watch = discovery.call();
     watch.open();
-    watch.line(&list(8, true, &[entry("s-0", backend.address, "in_service")]));
+    watch.line(&list(
+        8,
+        true,
+        &[entry("s-0", backend.address, "in_service")],
+    ));
     assert_eq!(node.client().read().status(), 200);
 }
 
@@ -408,7 +497,11 @@
     // What the file knows is older than the list that the node has: here, that there is no backend.
     node.reload(&config(elsewhere.address, &settings(LONG, ""), 1024));
     let mut next = elsewhere.call();
-    assert!(next.start.contains("index=0 "), "the versions are another's: {}", next.start);
+    assert!(
+        next.start.contains("index=0 "),
+        "the versions are another's: {}",
+        next.start
+    );
     assert!(node.is_ready());
     assert_eq!(node.client().read().body, b"old");
     drop((watch, discovery));
@@ -429,7 +522,11 @@
     assert_eq!(node.client().read().body, b"here");
     // The old watch goes on, and a good file is still taken in.
     let moved = Backend::start(|_| ok("there"));
-    watch.line(&list(9, false, &[entry("s-0", moved.address, "in_service")]));
+    watch.line(&list(
+        9,
+        false,
+        &[entry("s-0", moved.address, "in_service")],
+    ));
     backend.closed();
     assert_eq!(node.client().read().body, b"there");
     let elsewhere = Discovery::start();
@@ -447,7 +544,10 @@
 fn where_the_list_must_be_asked_for_it_is_asked_for_at_the_new_address() {
     let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
     let asked = settings(LONG, "").replacen('{', r#"{"RegistryMode":"ask","#, 1);
-    let asked = asked.replace(r#""DrainGrace":2000"#, r#""DrainGrace":2000,"MustAskIn":1000"#);
+    let asked = asked.replace(
+        r#""DrainGrace":2000"#,
+        r#""DrainGrace":2000,"MustAskIn":1000"#,
+    );
     let discovery = Discovery::start();
     let node = Node::start(&config(discovery.address, &asked, 1024), "");
     let mut watch = discovery.call();
@@ -481,7 +581,10 @@
     node.reload(&config(discovery.address, &settings(LONG, ""), 1024));
     node.logged("read again");
     go.send(()).expect("the backend waits");
-    assert_eq!(held.answer().expect("what was taken is answered").body, b"held");
+    assert_eq!(
+        held.answer().expect("what was taken is answered").body,
+        b"held"
+    );
     assert_eq!(node.exit().code(), Some(0));
 }
 
@@ -530,7 +633,10 @@
     let (node, _watch, _discovery) = serving(&settings(LONG, ""), &[&backend]);
     let good = || common(5000);
     let without = |name: &str| {
-        good().split_inclusive("\r\n").filter(|line| !line.starts_with(name)).collect::<String>()
+        good()
+            .split_inclusive("\r\n")
+            .filter(|line| !line.starts_with(name))
+            .collect::<String>()
     };
     let with = |name: &str, value: &str| format!("{}{name}: {value}\r\n", without(name));
     let key = "Idempotency-Key: 1\r\n";
@@ -554,19 +660,35 @@
         ("GET /read/1", with("X-Budget-Ms", "-5"), vec![]),
         ("GET /read/1", with("X-Budget-Ms", "soon"), vec![]),
         ("GET /read/1", with("X-Budget-Ms", "1e3"), vec![]),
-        ("GET /read/1", with("X-Budget-Ms", "18446744073709551616"), vec![]),
-        ("GET /read/1", with("X-Budget-Ms", "18446744073709551615"), vec![]),
+        (
+            "GET /read/1",
+            with("X-Budget-Ms", "18446744073709551616"),
+            vec![],
+        ),
+        (
+            "GET /read/1",
+            with("X-Budget-Ms", "18446744073709551615"),
+            vec![],
+        ),
         ("POST /submit/1", good() + key + key, vec![b'x'; 500]),
     ];
     for (start, headers, body) in cases {
         let answer = node.client().ask(start, &headers, &body);
         let promises = [429, 503].contains(&answer.status());
-        assert!((400..500).contains(&answer.status()) && !promises, "{start} {headers}: {answer:?}");
+        assert!(
+            (400..500).contains(&answer.status()) && !promises,
+            "{start} {headers}: {answer:?}"
+        );
     }
     assert_eq!(backend.count(), 0);
     // The longest body that is allowed.
-    let answer = node.client().ask("POST /correct/1", &good(), &vec![b'x'; 32 << 20]);
-    assert_eq!((answer.status(), backend.request().1.body.len()), (200, 32 << 20));
+    let answer = node
+        .client()
+        .ask("POST /correct/1", &good(), &vec![b'x'; 32 << 20]);
+    assert_eq!(
+        (answer.status(), backend.request().1.body.len()),
+        (200, 32 << 20)
+    );
 }
 
 #[test]
@@ -596,10 +718,14 @@
             ok("")
         })
     });
-    let (node, _watch, _discovery) = serving_with(&settings(LONG, ""), &backends.each_ref(), 52, "");
+    let (node, _watch, _discovery) =
+        serving_with(&settings(LONG, ""), &backends.each_ref(), 52, "");
     let mut busy = [node.client(), node.client()];
     busy.iter_mut().for_each(Client::send_correct);
-    until(|| backends.iter().map(Backend::count).sum::<usize>() == 2, "both requests at backends");
+    until(
+        || backends.iter().map(Backend::count).sum::<usize>() == 2,
+        "both requests at backends",
+    );
     let mut waiting = node.client();
     waiting.send("GET /health/ready", "", b"");
     // The first answer frees no connection, it only leaves one idle.
@@ -614,16 +740,24 @@
 #[test]
 fn a_node_out_of_descriptors_serves_on_when_some_are_free_again() {
     let backend = Backend::start(|_| ok(""));
-    let (node, _watch, _discovery) = serving_with(&settings(LONG, ""), &[&backend], 1024, "ulimit -n 30; ");
+    let (node, _watch, _discovery) =
+        serving_with(&settings(LONG, ""), &[&backend], 1024, "ulimit -n 30; ");
     let crowd: Vec<Client> = (0..60).map(|_| node.client()).collect();
     node.logged("cannot accept");
     drop(crowd);
-    until(|| node.client().read().status() == 200, "service after the crowd");
+    until(
+        || node.client().read().status() == 200,
+        "service after the crowd",
+    );
 }
 
 #[test]
 fn a_bad_configuration_is_told_in_one_line() {
-    let good = config("127.0.0.1:1".parse().expect("an address"), &settings(LONG, ""), 1024);
+    let good = config(
+        "127.0.0.1:1".parse().expect("an address"),
+        &settings(LONG, ""),
+        1024,
+    );
     let cases = [
         "not JSON".to_owned(),
         "{}".to_owned(),
@@ -637,6 +771,9 @@
         let output = command(&config, "").0.output().expect("it runs");
         let said = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{config}");
-        assert!(said.starts_with("sillward: bad configuration: ") && said.lines().count() == 1, "{said}");
+        assert!(
+            said.starts_with("sillward: bad configuration: ") && said.lines().count() == 1,
+            "{said}"
+        );
     }
 }
