--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -20,7 +20,11 @@
     assert_eq!(node.operate("GET /control/ready").0, 200);
     assert_eq!(node.operate("GET /control/counters").0, 200);
     assert_eq!(node.operate("POST /control/out-of-service").0, 200);
-    assert_eq!(node.operate("POST /control/out-of-service").0, 200, "twice is as good as once");
+    assert_eq!(
+        node.operate("POST /control/out-of-service").0,
+        200,
+        "twice is as good as once"
+    );
     assert_eq!(node.operate("POST /control/in-service").0, 200);
     for (call, status) in [
         ("POST /control/ready", 405),
@@ -36,7 +40,12 @@
     assert_eq!(client.ask("GET /control/ready", "", b"").status(), 200);
     assert!(client.ended());
     // And nothing of it where clients come.
-    assert_eq!(node.client().ask("GET /control/ready", &common(1000), b"").status(), 404);
+    assert_eq!(
+        node.client()
+            .ask("GET /control/ready", &common(1000), b"")
+            .status(),
+        404
+    );
 }
 
 #[test]
@@ -57,7 +66,9 @@
     let (node, _watch, _discovery) = serving_operators(&settings(LONG, ""), &[&backend]);
     let address = node.admin.expect("a listener for operators");
     let mut idle: Vec<_> = (0..80).map(|_| Client::connect(address)).collect();
-    idle.iter_mut().step_by(2).for_each(|client| client.write(b"GET /control/ready HTTP/1.1\r\nHo"));
+    idle.iter_mut()
+        .step_by(2)
+        .for_each(|client| client.write(b"GET /control/ready HTTP/1.1\r\nHo"));
     for _ in 0..5 {
         let asked = Instant::now();
         assert_eq!(node.operate("GET /control/ready").0, 200);
@@ -80,18 +91,32 @@
     assert!(!node.is_ready(), "the front hears it at once");
     // Who still asks is served, and learns that it is the last time.
     let answer = asks.read();
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (200, Some("close"))
+    );
     assert!(asks.ended() && idle.ended(), "idle connections close");
     half.write(b"\r\n");
     let answer = half.answer().expect("an answer to what had begun");
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (200, Some("close"))
+    );
     assert!(!node.is_ready(), "health checks go on getting their no");
-    assert_eq!(node.operate("GET /control/ready").0, 200, "the process itself can serve");
+    assert_eq!(
+        node.operate("GET /control/ready").0,
+        200,
+        "the process itself can serve"
+    );
     assert_eq!(node.operate("POST /control/in-service").0, 200);
     assert!(node.is_ready());
     let mut client = node.client();
     let answers = [client.read(), client.read()];
-    assert!(answers.iter().all(|answer| answer.status() == 200 && answer.header("connection").is_none()));
+    assert!(
+        answers
+            .iter()
+            .all(|answer| answer.status() == 200 && answer.header("connection").is_none())
+    );
 }
 
 #[test]
@@ -132,25 +157,38 @@
             429 | 503 => "dropped",
             _ => "bad_gateway",
         };
-        *saw.entry(format!("node.handled.{class}.{end}")).or_insert(0) += 1;
+        *saw.entry(format!("node.handled.{class}.{end}"))
+            .or_insert(0) += 1;
     };
     for _ in 0..20 {
         note("read", node.client().read().status());
     }
     for _ in 0..5 {
         let headers = format!("{}Idempotency-Key: 5c0f6e\r\n", common(LONG));
-        note("submit", node.client().ask("POST /submit/1", &headers, b"sheet").status());
+        note(
+            "submit",
+            node.client()
+                .ask("POST /submit/1", &headers, b"sheet")
+                .status(),
+        );
         note("correct", node.client().correct().status());
     }
     // What the front answers by itself counts too: a body that never comes whole.
     let mut client = node.client();
-    let head = format!("POST /correct/1 HTTP/1.1\r\n{}Content-Length: 9\r\n\r\nhalf", common(LONG));
+    let head = format!(
+        "POST /correct/1 HTTP/1.1\r\n{}Content-Length: 9\r\n\r\nhalf",
+        common(LONG)
+    );
     client.write(head.as_bytes());
     note("correct", client.answer().expect("an error").status());
     for class in ["read", "submit", "correct"] {
         for end in ["passed", "dropped", "bad_gateway"] {
             let name = format!("node.handled.{class}.{end}");
-            assert_eq!(node.figure(&name), saw.get(&name).copied().unwrap_or(0), "{name}");
+            assert_eq!(
+                node.figure(&name),
+                saw.get(&name).copied().unwrap_or(0),
+                "{name}"
+            );
         }
     }
     assert_eq!(node.figure("node.upstream_tries"), backend.count() as u64);
@@ -162,7 +200,9 @@
 fn a_request_is_in_progress_until_its_answer_or_its_clients_end() {
     let (silent, gone) = (
         Backend::start(|_| Reply::Silence),
-        std::net::TcpListener::bind("127.0.0.1:0").and_then(|free| free.local_addr()).expect("a port"),
+        std::net::TcpListener::bind("127.0.0.1:0")
+            .and_then(|free| free.local_addr())
+            .expect("a port"),
     );
     let (node, mut watch, _discovery) = serving_operators(&settings(LONG, ""), &[&silent]);
     let mut clients: Vec<_> = (0..3).map(|_| node.client()).collect();
@@ -174,7 +214,10 @@
     watch.line(&list(
         9,
         true,
-        &[entry("s-1", gone, "in_service"), entry("s-2", silent.address, "terminating")],
+        &[
+            entry("s-1", gone, "in_service"),
+            entry("s-2", silent.address, "terminating"),
+        ],
     ));
     until(|| node.figure("node.known_backends") == 2, "the list");
     assert_eq!(node.figure("node.skipped_backends"), 0);
@@ -182,7 +225,10 @@
     let _ = node.client().read();
     assert_eq!(node.figure("node.skipped_backends"), 0);
     let _ = node.client().read();
-    until(|| node.figure("node.skipped_backends") == 1, "the backend that is gone");
+    until(
+        || node.figure("node.skipped_backends") == 1,
+        "the backend that is gone",
+    );
 }
 
 // ---- Settings that change -----------------------------------------------------------------------
@@ -205,17 +251,26 @@
     // `correct` vanishes, `late` appears, and the order is another's.
     let at = first.find(r#"{"Name":"correct""#).expect("a class");
     let end = at + first[at..].find('}').expect("its end") + 1;
-    let late =
-        r#"{"Name":"late","Target":20000,"GiveUp":20000,"Idempotency":"free","Group":"zone","Window":60000}"#;
+    let late = r#"{"Name":"late","Target":20000,"GiveUp":20000,"Idempotency":"free","Group":"zone","Window":60000}"#;
     let without = format!("{}{}", &first[..at - 1], &first[end..]);
     let second = without.replacen(r#""Classes":["#, &format!(r#""Classes":[{late},"#), 1);
-    let ask = |class: &str| node.client().ask(&format!("GET /{class}/1"), &common(LONG), b"").status();
+    let ask = |class: &str| {
+        node.client()
+            .ask(&format!("GET /{class}/1"), &common(LONG), b"")
+            .status()
+    };
     assert_eq!(ask("late"), 404);
     node.reload(&config_operated(discovery.address, &second));
     until(|| node.figure("node.loads") == 1, "the new settings");
-    assert_eq!((ask("late"), ask("read"), node.client().correct().status()), (200, 200, 404));
+    assert_eq!(
+        (ask("late"), ask("read"), node.client().correct().status()),
+        (200, 200, 404)
+    );
     go.send(()).expect("the backend waits");
-    assert_eq!(held.answer().expect("what was taken is answered").body, b"figure");
+    assert_eq!(
+        held.answer().expect("what was taken is answered").body,
+        b"figure"
+    );
     assert_eq!(node.figure("node.handled.correct.passed"), 1);
     assert_eq!(node.figure("node.handled.late.passed"), 1);
     // And back: it is the same class.
@@ -243,18 +298,35 @@
     ];
     for (i, text) in broken.iter().enumerate() {
         node.reload(text);
-        until(|| node.figure("node.load_errors") == i as u64 + 1, "another error");
+        until(
+            || node.figure("node.load_errors") == i as u64 + 1,
+            "another error",
+        );
         assert_eq!(node.client().read().status(), 200, "case {i}");
-        assert_eq!(node.client().ask("GET /renamed/1", &common(LONG), b"").status(), 404, "case {i}");
+        assert_eq!(
+            node.client()
+                .ask("GET /renamed/1", &common(LONG), b"")
+                .status(),
+            404,
+            "case {i}"
+        );
     }
     assert_eq!(node.figure("node.loads"), 0);
     // Discovery stayed where it was, too; a good file is still taken, out of service as well.
     assert_eq!(node.operate("POST /control/out-of-service").0, 200);
-    node.reload(&config_operated(discovery.address, &first.replace("\"read\"", "\"renamed\"")));
+    node.reload(&config_operated(
+        discovery.address,
+        &first.replace("\"read\"", "\"renamed\""),
+    ));
     until(|| node.figure("node.loads") == 1, "the good file");
     assert!(!node.is_ready());
     assert_eq!(node.operate("POST /control/in-service").0, 200);
-    assert_eq!(node.client().ask("GET /renamed/1", &common(LONG), b"").status(), 200);
+    assert_eq!(
+        node.client()
+            .ask("GET /renamed/1", &common(LONG), b"")
+            .status(),
+        200
+    );
 }
 
 // ---- Replacing the process ----------------------------------------------------------------------
@@ -275,24 +347,41 @@
         std::fs::create_dir_all(&folder).expect("a folder");
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address");
-        Platform { listener, address, discovery: Discovery::start(), watches: Vec::new(), folder }
+        Platform {
+            listener,
+            address,
+            discovery: Discovery::start(),
+            watches: Vec::new(),
+            folder,
+        }
     }
 
     fn config(&self) -> String {
         let config = config_operated(self.discovery.address, &settings(3000, ""));
-        config.replace(r#""listen":"127.0.0.1:0""#, &format!(r#""listen":"{}""#, self.address))
+        config.replace(
+            r#""listen":"127.0.0.1:0""#,
+            &format!(r#""listen":"{}""#, self.address),
+        )
     }
 
     /// Starts a process, which is not told its list yet.
     fn process(&self) -> Node {
-        Node::inheriting(&self.listener, &self.config(), &[("TMPDIR", &self.folder.to_string_lossy())])
+        Node::inheriting(
+            &self.listener,
+            &self.config(),
+            &[("TMPDIR", &self.folder.to_string_lossy())],
+        )
     }
 
     /// Tells the process that calls next.
     fn tell(&mut self, node: &Node, backend: &Backend) {
         let mut watch = self.discovery.call();
         watch.open();
-        watch.line(&list(8, true, &[entry("s-0", backend.address, "in_service")]));
+        watch.line(&list(
+            8,
+            true,
+            &[entry("s-0", backend.address, "in_service")],
+        ));
         self.watches.push(watch);
         until(|| node.operate("GET /control/ready").0 == 200, "its yes");
     }
@@ -339,16 +428,26 @@
         let new = platform.process();
         platform.tell(&new, &backend);
         let before = backend.count();
-        until(|| backend.count() > before + 20, "requests beside each other");
+        until(
+            || backend.count() > before + 20,
+            "requests beside each other",
+        );
         old.terminate();
         assert!(old.exit().success());
         let before = backend.count();
-        until(|| backend.count() > before + 20, "requests to the new process");
+        until(
+            || backend.count() > before + 20,
+            "requests to the new process",
+        );
         old = new;
     }
     end.store(true, Ordering::SeqCst);
-    let sums = clients.into_iter().map(|client| client.join().expect("a client"));
-    let (served, failed) = sums.fold((0, 0), |sum, (served, failed)| (sum.0 + served, sum.1 + failed));
+    let sums = clients
+        .into_iter()
+        .map(|client| client.join().expect("a client"));
+    let (served, failed) = sums.fold((0, 0), |sum, (served, failed)| {
+        (sum.0 + served, sum.1 + failed)
+    });
     assert!(served > 100, "{served}");
     assert_eq!(failed, 0, "of {served}");
     // What was closed unanswered had been read by nobody: else a backend would have had it.
@@ -366,7 +465,11 @@
     assert_eq!(new.operate("GET /control/ready").0, 503);
     for _ in 0..40 {
         let mut client = Client::connect(platform.address);
-        assert_eq!(client.read().status(), 200, "the old process alone takes clients");
+        assert_eq!(
+            client.read().status(),
+            200,
+            "the old process alone takes clients"
+        );
     }
     // It dies: the old one has never stopped.
     new.signal("-KILL");
@@ -389,7 +492,11 @@
     let new = platform.process();
     platform.tell(&new, &backend);
     assert_eq!(waiting.answer().map(|answer| answer.status()), Some(200));
-    assert_eq!(new.figure("node.handled.correct.passed"), 1, "the new one's own");
+    assert_eq!(
+        new.figure("node.handled.correct.passed"),
+        1,
+        "the new one's own"
+    );
 }
 
 #[test]
@@ -400,12 +507,22 @@
         (&elsewhere, "3", "no listener at"),
         (&platform.listener, "77", "PROXY_LISTEN_FD 77"),
         (&platform.listener, "1", "PROXY_LISTEN_FD is no descriptor"),
-        (&platform.listener, "three", "PROXY_LISTEN_FD is no descriptor"),
+        (
+            &platform.listener,
+            "three",
+            "PROXY_LISTEN_FD is no descriptor",
+        ),
     ] {
         let (mut command, _) = inheriting(listener, &platform.config());
-        let output = command.env("PROXY_LISTEN_FD", variable).output().expect("it runs");
+        let output = command
+            .env("PROXY_LISTEN_FD", variable)
+            .output()
+            .expect("it runs");
         let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(output.status.code() == Some(1) && said.contains(expected), "{variable}: {said}");
+        assert!(
+            output.status.code() == Some(1) && said.contains(expected),
+            "{variable}: {said}"
+        );
     }
 }
 
@@ -418,9 +535,15 @@
         ok("figure")
     });
     let mut platform = Platform::start();
-    let config = platform.config().replace(r#""sockets":1024"#, &format!(r#""sockets":{LIMIT}"#));
+    let config = platform
+        .config()
+        .replace(r#""sockets":1024"#, &format!(r#""sockets":{LIMIT}"#));
     let start = |platform: &Platform| {
-        Node::inheriting(&platform.listener, &config, &[("TMPDIR", &platform.folder.to_string_lossy())])
+        Node::inheriting(
+            &platform.listener,
+            &config,
+            &[("TMPDIR", &platform.folder.to_string_lossy())],
+        )
     };
     let mut old = start(&platform);
     platform.tell(&old, &backend);
@@ -428,12 +551,15 @@
     let clients = load(platform.address, end.clone());
     // Clients that ask now and then on connections that they keep: more than a process by halves has room for.
     let mut kept: Vec<Client> = (0..45).map(|_| Client::connect(platform.address)).collect();
-    kept.iter_mut().for_each(|client| assert_eq!(client.read().status(), 200));
+    kept.iter_mut()
+        .for_each(|client| assert_eq!(client.read().status(), 200));
     for _ in 0..2 {
         let new = start(&platform);
         platform.tell(&new, &backend);
         // They say nothing and fill whatever place the two have.
-        let _crowd: Vec<Client> = (0..200).map(|_| Client::connect(platform.address)).collect();
+        let _crowd: Vec<Client> = (0..200)
+            .map(|_| Client::connect(platform.address))
+            .collect();
         let (mut most, mut ended) = (old.descriptors() + new.descriptors(), false);
         old.terminate();
         while !ended {
@@ -454,7 +580,9 @@
         old = new;
     }
     end.store(true, Ordering::SeqCst);
-    clients.into_iter().for_each(|client| assert!(client.join().expect("a client").0 > 0));
+    clients
+        .into_iter()
+        .for_each(|client| assert!(client.join().expect("a client").0 > 0));
 }
 
 #[test]
@@ -466,8 +594,13 @@
     for case in 0..5 {
         let _ = std::fs::remove_file(&path);
         let foreign = match case {
-            0 => std::fs::write(&path, "rubbish").map(|()| None).expect("a file"),
-            1 => std::os::unix::net::UnixListener::bind(&path).map(drop).map(|()| None).expect("a socket"),
+            0 => std::fs::write(&path, "rubbish")
+                .map(|()| None)
+                .expect("a file"),
+            1 => std::os::unix::net::UnixListener::bind(&path)
+                .map(drop)
+                .map(|()| None)
+                .expect("a socket"),
             2 | 3 => Some(std::os::unix::net::UnixListener::bind(&path).expect("a socket")),
             _ => None,
         };
@@ -485,8 +618,14 @@
             &[("TMPDIR", &folder.to_string_lossy())],
         );
         platform.tell(&node, &backend);
-        assert_eq!(Client::connect(platform.address).read().status(), 200, "case {case}");
-        talks.into_iter().for_each(|talks| talks.join().expect("its end"));
+        assert_eq!(
+            Client::connect(platform.address).read().status(),
+            200,
+            "case {case}"
+        );
+        talks
+            .into_iter()
+            .for_each(|talks| talks.join().expect("its end"));
     }
 }
 
@@ -503,24 +642,38 @@
         std::io::Write::write_all(&mut stream, b"sillward-holds 2 clients=59\n").expect("its word");
         stream
     });
-    let config = platform.config().replace(r#""sockets":1024"#, &format!(r#""sockets":{LIMIT}"#));
-    let node =
-        Node::inheriting(&platform.listener, &config, &[("TMPDIR", &platform.folder.to_string_lossy())]);
+    let config = platform
+        .config()
+        .replace(r#""sockets":1024"#, &format!(r#""sockets":{LIMIT}"#));
+    let node = Node::inheriting(
+        &platform.listener,
+        &config,
+        &[("TMPDIR", &platform.folder.to_string_lossy())],
+    );
     let older = says.join().expect("the older process");
     platform.tell(&node, &backend);
     // They say nothing and fill whatever place there is.
     let filled = || {
-        let _crowd: Vec<Client> = (0..200).map(|_| Client::connect(platform.address)).collect();
+        let _crowd: Vec<Client> = (0..200)
+            .map(|_| Client::connect(platform.address))
+            .collect();
         let (mut most, mut steady) = (0, 0);
         while steady < 20 {
             std::thread::sleep(Duration::from_millis(10));
-            steady = if node.descriptors() > most { 0 } else { steady + 1 };
+            steady = if node.descriptors() > most {
+                0
+            } else {
+                steady + 1
+            };
             most = most.max(node.descriptors());
         }
         most
     };
     let beside = filled();
-    assert!(beside <= LIMIT / 4, "{beside} descriptors beside one that lives, of {LIMIT}");
+    assert!(
+        beside <= LIMIT / 4,
+        "{beside} descriptors beside one that lives, of {LIMIT}"
+    );
     drop(older);
     node.logged("the older process of this node is gone");
     until(|| filled() > beside + 20, "the room of one that is alone");
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -11,7 +11,10 @@
 const LONG: u64 = 20_000;
 
 fn correct() -> String {
-    format!("POST /correct/1f HTTP/1.1\r\nHost: s\r\n{}Content-Length: 5\r\n\r\nsheet", common(LONG))
+    format!(
+        "POST /correct/1f HTTP/1.1\r\nHost: s\r\n{}Content-Length: 5\r\n\r\nsheet",
+        common(LONG)
+    )
 }
 
 fn read() -> String {
@@ -51,13 +54,19 @@
     let (node, mut watch, _discovery) = serving(&settings(LONG, ""), &[]);
     for more in behind() {
         let mut client = TcpStream::connect(node.address).expect("the node accepts");
-        client.write_all(&[correct().as_bytes(), &more].concat()).expect("room");
+        client
+            .write_all(&[correct().as_bytes(), &more].concat())
+            .expect("room");
         // The node has had a turn since: the request is held.
         assert!(node.is_ready());
         drop(client);
     }
     let last = stays(&node);
-    watch.line(&list(9, false, &[entry("s-0", backend.address, "in_service")]));
+    watch.line(&list(
+        9,
+        false,
+        &[entry("s-0", backend.address, "in_service")],
+    ));
     assert_eq!(node.client().read().body, b"here");
     let (_, first) = backend.request();
     assert!(first.start.starts_with("GET /read/"), "{}", first.start);
@@ -80,18 +89,33 @@
         });
         let (node, mut watch, _discovery) = serving(&settings(LONG, ""), &[&first]);
         let mut client = TcpStream::connect(node.address).expect("the node accepts");
-        client.write_all(&[read().as_bytes(), &more].concat()).expect("room");
+        client
+            .write_all(&[read().as_bytes(), &more].concat())
+            .expect("room");
         first.request();
         // Where it may go next.
         let second = Backend::start(|_| ok("second"));
-        watch.line(&list(9, false, &[entry("s-1", second.address, "in_service")]));
+        watch.line(&list(
+            9,
+            false,
+            &[entry("s-1", second.address, "in_service")],
+        ));
         assert!(node.is_ready());
         drop(client);
         go.send(()).expect("the backend waits");
         drop(go);
-        until(|| node.client().read().body == b"second", "another client's answer");
+        until(
+            || node.client().read().body == b"second",
+            "another client's answer",
+        );
         let (_, seen) = second.request();
-        assert_eq!(second.count(), 1, "{} bytes behind it: {}", more.len(), seen.start);
+        assert_eq!(
+            second.count(),
+            1,
+            "{} bytes behind it: {}",
+            more.len(),
+            seen.start
+        );
     }
 }
 
@@ -104,7 +128,9 @@
             .map(|i| {
                 let mut client = TcpStream::connect(node.address).expect("the node accepts");
                 let more = if i % 3 == 0 { correct() } else { String::new() };
-                client.write_all((correct() + &more).as_bytes()).expect("room");
+                client
+                    .write_all((correct() + &more).as_bytes())
+                    .expect("room");
                 client
             })
             .collect();
@@ -112,7 +138,11 @@
         drop(crowd);
     }
     let last = stays(&node);
-    watch.line(&list(9, false, &[entry("s-0", backend.address, "in_service")]));
+    watch.line(&list(
+        9,
+        false,
+        &[entry("s-0", backend.address, "in_service")],
+    ));
     assert_eq!(node.client().read().body, b"here");
     is_answered(last);
     assert_eq!(backend.count(), 2);
@@ -124,13 +154,21 @@
     let backend = Backend::start(|_| ok("here"));
     let (node, mut watch, _discovery) = serving(&settings(LONG, ""), &[]);
     let mut client = TcpStream::connect(node.address).expect("the node accepts");
-    let head =
-        format!("POST /correct/1f HTTP/1.1\r\nHost: s\r\n{}Content-Length: 900000\r\n\r\n", common(LONG));
-    client.write_all(&[head.as_bytes(), &[b'x'; 300_000]].concat()).expect("room");
+    let head = format!(
+        "POST /correct/1f HTTP/1.1\r\nHost: s\r\n{}Content-Length: 900000\r\n\r\n",
+        common(LONG)
+    );
+    client
+        .write_all(&[head.as_bytes(), &[b'x'; 300_000]].concat())
+        .expect("room");
     assert!(node.is_ready());
     reset(client);
     let last = stays(&node);
-    watch.line(&list(9, false, &[entry("s-0", backend.address, "in_service")]));
+    watch.line(&list(
+        9,
+        false,
+        &[entry("s-0", backend.address, "in_service")],
+    ));
     assert_eq!(node.client().read().body, b"here");
     is_answered(last);
     assert_eq!(backend.count(), 2);
@@ -142,7 +180,10 @@
 fn rest(client: &mut TcpStream) -> Result<Vec<u8>, ErrorKind> {
     client.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     let mut all = Vec::new();
-    client.read_to_end(&mut all).map(|_| all).map_err(|e| e.kind())
+    client
+        .read_to_end(&mut all)
+        .map(|_| all)
+        .map_err(|e| e.kind())
 }
 
 /// An idle connection is let go in the moment in which a request is on its way: it is read, and goes nowhere, and the
@@ -159,7 +200,9 @@
     // The node's end of sending; then its client's request, piece by piece.
     assert_eq!(rest(&mut client), Ok(Vec::new()));
     for piece in correct().as_bytes().chunks(20) {
-        client.write_all(piece).expect("the connection is not reset");
+        client
+            .write_all(piece)
+            .expect("the connection is not reset");
         std::thread::sleep(Duration::from_millis(5));
     }
     assert_eq!(rest(&mut client), Ok(Vec::new()), "no reset");
@@ -185,7 +228,9 @@
         if !client.try_send("GET /read/1f", &common(LONG)) {
             panic!("the node reset a connection that it had said to be good");
         }
-        let Some(answer) = client.answer() else { panic!("a request that was taken has no answer") };
+        let Some(answer) = client.answer() else {
+            panic!("a request that was taken has no answer")
+        };
         assert_eq!(answer.status(), 200);
         answered += 1;
         if answer.header("connection") == Some("close") {
@@ -238,7 +283,10 @@
 }
 
 fn answer(body: &str) -> String {
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// The second answer comes some milliseconds after the first; the next request would have gone out before.
@@ -255,7 +303,11 @@
     let mut client = node.client();
     for _ in 0..12 {
         let body = client.read().body;
-        assert!(body.starts_with(b"answer "), "{}", String::from_utf8_lossy(&body));
+        assert!(
+            body.starts_with(b"answer "),
+            "{}",
+            String::from_utf8_lossy(&body)
+        );
     }
 }
 
@@ -263,11 +315,31 @@
 #[test]
 fn an_answer_that_was_cut_is_none_however_it_was_framed() {
     let cuts: [(&str, &str, bool); 7] = [
-        ("no length, reset", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf", true),
-        ("no length, never said to close", "HTTP/1.1 200 OK\r\n\r\nhalf", false),
-        ("a byte short", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhalf", false),
-        ("a byte short, reset", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhalf", true),
-        ("no last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", false),
+        (
+            "no length, reset",
+            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf",
+            true,
+        ),
+        (
+            "no length, never said to close",
+            "HTTP/1.1 200 OK\r\n\r\nhalf",
+            false,
+        ),
+        (
+            "a byte short",
+            "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhalf",
+            false,
+        ),
+        (
+            "a byte short, reset",
+            "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhalf",
+            true,
+        ),
+        (
+            "no last chunk",
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
+            false,
+        ),
         ("half a status line", "HTTP/1.1 2", false),
         ("half a head, reset", "HTTP/1.1 200 OK\r\nContent-Le", true),
     ];
@@ -288,7 +360,11 @@
         // Safe to repeat, but there is nobody else: to be asked for again. Of unsafe work nobody can say that.
         let (safe, unsafe_work) = (node.client().read(), node.client().correct());
         assert_eq!(safe.status(), 503, "{name}: {safe:?}");
-        assert_eq!((unsafe_work.status(), unsafe_work.body.as_slice()), (502, &b""[..]), "{name}");
+        assert_eq!(
+            (unsafe_work.status(), unsafe_work.body.as_slice()),
+            (502, &b""[..]),
+            "{name}"
+        );
     }
 }
 
@@ -326,8 +402,9 @@
     let config = config.replace("\"endpoints\":[]", &format!("\"endpoints\":[{known}]"));
     let node = Node::start(&config, &format!("ulimit -n {SOCKETS}; "));
     until(|| node.is_ready(), "readiness");
-    let crowd: Vec<TcpStream> =
-        (0..SOCKETS * 2).filter_map(|_| TcpStream::connect(node.address).ok()).collect();
+    let crowd: Vec<TcpStream> = (0..SOCKETS * 2)
+        .filter_map(|_| TcpStream::connect(node.address).ok())
+        .collect();
     // Some of them have asked before they rest.
     for mut client in crowd.iter().take(SOCKETS) {
         let _ = client.write_all(read().as_bytes());
@@ -350,7 +427,10 @@
             open.push(stream);
         }
     });
-    until(|| node.client().read().body == b"new", "the list of a discovery that is back");
+    until(
+        || node.client().read().body == b"new",
+        "the list of a discovery that is back",
+    );
     drop(crowd);
 }
 
@@ -365,19 +445,28 @@
     let backend = Backend::start(|_| ok("known"));
     let known = entry("s-0", backend.address, "in_service");
     for _ in 0..5 {
-        let free = TcpListener::bind("127.0.0.1:0").and_then(|free| free.local_addr()).expect("a port");
-        let down = TcpListener::bind("127.0.0.1:0").and_then(|free| free.local_addr()).expect("a port");
-        let config = config(down, &settings(LONG, ""), 1024).replace("127.0.0.1:0", &free.to_string());
+        let free = TcpListener::bind("127.0.0.1:0")
+            .and_then(|free| free.local_addr())
+            .expect("a port");
+        let down = TcpListener::bind("127.0.0.1:0")
+            .and_then(|free| free.local_addr())
+            .expect("a port");
+        let config =
+            config(down, &settings(LONG, ""), 1024).replace("127.0.0.1:0", &free.to_string());
         let config = config.replace("\"endpoints\":[]", &format!("\"endpoints\":[{known}]"));
         let clients = std::thread::spawn(move || {
             let (mut taken, end) = (Vec::new(), Instant::now() + PATIENCE);
             while taken.len() < 60 && Instant::now() < end {
-                let Ok(mut client) = TcpStream::connect(free) else { continue };
+                let Ok(mut client) = TcpStream::connect(free) else {
+                    continue;
+                };
                 // To itself, where a port was free that both ends may have.
                 if client.local_addr().is_ok_and(|own| own == free) {
                     continue;
                 }
-                client.write_all(read().as_bytes()).expect("it was accepted");
+                client
+                    .write_all(read().as_bytes())
+                    .expect("it was accepted");
                 taken.push(client);
             }
             taken
--- a/tests/seam.rs
+++ b/tests/seam.rs
@@ -52,7 +52,10 @@
 }
 
 fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
-    for entry in fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path()) {
+    for entry in fs::read_dir(folder)
+        .expect("a folder")
+        .map(|entry| entry.expect("an entry").path())
+    {
         if entry.is_dir() {
             sources(&entry, found);
         } else if entry.extension().is_some_and(|extension| extension == "rs") {
@@ -64,8 +67,15 @@
 /// The packages of the program by folder, each with its sources.
 fn packages() -> BTreeMap<String, Vec<PathBuf>> {
     let mut all = BTreeMap::new();
-    for folder in fs::read_dir(root().join("crates")).expect("packages").map(|e| e.expect("one").path()) {
-        let name = folder.file_name().expect("a name").to_string_lossy().into_owned();
+    for folder in fs::read_dir(root().join("crates"))
+        .expect("packages")
+        .map(|e| e.expect("one").path())
+    {
+        let name = folder
+            .file_name()
+            .expect("a name")
+            .to_string_lossy()
+            .into_owned();
         if !OUTSIDE.contains(&name.as_str()) {
             let mut found = Vec::new();
             sources(&folder.join("src"), &mut found);
@@ -81,10 +91,16 @@
 #[test]
 fn nothing_reaches_past_the_seam() {
     let mut past = Vec::new();
-    for (package, files) in packages().into_iter().filter(|(package, _)| package != "runtime") {
+    for (package, files) in packages()
+        .into_iter()
+        .filter(|(package, _)| package != "runtime")
+    {
         for file in files {
             let text = fs::read_to_string(&file).expect("a source");
-            let mut lines = text.lines().enumerate().filter(|(_, line)| !line.trim_start().starts_with("//"));
+            let mut lines = text
+                .lines()
+                .enumerate()
+                .filter(|(_, line)| !line.trim_start().starts_with("//"));
             past.extend(lines.by_ref().filter_map(|(number, line)| {
                 let what = PAST.iter().find(|what| line.contains(**what))?;
                 let allowed = ALLOWED.contains(&(package.as_str(), what));
@@ -120,10 +136,13 @@
         let manifest = fs::read_to_string(root().join("crates").join(&package).join("Cargo.toml"));
         let manifest = manifest.expect("a manifest");
         let (_, after) = manifest.split_once("[dependencies]").expect("dependencies");
-        let names = after.lines().take_while(|line| !line.starts_with('[')).filter_map(|line| {
-            let name = line.split(['.', ' ', '=']).next()?;
-            name.strip_prefix("sillward-")
-        });
+        let names = after
+            .lines()
+            .take_while(|line| !line.starts_with('['))
+            .filter_map(|line| {
+                let name = line.split(['.', ' ', '=']).next()?;
+                name.strip_prefix("sillward-")
+            });
         all.insert(package, names.map(str::to_owned).collect());
     }
     all
@@ -145,16 +164,43 @@
         }
         seen
     };
-    let set = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect::<BTreeSet<_>>();
+    let set = |names: &[&str]| {
+        names
+            .iter()
+            .map(|name| (*name).to_owned())
+            .collect::<BTreeSet<_>>()
+    };
     assert_eq!(reach("balancer"), set(&[]));
     assert_eq!(reach("endpoints"), set(&["balancer"]));
-    assert_eq!(reach("forwarding"), set(&["balancer", "logging", "metrics", "runtime"]));
-    assert_eq!((reach("lifecycle"), reach("hot-restart")), (set(&[]), set(&[])));
-    assert_eq!((reach("membership"), reach("fleet-settings")), (set(&[]), set(&[])));
+    assert_eq!(
+        reach("forwarding"),
+        set(&["balancer", "logging", "metrics", "runtime"])
+    );
+    assert_eq!(
+        (reach("lifecycle"), reach("hot-restart")),
+        (set(&[]), set(&[]))
+    );
+    assert_eq!(
+        (reach("membership"), reach("fleet-settings")),
+        (set(&[]), set(&[]))
+    );
     assert_eq!(reach("consensus"), set(&["membership", "fleet-settings"]));
     assert_eq!(reach("outcome-stats"), set(&["membership"]));
-    assert_eq!(reach("consensus-io"), set(&["consensus", "peer-transport", "logging", "membership", "fleet-settings", "runtime"]));
-    assert_eq!(reach("peer-transport"), set(&["logging", "membership", "runtime"]));
+    assert_eq!(
+        reach("consensus-io"),
+        set(&[
+            "consensus",
+            "peer-transport",
+            "logging",
+            "membership",
+            "fleet-settings",
+            "runtime"
+        ])
+    );
+    assert_eq!(
+        reach("peer-transport"),
+        set(&["logging", "membership", "runtime"])
+    );
     assert!(!reach("pool").contains("http1") && !reach("pool").contains("thrift"));
     assert!(!reach("thrift").contains("http1") && !reach("http1").contains("thrift"));
     assert!(!reach("discovery").contains("pool"));
@@ -171,15 +217,21 @@
         };
         let module = |file: &PathBuf| {
             let path = file.strip_prefix(&base).expect("within").with_extension("");
-            path.iter().next().expect("a name").to_string_lossy().into_owned()
+            path.iter()
+                .next()
+                .expect("a name")
+                .to_string_lossy()
+                .into_owned()
         };
         let mut imports: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
         for file in &files {
             let text = fs::read_to_string(file).expect("a source");
             let from = module(file);
             for (at, _) in text.match_indices("crate::") {
-                let rest: String =
-                    text[at + 7..].chars().take_while(|c| c.is_alphanumeric() || *c == '_').collect();
+                let rest: String = text[at + 7..]
+                    .chars()
+                    .take_while(|c| c.is_alphanumeric() || *c == '_')
+                    .collect();
                 if files.iter().any(|other| module(other) == rest) && rest != from {
                     imports.entry(from.clone()).or_default().insert(rest);
                 }
--- a/tests/sites.rs
+++ b/tests/sites.rs
@@ -14,7 +14,11 @@
     let folders = fs::read_dir(root().join("deploy/sites")).expect("the sites");
     let mut sites = Vec::new();
     for folder in folders.map(|folder| folder.expect("a folder").path()) {
-        let name = folder.file_name().expect("a name").to_string_lossy().into_owned();
+        let name = folder
+            .file_name()
+            .expect("a name")
+            .to_string_lossy()
+            .into_owned();
         for beside in ["real.json", "wire.json", "unlock.txt"] {
             assert!(folder.join(beside).is_file(), "{name}: {beside}");
         }
@@ -31,12 +35,20 @@
 
 fn number(table: &Table, key: &str) -> f64 {
     let value = &table[key];
-    value.as_float().or(value.as_integer().map(|whole| whole as f64)).expect("a number")
+    value
+        .as_float()
+        .or(value.as_integer().map(|whole| whole as f64))
+        .expect("a number")
 }
 
 fn tables(table: &Table, key: &str) -> Vec<Table> {
-    let all = table.get(key).and_then(Value::as_array).expect("a list of tables");
-    all.iter().map(|one| one.as_table().expect("a table").clone()).collect()
+    let all = table
+        .get(key)
+        .and_then(Value::as_array)
+        .expect("a list of tables");
+    all.iter()
+        .map(|one| one.as_table().expect("a table").clone())
+        .collect()
 }
 
 /// What the platform would tell a node of this site, in its words.
@@ -62,7 +74,10 @@
     let classes: Vec<String> = classes.collect();
     let tenants = tables(site, "tenant").into_iter().map(|tenant| {
         let (name, share) = (text(&tenant, "name"), number(&tenant, "share"));
-        format!(r#"{{"Name":"{name}","AllowancePerS":{},"Share":{share}}}"#, 1000.0 * share)
+        format!(
+            r#"{{"Name":"{name}","AllowancePerS":{},"Share":{share}}}"#,
+            1000.0 * share
+        )
     });
     let tenants: Vec<String> = tenants.collect();
     let part = |key: &str| site[key].as_table().expect("a table").clone();
@@ -86,7 +101,13 @@
         number(&rules, "fall_ms"),
         number(&allow, "max_attempts"),
         allow["cancel"].as_bool().expect("yes or no"),
-        number(&tables(site, "tier")[0]["conn"].as_table().expect("a table").clone(), "connect_timeout_ms"),
+        number(
+            &tables(site, "tier")[0]["conn"]
+                .as_table()
+                .expect("a table")
+                .clone(),
+            "connect_timeout_ms"
+        ),
         number(&clients, "max_retry_after_ms"),
         allow["retry_after"].as_bool().expect("yes or no"),
         allow["second_copies"].as_bool().expect("yes or no"),
@@ -104,7 +125,11 @@
         let mut watch = discovery.call();
         watch.open();
         let zone = site["net"]["zones"][0].as_str().expect("a zone").to_owned();
-        watch.line(&list(8, true, &[entry_in(&zone, "x", "s-0", backend.address, "in_service")]));
+        watch.line(&list(
+            8,
+            true,
+            &[entry_in(&zone, "x", "s-0", backend.address, "in_service")],
+        ));
         until(|| node.is_ready(), "readiness");
         let tenant = text(&tables(&site, "tenant")[0], "name").to_owned();
         let mut client = node.client();
@@ -119,7 +144,11 @@
             let start = format!("{method} /{class}/1f");
             let answer = client.ask(&start, &format!("{headers}{key}"), b"");
             let body = String::from_utf8_lossy(&answer.body).into_owned();
-            assert_eq!((answer.status(), body), (200, format!("{start} HTTP/1.1")), "{name}: {class}");
+            assert_eq!(
+                (answer.status(), body),
+                (200, format!("{start} HTTP/1.1")),
+                "{name}: {class}"
+            );
             // By another effect's method, without its key, or by another's name it is turned down, and sent nowhere.
             let sent = backend.count();
             let other = if method == "GET" { "POST" } else { "GET" };
@@ -143,7 +172,9 @@
             }
             let nobody = common(5000).replace("acme", &format!("{tenant}-"));
             assert_eq!(
-                node.client().ask(&start, &format!("{nobody}{key}"), b"").status(),
+                node.client()
+                    .ask(&start, &format!("{nobody}{key}"), b"")
+                    .status(),
                 403,
                 "{name}: {class}"
             );
@@ -204,19 +235,41 @@
     let deploy = fs::read_to_string(root().join("deploy/balancer.toml")).expect("the deploy file");
     let node: Table = deploy.parse().expect("TOML");
     let mut files = Vec::new();
-    let folders = node["node"].as_array().expect("its folders").iter().map(|f| f.as_str().expect("a path"));
+    let folders = node["node"]
+        .as_array()
+        .expect("its folders")
+        .iter()
+        .map(|f| f.as_str().expect("a path"));
     folders.for_each(|folder| sources(&root().join(folder), &mut files));
     files.extend(
-        node["policy"].as_array().expect("files").iter().map(|f| root().join(f.as_str().expect("a path"))),
+        node["policy"]
+            .as_array()
+            .expect("files")
+            .iter()
+            .map(|f| root().join(f.as_str().expect("a path"))),
     );
     assert!(files.len() > 60, "{}", files.len());
     let mut found = Vec::new();
-    let shipped = |text: &str| text.split("#[cfg(test)]").next().unwrap_or_default().to_owned();
-    for file in files.iter().filter(|file| !file.iter().any(|part| part == "tests" || part == "tests.rs")) {
+    let shipped = |text: &str| {
+        text.split("#[cfg(test)]")
+            .next()
+            .unwrap_or_default()
+            .to_owned()
+    };
+    for file in files.iter().filter(|file| {
+        !file
+            .iter()
+            .any(|part| part == "tests" || part == "tests.rs")
+    }) {
         let text = shipped(&fs::read_to_string(file).expect("a file"));
         let here = names.iter().filter(|name| text.contains(name.as_str()));
         found.extend(here.map(|name| format!("{}: {name}", file.display())));
     }
-    found.extend(names.iter().filter(|name| deploy.contains(name.as_str())).cloned());
+    found.extend(
+        names
+            .iter()
+            .filter(|name| deploy.contains(name.as_str()))
+            .cloned(),
+    );
     assert!(found.is_empty(), "{found:#?}");
 }
--- a/tests/thrift.rs
+++ b/tests/thrift.rs
@@ -23,24 +23,39 @@
 }
 
 fn name(encoding: Encoding) -> &'static str {
-    if encoding == Encoding::Compact { "compact" } else { "binary" }
+    if encoding == Encoding::Compact {
+        "compact"
+    } else {
+        "binary"
+    }
 }
 
 /// A node before tally boxes of that encoding.
 fn site(encoding: Encoding, boxes: &[&Tally], more: &str) -> Site {
     let discovery = Discovery::start();
     let config = config(discovery.address, &settings(LONG, ""), 1024);
-    site_of(config, discovery, &operator(name(encoding), more), &lines(boxes))
+    site_of(
+        config,
+        discovery,
+        &operator(name(encoding), more),
+        &lines(boxes),
+    )
 }
 
 fn lines(boxes: &[&Tally]) -> Vec<String> {
-    let line = |(i, tally): (usize, &&Tally)| entry_of("t", &format!("t-{i}"), tally.address, "in_service");
+    let line = |(i, tally): (usize, &&Tally)| {
+        entry_of("t", &format!("t-{i}"), tally.address, "in_service")
+    };
     boxes.iter().enumerate().map(line).collect()
 }
 
 fn site_of(config: String, discovery: Discovery, operator: &str, lines: &[String]) -> Site {
     let (node, watch, discovery) = peers::serving_operator(&config, discovery, operator, lines);
-    Site { node, watch, _discovery: discovery }
+    Site {
+        node,
+        watch,
+        _discovery: discovery,
+    }
 }
 
 impl Site {
@@ -57,7 +72,9 @@
     let (count, script) = (Arc::new(AtomicUsize::new(0)), Arc::new(script));
     let start = || {
         let (count, script) = (count.clone(), script.clone());
-        Tally::start(encoding, move |seen| script(count.fetch_add(1, Ordering::SeqCst), seen))
+        Tally::start(encoding, move |seen| {
+            script(count.fetch_add(1, Ordering::SeqCst), seen)
+        })
     };
     (start(), start())
 }
@@ -77,7 +94,9 @@
             })
         })
         .collect();
-    workers.into_iter().for_each(|worker| worker.join().expect("the check holds"));
+    workers
+        .into_iter()
+        .for_each(|worker| worker.join().expect("the check holds"));
 }
 
 // ---- Callers that leave ---------------------------------------------------------------------------
@@ -90,7 +109,10 @@
         let mut site = site(encoding, &[], "order = \"called\"");
         let mut caller = site.caller(encoding);
         for _ in 0..3 {
-            let frame = caller.frame("Tally:correct", &[origin("1f", "", 20_000), (2, Value::from("sheet"))]);
+            let frame = caller.frame(
+                "Tally:correct",
+                &[origin("1f", "", 20_000), (2, Value::from("sheet"))],
+            );
             caller.write(&frame).expect("the node reads");
         }
         // The node has had a turn since: the first is held, since nobody is listed.
@@ -102,7 +124,10 @@
         stays.write(&frame).expect("the node reads");
         assert!(site.node.is_ready());
         site.watch.line(&list(9, false, &lines(&[&tally])));
-        assert_eq!(stays.answer().expect("read").expect("an answer").end(), End::Served);
+        assert_eq!(
+            stays.answer().expect("read").expect("an answer").end(),
+            End::Served
+        );
         assert_eq!(tally.next().name, "Tally:read");
         assert_eq!(tally.count(), 1, "nothing of the one who had left");
     }
@@ -119,11 +144,20 @@
         for caller in BOTH {
             let mut caller = site.caller(caller);
             let answer = caller.submit("k-1");
-            assert_eq!((answer.end(), answer.text.as_deref()), (End::Served, Some("counted")));
+            assert_eq!(
+                (answer.end(), answer.text.as_deref()),
+                (End::Served, Some("counted"))
+            );
             let seen = tally.next();
-            assert_eq!((seen.name.as_str(), seen.kind), ("Tally:submit", Kind::Call));
+            assert_eq!(
+                (seen.name.as_str(), seen.kind),
+                ("Tally:submit", Kind::Call)
+            );
             assert_eq!(seen.station.as_deref(), Some("1f"));
-            assert_eq!((seen.key.as_deref(), seen.sheet.as_deref()), (Some("k-1"), Some("sheet")));
+            assert_eq!(
+                (seen.key.as_deref(), seen.sheet.as_deref()),
+                (Some("k-1"), Some("sheet"))
+            );
             // Sequence numbers are the connection's; what stands behind the head is the content.
             let head = seen.bytes.len()
                 - sillward_thrift::wire::read_head(&seen.bytes, &Default::default())
@@ -140,11 +174,14 @@
 fn declared_exceptions_go_through_and_others_are_told_apart() {
     for encoding in BOTH {
         let (one, two) = pair(encoding, |_, seen| match seen.station.as_deref() {
-            Some("declared") => {
-                Reply::Result(vec![(1, Value::Struct(vec![(1, Value::from("the station is closed"))]))])
-            }
+            Some("declared") => Reply::Result(vec![(
+                1,
+                Value::Struct(vec![(1, Value::from("the station is closed"))]),
+            )]),
             Some("away") => Reply::Bytes(seen.exception(10)),
-            Some("away-declared") => Reply::Result(vec![(2, Value::Struct(vec![(1, Value::from("full"))]))]),
+            Some("away-declared") => {
+                Reply::Result(vec![(2, Value::Struct(vec![(1, Value::from("full"))]))])
+            }
             Some("oops") => Reply::Bytes(seen.exception(6)),
             _ => Reply::Silence,
         });
@@ -161,14 +198,28 @@
             let before = one.count() + two.count();
             for away in ["away", "away-declared"] {
                 let answer = call(away, 20_000);
-                assert_eq!((answer.end(), answer.retry_ms), (End::Refused, Some(1500)), "{answer:?}");
+                assert_eq!(
+                    (answer.end(), answer.retry_ms),
+                    (End::Refused, Some(1500)),
+                    "{answer:?}"
+                );
             }
-            assert!(one.count() + two.count() > before + 2, "turned away is sent again");
+            assert!(
+                one.count() + two.count() > before + 2,
+                "turned away is sent again"
+            );
             let before = one.count() + two.count();
             assert_eq!(call("oops", 20_000).end(), End::Failed);
             let answer = call("silent", 500);
-            assert!(matches!(answer.end(), End::TimedOut | End::Failed), "{answer:?}");
-            assert_eq!(one.count() + two.count(), before + 2, "what may have run is not sent again");
+            assert!(
+                matches!(answer.end(), End::TimedOut | End::Failed),
+                "{answer:?}"
+            );
+            assert_eq!(
+                one.count() + two.count(),
+                before + 2,
+                "what may have run is not sent again"
+            );
         }
     }
 }
@@ -180,22 +231,51 @@
     for encoding in BOTH {
         let mut caller = site.caller(encoding);
         let sheet = (2, Value::from("sheet"));
-        let mut turned = |name: &str, arguments: &[(i16, Value)]| caller.call(name, arguments).number;
+        let mut turned =
+            |name: &str, arguments: &[(i16, Value)]| caller.call(name, arguments).number;
         // Unknown: 1. Not readable as told: 7.
         assert_eq!(turned("Tally:erase", &[origin("1", "", 1000)]), Some(1));
-        assert_eq!(turned("read", &[origin("1", "", 1000)]), Some(1), "a name without its service");
+        assert_eq!(
+            turned("read", &[origin("1", "", 1000)]),
+            Some(1),
+            "a name without its service"
+        );
         assert_eq!(turned("Other:read", &[origin("1", "", 1000)]), Some(1));
-        assert_eq!(turned("Tally:submit", &[origin("1", "", 1000), sheet.clone()]), Some(7), "no key");
-        assert_eq!(turned("Tally:read", &[origin("1", "", 0)]), Some(7), "a budget of nothing");
+        assert_eq!(
+            turned("Tally:submit", &[origin("1", "", 1000), sheet.clone()]),
+            Some(7),
+            "no key"
+        );
+        assert_eq!(
+            turned("Tally:read", &[origin("1", "", 0)]),
+            Some(7),
+            "a budget of nothing"
+        );
         assert_eq!(turned("Tally:read", &[origin("1", "", -5)]), Some(7));
         let stranger = Value::Struct(vec![(1, Value::from("1")), (3, Value::from("nobody"))]);
-        assert_eq!(turned("Tally:read", &[(1, stranger)]), Some(7), "an unknown tenant");
-        let twice = Value::Struct(vec![(1, Value::from("1")), (2, Value::from("a")), (2, Value::from("b"))]);
-        assert_eq!(turned("Tally:submit", &[(1, twice), sheet.clone()]), Some(7), "two keys");
+        assert_eq!(
+            turned("Tally:read", &[(1, stranger)]),
+            Some(7),
+            "an unknown tenant"
+        );
+        let twice = Value::Struct(vec![
+            (1, Value::from("1")),
+            (2, Value::from("a")),
+            (2, Value::from("b")),
+        ]);
+        assert_eq!(
+            turned("Tally:submit", &[(1, twice), sheet.clone()]),
+            Some(7),
+            "two keys"
+        );
         let frame = caller.frame_as(Kind::Reply, "Tally:read", 77, &[]);
         caller.write(&frame).expect("written");
         let answer = caller.answer().expect("read").expect("an answer");
-        assert_eq!((answer.number, answer.seqid), (Some(2), 77), "no call at all");
+        assert_eq!(
+            (answer.number, answer.seqid),
+            (Some(2), 77),
+            "no call at all"
+        );
         // The connection is as good as before.
         assert_eq!(caller.read().end(), End::Served);
     }
@@ -214,23 +294,42 @@
     };
     let connected = Instant::now();
     let http = rest(b"GET / HTTP/1.1\r\nHost: tally\r\n\r\n");
-    assert!(http.starts_with(b"HTTP/1.1 400 "), "{:?}", String::from_utf8_lossy(&http));
+    assert!(
+        http.starts_with(b"HTTP/1.1 400 "),
+        "{:?}",
+        String::from_utf8_lossy(&http)
+    );
     // A message without a frame, answered without one.
     let mut caller = site.caller(BINARY);
     let frame = caller.frame("Tally:read", &[origin("1", "", 1000)]);
     assert_eq!(read_answer(&rest(&frame[4..])).number, Some(7));
     for length in [i32::MAX, -1, 64 * 1024 + 1] {
         let framed = rest(&length.to_be_bytes());
-        assert_eq!(read_answer(&framed[4..]).number, Some(7), "a frame of {length} bytes");
+        assert_eq!(
+            read_answer(&framed[4..]).number,
+            Some(7),
+            "a frame of {length} bytes"
+        );
     }
     assert!(rest(&[0x16, 3, 1, 2, 0, 1, 0, 1]).is_empty(), "TLS");
-    assert_eq!(read_answer(&rest(&[0, 0, 0, 4, 9, 9, 9, 9])[4..]).number, Some(7), "no message in a frame");
+    assert_eq!(
+        read_answer(&rest(&[0, 0, 0, 4, 9, 9, 9, 9])[4..]).number,
+        Some(7),
+        "no message in a frame"
+    );
     let mut silent = TcpStream::connect(address).expect("accepted");
     assert_eq!(silent.read(&mut [0; 9]).expect("closed"), 0);
     let half = rest(&frame[..frame.len() - 1]);
-    assert!(half.is_empty() || read_answer(&half[4..]).number == Some(7), "half a frame");
+    assert!(
+        half.is_empty() || read_answer(&half[4..]).number == Some(7),
+        "half a frame"
+    );
     // 3 s are what each is owed, and two of them wait; the rest is for a slow machine.
-    assert!(connected.elapsed() < Duration::from_secs(15), "{:?}", connected.elapsed());
+    assert!(
+        connected.elapsed() < Duration::from_secs(15),
+        "{:?}",
+        connected.elapsed()
+    );
     assert_eq!(tally.count(), 0);
     assert_eq!(site.caller(Encoding::Compact).read().end(), End::Served);
 }
@@ -241,9 +340,15 @@
     let site = site(BINARY, &[&one, &two], "");
     let mut caller = site.caller(BINARY);
     let open = caller.frame("Tally:correct", &[origin("1f", "", 20_000)]);
-    caller.write(&[&open[..], &open[..9]].concat()).expect("written");
+    caller
+        .write(&[&open[..], &open[..9]].concat())
+        .expect("written");
     let answer = caller.answer().expect("read").expect("an answer");
-    assert_eq!((answer.number, answer.seqid), (Some(7), 0), "to the half frame, before the open call's");
+    assert_eq!(
+        (answer.number, answer.seqid),
+        (Some(7), 0),
+        "to the half frame, before the open call's"
+    );
 }
 
 #[test]
@@ -261,7 +366,12 @@
             let mut caller = site.caller(encoding);
             let mut answers = |calls: &[(&str, i32)]| {
                 let frames = calls.iter().map(|(station, seqid)| {
-                    caller.frame_as(Kind::Call, "Tally:correct", *seqid, &[origin(station, "", 20_000)])
+                    caller.frame_as(
+                        Kind::Call,
+                        "Tally:correct",
+                        *seqid,
+                        &[origin(station, "", 20_000)],
+                    )
                 });
                 let frames: Vec<u8> = frames.flatten().collect();
                 caller.write(&frames).expect("written");
@@ -272,10 +382,17 @@
                 answers.collect::<Vec<_>>()
             };
             let pairs = |pairs: &[(&str, i32)]| -> Vec<(String, i32)> {
-                pairs.iter().map(|(text, seqid)| ((*text).to_owned(), *seqid)).collect()
+                pairs
+                    .iter()
+                    .map(|(text, seqid)| ((*text).to_owned(), *seqid))
+                    .collect()
             };
             let called = [("slow", -3), ("fast", 8)];
-            let expected = if finished { [("fast", 8), ("slow", -3)] } else { called };
+            let expected = if finished {
+                [("fast", 8), ("slow", -3)]
+            } else {
+                called
+            };
             assert_eq!(answers(&called), pairs(&expected), "{order}");
             // Who does not count calls gets answers in their order.
             assert_eq!(
@@ -294,7 +411,10 @@
     let site = site(BINARY, &[&tally], "");
     for encoding in BOTH {
         let mut whole = site.caller(encoding);
-        let frame = whole.frame("Tally:correct", &[origin("1f", "", 20_000), (2, Value::from("sheet"))]);
+        let frame = whole.frame(
+            "Tally:correct",
+            &[origin("1f", "", 20_000), (2, Value::from("sheet"))],
+        );
         for end in 0..frame.len() {
             let mut caller = site.caller(encoding);
             caller.write(&frame[..end]).expect("written");
@@ -302,7 +422,10 @@
         // Those that left came before this one did.
         let before = tally.count();
         assert_eq!(whole.correct().end(), End::Served);
-        assert_eq!((before, tally.count()), (usize::from(encoding == Encoding::Compact), before + 1));
+        assert_eq!(
+            (before, tally.count()),
+            (usize::from(encoding == Encoding::Compact), before + 1)
+        );
     }
 }
 
@@ -311,7 +434,11 @@
     let mut cases = Vec::new();
     for encoding in BOTH {
         // As long as the longest reply below: its own seqid, name and text.
-        let length = if encoding == Encoding::Compact { 40 } else { 60 };
+        let length = if encoding == Encoding::Compact {
+            40
+        } else {
+            60
+        };
         cases.extend((0..length).map(|end| (encoding, end)));
     }
     each(cases, |(encoding, end)| {
@@ -321,7 +448,11 @@
             Reply::Cut(whole[..end].to_vec())
         });
         let site = site(encoding, &[&one, &two], "");
-        let caller = if end % 2 == 0 { BINARY } else { Encoding::Compact };
+        let caller = if end % 2 == 0 {
+            BINARY
+        } else {
+            Encoding::Compact
+        };
         let answer = site.caller(caller).correct();
         assert_eq!(answer.end(), End::Failed, "{encoding:?} {end}: {answer:?}");
         assert_eq!(one.count() + two.count(), 1, "{encoding:?} {end}");
@@ -347,9 +478,15 @@
     // What it takes without reading is little: connections have this from their listener.
     socket.set_recv_buffer_size(2048).expect("a small buffer");
     let any: std::net::SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    socket.bind(&any.into()).and_then(|()| socket.listen(64)).expect("a port");
+    socket
+        .bind(&any.into())
+        .and_then(|()| socket.listen(64))
+        .expect("a port");
     let listener = std::net::TcpListener::from(socket);
-    let (address, broken) = (listener.local_addr().expect("its address"), Arc::new(AtomicUsize::new(0)));
+    let (address, broken) = (
+        listener.local_addr().expect("its address"),
+        Arc::new(AtomicUsize::new(0)),
+    );
     let count = broken.clone();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
@@ -364,22 +501,33 @@
 
 #[test]
 fn a_call_whose_last_byte_was_not_taken_never_ran_and_goes_to_another_box() {
-    let cases: Vec<_> =
-        BOTH.into_iter().flat_map(|e| [1, 4, 5, 100, 1000, 3000].map(|reads| (e, reads))).collect();
+    let cases: Vec<_> = BOTH
+        .into_iter()
+        .flat_map(|e| [1, 4, 5, 100, 1000, 3000].map(|reads| (e, reads)))
+        .collect();
     each(cases, |(encoding, reads)| {
         let good = Tally::start(encoding, |_| ok("here"));
         let (address, broken) = breaking(reads);
         let discovery = Discovery::start();
         let config = config(discovery.address, &settings(LONG, ""), 1024);
         let operator = operator(name(encoding), "") + "send_buffer = 2048\n";
-        let lines =
-            [entry_of("t", "t-0", address, "in_service"), entry_of("t", "t-1", good.address, "in_service")];
+        let lines = [
+            entry_of("t", "t-0", address, "in_service"),
+            entry_of("t", "t-1", good.address, "in_service"),
+        ];
         let site = site_of(config, discovery, &operator, &lines);
         let mut caller = site.caller(encoding);
         let sheet = Value::Bytes(vec![7; 60_000]);
         for i in 1..=12 {
-            let answer = caller.call("Tally:correct", &[origin("1f", "", 20_000), (2, sheet.clone())]);
-            assert_eq!(answer.text.as_deref(), Some("here"), "{encoding:?}, {reads} bytes read: {answer:?}");
+            let answer = caller.call(
+                "Tally:correct",
+                &[origin("1f", "", 20_000), (2, sheet.clone())],
+            );
+            assert_eq!(
+                answer.text.as_deref(),
+                Some("here"),
+                "{encoding:?}, {reads} bytes read: {answer:?}"
+            );
             assert_eq!(good.count(), i);
         }
         assert!(broken.load(Ordering::SeqCst) > 0, "some were broken off");
@@ -389,14 +537,19 @@
 /// As above, but the kernel takes all of a small call, so that nobody can tell.
 #[test]
 fn a_call_whose_last_byte_was_taken_may_have_run_and_goes_to_no_other_box() {
-    let cases: Vec<_> = BOTH.into_iter().flat_map(|e| [0, 1, 4, 5, 20, 40].map(|reads| (e, reads))).collect();
+    let cases: Vec<_> = BOTH
+        .into_iter()
+        .flat_map(|e| [0, 1, 4, 5, 20, 40].map(|reads| (e, reads)))
+        .collect();
     each(cases, |(encoding, reads)| {
         let good = Tally::start(encoding, |_| ok("here"));
         let (address, broken) = breaking(reads);
         let discovery = Discovery::start();
         let config = config(discovery.address, &settings(LONG, ""), 1024);
-        let lines =
-            [entry_of("t", "t-0", address, "in_service"), entry_of("t", "t-1", good.address, "in_service")];
+        let lines = [
+            entry_of("t", "t-0", address, "in_service"),
+            entry_of("t", "t-1", good.address, "in_service"),
+        ];
         let site = site_of(config, discovery, &operator(name(encoding), ""), &lines);
         let mut caller = site.caller(encoding);
         let mut served = 0;
@@ -406,9 +559,16 @@
                 End::Failed | End::Refused => {}
                 other => panic!("{other:?}"),
             }
-            assert_eq!(good.count(), served, "{encoding:?}, {reads} bytes read: a broken call ran elsewhere");
+            assert_eq!(
+                good.count(),
+                served,
+                "{encoding:?}, {reads} bytes read: a broken call ran elsewhere"
+            );
         }
-        assert!(broken.load(Ordering::SeqCst) > 0 && served < 12, "some were broken off");
+        assert!(
+            broken.load(Ordering::SeqCst) > 0 && served < 12,
+            "some were broken off"
+        );
     });
 }
 
@@ -418,13 +578,21 @@
 fn a_reply_that_is_none_to_its_call_is_nobodys_answer_and_ends_its_connection() {
     type Spoil = fn(&Seen) -> Vec<u8>;
     let spoilt: [(&str, Spoil); 11] = [
-        ("another seqid", |seen| seen.reply_as(seen.told(), seen.seqid + 1, &[(0, "spoilt".into())])),
-        ("an earlier seqid", |seen| seen.reply_as(seen.told(), seen.seqid - 1, &[(0, "spoilt".into())])),
-        ("another method", |seen| seen.reply_as("read", seen.seqid, &[(0, "spoilt".into())])),
+        ("another seqid", |seen| {
+            seen.reply_as(seen.told(), seen.seqid + 1, &[(0, "spoilt".into())])
+        }),
+        ("an earlier seqid", |seen| {
+            seen.reply_as(seen.told(), seen.seqid - 1, &[(0, "spoilt".into())])
+        }),
+        ("another method", |seen| {
+            seen.reply_as("read", seen.seqid, &[(0, "spoilt".into())])
+        }),
         ("another method's whole name", |seen| {
             seen.reply_as("Tally:read", seen.seqid, &[(0, "spoilt".into())])
         }),
-        ("another service", |seen| seen.reply_as("Count:correct", seen.seqid, &[(0, "spoilt".into())])),
+        ("another service", |seen| {
+            seen.reply_as("Count:correct", seen.seqid, &[(0, "spoilt".into())])
+        }),
         ("a call", |seen| seen.bytes_framed()),
         ("bytes behind it in its frame", |seen| {
             let mut reply = seen.reply(&[(0, "spoilt".into())]);
@@ -434,7 +602,9 @@
             reply
         }),
         ("a frame of 2 GB", |_| vec![0x7f, 0xff, 0xff, 0xff, 0x80, 1]),
-        ("HTTP", |_| b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec()),
+        ("HTTP", |_| {
+            b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec()
+        }),
         ("noise", |_| vec![0, 0, 0, 5, 1, 2, 3, 4, 5]),
         ("100 levels", |seen| {
             let mut value = Value::from("deep");
@@ -444,7 +614,10 @@
             seen.reply(&[(0, value)])
         }),
     ];
-    let cases: Vec<_> = spoilt.into_iter().flat_map(|case| BOTH.map(|encoding| (encoding, case))).collect();
+    let cases: Vec<_> = spoilt
+        .into_iter()
+        .flat_map(|case| BOTH.map(|encoding| (encoding, case)))
+        .collect();
     each(cases, |(encoding, (what, spoil))| {
         let (one, two) = pair(encoding, move |before, seen| match before {
             0 => Reply::Bytes(spoil(seen)),
@@ -454,7 +627,11 @@
         let mut caller = site.caller(encoding);
         let answer = caller.correct();
         assert_eq!(answer.end(), End::Failed, "{what}: {answer:?}");
-        assert_eq!(one.count() + two.count(), 1, "{what}: unsafe work is not sent again");
+        assert_eq!(
+            one.count() + two.count(),
+            1,
+            "{what}: unsafe work is not sent again"
+        );
         // The next calls have connections of their own.
         let spoilt = if one.count() == 1 { &one } else { &two };
         let first = spoilt.next();
@@ -462,7 +639,11 @@
             assert_eq!(caller.correct().text.as_deref(), Some("good"), "{what}");
         }
         for _ in 1..spoilt.count() {
-            assert_ne!(spoilt.next().connection, first.connection, "{what}: used again");
+            assert_ne!(
+                spoilt.next().connection,
+                first.connection,
+                "{what}: used again"
+            );
         }
     });
 }
@@ -483,7 +664,11 @@
             let arguments = [origin("1f", "", 20_000), (2, Value::from(&*sheet))];
             let answer = caller.call("Tally:correct", &arguments);
             assert_eq!(answer.text.as_deref(), Some(&*sheet));
-            assert_eq!(tally.next().connection, i, "each call has a connection of its own");
+            assert_eq!(
+                tally.next().connection,
+                i,
+                "each call has a connection of its own"
+            );
         }
     }
 }
@@ -515,10 +700,16 @@
                         let message = sillward_thrift::wire::read_head(&bytes, &Default::default());
                         let head = message.expect("a head").head;
                         let reply = |seqid, text: &str| {
-                            let head = sillward_thrift::wire::Head { kind: Kind::Reply, seqid, ..head };
+                            let head = sillward_thrift::wire::Head {
+                                kind: Kind::Reply,
+                                seqid,
+                                ..head
+                            };
                             sillward_scenarios::tally::message(encoding, head, &[(0, text.into())])
                         };
-                        stream.write_all(&reply(head.seqid, "good")).expect("written");
+                        stream
+                            .write_all(&reply(head.seqid, "good"))
+                            .expect("written");
                         let handle = stream.try_clone().expect("a handle");
                         *kept.lock().expect("it") = Some((handle, reply(head.seqid + 1, "stale")));
                         let _ = late.send(());
@@ -533,10 +724,17 @@
         let mut caller = site.caller(encoding);
         for i in 1..=10 {
             assert_eq!(caller.correct().text.as_deref(), Some("good"));
-            told.lock().expect("it").recv_timeout(peers::PATIENCE).expect("served");
+            told.lock()
+                .expect("it")
+                .recv_timeout(peers::PATIENCE)
+                .expect("served");
             let (mut stream, stale) = address.lock().expect("it").take().expect("a connection");
             stream.write_all(&stale).expect("written");
-            assert_eq!(count.load(Ordering::SeqCst), i, "no connection is used again");
+            assert_eq!(
+                count.load(Ordering::SeqCst),
+                i,
+                "no connection is used again"
+            );
         }
         assert_eq!(served.load(Ordering::SeqCst), 10);
     }
@@ -556,22 +754,42 @@
         let (ran, begun) = (ledger.clone(), first.clone());
         let tally = Tally::start(encoding, move |seen| {
             let key = seen.key.clone();
-            ran.lock().expect("it").push(("thrift".to_owned(), key.clone()));
-            if begun.lock().expect("it").insert(key) { Reply::Cut(Vec::new()) } else { ok("by Thrift") }
+            ran.lock()
+                .expect("it")
+                .push(("thrift".to_owned(), key.clone()));
+            if begun.lock().expect("it").insert(key) {
+                Reply::Cut(Vec::new())
+            } else {
+                ok("by Thrift")
+            }
         });
         let (ran, begun) = (ledger.clone(), first.clone());
         let http = Backend::start(move |message| {
             let key = message.header("idempotency-key").map(str::to_owned);
-            ran.lock().expect("it").push(("http".to_owned(), key.clone()));
-            assert!(message.header("content-type").is_some_and(|kind| kind.contains("thrift")));
-            assert!(message.start.starts_with("POST /submit/1f "), "{}", message.start);
+            ran.lock()
+                .expect("it")
+                .push(("http".to_owned(), key.clone()));
+            assert!(
+                message
+                    .header("content-type")
+                    .is_some_and(|kind| kind.contains("thrift"))
+            );
+            assert!(
+                message.start.starts_with("POST /submit/1f "),
+                "{}",
+                message.start
+            );
             if begun.lock().expect("it").insert(key) {
                 return peers::Reply::Break(Vec::new());
             }
             let bounds = Default::default();
             let call = sillward_thrift::wire::read_head(&message.body, &bounds).expect("a message");
-            let head = sillward_thrift::wire::Head { kind: Kind::Reply, ..call.head };
-            let reply = sillward_scenarios::tally::message(call.encoding, head, &[(0, "by HTTP".into())]);
+            let head = sillward_thrift::wire::Head {
+                kind: Kind::Reply,
+                ..call.head
+            };
+            let reply =
+                sillward_scenarios::tally::message(call.encoding, head, &[(0, "by HTTP".into())]);
             peers::Reply::Answer("200 OK", "", reply[4..].to_vec())
         });
         let discovery = Discovery::start();
@@ -591,14 +809,24 @@
         }
         let ledger = ledger.lock().expect("it");
         let ran = |place: &str, key: &str| {
-            ledger.iter().filter(|(p, k)| p == place && k.as_deref() == Some(key)).count()
+            ledger
+                .iter()
+                .filter(|(p, k)| p == place && k.as_deref() == Some(key))
+                .count()
         };
-        let both = (0..12)
-            .filter(|i| ran("thrift", &format!("key-{i}")) > 0 && ran("http", &format!("key-{i}")) > 0);
-        assert!(both.count() > 0 && served > 0, "some were sent on from one to the other: {ledger:?}");
+        let both = (0..12).filter(|i| {
+            ran("thrift", &format!("key-{i}")) > 0 && ran("http", &format!("key-{i}")) > 0
+        });
+        assert!(
+            both.count() > 0 && served > 0,
+            "some were sent on from one to the other: {ledger:?}"
+        );
         for (place, key) in ledger.iter() {
             let key = key.as_deref().expect("all of it is keyed");
-            assert!(place == "thrift" || !key.contains(' '), "{place} was sent {key:?}");
+            assert!(
+                place == "thrift" || !key.contains(' '),
+                "{place} was sent {key:?}"
+            );
         }
     }
 }
@@ -610,8 +838,10 @@
     let http = Backend::start(|_| peers::ok("never"));
     let discovery = Discovery::start();
     let config = config(discovery.address, &settings(LONG, ""), 1024);
-    let lines =
-        [entry_of("t", "t-0", tally.address, "in_service"), entry_of("m", "m-0", http.address, "in_service")];
+    let lines = [
+        entry_of("t", "t-0", tally.address, "in_service"),
+        entry_of("m", "m-0", http.address, "in_service"),
+    ];
     let content = "idempotency_key = \"1.2\"\ndefault_idempotency_key = \"content\"";
     let operator = operator("binary", "").replace("idempotency_key = \"1.2\"", content);
     let site = site_of(config, discovery, &operator, &lines);
@@ -694,21 +924,35 @@
         for n in 0..20 {
             let mut caller = site.caller(BOTH[n % 2]);
             let sheet = Value::from(&*format!("n{n}"));
-            let frame =
-                caller.frame_as(Kind::Oneway, "Tally:note", 0, &[origin("1f", "", 2_000), (2, sheet)]);
+            let frame = caller.frame_as(
+                Kind::Oneway,
+                "Tally:note",
+                0,
+                &[origin("1f", "", 2_000), (2, sheet)],
+            );
             caller.write(&frame).expect("written");
             // It leaves at once, and has no answer to wait for. One that is no method has none either.
             let unknown = caller.frame_as(Kind::Oneway, "Tally:erase", 0, &[]);
             caller.write(&unknown).expect("written");
             if n % 3 == 0 {
-                assert_eq!(caller.correct_slowly(), End::TimedOut, "its connection goes on");
+                assert_eq!(
+                    caller.correct_slowly(),
+                    End::TimedOut,
+                    "its connection goes on"
+                );
             }
         }
-        until(|| one.count() + two.count() >= 27, "20 oneway calls and 7 others");
+        until(
+            || one.count() + two.count() >= 27,
+            "20 oneway calls and 7 others",
+        );
         let mut sheets: Vec<_> = Vec::new();
         for tally in [&one, &two] {
             let seen = (0..tally.count()).map(|_| tally.next());
-            sheets.extend(seen.filter(|seen| seen.kind == Kind::Oneway).map(|seen| seen.sheet));
+            sheets.extend(
+                seen.filter(|seen| seen.kind == Kind::Oneway)
+                    .map(|seen| seen.sheet),
+            );
         }
         sheets.sort();
         let all = sheets.len();
@@ -733,14 +977,24 @@
         ];
         let site = site_of(config, discovery, &operator(name(encoding), ""), &lines);
         let mut caller = site.caller(encoding);
-        let note = |seqid| caller.frame_as(Kind::Oneway, "Tally:note", seqid, &[origin("1f", "", 2_000)]);
+        let note = |seqid| {
+            caller.frame_as(
+                Kind::Oneway,
+                "Tally:note",
+                seqid,
+                &[origin("1f", "", 2_000)],
+            )
+        };
         let frame = note(1);
         caller.write(&frame).expect("written");
         until(|| one.count() + two.count() == 1, "the oneway call");
         // A call of the same class that somebody waits for is repeated, and ends after all its attempts.
         assert_ne!(caller.read().end(), End::Served);
         let repeated = one.count() + two.count() - 1;
-        assert!(repeated > 1, "{repeated} attempts of a call that is waited for");
+        assert!(
+            repeated > 1,
+            "{repeated} attempts of a call that is waited for"
+        );
     }
 }
 
@@ -750,21 +1004,32 @@
     let spoilt: [(&str, Spoil); 7] = [
         ("the call itself", |call, _, _| call.to_vec()),
         ("no message", |_, _, _| b"<html>".to_vec()),
-        ("another seqid", |_, head, encoding| replied(head.name, head.seqid + 1, encoding)),
-        ("another method", |_, head, encoding| replied("read", head.seqid, encoding)),
-        ("another service", |_, head, encoding| replied("Count:correct", head.seqid, encoding)),
+        ("another seqid", |_, head, encoding| {
+            replied(head.name, head.seqid + 1, encoding)
+        }),
+        ("another method", |_, head, encoding| {
+            replied("read", head.seqid, encoding)
+        }),
+        ("another service", |_, head, encoding| {
+            replied("Count:correct", head.seqid, encoding)
+        }),
         ("a cut one", |_, head, encoding| {
             let mut reply = replied(head.name, head.seqid, encoding);
             reply.pop();
             reply
         }),
-        ("bytes behind it", |_, head, encoding| [replied(head.name, head.seqid, encoding), vec![0]].concat()),
+        ("bytes behind it", |_, head, encoding| {
+            [replied(head.name, head.seqid, encoding), vec![0]].concat()
+        }),
     ];
-    let cases: Vec<_> = spoilt.into_iter().flat_map(|case| BOTH.map(|encoding| (encoding, case))).collect();
+    let cases: Vec<_> = spoilt
+        .into_iter()
+        .flat_map(|case| BOTH.map(|encoding| (encoding, case)))
+        .collect();
     each(cases, |(encoding, (what, spoil))| {
         let http = Backend::start(move |message| {
-            let call =
-                sillward_thrift::wire::read_head(&message.body, &Default::default()).expect("a message");
+            let call = sillward_thrift::wire::read_head(&message.body, &Default::default())
+                .expect("a message");
             peers::Reply::Answer("200 OK", "", spoil(&message.body, call.head, call.encoding))
         });
         let discovery = Discovery::start();
@@ -777,7 +1042,11 @@
 }
 
 fn replied(name: &str, seqid: i32, encoding: Encoding) -> Vec<u8> {
-    let head = sillward_thrift::wire::Head { kind: Kind::Reply, name, seqid };
+    let head = sillward_thrift::wire::Head {
+        kind: Kind::Reply,
+        name,
+        seqid,
+    };
     sillward_scenarios::tally::message(encoding, head, &[(0, "spoilt".into())]).split_off(4)
 }
 
@@ -787,7 +1056,11 @@
 fn half_frames_and_deep_ones_stay_within_memory_and_harm_nobody() {
     let tally = Tally::start(BINARY, |_| ok("counted"));
     let discovery = Discovery::start();
-    let config = config_with(discovery.address, &settings(LONG, ""), r#""memory_mb":32,"sockets":4096"#);
+    let config = config_with(
+        discovery.address,
+        &settings(LONG, ""),
+        r#""memory_mb":32,"sockets":4096"#,
+    );
     let operator = operator("binary", "connections = 380");
     let site = site_of(config, discovery, &operator, &lines(&[&tally]));
     let before = site.node.memory_kb();
@@ -801,7 +1074,11 @@
         let _ = caller.write(&bytes); // some are closed already
         halves.push(caller);
         if i % 100 == 0 {
-            assert_eq!(site.caller(BINARY).read().end(), End::Served, "after {i} half frames");
+            assert_eq!(
+                site.caller(BINARY).read().end(),
+                End::Served,
+                "after {i} half frames"
+            );
         }
     }
     let mut caller = site.caller(Encoding::Compact);
@@ -809,7 +1086,11 @@
     for _ in 0..100 {
         value = Value::Struct(vec![(1, value)]);
     }
-    assert_eq!(caller.call("Tally:read", &[(1, value)]).number, Some(7), "100 levels");
+    assert_eq!(
+        caller.call("Tally:read", &[(1, value)]).number,
+        Some(7),
+        "100 levels"
+    );
     assert_eq!(caller.read().end(), End::Served);
     let peak = site.node.memory_kb();
     assert!(peak < 32 * 1024, "{peak} kB of 32 MB, {before} before");
@@ -825,7 +1106,10 @@
         let (go, wait) = std::sync::mpsc::channel::<()>();
         let wait = Mutex::new(wait);
         let tally = Tally::start(encoding, move |_| {
-            wait.lock().expect("it").recv_timeout(peers::PATIENCE).expect("told to go on");
+            wait.lock()
+                .expect("it")
+                .recv_timeout(peers::PATIENCE)
+                .expect("told to go on");
             ok("in the end")
         });
         let mut site = site(encoding, &[&tally], "");
@@ -842,7 +1126,10 @@
         let mut late = site.caller(BINARY);
         let frame = late.frame("Tally:read", &[origin("1f", "", 20_000)]);
         late.write(&frame).expect("written");
-        assert!(idle.rest().is_empty(), "an idle caller is closed without a word");
+        assert!(
+            idle.rest().is_empty(),
+            "an idle caller is closed without a word"
+        );
         (0..3).for_each(|_| go.send(()).expect("it waits"));
         for caller in &mut callers {
             let answer = caller.answer().expect("read").expect("an answer");
@@ -851,7 +1138,10 @@
         }
         // Whether a third call is too much for the box is the module's to say.
         let answer = late.answer().expect("read").expect("an answer");
-        assert!(matches!(answer.end(), End::Served | End::Refused), "{answer:?}");
+        assert!(
+            matches!(answer.end(), End::Served | End::Refused),
+            "{answer:?}"
+        );
         assert!(late.rest().is_empty(), "and then the end");
         assert!(site.node.exit().success());
     }
@@ -865,7 +1155,10 @@
         let leaving = Tally::start(encoding, move |seen| {
             // One call is held; for all others it is as good as the other box, so that only the news keeps them off.
             if seen.station.as_deref() == Some("held") {
-                wait.lock().expect("it").recv_timeout(peers::PATIENCE).expect("told to go on");
+                wait.lock()
+                    .expect("it")
+                    .recv_timeout(peers::PATIENCE)
+                    .expect("told to go on");
             }
             ok("the leaving one")
         });
@@ -886,7 +1179,10 @@
         let mut other = site.caller(BINARY);
         // The grace is 2 s from when the node was told.
         let told = Instant::now();
-        until(|| other.read().text.as_deref() == Some("the staying one"), "the new box");
+        until(
+            || other.read().text.as_deref() == Some("the staying one"),
+            "the new box",
+        );
         while told.elapsed() < Duration::from_millis(2500) {
             assert_eq!(other.read().end(), End::Served);
         }
@@ -901,7 +1197,12 @@
         assert_eq!(leaving.count(), before, "nothing new past the grace");
         go.send(()).expect("it waits");
         assert_eq!(
-            caller.answer().expect("read").expect("an answer").text.as_deref(),
+            caller
+                .answer()
+                .expect("read")
+                .expect("an answer")
+                .text
+                .as_deref(),
             Some("the leaving one")
         );
     }
@@ -918,11 +1219,23 @@
     let check = |operator: &str, config: &str| {
         let (mut command, _) = peers::command(config, "");
         let path = peers::file("operator.toml", operator);
-        let output = command.args(["check", "--operator"]).arg(&path).output().expect("it runs");
-        let text = String::from_utf8_lossy(&output.stderr).replace(&path.display().to_string(), "FILE");
-        (output.status.code(), text.lines().map(str::to_owned).collect::<Vec<_>>())
+        let output = command
+            .args(["check", "--operator"])
+            .arg(&path)
+            .output()
+            .expect("it runs");
+        let text =
+            String::from_utf8_lossy(&output.stderr).replace(&path.display().to_string(), "FILE");
+        (
+            output.status.code(),
+            text.lines().map(str::to_owned).collect::<Vec<_>>(),
+        )
     };
-    let good = config("127.0.0.1:1".parse().expect("one"), &settings(LONG, ""), 1024);
+    let good = config(
+        "127.0.0.1:1".parse().expect("one"),
+        &settings(LONG, ""),
+        1024,
+    );
     let (code, lines) = check(bad, &good);
     let starts = [
         "FILE:2: thrift.listen: ",
@@ -955,11 +1268,24 @@
 
 #[test]
 fn the_example_operator_file_is_good() {
-    let example =
-        std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/operator.example.toml"));
+    let example = std::fs::read_to_string(concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/deploy/operator.example.toml"
+    ));
     let settings = settings(LONG, "");
-    let (mut command, _) = peers::command(&config("127.0.0.1:1".parse().expect("one"), &settings, 1024), "");
+    let (mut command, _) = peers::command(
+        &config("127.0.0.1:1".parse().expect("one"), &settings, 1024),
+        "",
+    );
     let path = peers::file("operator.toml", &example.expect("the example"));
-    let output = command.args(["check", "--operator"]).arg(path).output().expect("it runs");
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    let output = command
+        .args(["check", "--operator"])
+        .arg(path)
+        .output()
+        .expect("it runs");
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
 }
--- a/tests/thrift_matrix.rs
+++ b/tests/thrift_matrix.rs
@@ -45,11 +45,26 @@
 
 /// `thrift_codec` has no old heads.
 const PEERS: [Peer; 5] = [
-    Peer { library: Library::Apache, encoding: STRICT },
-    Peer { library: Library::Apache, encoding: OLD },
-    Peer { library: Library::Apache, encoding: Encoding::Compact },
-    Peer { library: Library::Codec, encoding: STRICT },
-    Peer { library: Library::Codec, encoding: Encoding::Compact },
+    Peer {
+        library: Library::Apache,
+        encoding: STRICT,
+    },
+    Peer {
+        library: Library::Apache,
+        encoding: OLD,
+    },
+    Peer {
+        library: Library::Apache,
+        encoding: Encoding::Compact,
+    },
+    Peer {
+        library: Library::Codec,
+        encoding: STRICT,
+    },
+    Peer {
+        library: Library::Codec,
+        encoding: Encoding::Compact,
+    },
 ];
 
 // ---- What the peers do together -----------------------------------------------------------------
@@ -62,13 +77,20 @@
 }
 
 fn field(of: &Value, id: i16) -> Option<&Value> {
-    let Value::Struct(fields) = of else { return None };
-    fields.iter().find(|(number, _)| *number == id).map(|(_, value)| value)
+    let Value::Struct(fields) = of else {
+        return None;
+    };
+    fields
+        .iter()
+        .find(|(number, _)| *number == id)
+        .map(|(_, value)| value)
 }
 
 /// What a box answers: the message's kind and its struct. `length` is how long a message with that struct would be.
 fn obey(arguments: &Value, length: impl Fn(&Value) -> usize) -> (Kind, Value) {
-    let Some(Value::Bytes(order)) = field(arguments, 2) else { panic!("no order: {arguments:?}") };
+    let Some(Value::Bytes(order)) = field(arguments, 2) else {
+        panic!("no order: {arguments:?}")
+    };
     let order = String::from_utf8_lossy(order);
     let text = |text: &str| Value::Bytes(text.as_bytes().to_vec());
     match order.split_once(' ').unwrap_or((&order, "")) {
@@ -77,14 +99,23 @@
             (Kind::Reply, Value::Struct(vec![(0, value)]))
         }
         ("declared", _) => {
-            let closed = Value::Struct(vec![(1, text("the station is closed")), (77, Value::I16(-3))]);
+            let closed = Value::Struct(vec![
+                (1, text("the station is closed")),
+                (77, Value::I16(-3)),
+            ]);
             (Kind::Reply, Value::Struct(vec![(1, closed)]))
         }
-        ("application", _) => (Kind::Exception, Value::Struct(vec![(1, text("oops")), (2, Value::I32(6))])),
+        ("application", _) => (
+            Kind::Exception,
+            Value::Struct(vec![(1, text("oops")), (2, Value::I32(6))]),
+        ),
         ("void", _) => (Kind::Reply, Value::Struct(vec![])),
         ("size", size) => {
             let of = |padding| Value::Struct(vec![(0, Value::Bytes(vec![b'.'; padding]))]);
-            (Kind::Reply, padded(size.parse().expect("a size"), of, length))
+            (
+                Kind::Reply,
+                padded(size.parse().expect("a size"), of, length),
+            )
         }
         other => panic!("unknown order: {other:?}"),
     }
@@ -155,8 +186,12 @@
 impl ApacheCaller {
     fn connect(address: SocketAddr, encoding: Encoding, multiplexed: bool) -> Self {
         let stream = TcpStream::connect(address).expect("the node accepts");
-        stream.set_read_timeout(Some(peers::PATIENCE)).expect("a time-out");
-        let (read, write) = TTcpChannel::with_stream(stream).split().expect("two halves");
+        stream
+            .set_read_timeout(Some(peers::PATIENCE))
+            .expect("a time-out");
+        let (read, write) = TTcpChannel::with_stream(stream)
+            .split()
+            .expect("two halves");
         let input = input(encoding, TFramedReadTransport::new(read));
         let output = output(encoding, TFramedWriteTransport::new(write));
         let output: Box<dyn TOutputProtocol + Send> = match multiplexed {
@@ -187,7 +222,12 @@
         };
         let body = Value::read(i, TType::Struct).map_err(|e| e.to_string())?;
         i.read_message_end().map_err(|e| e.to_string())?;
-        Ok(Got { kind, name: head.name, seqid: head.sequence_number, body })
+        Ok(Got {
+            kind,
+            name: head.name,
+            seqid: head.sequence_number,
+            body,
+        })
     }
 }
 
@@ -197,17 +237,30 @@
 }
 
 impl TProcessor for ApacheBox {
-    fn process(&self, i: &mut dyn TInputProtocol, o: &mut dyn TOutputProtocol) -> thrift::Result<()> {
+    fn process(
+        &self,
+        i: &mut dyn TInputProtocol,
+        o: &mut dyn TOutputProtocol,
+    ) -> thrift::Result<()> {
         let call = i.read_message_begin()?;
         let arguments = Value::read(i, TType::Struct)?;
         i.read_message_end()?;
         let wanted = call.message_type != TMessageType::OneWay;
-        self.seen.lock().expect("seen").push((wanted, call.name.clone(), arguments.clone()));
+        self.seen
+            .lock()
+            .expect("seen")
+            .push((wanted, call.name.clone(), arguments.clone()));
         if !wanted {
             return Ok(());
         }
-        let head = Head { kind: Kind::Reply, name: &call.name, seqid: call.sequence_number };
-        let (kind, body) = obey(&arguments, |body| written_by_apache(self.encoding, head, body).len());
+        let head = Head {
+            kind: Kind::Reply,
+            name: &call.name,
+            seqid: call.sequence_number,
+        };
+        let (kind, body) = obey(&arguments, |body| {
+            written_by_apache(self.encoding, head, body).len()
+        });
         o.write_message_begin(&TMessageIdentifier::new(
             &*call.name,
             apache_kind(kind),
@@ -235,15 +288,22 @@
 
 /// Starts a server, and waits until it listens.
 fn apache_box(encoding: Encoding, seen: Seen) -> SocketAddr {
-    let free = TcpListener::bind("127.0.0.1:0").and_then(|free| free.local_addr()).expect("a port");
+    let free = TcpListener::bind("127.0.0.1:0")
+        .and_then(|free| free.local_addr())
+        .expect("a port");
     let mut processor = TMultiplexedProcessor::new();
-    processor.register("Tally", Box::new(ApacheBox { encoding, seen }), true).expect("the first of its name");
+    processor
+        .register("Tally", Box::new(ApacheBox { encoding, seen }), true)
+        .expect("the first of its name");
     spawn(move || {
         let reads = Box::new(TFramedReadTransportFactory::new()) as Box<dyn TReadTransportFactory>;
-        let writes = Box::new(TFramedWriteTransportFactory::new()) as Box<dyn TWriteTransportFactory>;
+        let writes =
+            Box::new(TFramedWriteTransportFactory::new()) as Box<dyn TWriteTransportFactory>;
         let input = Box::new(Protocols(encoding)) as Box<dyn TInputProtocolFactory>;
         let output = Box::new(Protocols(encoding)) as Box<dyn TOutputProtocolFactory>;
-        TServer::new(reads, input, writes, output, processor, 32).listen(free).expect("it listens");
+        TServer::new(reads, input, writes, output, processor, 32)
+            .listen(free)
+            .expect("it listens");
     });
     until(|| TcpStream::connect(free).is_ok(), "the server");
     free
@@ -274,8 +334,15 @@
 }
 
 fn structure(value: &Value) -> Struct {
-    let Value::Struct(fields) = value else { panic!("no struct: {value:?}") };
-    Struct::new(fields.iter().map(|(id, value)| Field::new(*id, data(value))).collect())
+    let Value::Struct(fields) = value else {
+        panic!("no struct: {value:?}")
+    };
+    Struct::new(
+        fields
+            .iter()
+            .map(|(id, value)| Field::new(*id, data(value)))
+            .collect(),
+    )
 }
 
 fn elements(of: TType, all: &[Value]) -> Elements {
@@ -353,7 +420,13 @@
 }
 
 fn value_of(structure: &Struct) -> Value {
-    Value::Struct(structure.fields().iter().map(|f| (f.id(), value(f.data().as_ref()))).collect())
+    Value::Struct(
+        structure
+            .fields()
+            .iter()
+            .map(|f| (f.id(), value(f.data().as_ref())))
+            .collect(),
+    )
 }
 
 fn codec_written(encoding: Encoding, kind: Kind, name: &str, seqid: i32, body: &Value) -> Vec<u8> {
@@ -386,7 +459,15 @@
         MessageKind::Oneway => Kind::Oneway,
     };
     let (name, seqid) = (message.method_name().to_owned(), message.sequence_id());
-    Ok((message.kind(), Got { kind, name, seqid, body: value_of(message.body()) }))
+    Ok((
+        message.kind(),
+        Got {
+            kind,
+            name,
+            seqid,
+            body: value_of(message.body()),
+        },
+    ))
 }
 
 struct CodecCaller {
@@ -398,8 +479,14 @@
 impl CodecCaller {
     fn connect(address: SocketAddr, encoding: Encoding, multiplexed: bool) -> Self {
         let stream = TcpStream::connect(address).expect("the node accepts");
-        stream.set_read_timeout(Some(peers::PATIENCE)).expect("a time-out");
-        CodecCaller { stream, encoding, service: if multiplexed { "Tally:" } else { "" } }
+        stream
+            .set_read_timeout(Some(peers::PATIENCE))
+            .expect("a time-out");
+        CodecCaller {
+            stream,
+            encoding,
+            service: if multiplexed { "Tally:" } else { "" },
+        }
     }
 }
 
@@ -411,7 +498,9 @@
     }
 
     fn answer(&mut self) -> Result<Got, String> {
-        let bytes = read_frame(&mut self.stream).map_err(|e| e.to_string())?.ok_or("no answer")?;
+        let bytes = read_frame(&mut self.stream)
+            .map_err(|e| e.to_string())?
+            .ok_or("no answer")?;
         codec_read(self.encoding, &bytes).map(|(_, got)| got)
     }
 }
@@ -428,15 +517,19 @@
             let (mut stream, seen) = (stream.expect("a connection"), seen.clone());
             spawn(move || {
                 while let Ok(Some(bytes)) = read_frame(&mut stream) {
-                    let (_, call) = codec_read(encoding, &bytes).expect("what the node sends reads");
+                    let (_, call) =
+                        codec_read(encoding, &bytes).expect("what the node sends reads");
                     let wanted = call.kind != Kind::Oneway;
-                    seen.lock().expect("seen").push((wanted, call.name.clone(), call.body.clone()));
+                    seen.lock()
+                        .expect("seen")
+                        .push((wanted, call.name.clone(), call.body.clone()));
                     if !wanted {
                         continue;
                     }
                     // As it was called.
-                    let write =
-                        |kind, body: &Value| codec_written(encoding, kind, &call.name, call.seqid, body);
+                    let write = |kind, body: &Value| {
+                        codec_written(encoding, kind, &call.name, call.seqid, body)
+                    };
                     let (kind, body) = obey(&call.body, |body| write(Kind::Reply, body).len());
                     if stream.write_all(&framed(&write(kind, &body))).is_err() {
                         return;
@@ -463,7 +556,11 @@
 
 fn same<T: PartialEq + Debug>(what: &str, got: T, expected: T) -> Result<(), String> {
     let short = |value: &T| format!("{value:?}").chars().take(200).collect::<String>();
-    if got == expected { Ok(()) } else { Err(format!("{what}: {}, not {}", short(&got), short(&expected))) }
+    if got == expected {
+        Ok(())
+    } else {
+        Err(format!("{what}: {}, not {}", short(&got), short(&expected)))
+    }
 }
 
 impl Link<'_> {
@@ -487,10 +584,18 @@
         let got = self.ask(seqid, &arguments)?;
         let (_, name, seen) = self.saw().ok_or("the box saw nothing")?;
         let stripped = self.to.library == Library::Apache;
-        let called = if self.multiplexed && !stripped { "Tally:echo" } else { "echo" };
+        let called = if self.multiplexed && !stripped {
+            "Tally:echo"
+        } else {
+            "echo"
+        };
         same("the box's name", name.as_str(), called)?;
         same("the box's arguments", seen, arguments)?;
-        same("the answer", (got.kind, got.body), (Kind::Reply, Value::Struct(vec![(0, value)])))
+        same(
+            "the answer",
+            (got.kind, got.body),
+            (Kind::Reply, Value::Struct(vec![(0, value)])),
+        )
     }
 
     /// The arguments of just that length in this caller's words.
@@ -499,9 +604,16 @@
         let name = if multiplexed { "Tally:echo" } else { "echo" };
         let of = |padding| arguments("void", Value::Bytes(vec![b'.'; padding]));
         padded(size, of, |body| match from.library {
-            Library::Apache => {
-                written_by_apache(from.encoding, Head { kind: Kind::Call, name, seqid: 1 }, body).len()
-            }
+            Library::Apache => written_by_apache(
+                from.encoding,
+                Head {
+                    kind: Kind::Call,
+                    name,
+                    seqid: 1,
+                },
+                body,
+            )
+            .len(),
             Library::Codec => codec_written(from.encoding, Kind::Call, name, 1, body).len(),
         })
     }
@@ -509,8 +621,16 @@
     fn sized(&mut self, size: usize) -> Result<(), String> {
         let arguments = self.call_of(size);
         let got = self.ask(1, &arguments)?;
-        same("the answer", (got.kind, got.body), (Kind::Reply, Value::Struct(vec![])))?;
-        same("the box's arguments", self.saw().map(|(.., seen)| seen), Some(arguments))
+        same(
+            "the answer",
+            (got.kind, got.body),
+            (Kind::Reply, Value::Struct(vec![])),
+        )?;
+        same(
+            "the box's arguments",
+            self.saw().map(|(.., seen)| seen),
+            Some(arguments),
+        )
     }
 }
 
@@ -530,8 +650,15 @@
     ("result", |link| link.echo(1, text("counted"))),
     ("declared exception", |link| {
         let got = link.ask(7, &arguments("declared", Value::I8(0)))?;
-        let closed = Value::Struct(vec![(1, text("the station is closed")), (77, Value::I16(-3))]);
-        same("the answer", (got.kind, got.body), (Kind::Reply, Value::Struct(vec![(1, closed)])))
+        let closed = Value::Struct(vec![
+            (1, text("the station is closed")),
+            (77, Value::I16(-3)),
+        ]);
+        same(
+            "the answer",
+            (got.kind, got.body),
+            (Kind::Reply, Value::Struct(vec![(1, closed)])),
+        )
     }),
     ("TApplicationException of the box", |link| {
         // It may have run: the caller is told so in the node's words.
@@ -539,14 +666,19 @@
         same("its type", number(&got), Some(6))
     }),
     ("TApplicationException of the node", |link| {
-        link.caller.send(Kind::Call, "erase", 9, &arguments("void", Value::I8(0)));
+        link.caller
+            .send(Kind::Call, "erase", 9, &arguments("void", Value::I8(0)));
         let got = link.caller.answer()?;
         same("its head", (got.name.as_str(), got.seqid), ("erase", 9))?;
         same("its type", number(&got), Some(1))
     }),
     ("void", |link| {
         let got = link.ask(2, &arguments("void", Value::I8(0)))?;
-        same("the answer", (got.kind, got.body), (Kind::Reply, Value::Struct(vec![])))
+        same(
+            "the answer",
+            (got.kind, got.body),
+            (Kind::Reply, Value::Struct(vec![])),
+        )
     }),
     ("oneway", |link| {
         let arguments = arguments("void", text("noted"));
@@ -559,18 +691,27 @@
             },
             "a oneway call at the box",
         );
-        same("the box", seen.map(|(wanted, _, arguments)| (wanted, arguments)), Some((false, arguments)))?;
+        same(
+            "the box",
+            seen.map(|(wanted, _, arguments)| (wanted, arguments)),
+            Some((false, arguments)),
+        )?;
         // Its connection has nothing that the next call could take for its answer.
         link.echo(0, text("and on"))
     }),
     ("numbers always 0", |link| {
         for n in 0..3 {
-            link.caller.send(Kind::Call, "echo", 0, &arguments("echo", Value::I32(n)));
+            link.caller
+                .send(Kind::Call, "echo", 0, &arguments("echo", Value::I32(n)));
         }
         for n in 0..3 {
             let got = link.caller.answer()?;
             let expected = Value::Struct(vec![(0, Value::I32(n))]);
-            same("an answer in its turn", (got.seqid, got.body), (0, expected))?;
+            same(
+                "an answer in its turn",
+                (got.seqid, got.body),
+                (0, expected),
+            )?;
         }
         Ok(())
     }),
@@ -590,7 +731,10 @@
                 (2, Value::Set(TType::I64, vec![])),
                 (3, Value::Bytes(vec![])),
                 (4, Value::Struct(vec![])),
-                (5, Value::List(TType::List, vec![Value::List(TType::String, vec![])])),
+                (
+                    5,
+                    Value::List(TType::List, vec![Value::List(TType::String, vec![])]),
+                ),
             ]),
         )
     }),
@@ -602,18 +746,41 @@
             Value::Struct(vec![
                 (1, list(14)),
                 (2, list(15)),
-                (3, Value::Set(TType::Bool, vec![Value::Bool(true), Value::Bool(false)])),
+                (
+                    3,
+                    Value::Set(TType::Bool, vec![Value::Bool(true), Value::Bool(false)]),
+                ),
                 (4, Value::Map(TType::String, TType::List, pairs.collect())),
             ]),
         )
     }),
     ("empty maps", |link| {
-        link.echo(4, Value::Struct(vec![(1, Value::Map(TType::String, TType::I32, vec![])), (2, text("x"))]))
+        link.echo(
+            4,
+            Value::Struct(vec![
+                (1, Value::Map(TType::String, TType::I32, vec![])),
+                (2, text("x")),
+            ]),
+        )
     }),
     ("doubles", |link| {
-        let all = [0.0, -0.0, 1.5, f64::MIN_POSITIVE / 4.0, f64::INFINITY, f64::NEG_INFINITY, f64::MAX];
-        let bits = all.map(f64::to_bits).into_iter().chain([0x7ff8_0000_0000_beef]);
-        link.echo(5, Value::Struct((1..).zip(bits.map(Value::Double)).collect()))
+        let all = [
+            0.0,
+            -0.0,
+            1.5,
+            f64::MIN_POSITIVE / 4.0,
+            f64::INFINITY,
+            f64::NEG_INFINITY,
+            f64::MAX,
+        ];
+        let bits = all
+            .map(f64::to_bits)
+            .into_iter()
+            .chain([0x7ff8_0000_0000_beef]);
+        link.echo(
+            5,
+            Value::Struct((1..).zip(bits.map(Value::Double)).collect()),
+        )
     }),
     ("uuid (type 16)", |link| {
         let uuid = |first: u8| Value::Uuid(std::array::from_fn(|i| first + i as u8));
@@ -628,16 +795,25 @@
             (32_000, inner),
             (-7, Value::I64(i64::MIN)),
         ]);
-        let Value::Struct(mut fields) = arguments("echo", unknown.clone()) else { unreachable!() };
+        let Value::Struct(mut fields) = arguments("echo", unknown.clone()) else {
+            unreachable!()
+        };
         fields.extend([(400, Value::I32(-1)), (401, unknown.clone())]);
         let arguments = Value::Struct(fields);
         let got = link.ask(10, &arguments)?;
-        same("the box's arguments", link.saw().map(|(.., seen)| seen), Some(arguments))?;
+        same(
+            "the box's arguments",
+            link.saw().map(|(.., seen)| seen),
+            Some(arguments),
+        )?;
         same("the answer", got.body, Value::Struct(vec![(0, unknown)]))
     }),
     ("64 KiB less one", |link| {
         link.sized(MAX_FRAME - 1)?;
-        let got = link.ask(1, &arguments(&format!("size {}", MAX_FRAME - 1), Value::I8(0)))?;
+        let got = link.ask(
+            1,
+            &arguments(&format!("size {}", MAX_FRAME - 1), Value::I8(0)),
+        )?;
         same("its kind", got.kind, Kind::Reply)
     }),
     ("64 KiB", |link| {
@@ -649,7 +825,10 @@
         same("its kind", got.kind, Kind::Reply)
     }),
     ("64 KiB and one", |link| {
-        let got = link.ask(1, &arguments(&format!("size {}", MAX_FRAME + 1), Value::I8(0)))?;
+        let got = link.ask(
+            1,
+            &arguments(&format!("size {}", MAX_FRAME + 1), Value::I8(0)),
+        )?;
         same("too long an answer: it has run", number(&got), Some(6))?;
         link.saw();
         let arguments = link.call_of(MAX_FRAME + 1);
@@ -695,11 +874,23 @@
     };
     let methods: String = ["", "service = \"Tally\"\n"]
         .iter()
-        .flat_map(|service| [method(service, "echo", "correct"), method(service, "note", "correct")])
+        .flat_map(|service| {
+            [
+                method(service, "echo", "correct"),
+                method(service, "note", "correct"),
+            ]
+        })
         .collect();
-    let operator =
-        format!("[thrift]\nlisten = \"127.0.0.1:0\"\n{methods}{}", operator_backend("t", encoding));
-    peers::serving_operator(&config, discovery, &operator, &[entry_of("t", "box", address, "in_service")])
+    let operator = format!(
+        "[thrift]\nlisten = \"127.0.0.1:0\"\n{methods}{}",
+        operator_backend("t", encoding)
+    );
+    peers::serving_operator(
+        &config,
+        discovery,
+        &operator,
+        &[entry_of("t", "box", address, "in_service")],
+    )
 }
 
 /// All cells of a box; the name of each, and what is wrong with it.
@@ -716,13 +907,26 @@
         for multiplexed in [false, true] {
             for (row, check) in ROWS.iter().filter(|(row, _)| is_cell(row, from, to)) {
                 let caller: Box<dyn Caller> = match from.library {
-                    Library::Apache => Box::new(ApacheCaller::connect(listens, from.encoding, multiplexed)),
-                    Library::Codec => Box::new(CodecCaller::connect(listens, from.encoding, multiplexed)),
+                    Library::Apache => {
+                        Box::new(ApacheCaller::connect(listens, from.encoding, multiplexed))
+                    }
+                    Library::Codec => {
+                        Box::new(CodecCaller::connect(listens, from.encoding, multiplexed))
+                    }
                 };
                 seen.lock().expect("seen").clear();
-                let mut link = Link { caller, from, to, multiplexed, seen: &seen };
+                let mut link = Link {
+                    caller,
+                    from,
+                    to,
+                    multiplexed,
+                    seen: &seen,
+                };
                 let names = if multiplexed { "multiplexed" } else { "plain" };
-                cells.push((format!("{row}: {from:?} to {to:?}, {names}"), check(&mut link)));
+                cells.push((
+                    format!("{row}: {from:?} to {to:?}, {names}"),
+                    check(&mut link),
+                ));
             }
         }
     }
@@ -732,18 +936,26 @@
 #[test]
 fn every_cell_of_the_matrix_of_independent_peers_holds() {
     let boxes = PEERS.map(|to| spawn(move || cells(to)));
-    let cells: Vec<_> = boxes.into_iter().flat_map(|cells| cells.join().expect("its cells")).collect();
+    let cells: Vec<_> = boxes
+        .into_iter()
+        .flat_map(|cells| cells.join().expect("its cells"))
+        .collect();
     let mut rows: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
     for (name, result) in &cells {
         let (row, _) = name.split_once(':').expect("a row");
         let counts = rows.entry(row).or_default();
         *counts = (counts.0 + usize::from(result.is_ok()), counts.1 + 1);
     }
-    rows.iter().for_each(|(row, (held, all))| println!("{row}: {held} of {all} cells"));
+    rows.iter()
+        .for_each(|(row, (held, all))| println!("{row}: {held} of {all} cells"));
     let broken: Vec<_> = cells
         .iter()
         .filter_map(|(name, result)| result.as_ref().err().map(|e| format!("{name}: {e}")))
         .collect();
-    println!("matrix: {} of {} cells", cells.len() - broken.len(), cells.len());
+    println!(
+        "matrix: {} of {} cells",
+        cells.len() - broken.len(),
+        cells.len()
+    );
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
