--- a/crates/app/src/agreement.rs
+++ b/crates/app/src/agreement.rs
@@ -2,8 +2,8 @@
 
 use hyper::{Method, StatusCode};
 use sillward_admin::{Posted, Reply, Route};
-use sillward_balancer::Repeat;
-use sillward_balancer::settings::Site;
+use sillward_balancer::Idempotency;
+use sillward_balancer::settings::PlatformSettings;
 use sillward_consensus::Terms as Times;
 use sillward_consensus_io::{Council, Terms};
 use sillward_fleet_settings::{Key, Reading, Repeat as Agreed, Rules, Value, Version};
@@ -97,11 +97,11 @@
 }
 
 /// The keys that a node's own settings have, whether a version names them or not: one that is not known may.
-pub fn keys(site: &Site) -> Vec<Key> {
+pub fn keys(site: &PlatformSettings) -> Vec<Key> {
     let live = site
         .class_names
         .iter()
-        .zip(&site.live_classes)
+        .zip(&site.active_classes)
         .filter(|(_, live)| **live);
     let classes = live.map(|(name, _)| Key::Repeat(name.clone()));
     classes.chain([Key::Attempts, Key::Hedges]).collect()
@@ -109,32 +109,32 @@
 
 /// The node's own settings under what is agreed on: where a version names a key, it goes before the file; what it leaves
 /// open stays the file's.
-pub fn laid_over(site: &Site, readings: &[(Key, Reading)]) -> Site {
+pub fn laid_over(site: &PlatformSettings, readings: &[(Key, Reading)]) -> PlatformSettings {
     let mut site = site.clone();
-    site.settings.stricter_at_once = true;
+    site.settings.tighten_open_requests = true;
     for (key, reading) in readings {
         let class = key.name().and_then(|name| site.class(name));
         let class = class.and_then(|place| site.settings.classes.get_mut(place));
         match (key, &reading.value, class) {
             (Key::Repeat(_), Value::Repeat(repeat), Some(class)) => {
-                class.repeat = match (class.repeat, repeat) {
-                    (_, Agreed::Safe) => Repeat::Safe,
-                    (Repeat::Keyed { scope, .. }, Agreed::Keyed(ms)) => Repeat::Keyed {
+                class.idempotency = match (class.idempotency, repeat) {
+                    (_, Agreed::Safe) => Idempotency::Idempotent,
+                    (Idempotency::Keyed { scope, .. }, Agreed::Keyed(ms)) => Idempotency::Keyed {
                         scope,
                         window: Duration::from_millis(*ms),
                     },
                     // Callers of a class that the file does not call keyed send no keys.
-                    _ => Repeat::Unsafe,
+                    _ => Idempotency::NonIdempotent,
                 };
             }
-            (Key::Aim(_), Value::Ms(ms), Some(class)) => class.aim = Duration::from_millis(*ms),
+            (Key::Aim(_), Value::Ms(ms), Some(class)) => {
+                class.latency_objective = Duration::from_millis(*ms)
+            }
             (Key::Deadline(_), Value::Ms(ms), Some(class)) => {
                 class.deadline = Duration::from_millis(*ms)
             }
             (Key::Attempts, Value::Count(count), _) => site.settings.limits.max_attempts = *count,
-            (Key::Hedges, Value::Is(allowed), _) => {
-                site.settings.limits.parallel_attempts = *allowed
-            }
+            (Key::Hedges, Value::Is(allowed), _) => site.settings.limits.hedging = *allowed,
             _ => {}
         }
     }
@@ -143,7 +143,7 @@
 
 /// As [`laid_over`], for those who read calls: how a class is called, by which method and with or without a key, is between the
 /// file and the callers. What may be sent again is the node's alone.
-pub fn called(site: &Site, readings: &[(Key, Reading)]) -> Site {
+pub fn called(site: &PlatformSettings, readings: &[(Key, Reading)]) -> PlatformSettings {
     let others: Vec<(Key, Reading)> = readings
         .iter()
         .filter(|(key, _)| !matches!(key, Key::Repeat(_)))
@@ -153,13 +153,13 @@
 }
 
 /// What of a change clashes with this node's own settings, a line each.
-pub fn clashes(site: &Site, rules: &sillward_fleet_settings::Rules) -> Vec<String> {
+pub fn clashes(site: &PlatformSettings, rules: &sillward_fleet_settings::Rules) -> Vec<String> {
     let unknown = rules.iter().filter_map(|(key, value)| {
         if let (Key::Repeat(class), Value::Repeat(Agreed::Keyed(_))) = (key, value) {
             let terms = site
                 .class(class)
                 .and_then(|place| site.settings.classes.get(place));
-            if terms.is_some_and(|terms| !matches!(terms.repeat, Repeat::Keyed { .. })) {
+            if terms.is_some_and(|terms| !matches!(terms.idempotency, Idempotency::Keyed { .. })) {
                 return Some(format!(
                     "{key}: the settings ask no key of the callers of {class:?}"
                 ));
--- a/crates/app/src/lib.rs
+++ b/crates/app/src/lib.rs
@@ -12,7 +12,7 @@
 mod pages;
 mod sources;
 
-use sillward_balancer::settings::Site;
+use sillward_balancer::settings::PlatformSettings;
 use sillward_consensus_io::Council;
 use sillward_forwarding::{
     Backends, Budget, Dispatch, Gauges, Intake, Lapse, Live, Message, Node, Reports,
@@ -354,7 +354,7 @@
     /// The last that was taken.
     running: Rc<Config>,
     /// Its settings, in this process's numbers, without what is agreed on.
-    file: Rc<Site>,
+    file: Rc<PlatformSettings>,
     council: Option<Rc<Council>>,
     /// What is agreed on has changed, or the right to act on it.
     changed: Rc<Notify>,
--- a/crates/app/src/outcomes.rs
+++ b/crates/app/src/outcomes.rs
@@ -222,7 +222,7 @@
                     .settings
                     .classes
                     .get(class)
-                    .map_or(Duration::ZERO, |class| class.aim);
+                    .map_or(Duration::ZERO, |class| class.latency_objective);
                 Some(if since_it_came <= aim {
                     End::InTime
                 } else {
--- a/crates/app/src/pages.rs
+++ b/crates/app/src/pages.rs
@@ -12,7 +12,7 @@
     match state {
         ServerState::Ready => "in_service",
         ServerState::Draining => "terminating",
-        ServerState::Gone => "terminated",
+        ServerState::Removed => "terminated",
     }
 }
 
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -27,52 +27,52 @@
     /// The tenants; events name them by position. Empty where there are none.
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's share, as a fraction of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Whether worth is counted for each unit of work instead of each request.
-    pub worth_by_work: bool,
+    pub weight_by_work: bool,
     /// How servers report their load.
     pub reports: ReportSource,
     /// What the site permits.
     pub limits: Limits,
     /// The figures of the four rules.
-    pub rules: Rules,
+    pub safety: SafetyRules,
     /// What is taken off the result, as fractions of the service.
-    pub prices: Prices,
+    pub penalties: Penalties,
     /// How the result is put together.
-    pub goal: Goal,
+    pub objective_weights: ObjectiveWeights,
     /// Whether the server list must be asked for; otherwise changes arrive by themselves.
-    pub list_on_request: bool,
+    pub poll_endpoint_list: bool,
     /// Whether a repeat kind that becomes stricter holds for open requests too: where all nodes agree on it, as nobody may go by
     /// what was. Otherwise they keep what they came under.
-    pub stricter_at_once: bool,
+    pub tighten_open_requests: bool,
     /// The least time between two rounds of events, and so the precision of timers.
-    pub tick: Duration,
+    pub timer_resolution: Duration,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time has its full worth.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// The aim is longer by this multiple of the request's own work, within the deadline.
-    pub aim_stretch: f64,
+    pub objective_stretch: f64,
     /// How long a client waits in all, over all its tries.
     pub deadline: Duration,
     /// What a request is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The fraction of the worth that an answer after the aim still has.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// How far a request may be repeated once it may have run.
-    pub repeat: Repeat,
-    /// Whether answers are streamed, so that [`Event::Started`] arrives.
+    pub idempotency: Idempotency,
+    /// Whether answers are streamed, so that [`Event::ResponseStarted`] arrives.
     pub streamed: bool,
 }
 
 /// How far a request may be repeated once an attempt may have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// It may be repeated freely.
-    Safe,
+    Idempotent,
     /// Servers drop repeats, within a group and for a time.
     Keyed {
         /// The servers that know of each other's requests.
@@ -82,26 +82,26 @@
     },
     /// It must never run twice.
     #[default]
-    Unsafe,
+    NonIdempotent,
 }
 
-impl Repeat {
+impl Idempotency {
     /// The kind for a request that began under one and goes on under the other: what both allow.
-    pub fn stricter(self, other: Repeat) -> Repeat {
+    pub fn stricter(self, other: Idempotency) -> Idempotency {
         match (self, other) {
-            (same, Repeat::Safe) => same,
+            (same, Idempotency::Idempotent) => same,
             (
-                Repeat::Keyed { scope, window },
-                Repeat::Keyed {
+                Idempotency::Keyed { scope, window },
+                Idempotency::Keyed {
                     scope: group,
                     window: other,
                 },
-            ) if scope == group => Repeat::Keyed {
+            ) if scope == group => Idempotency::Keyed {
                 scope,
                 window: window.min(other),
             },
             // Servers were not told to drop repeats of a request that began as safe.
-            _ => Repeat::Unsafe,
+            _ => Idempotency::NonIdempotent,
         }
     }
 }
@@ -121,7 +121,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
     /// Requests a second within its share, over all nodes.
-    pub allowance_per_s: f64,
+    pub quota_per_s: f64,
     /// Its fraction of the service.
     pub share: f64,
 }
@@ -129,10 +129,10 @@
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportSource {
-    /// With answers, and with probe results.
-    Answers,
-    /// With probe results only.
-    Probes,
+    /// With answers, and with health check results.
+    Responses,
+    /// With health check results only.
+    HealthChecks,
     /// From nowhere.
     None,
 }
@@ -143,11 +143,11 @@
     /// The most attempts for a request.
     pub max_attempts: u32,
     /// Whether an attempt may be cancelled.
-    pub cancel: bool,
+    pub cancel_attempts: bool,
     /// Whether servers may be probed.
-    pub probes: bool,
+    pub health_checks: bool,
     /// Whether two attempts of a request may be out at once.
-    pub parallel_attempts: bool,
+    pub hedging: bool,
     /// The longest wait that clients obey after a refusal; `None` if they are not told of one.
     pub max_retry_after: Option<Duration>,
     /// A connection not up after this time has failed.
@@ -156,26 +156,26 @@
 
 /// The figures of the four rules.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rules {
+pub struct SafetyRules {
     /// How long after it is told a node may still send to a server that drains or is gone.
     pub drain_grace: Duration,
     /// A server starts with this fraction of its capacity, or more.
-    pub cold_share: f64,
+    pub slow_start_capacity: f64,
     /// And has all of it after this time at the latest.
-    pub warm_after: Duration,
+    pub slow_start_window: Duration,
     /// A cold server falls over when sent more than this multiple of its present capacity ...
     pub overload_factor: f64,
     /// ... for this long.
-    pub overload_time: Duration,
+    pub overload_window: Duration,
     /// Where the list must be asked for: the longest time without asking or a subscription.
-    pub ask_within: Duration,
+    pub max_poll_interval: Duration,
 }
 
 /// What is taken off the result.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Prices {
+pub struct Penalties {
     /// One probe for each request costs this fraction of the service.
-    pub probe: f64,
+    pub health_check: f64,
     /// An attempt that crosses zones, for each request.
     pub cross_zone: f64,
     /// Work that serves no answer, as much as was asked for.
@@ -188,7 +188,7 @@
 
 /// Weights of the parts of the result.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Goal {
+pub struct ObjectiveWeights {
     /// The whole time.
     pub whole: f64,
     /// The worst stretch.
@@ -208,18 +208,18 @@
     Draining,
     /// It has been removed.
     #[default]
-    Gone,
+    Removed,
 }
 
 /// A line of the server list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ServerEntry {
+pub struct Endpoint {
     /// The server.
     pub id: ServerId,
     /// The zone it is in.
     pub zone: u8,
     /// Its machine kind.
-    pub kind: u8,
+    pub machine_type: u8,
     /// Its cell.
     pub cell: u16,
     /// Its state.
@@ -227,14 +227,14 @@
     /// A figure to compare with other servers' weights.
     pub weight: f32,
     /// When it last started; `None` if that is long ago.
-    pub started: Option<Duration>,
+    pub started_at: Option<Duration>,
 }
 
 /// What a server list event brings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum EndpointUpdate {
     /// Changed lines only.
-    Changes,
+    Incremental,
     /// The whole list.
     Full,
     /// The whole list as this node last had it before it started; may be out of date.
@@ -305,11 +305,11 @@
     /// How long this client waits for this try.
     pub remaining: Duration,
     /// Its expected work on a standard core, where known.
-    pub cost: Option<Duration>,
+    pub expected_work: Option<Duration>,
     /// Whether the client says that it repeats an earlier try.
     pub client_retry: bool,
-    /// Its body is still coming: its time begins with [`Event::Arrived`], and `remaining` is what it will have then.
-    pub arriving: bool,
+    /// Its body is still coming: its time begins with [`Event::BodyComplete`], and `remaining` is what it will have then.
+    pub body_pending: bool,
 }
 
 /// How an attempt ended.
@@ -326,16 +326,16 @@
     /// The time since it was sent.
     pub elapsed: Duration,
     /// Whether the request has its final answer; otherwise the node still owes it.
-    pub finished: bool,
+    pub answered: bool,
     /// Whether its body is spent: the node has not kept it, so that it can't be sent again.
-    pub spent: bool,
+    pub body_consumed: bool,
     /// The server's load report, if one came along.
     pub report: Option<LoadReport>,
 }
 
 /// How a probe ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ProbeEnd {
+pub struct HealthCheckEnd {
     /// The server.
     pub server: ServerId,
     /// How it ended.
@@ -353,23 +353,23 @@
     /// that they began with.
     Settings(Box<Settings>),
     /// News of the server list.
-    List {
-        /// What the lines are.
-        kind: ListKind,
-        /// The lines.
-        entries: Vec<ServerEntry>,
+    EndpointList {
+        /// What the entries are.
+        update: EndpointUpdate,
+        /// The entries.
+        endpoints: Vec<Endpoint>,
     },
     /// A client's request has arrived. The node owes it one final answer.
     Request(NewRequest),
     /// The last byte of an arriving request has come: its time begins.
-    Arrived {
+    BodyComplete {
         /// The request.
         id: RequestId,
-        /// Whether its body is spent.
-        spent: bool,
+        /// Whether its body is consumed: it cannot be sent again.
+        body_consumed: bool,
     },
     /// A streamed answer has started; the attempt belongs to the client now.
-    Started {
+    ResponseStarted {
         /// The request.
         id: RequestId,
         /// The number of the attempt, in the order of sending.
@@ -392,9 +392,9 @@
         token: u64,
     },
     /// A probe has ended.
-    Probed(ProbeEnd),
+    HealthChecked(HealthCheckEnd),
     /// A message from another node.
-    Peer {
+    PeerMessage {
         /// The sender's number.
         from: u32,
         /// Its text.
@@ -415,7 +415,7 @@
         timeout: Duration,
     },
     /// Final answer: refused, and to try again does no harm.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// How long the client should wait before it tries again.
@@ -427,7 +427,7 @@
         id: RequestId,
     },
     /// Stop waiting for an attempt.
-    Cancel {
+    CancelAttempt {
         /// The request.
         id: RequestId,
         /// The number of the attempt.
@@ -441,7 +441,7 @@
         token: u64,
     },
     /// Ask a server for its load.
-    Probe {
+    HealthCheck {
         /// The server.
         server: ServerId,
     },
@@ -451,14 +451,14 @@
         server: ServerId,
     },
     /// Subscribe to changes of the server list, or end that.
-    Subscribe {
+    WatchEndpoints {
         /// On or off.
         on: bool,
     },
     /// Ask for the whole server list once.
-    FetchList,
+    FetchEndpoints,
     /// Send a message to another node, or to all of them.
-    Tell {
+    SendToPeer {
         /// The receiver's number; `None` for all.
         to: Option<u32>,
         /// At most 256 bytes.
@@ -479,42 +479,42 @@
             node: 0,
             zone: 0,
             classes: vec![Class {
-                aim: Duration::from_millis(500),
-                aim_stretch: 0.0,
+                latency_objective: Duration::from_millis(500),
+                objective_stretch: 0.0,
                 deadline: Duration::from_secs(1),
-                worth: 1.0,
-                late_worth: 0.0,
-                repeat: Repeat::Safe,
+                priority_weight: 1.0,
+                late_weight: 0.0,
+                idempotency: Idempotency::Idempotent,
                 streamed: false,
             }],
             tenants: Vec::new(),
-            over_share_worth: 1.0,
-            worth_by_work: false,
+            over_quota_weight: 1.0,
+            weight_by_work: false,
             reports: ReportSource::None,
             limits: Limits {
                 max_attempts: 3,
-                cancel: false,
-                probes: false,
-                parallel_attempts: false,
+                cancel_attempts: false,
+                health_checks: false,
+                hedging: false,
                 max_retry_after: None,
                 connect_timeout: Duration::from_millis(250),
             },
-            rules: Rules {
+            safety: SafetyRules {
                 drain_grace: Duration::from_secs(1),
-                cold_share: 1.0,
-                warm_after: Duration::ZERO,
+                slow_start_capacity: 1.0,
+                slow_start_window: Duration::ZERO,
                 overload_factor: 3.0,
-                overload_time: Duration::from_secs(2),
-                ask_within: Duration::from_secs(10),
+                overload_window: Duration::from_secs(2),
+                max_poll_interval: Duration::from_secs(10),
             },
-            prices: Prices::default(),
-            goal: Goal {
+            penalties: Penalties::default(),
+            objective_weights: ObjectiveWeights {
                 whole: 1.0,
-                ..Goal::default()
+                ..ObjectiveWeights::default()
             },
-            list_on_request: false,
-            stricter_at_once: false,
-            tick: Duration::from_millis(1),
+            poll_endpoint_list: false,
+            tighten_open_requests: false,
+            timer_resolution: Duration::from_millis(1),
         }
     }
 }
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -68,7 +68,7 @@
         let aim = settings
             .classes
             .iter()
-            .map(|c| c.aim)
+            .map(|c| c.latency_objective)
             .min()
             .unwrap_or_default();
         let mut node = Balancer::empty(settings, Pcg32::seed_from_u64(seed));
@@ -83,18 +83,30 @@
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         let first = self.now.is_zero();
         self.now = now.max(self.now).max(Duration::from_nanos(1));
-        if first && self.settings.list_on_request {
+        if first && self.settings.poll_endpoint_list {
             // All nodes may have started together: they spread their first calls.
-            self.ask_at =
-                Some(self.now + self.settings.rules.ask_within.mul_f64(self.random() / 4.0));
+            self.ask_at = Some(
+                self.now
+                    + self
+                        .settings
+                        .safety
+                        .max_poll_interval
+                        .mul_f64(self.random() / 4.0),
+            );
             self.on_tick(actions);
         }
         match event {
             Event::Settings(settings) => self.on_settings(*settings),
-            Event::List { kind, entries } => self.on_list(kind, entries),
+            Event::EndpointList {
+                update: kind,
+                endpoints: entries,
+            } => self.on_list(kind, entries),
             Event::Request(new) => self.on_request(new, actions),
-            Event::Arrived { id, spent } => self.on_arrived(id, spent, actions),
-            Event::Started {
+            Event::BodyComplete {
+                id,
+                body_consumed: spent,
+            } => self.on_arrived(id, spent, actions),
+            Event::ResponseStarted {
                 id,
                 attempt,
                 server,
@@ -106,8 +118,8 @@
             Event::ClientGone { id } => self.close(id, actions),
             Event::Timer { token: TICK } => self.on_tick(actions),
             Event::Timer { token } => self.on_request_timer(RequestId(token), actions),
-            Event::Probed(end) => self.on_probed(end, actions),
-            Event::Peer { .. } => {}
+            Event::HealthChecked(end) => self.on_probed(end, actions),
+            Event::PeerMessage { .. } => {}
         }
     }
 
@@ -117,7 +129,7 @@
         let listed = self
             .servers
             .values()
-            .filter(|s| s.entry.state != ServerState::Gone);
+            .filter(|s| s.entry.state != ServerState::Removed);
         let avoided = |s: &&Server| s.entry.state == ServerState::Ready && s.ejected.is_some();
         (listed.clone().count(), listed.filter(avoided).count())
     }
@@ -135,15 +147,15 @@
             return; // what is out may still be answered
         }
         let harmless = match request.repeat {
-            Repeat::Safe
-            | Repeat::Keyed {
+            Idempotency::Idempotent
+            | Idempotency::Keyed {
                 scope: Scope::All, ..
             } => true,
             _ => !request.attempts.iter().any(Attempt::may_have_run),
         };
         let retry_after = self.settings.limits.max_retry_after;
         actions.push(if harmless {
-            Action::Refuse { id, retry_after }
+            Action::Reject { id, retry_after }
         } else {
             Action::Fail { id }
         });
@@ -158,13 +170,13 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        if !request.done && self.settings.limits.cancel && request.streaming.is_none() {
+        if !request.done && self.settings.limits.cancel_attempts && request.streaming.is_none() {
             let out = request
                 .attempts
                 .iter()
                 .enumerate()
                 .filter(|(_, a)| a.outcome.is_none());
-            actions.extend(out.map(|(i, _)| Action::Cancel {
+            actions.extend(out.map(|(i, _)| Action::CancelAttempt {
                 id,
                 attempt: i as u32,
             }));
@@ -190,12 +202,12 @@
         for request in self
             .requests
             .values_mut()
-            .filter(|_| settings.stricter_at_once)
+            .filter(|_| settings.tighten_open_requests)
         {
             let Some(class) = settings.classes.get(request.class) else {
                 continue;
             };
-            request.repeat = request.repeat.stricter(class.repeat);
+            request.repeat = request.repeat.stricter(class.idempotency);
         }
         self.settings = settings;
     }
--- a/crates/balancer/src/policy/admission.rs
+++ b/crates/balancer/src/policy/admission.rs
@@ -35,7 +35,8 @@
         if self.requests.get(&id).is_some_and(tired) {
             return self.finish(id, actions);
         }
-        let after = Duration::from_secs_f64(self.answer_time / 8.0).max(self.settings.tick);
+        let after =
+            Duration::from_secs_f64(self.answer_time / 8.0).max(self.settings.timer_resolution);
         self.waits(id, true);
         actions.push(Action::SetTimer { after, token: id.0 });
     }
@@ -52,26 +53,30 @@
         let class = new.class.min(self.settings.classes.len() - 1);
         let terms = self.settings.classes[class].clone();
         // The timer comes a tick late at most, and the answer must be there before the client leaves.
-        let deadline = self.now + new.remaining.saturating_sub(2 * self.settings.tick);
+        let deadline = self.now
+            + new
+                .remaining
+                .saturating_sub(2 * self.settings.timer_resolution);
         let stretch = new
-            .cost
+            .expected_work
             .unwrap_or_default()
-            .mul_f64(terms.aim_stretch.clamp(0.0, 1e3));
-        let aim = (self.now + terms.aim + stretch).saturating_sub(self.spent(&new, class));
-        let until = if terms.late_worth > 0.0 {
+            .mul_f64(terms.objective_stretch.clamp(0.0, 1e3));
+        let aim =
+            (self.now + terms.latency_objective + stretch).saturating_sub(self.spent(&new, class));
+        let until = if terms.late_weight > 0.0 {
             deadline
         } else {
             deadline.min(aim)
         };
-        let weight = self.weigh(new.cost);
+        let weight = self.weigh(new.expected_work);
         self.arrived.add(self.now, self.memory(), weight);
         self.retry_tokens = (self.retry_tokens + RETRY_SHARE).min(2.0 / RETRY_SHARE);
-        let paid = PRICE_SPEND / self.settings.prices.probe.max(1e-9);
+        let paid = PRICE_SPEND / self.settings.penalties.health_check.max(1e-9);
         self.probe_tokens = (self.probe_tokens + paid).min(self.order.len() as f64);
         let (value, probed) = (self.value(class, new.tenant), !self.probes_tell());
-        let (repeat, most) = (terms.repeat, self.settings.limits.max_attempts);
+        let (repeat, most) = (terms.idempotency, self.settings.limits.max_attempts);
         let time = until.saturating_sub(self.now);
-        let (until, arriving) = if new.arriving {
+        let (until, arriving) = if new.body_pending {
             (self.now + ARRIVES, Some(time))
         } else {
             (until, None)
@@ -90,7 +95,7 @@
         self.requests.insert(new.id, request);
         // Hopeless even on a free server. Where most are idle it may try: hints are not exact.
         let most = time * if self.busy < 0.5 { 2 } else { 1 };
-        if new.cost.unwrap_or_default() >= most {
+        if new.expected_work.unwrap_or_default() >= most {
             return self.finish(new.id, actions);
         }
         actions.push(Action::SetTimer {
@@ -151,14 +156,14 @@
         if !out || request.streaming.replace(attempt).is_some() {
             return;
         }
-        if self.settings.limits.cancel {
+        if self.settings.limits.cancel_attempts {
             let others = request
                 .attempts
                 .iter()
                 .enumerate()
                 .filter(|(_, a)| a.outcome.is_none());
             let others = others.map(|(i, _)| i as u32).filter(|i| *i != attempt);
-            actions.extend(others.map(|attempt| Action::Cancel { id, attempt }));
+            actions.extend(others.map(|attempt| Action::CancelAttempt { id, attempt }));
         }
         self.servers
             .entry(server)
@@ -199,7 +204,7 @@
 
     /// A request's worth against that of the usual one. What the worst class weighs is spread over all.
     pub(super) fn value(&mut self, class: usize, tenant: usize) -> f64 {
-        let rate = |tenant: &Tenant| tenant.allowance_per_s / f64::from(self.settings.nodes.max(1));
+        let rate = |tenant: &Tenant| tenant.quota_per_s / f64::from(self.settings.nodes.max(1));
         let (rate, now) = (
             self.settings.tenants.get(tenant).map_or(0.0, rate),
             self.now,
@@ -209,13 +214,13 @@
             .get_mut(tenant)
             .is_some_and(|allowance| !allowance.take(now, rate));
         let share = if over {
-            self.settings.over_share_worth
+            self.settings.over_quota_weight
         } else {
             1.0
         };
         let (goal, worth) = (
-            &self.settings.goal,
-            self.settings.classes[class].worth * share,
+            &self.settings.objective_weights,
+            self.settings.classes[class].priority_weight * share,
         );
         self.usual_worth += (worth - self.usual_worth) * SMOOTH / 8.0;
         let even = self.usual_worth * goal.worst_class / goal.whole.max(SMOOTH);
--- a/crates/balancer/src/policy/cold.rs
+++ b/crates/balancer/src/policy/cold.rs
@@ -5,13 +5,13 @@
 impl Balancer {
     /// The share of its capacity that a server has for certain.
     pub(super) fn warmth(&self, server: &Server) -> f64 {
-        let rules = &self.settings.rules;
-        let Some(started) = server.entry.started else {
+        let rules = &self.settings.safety;
+        let Some(started) = server.entry.started_at else {
             return 1.0;
         };
         let age = self.now.saturating_sub(started).as_secs_f64();
-        let grown = age / rules.warm_after.as_secs_f64().max(1e-6);
-        (rules.cold_share + (1.0 - rules.cold_share) * grown).min(1.0)
+        let grown = age / rules.slow_start_window.as_secs_f64().max(1e-6);
+        (rules.slow_start_capacity + (1.0 - rules.slow_start_capacity) * grown).min(1.0)
     }
 
     /// Rule 4: a cold server is sent a request for a permit, which comes at even times from a first
@@ -21,7 +21,7 @@
     /// nodes save up could be spent in one burst, so no more is saved than the rest of the bound
     /// holds.
     pub(super) fn draw_permits(&mut self) {
-        let (rules, now) = (self.settings.rules, self.now);
+        let (rules, now) = (self.settings.safety, self.now);
         let cold = |id: &ServerId| self.servers.get(id).is_some_and(|s| self.warmth(s) < 1.0);
         let cold: Vec<_> = self.ring().take(2 * self.enough()).filter(cold).collect();
         if cold.is_empty() {
@@ -43,7 +43,7 @@
             });
             server.drawn = Some((now, drawn.fract()));
             let came = Duration::from_secs_f64((drawn.fract() / rate.max(1e-9)).min(1e6));
-            let lasts = rules.overload_time.mul_f64(COLD_SAVED);
+            let lasts = rules.overload_window.mul_f64(COLD_SAVED);
             if drawn >= 1.0 && came < lasts {
                 server.permit = now + lasts - came;
             }
@@ -59,7 +59,7 @@
         let sharing =
             f64::from(self.settings.nodes) * self.enough() as f64 / self.order.len().max(1) as f64;
         let sharing = sharing.max(1.0);
-        let allowed = own * sharing * self.settings.rules.overload_time.as_secs_f64();
+        let allowed = own * sharing * self.settings.safety.overload_window.as_secs_f64();
         let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
         let poisson = ((bound + COLD_ROOTS * COLD_ROOTS / 4.0).sqrt() - COLD_ROOTS / 2.0).powi(2);
         let aim = poisson.max(bound - COLD_ROOTS * (sharing / 2.0).sqrt());
@@ -87,6 +87,6 @@
 
     /// Rates are taken over a few of the spans in which a cold server is judged.
     pub(super) fn memory(&self) -> f64 {
-        3.0 * self.settings.rules.overload_time.as_secs_f64().max(1e-3)
+        3.0 * self.settings.safety.overload_window.as_secs_f64().max(1e-3)
     }
 }
--- a/crates/balancer/src/policy/health.rs
+++ b/crates/balancer/src/policy/health.rs
@@ -14,7 +14,7 @@
         if attempt.outcome.replace(end.outcome).is_some() {
             return;
         }
-        request.spent |= end.spent;
+        request.spent |= end.body_consumed;
         // What was still coming was never in its server's work, and what was on its way no longer.
         let here = u32::from(request.arriving.is_none() && request.streaming != Some(end.attempt));
         let (crowd, weight) = (attempt.crowd, request.weight);
@@ -26,9 +26,9 @@
             &self.settings.classes[request.class],
             request.until - attempt.sent,
         );
-        let tight =
-            4 * end.elapsed > if class.late_worth > 0.0 { 5 } else { 3 } * class.aim.min(left);
-        let (finished, waiting) = (end.finished || request.done, request.out() == 0);
+        let tight = 4 * end.elapsed
+            > if class.late_weight > 0.0 { 5 } else { 3 } * class.latency_objective.min(left);
+        let (finished, waiting) = (end.answered || request.done, request.out() == 0);
         self.servers
             .entry(end.server)
             .and_modify(|s| s.out = s.out.saturating_sub(here));
@@ -139,7 +139,7 @@
         let room = 2 * ready.iter().filter(|s| s.ejected.is_some()).count() + 2 <= ready.len();
         // What all suffer is no server's fault, and half stay unless they can't be reached from here at all.
         if on_trial || weight >= 1.0 || room && failing > 0.5 && failing > 1.5 * self.failing {
-            let until = Some(self.now + self.settings.rules.overload_time * (1 << times.min(4)));
+            let until = Some(self.now + self.settings.safety.overload_window * (1 << times.min(4)));
             self.servers
                 .entry(id)
                 .and_modify(|s| (s.ejected, s.ejections) = (until, times + 1));
--- a/crates/balancer/src/policy/lists.rs
+++ b/crates/balancer/src/policy/lists.rs
@@ -3,13 +3,13 @@
 use super::*;
 
 impl Balancer {
-    pub(super) fn on_list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
-        if kind == ListKind::Failed {
+    pub(super) fn on_list(&mut self, kind: EndpointUpdate, entries: Vec<Endpoint>) {
+        if kind == EndpointUpdate::Failed {
             self.ask_wait = (2 * self.ask_wait).clamp(ASK_AGAIN / 2, ASK_AGAIN);
             self.ask_at = Some(self.now + self.ask_wait.mul_f64(0.5 + self.random() / 2.0));
             return;
         }
-        if kind != ListKind::Cached {
+        if kind != EndpointUpdate::Cached {
             (self.ask_at, self.ask_wait) = (None, Duration::ZERO);
         }
         // Should this list say that all have started anew.
@@ -22,21 +22,21 @@
             .map(|id| self.servers[&id].count)
             .sum::<u32>()
             / near.max(1) as u32;
-        if kind != ListKind::Changes {
+        if kind != EndpointUpdate::Incremental {
             self.servers
                 .values_mut()
-                .for_each(|s| s.entry.state = ServerState::Gone);
+                .for_each(|s| s.entry.state = ServerState::Removed);
             self.order.clear();
         }
         for entry in entries {
             let old = self.servers.remove(&entry.id).unwrap_or_default();
-            let same = old.entry.id == entry.id && old.entry.started == entry.started;
+            let same = old.entry.id == entry.id && old.entry.started_at == entry.started_at;
             let new = Server {
                 out: old.out,
                 count,
                 ..Server::default()
             };
-            if entry.state != ServerState::Gone {
+            if entry.state != ServerState::Removed {
                 self.servers.insert(
                     entry.id,
                     Server {
@@ -55,19 +55,19 @@
                 _ => {}
             }
         }
-        if kind != ListKind::Changes {
+        if kind != EndpointUpdate::Incremental {
             self.servers
-                .retain(|_, s| s.entry.state != ServerState::Gone);
+                .retain(|_, s| s.entry.state != ServerState::Removed);
         }
     }
 
     /// Where the list must be asked for: asks when it is time, and again if no answer came.
     pub(super) fn on_tick(&mut self, actions: &mut Vec<Action>) {
         if self.ask_at.is_some_and(|at| self.now >= at) {
-            actions.push(Action::Subscribe { on: true });
-            self.ask_at = Some(self.now + self.settings.rules.ask_within / 2);
+            actions.push(Action::WatchEndpoints { on: true });
+            self.ask_at = Some(self.now + self.settings.safety.max_poll_interval / 2);
         }
-        let after = (self.settings.rules.ask_within / 64).min(ASK_AGAIN / 8);
+        let after = (self.settings.safety.max_poll_interval / 64).min(ASK_AGAIN / 8);
         actions.push(Action::SetTimer { after, token: TICK });
     }
 }
--- a/crates/balancer/src/policy/repeats.rs
+++ b/crates/balancer/src/policy/repeats.rs
@@ -25,13 +25,13 @@
         &self,
         server: &Server,
         request: &Request,
-        to: &ServerEntry,
+        to: &Endpoint,
         sent: Duration,
     ) -> bool {
         match request.repeat {
-            Repeat::Safe => true,
-            Repeat::Unsafe => false,
-            Repeat::Keyed { scope, window } => {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Keyed { scope, window } => {
                 let together = match scope {
                     Scope::All => true,
                     Scope::Zone => to.zone == server.entry.zone,
@@ -76,13 +76,13 @@
         };
         let silent = request.arriving.is_none()
             && self.now >= last.sent + self.patience_with(request).mul_f64(0.99);
-        self.settings.limits.parallel_attempts && request.out() < 2 && silent
+        self.settings.limits.hedging && request.out() < 2 && silent
     }
 
     /// How long an attempt may be silent: a multiple of the median answer, which few answers exceed.
     pub(super) fn patience_with(&self, request: &Request) -> Duration {
         Duration::from_secs_f64(SILENT * self.median * request.weight.clamp(1.0, 1e3))
-            .max(2 * self.settings.tick)
+            .max(2 * self.settings.timer_resolution)
     }
 
     /// The only place that sends. Every rule is checked here, whatever led to it.
@@ -102,7 +102,7 @@
         let more = left > patience * 5 / 4
             && self.retry_tokens >= if again { 2.0 } else { 1.0 }
             && self.elsewhere(server, request);
-        let hedged = self.settings.limits.parallel_attempts;
+        let hedged = self.settings.limits.hedging;
         // A body that is still coming says nothing of its server's speed.
         let more = more && request.arriving.is_none();
         let timeout = if more && !hedged { patience } else { left };
--- a/crates/balancer/src/policy/selection.rs
+++ b/crates/balancer/src/policy/selection.rs
@@ -24,7 +24,7 @@
     }
 
     pub(super) fn probes_tell(&self) -> bool {
-        self.settings.reports == ReportSource::Probes && self.settings.limits.probes
+        self.settings.reports == ReportSource::HealthChecks && self.settings.limits.health_checks
     }
 
     /// Join-Up-To(m): the lowest estimate strictly below m, ties at random.
@@ -74,7 +74,7 @@
     /// minute is never known to be slow or gone. Where connections have a price, all nodes together keep it
     /// within a hundredth of the service. Each has a server for every request at once and two to choose from.
     pub(super) fn enough(&self) -> usize {
-        let affordable = 100.0 * PRICE_SPEND / self.settings.prices.connections;
+        let affordable = 100.0 * PRICE_SPEND / self.settings.penalties.connections;
         let part = affordable * self.order.len() as f64 / f64::from(self.settings.nodes);
         let rate = self.sent.per_s(self.now, self.memory());
         let sightings = SIGHTINGS / if self.probes_tell() { 2.0 } else { 1.0 };
@@ -109,7 +109,7 @@
         }
         // Soft gates give way when they leave nobody. Ejected servers get one request in so many on trial,
         // seldom one that can't be sent again: else trials take most of a quiet node's requests.
-        let once = request.repeat == Repeat::Unsafe;
+        let once = request.repeat == Idempotency::NonIdempotent;
         let trial = !again && luck * if once { 4.0 } else { 1.0 } < SMOOTH;
         let due = |s: &Server| {
             trial
@@ -189,14 +189,15 @@
             self.probe_tokens -= 1.0;
             self.servers.entry(target).and_modify(|s| s.probing = true);
             self.probes_out += 1;
-            actions.push(Action::Probe { server: target });
+            actions.push(Action::HealthCheck { server: target });
         }
         if self.probes_out == 0 {
             return false;
         }
         self.held.push(id);
         // A server that answers a probe later than this is no place to send to.
-        let patience = Duration::from_secs_f64(self.answer_time / 16.0).max(4 * self.settings.tick);
+        let patience = Duration::from_secs_f64(self.answer_time / 16.0)
+            .max(4 * self.settings.timer_resolution);
         actions.push(Action::SetTimer {
             after: patience,
             token: id.0,
@@ -204,7 +205,7 @@
         true
     }
 
-    pub(super) fn on_probed(&mut self, end: ProbeEnd, actions: &mut Vec<Action>) {
+    pub(super) fn on_probed(&mut self, end: HealthCheckEnd, actions: &mut Vec<Action>) {
         self.servers
             .entry(end.server)
             .and_modify(|s| (s.probing, s.load) = (false, None));
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -7,50 +7,55 @@
 
 /// A load report's columns, in the order of their values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Column {
+pub enum ReportField {
     /// Requests held.
-    Concurrent,
+    #[serde(rename = "concurrent")]
+    InFlight,
     /// Requests waiting.
-    Depth,
+    #[serde(rename = "depth")]
+    Queue,
     /// The fraction of the processors in use.
-    LoadShare,
+    #[serde(rename = "load_share")]
+    Utilisation,
     /// The recent service time.
-    MeanMs,
+    #[serde(rename = "mean_ms")]
+    LatencyMs,
     /// Requests served in a second.
-    Tps,
+    #[serde(rename = "tps")]
+    Throughput,
     /// Errors in a second.
-    ErrPs,
+    #[serde(rename = "err_ps")]
+    Errors,
     /// One that this version does not know.
     #[serde(other)]
     Unknown,
 }
 
-impl Column {
+impl ReportField {
     /// The column that a load report in a header or a probe's body calls by this name: the settings' own, or
     /// the protocol's.
-    pub fn on_sockets(name: &str) -> Self {
+    pub fn from_report_name(name: &str) -> Self {
         match name {
-            "concurrent" | "inflight" => Column::Concurrent,
-            "depth" | "queue" => Column::Depth,
-            "load_share" | "util" => Column::LoadShare,
-            "mean_ms" | "latency_ms" => Column::MeanMs,
-            "tps" | "qps" => Column::Tps,
-            "err_ps" | "eps" => Column::ErrPs,
-            _ => Column::Unknown,
+            "concurrent" | "inflight" => ReportField::InFlight,
+            "depth" | "queue" => ReportField::Queue,
+            "load_share" | "util" => ReportField::Utilisation,
+            "mean_ms" | "latency_ms" => ReportField::LatencyMs,
+            "tps" | "qps" => ReportField::Throughput,
+            "err_ps" | "eps" => ReportField::Errors,
+            _ => ReportField::Unknown,
         }
     }
 
     /// Puts a value in its place. What is no finite number is left out.
     pub fn set(self, report: &mut LoadReport, value: f32) {
         let field = match self {
-            Column::Concurrent => &mut report.in_flight,
-            Column::Depth => &mut report.queue,
-            Column::LoadShare => &mut report.utilisation,
-            Column::MeanMs => &mut report.latency_ms,
-            Column::Tps => &mut report.throughput,
-            Column::ErrPs => &mut report.errors,
-            Column::Unknown => return,
+            ReportField::InFlight => &mut report.in_flight,
+            ReportField::Queue => &mut report.queue,
+            ReportField::Utilisation => &mut report.utilisation,
+            ReportField::LatencyMs => &mut report.latency_ms,
+            ReportField::Throughput => &mut report.throughput,
+            ReportField::Errors => &mut report.errors,
+            ReportField::Unknown => return,
         };
         *field = value.is_finite().then_some(value);
     }
@@ -58,25 +63,25 @@
 
 /// All that a node takes from its settings text.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Site {
+pub struct PlatformSettings {
     /// What the module is told.
     pub settings: Settings,
     /// Which value of a load report is which.
-    pub columns: Vec<Column>,
+    pub report_fields: Vec<ReportField>,
     /// The names of the classes, in the order of [`Settings::classes`].
     pub class_names: Vec<String>,
     /// Whether the last settings still have it: open requests keep one that has vanished, newcomers don't know it.
-    pub live_classes: Vec<bool>,
+    pub active_classes: Vec<bool>,
     /// The names of the tenants, in the order of [`Settings::tenants`].
     pub tenant_names: Vec<String>,
     /// As for classes.
-    pub live_tenants: Vec<bool>,
+    pub active_tenants: Vec<bool>,
     /// The names of the zones, in the order of their numbers.
     pub zone_names: Vec<String>,
     /// The names of the machine kinds, in the order of their numbers.
-    pub kind_names: Vec<String>,
+    pub machine_type_names: Vec<String>,
     /// A server closes a connection that has been idle for so long.
-    pub idle_close: Duration,
+    pub server_idle_timeout: Duration,
 }
 
 /// Classes, tenants, zones or machine kinds that a process may come to know by its settings, old ones with them: what
@@ -111,11 +116,11 @@
     (all, live)
 }
 
-impl Site {
+impl PlatformSettings {
     /// The number of the class of that name, if the settings have it now.
     pub fn class(&self, name: &str) -> Option<usize> {
         let place = self.class_names.iter().position(|known| known == name)?;
-        self.live_classes[place].then_some(place)
+        self.active_classes[place].then_some(place)
     }
 
     /// The number of the tenant of that name, if the settings have it now.
@@ -124,7 +129,7 @@
             .tenant_names
             .iter()
             .position(|known| known.as_bytes() == name)?;
-        self.live_tenants[place].then_some(place)
+        self.active_tenants[place].then_some(place)
     }
 
     /// These settings in the place of `old` ones in a node that runs: all that had a number keeps it, whatever the
@@ -132,11 +137,11 @@
     ///
     /// # Errors
     /// More names than a process may come to know.
-    pub fn onto(self, old: &Site) -> Result<Site, String> {
+    pub fn merged_onto(self, old: &PlatformSettings) -> Result<PlatformSettings, String> {
         let (class_names, class_places) = joined(&old.class_names, &self.class_names);
         let (tenant_names, tenant_places) = joined(&old.tenant_names, &self.tenant_names);
         let (zone_names, zone_places) = joined(&old.zone_names, &self.zone_names);
-        let (kind_names, _) = joined(&old.kind_names, &self.kind_names);
+        let (kind_names, _) = joined(&old.machine_type_names, &self.machine_type_names);
         for (what, names) in [
             ("Classes", &class_names),
             ("Projects", &tenant_names),
@@ -160,24 +165,24 @@
             .and_then(|zone| u8::try_from(*zone).ok());
         settings.zone = zone.unwrap_or(settings.zone);
         // Whether lists are pushed or asked for decides which of two loops follows them, from the start on.
-        settings.list_on_request = old.settings.list_on_request;
-        Ok(Site {
+        settings.poll_endpoint_list = old.settings.poll_endpoint_list;
+        Ok(PlatformSettings {
             settings,
-            columns: self.columns,
+            report_fields: self.report_fields,
             class_names,
-            live_classes,
+            active_classes: live_classes,
             tenant_names,
-            live_tenants,
+            active_tenants: live_tenants,
             zone_names,
-            kind_names,
-            idle_close: self.idle_close,
+            machine_type_names: kind_names,
+            server_idle_timeout: self.server_idle_timeout,
         })
     }
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Idempotency {
+enum RawIdempotency {
     Free,
     Guarded,
     SingleShot,
@@ -226,7 +231,7 @@
     aim_stretch: f64,
     target: f64,
     give_up: f64,
-    idempotency: Idempotency,
+    idempotency: RawIdempotency,
     #[serde(default)]
     group: Group,
     #[serde(default)]
@@ -253,7 +258,7 @@
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 struct RawReport {
-    columns: Vec<Column>,
+    columns: Vec<ReportField>,
     via: Via,
 }
 
@@ -380,7 +385,7 @@
 }
 
 /// Reads the settings text.
-pub fn parse(text: &[u8]) -> Result<Site, String> {
+pub fn parse(text: &[u8]) -> Result<PlatformSettings, String> {
     let raw: Raw = serde_json::from_slice(text).map_err(|e| format!("bad settings: {e}"))?;
     let faults = faults(&raw);
     if !faults.is_empty() {
@@ -395,46 +400,46 @@
             .projects
             .iter()
             .map(|t| Tenant {
-                allowance_per_s: t.allowance_per_s,
+                quota_per_s: t.allowance_per_s,
                 share: t.share,
             })
             .collect(),
-        over_share_worth: raw.over_share_worth,
-        worth_by_work: matches!(raw.counted_by, CountedBy::Work),
+        over_quota_weight: raw.over_share_worth,
+        weight_by_work: matches!(raw.counted_by, CountedBy::Work),
         reports: match raw.load_report.via {
-            Via::Piggyback => ReportSource::Answers,
-            Via::Pull => ReportSource::Probes,
+            Via::Piggyback => ReportSource::Responses,
+            Via::Pull => ReportSource::HealthChecks,
             Via::Silent => ReportSource::None,
         },
         limits: limits(&raw.permissions),
-        rules: rules(&raw.rules),
-        prices: Prices {
-            probe: raw.prices.probe,
+        safety: rules(&raw.rules),
+        penalties: Penalties {
+            health_check: raw.prices.probe,
             cross_zone: raw.prices.cross_zone,
             waste: raw.prices.waste,
             late_failure: raw.prices.late_fail,
             connections: raw.prices.connection + raw.prices.handshake,
         },
-        goal: Goal {
+        objective_weights: ObjectiveWeights {
             whole: raw.goal.whole,
             worst_window: raw.goal.worst_window,
             worst_class: raw.goal.worst_class,
             worst_tenant: raw.goal.worst_tenant,
         },
-        list_on_request: matches!(raw.registry_mode, Mode::Ask),
-        stricter_at_once: false,
-        tick: millis(raw.quantum),
+        poll_endpoint_list: matches!(raw.registry_mode, Mode::Ask),
+        tighten_open_requests: false,
+        timer_resolution: millis(raw.quantum),
     };
-    Ok(Site {
+    Ok(PlatformSettings {
         settings,
-        columns: raw.load_report.columns,
-        live_classes: vec![true; raw.classes.len()],
-        live_tenants: vec![true; raw.projects.len()],
+        report_fields: raw.load_report.columns,
+        active_classes: vec![true; raw.classes.len()],
+        active_tenants: vec![true; raw.projects.len()],
         class_names: raw.classes.into_iter().map(|class| class.name).collect(),
         tenant_names: raw.projects.into_iter().map(|tenant| tenant.name).collect(),
         zone_names: raw.localities,
-        kind_names: raw.host_types,
-        idle_close: millis(raw.permissions.idle_close),
+        machine_type_names: raw.host_types,
+        server_idle_timeout: millis(raw.permissions.idle_close),
     })
 }
 
@@ -457,7 +462,7 @@
         };
         time("Target", class.target);
         time("GiveUp", class.give_up);
-        if matches!(class.idempotency, Idempotency::Guarded) {
+        if matches!(class.idempotency, RawIdempotency::Guarded) {
             time("Window", class.window);
         }
         for (key, number) in [
@@ -518,18 +523,18 @@
         Group::Cell => Scope::Cell,
     };
     Class {
-        aim: millis(raw.target),
-        aim_stretch: raw.aim_stretch,
+        latency_objective: millis(raw.target),
+        objective_stretch: raw.aim_stretch,
         deadline: millis(raw.give_up),
-        worth: raw.credit,
-        late_worth: raw.late_worth,
-        repeat: match raw.idempotency {
-            Idempotency::Free => Repeat::Safe,
-            Idempotency::Guarded => Repeat::Keyed {
+        priority_weight: raw.credit,
+        late_weight: raw.late_worth,
+        idempotency: match raw.idempotency {
+            RawIdempotency::Free => Idempotency::Idempotent,
+            RawIdempotency::Guarded => Idempotency::Keyed {
                 scope,
                 window: millis(raw.window),
             },
-            Idempotency::SingleShot => Repeat::Unsafe,
+            RawIdempotency::SingleShot => Idempotency::NonIdempotent,
         },
         streamed: raw.stream,
     }
@@ -538,21 +543,21 @@
 fn limits(raw: &RawLimits) -> Limits {
     Limits {
         max_attempts: raw.attempts_cap,
-        cancel: raw.cancel,
-        probes: raw.probes,
-        parallel_attempts: raw.parallel_tries,
+        cancel_attempts: raw.cancel,
+        health_checks: raw.probes,
+        hedging: raw.parallel_tries,
         max_retry_after: raw.retry_after.then(|| millis(raw.max_retry_after)),
         connect_timeout: millis(raw.connect_timeout),
     }
 }
 
-fn rules(raw: &RawRules) -> Rules {
-    Rules {
+fn rules(raw: &RawRules) -> SafetyRules {
+    SafetyRules {
         drain_grace: millis(raw.drain_grace),
-        cold_share: raw.cold_from,
-        warm_after: millis(raw.ramp_time),
+        slow_start_capacity: raw.cold_from,
+        slow_start_window: millis(raw.ramp_time),
         overload_factor: raw.overload_factor,
-        overload_time: millis(raw.tip_after),
-        ask_within: millis(raw.must_ask_in),
+        overload_window: millis(raw.tip_after),
+        max_poll_interval: millis(raw.must_ask_in),
     }
 }
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -8,7 +8,7 @@
 /// What a node knows of a server.
 #[derive(Default)]
 pub struct Server {
-    pub entry: ServerEntry,
+    pub entry: Endpoint,
     /// Join-Up-To(m)'s estimate: own sends since it last showed idle.
     pub count: u32,
     pub idle_at: Option<Duration>,
@@ -33,7 +33,7 @@
 
 /// An attempt, and how it ended.
 pub struct Attempt {
-    pub to: ServerEntry,
+    pub to: Endpoint,
     pub sent: Duration,
     /// How crowded the server was at the send.
     pub crowd: usize,
@@ -51,7 +51,7 @@
 pub struct Request {
     pub class: usize,
     /// What its class allowed when it came: later settings neither loosen nor tighten that.
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// Attempts that it was allowed when it came; later settings may allow fewer.
     pub most: u32,
     /// Its work in units of the usual request's.
@@ -183,7 +183,11 @@
             median: Default::default(),
             failing: Default::default(),
             usual_cost: Default::default(),
-            usual_worth: settings.classes.iter().map(|c| c.worth).sum::<f64>()
+            usual_worth: settings
+                .classes
+                .iter()
+                .map(|c| c.priority_weight)
+                .sum::<f64>()
                 / settings.classes.len().max(1) as f64,
             sends: Default::default(),
             idle_signs: Default::default(),
--- a/crates/balancer/tests/characterization/conditions.rs
+++ b/crates/balancer/tests/characterization/conditions.rs
@@ -19,72 +19,72 @@
         tenants: (0..random.pick(&[0, 0, 2, 4]))
             .map(|_| tenant(random))
             .collect(),
-        over_share_worth: random.pick(&[1.0, 0.5, 0.2, 0.0]),
-        worth_by_work: random.chance(0.3),
+        over_quota_weight: random.pick(&[1.0, 0.5, 0.2, 0.0]),
+        weight_by_work: random.chance(0.3),
         reports: random.pick(&[
-            ReportSource::Answers,
-            ReportSource::Answers,
-            ReportSource::Probes,
-            ReportSource::Probes,
+            ReportSource::Responses,
+            ReportSource::Responses,
+            ReportSource::HealthChecks,
+            ReportSource::HealthChecks,
             ReportSource::None,
         ]),
         limits: limits(random),
-        rules: rules(random),
-        prices: Prices {
-            probe: random.pick(&[0.0, 0.002, 0.05, 0.2]),
+        safety: rules(random),
+        penalties: Penalties {
+            health_check: random.pick(&[0.0, 0.002, 0.05, 0.2]),
             cross_zone: random.pick(&[0.0, 0.01]),
             waste: random.pick(&[0.0, 0.04]),
             late_failure: random.pick(&[0.0, 0.03]),
             connections: random.pick(&[0.0, 0.02, 0.1]),
         },
-        goal: Goal {
+        objective_weights: ObjectiveWeights {
             whole: random.pick(&[1.0, 0.6, 0.0]),
             worst_window: 0.1,
             worst_class: random.pick(&[0.0, 0.2, 0.5]),
             worst_tenant: 0.1,
         },
-        list_on_request: random.chance(0.4),
-        stricter_at_once: random.chance(0.4),
-        tick: Duration::from_micros(random.pick(&[200, 1000, 5000])),
+        poll_endpoint_list: random.chance(0.4),
+        tighten_open_requests: random.chance(0.4),
+        timer_resolution: Duration::from_micros(random.pick(&[200, 1000, 5000])),
     }
 }
 
 fn class(random: &mut Random) -> Class {
     let aim = random.between(20, 600);
     Class {
-        aim: ms(aim),
-        aim_stretch: random.pick(&[0.0, 0.0, 0.5, 2.0]),
+        latency_objective: ms(aim),
+        objective_stretch: random.pick(&[0.0, 0.0, 0.5, 2.0]),
         deadline: ms(aim + random.between(0, 1500)),
-        worth: random.pick(&[0.5, 1.0, 2.0, 10.0]),
-        late_worth: random.pick(&[0.0, 0.0, 0.3]),
-        repeat: repeat(random),
+        priority_weight: random.pick(&[0.5, 1.0, 2.0, 10.0]),
+        late_weight: random.pick(&[0.0, 0.0, 0.3]),
+        idempotency: repeat(random),
         streamed: random.chance(0.2),
     }
 }
 
-fn repeat(random: &mut Random) -> Repeat {
+fn repeat(random: &mut Random) -> Idempotency {
     let window = ms(random.between(30, 900));
     match random.below(6) {
-        0 | 1 => Repeat::Safe,
-        2 => Repeat::Keyed {
+        0 | 1 => Idempotency::Idempotent,
+        2 => Idempotency::Keyed {
             scope: Scope::All,
             window,
         },
-        3 => Repeat::Keyed {
+        3 => Idempotency::Keyed {
             scope: Scope::Zone,
             window,
         },
-        4 => Repeat::Keyed {
+        4 => Idempotency::Keyed {
             scope: Scope::Cell,
             window,
         },
-        _ => Repeat::Unsafe,
+        _ => Idempotency::NonIdempotent,
     }
 }
 
 fn tenant(random: &mut Random) -> Tenant {
     Tenant {
-        allowance_per_s: random.between(1, 400) as f64,
+        quota_per_s: random.between(1, 400) as f64,
         share: random.unit(),
     }
 }
@@ -92,22 +92,22 @@
 fn limits(random: &mut Random) -> Limits {
     Limits {
         max_attempts: random.between(1, 4) as u32,
-        cancel: random.chance(0.7),
-        probes: random.chance(0.8),
-        parallel_attempts: random.chance(0.5),
+        cancel_attempts: random.chance(0.7),
+        health_checks: random.chance(0.8),
+        hedging: random.chance(0.5),
         max_retry_after: random.chance(0.5).then(|| ms(random.between(50, 3000))),
         connect_timeout: ms(random.between(20, 300)),
     }
 }
 
-fn rules(random: &mut Random) -> Rules {
-    Rules {
+fn rules(random: &mut Random) -> SafetyRules {
+    SafetyRules {
         drain_grace: ms(random.between(100, 2000)),
-        cold_share: random.pick(&[0.1, 0.3, 0.6, 1.0]),
-        warm_after: ms(random.between(500, 8000)),
+        slow_start_capacity: random.pick(&[0.1, 0.3, 0.6, 1.0]),
+        slow_start_window: ms(random.between(500, 8000)),
         overload_factor: random.pick(&[1.5, 3.0, 4.0]),
-        overload_time: ms(random.between(300, 2000)),
-        ask_within: ms(random.between(500, 10_000)),
+        overload_window: ms(random.between(300, 2000)),
+        max_poll_interval: ms(random.between(500, 10_000)),
     }
 }
 
@@ -115,18 +115,18 @@
 pub fn change(random: &mut Random, settings: &mut Settings) {
     match random.below(7) {
         0 => settings.limits = limits(random),
-        1 => settings.rules = rules(random),
+        1 => settings.safety = rules(random),
         2 => {
             let class = random.below(settings.classes.len() as u64) as usize;
-            settings.classes[class].repeat = repeat(random);
+            settings.classes[class].idempotency = repeat(random);
         }
         3 => settings.classes.push(class(random)),
         4 => settings.tenants.push(tenant(random)),
         5 => settings.nodes = (settings.node + 1).max(random.pick(&[1, 3, 30, 300])),
         _ => {
             settings.reports = random.pick(&[
-                ReportSource::Answers,
-                ReportSource::Probes,
+                ReportSource::Responses,
+                ReportSource::HealthChecks,
                 ReportSource::None,
             ])
         }
@@ -148,7 +148,7 @@
 
 /// A simulated server.
 pub struct SimulatedServer {
-    pub entry: ServerEntry,
+    pub entry: Endpoint,
     pub listed: bool,
     /// Work a request takes there, in microseconds.
     pub work_us: u64,
@@ -159,14 +159,14 @@
 
 pub fn server(random: &mut Random, number: u64) -> SimulatedServer {
     SimulatedServer {
-        entry: ServerEntry {
+        entry: Endpoint {
             id: ServerId(number * 7 + 3),
             zone: random.below(3) as u8,
-            kind: random.below(2) as u8,
+            machine_type: random.below(2) as u8,
             cell: random.below(4) as u16,
             state: ServerState::Ready,
             weight: 1.0,
-            started: None,
+            started_at: None,
         },
         listed: true,
         work_us: random.between(2_000, 60_000),
--- a/crates/balancer/tests/characterization/encoding.rs
+++ b/crates/balancer/tests/characterization/encoding.rs
@@ -49,17 +49,17 @@
             } => {
                 self.numbers(&[1, id.0, server.0, nanoseconds(*timeout)]);
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 self.numbers(&[2, id.0, retry_after.map_or(ABSENT, nanoseconds)]);
             }
             Action::Fail { id } => self.numbers(&[3, id.0]),
-            Action::Cancel { id, attempt } => self.numbers(&[4, id.0, u64::from(*attempt)]),
+            Action::CancelAttempt { id, attempt } => self.numbers(&[4, id.0, u64::from(*attempt)]),
             Action::SetTimer { after, token } => self.numbers(&[5, nanoseconds(*after), *token]),
-            Action::Probe { server } => self.numbers(&[6, server.0]),
+            Action::HealthCheck { server } => self.numbers(&[6, server.0]),
             Action::CloseIdle { server } => self.numbers(&[7, server.0]),
-            Action::Subscribe { on } => self.numbers(&[8, u64::from(*on)]),
-            Action::FetchList => self.numbers(&[9]),
-            Action::Tell { to, data } => {
+            Action::WatchEndpoints { on } => self.numbers(&[8, u64::from(*on)]),
+            Action::FetchEndpoints => self.numbers(&[9]),
+            Action::SendToPeer { to, data } => {
                 self.numbers(&[10, to.map_or(ABSENT, u64::from)]);
                 self.bytes(data);
             }
--- a/crates/balancer/tests/characterization/sequence.rs
+++ b/crates/balancer/tests/characterization/sequence.rs
@@ -88,16 +88,16 @@
         self.change_load();
         if self.random.chance(0.5) {
             let entries = self.whole_list();
-            self.handle(Event::List {
-                kind: ListKind::Cached,
-                entries,
+            self.handle(Event::EndpointList {
+                update: EndpointUpdate::Cached,
+                endpoints: entries,
             });
         }
         if self.random.chance(0.9) {
             let entries = self.whole_list();
-            self.handle(Event::List {
-                kind: ListKind::Full,
-                entries,
+            self.handle(Event::EndpointList {
+                update: EndpointUpdate::Full,
+                endpoints: entries,
             });
         }
         for due in [
@@ -128,7 +128,10 @@
             Due::Arrival => self.arrival(),
             Due::BodyComplete(id) => {
                 let spent = self.random.chance(0.3);
-                self.handle(Event::Arrived { id, spent });
+                self.handle(Event::BodyComplete {
+                    id,
+                    body_consumed: spent,
+                });
             }
             Due::AnswerStarted(id, attempt) => self.answer_started(id, attempt),
             Due::AttemptEnd(id, attempt, outcome) => self.attempt_end(id, attempt, outcome),
@@ -193,19 +196,21 @@
                 server,
                 timeout,
             } => self.send(id, server, timeout),
-            Action::Refuse { id, .. } | Action::Fail { id } => {
+            Action::Reject { id, .. } | Action::Fail { id } => {
                 self.answered.insert(id);
             }
-            Action::Cancel { id, attempt } => {
+            Action::CancelAttempt { id, attempt } => {
                 let after = self.random.between(0, 2000);
                 self.schedule(after, Due::AttemptEnd(id, attempt, Outcome::Cancelled));
             }
             Action::SetTimer { after, token } => {
-                let late = self.random.below(self.settings.tick.as_micros() as u64 + 1);
+                let late = self
+                    .random
+                    .below(self.settings.timer_resolution.as_micros() as u64 + 1);
                 self.schedule(after.as_micros() as u64 + late, Due::Timer(token));
             }
-            Action::Probe { server } => self.probe(server),
-            Action::Subscribe { .. } | Action::FetchList => self.poll(),
+            Action::HealthCheck { server } => self.probe(server),
+            Action::WatchEndpoints { .. } | Action::FetchEndpoints => self.poll(),
             _ => {}
         }
     }
@@ -232,9 +237,9 @@
             tenant: self.random.below(self.settings.tenants.len() as u64 + 1) as usize,
             key: self.random.below(100),
             remaining: Duration::from_micros(remaining_us),
-            cost: cost_us.map(Duration::from_micros),
+            expected_work: cost_us.map(Duration::from_micros),
             client_retry: self.random.chance(0.2),
-            arriving,
+            body_pending: arriving,
         };
         self.attempts.insert(id, Vec::new());
         if arriving {
@@ -327,7 +332,7 @@
             return;
         }
         let (server, report) = (one.server, one.report);
-        self.handle(Event::Started {
+        self.handle(Event::ResponseStarted {
             id,
             attempt,
             server,
@@ -362,8 +367,8 @@
             server,
             outcome,
             elapsed: Duration::from_micros(elapsed_us),
-            finished,
-            spent,
+            answered: finished,
+            body_consumed: spent,
             report,
         };
         self.handle(Event::AttemptEnded(end));
@@ -392,7 +397,7 @@
             None
         };
         let elapsed = Duration::from_micros(self.now_us - sent_us);
-        self.handle(Event::Probed(ProbeEnd {
+        self.handle(Event::HealthChecked(HealthCheckEnd {
             server,
             outcome,
             elapsed,
@@ -400,7 +405,7 @@
         }));
     }
 
-    fn whole_list(&self) -> Vec<ServerEntry> {
+    fn whole_list(&self) -> Vec<Endpoint> {
         self.servers
             .iter()
             .filter(|s| s.listed)
@@ -411,43 +416,46 @@
     /// The list was asked for: it comes, or the call fails.
     fn poll(&mut self) {
         let kind = if self.random.chance(0.25) {
-            ListKind::Failed
+            EndpointUpdate::Failed
         } else {
-            ListKind::Full
+            EndpointUpdate::Full
         };
-        let entries = if kind == ListKind::Full {
+        let entries = if kind == EndpointUpdate::Full {
             self.whole_list()
         } else {
             Vec::new()
         };
-        self.handle(Event::List { kind, entries });
+        self.handle(Event::EndpointList {
+            update: kind,
+            endpoints: entries,
+        });
     }
 
     fn list_change(&mut self) {
         let count = self.random.between(1, 1 + self.servers.len() as u64 / 4);
         let changed: Vec<_> = (0..count).map(|_| self.change_one()).collect();
         match self.random.below(10) {
-            0 => self.handle(Event::List {
-                kind: ListKind::Failed,
-                entries: Vec::new(),
+            0 => self.handle(Event::EndpointList {
+                update: EndpointUpdate::Failed,
+                endpoints: Vec::new(),
             }),
             1 | 2 => {
                 let entries = self.whole_list();
-                self.handle(Event::List {
-                    kind: ListKind::Full,
-                    entries,
+                self.handle(Event::EndpointList {
+                    update: EndpointUpdate::Full,
+                    endpoints: entries,
                 });
             }
             3 => {
                 let entries = self.whole_list();
-                self.handle(Event::List {
-                    kind: ListKind::Cached,
-                    entries,
+                self.handle(Event::EndpointList {
+                    update: EndpointUpdate::Cached,
+                    endpoints: entries,
                 });
             }
-            _ => self.handle(Event::List {
-                kind: ListKind::Changes,
-                entries: changed,
+            _ => self.handle(Event::EndpointList {
+                update: EndpointUpdate::Incremental,
+                endpoints: changed,
             }),
         }
         let after = self.random.between(50_000, 2_500_000);
@@ -455,22 +463,22 @@
     }
 
     /// One server drains, leaves, comes back or starts anew.
-    fn change_one(&mut self) -> ServerEntry {
+    fn change_one(&mut self) -> Endpoint {
         let place = self.random.below(self.servers.len() as u64) as usize;
         let draw = self.random.below(8);
         let now = Duration::from_micros(self.now_us);
         let server = &mut self.servers[place];
         let listed = match draw {
             0 => ServerState::Draining,
-            1 => ServerState::Gone,
+            1 => ServerState::Removed,
             _ => ServerState::Ready,
         };
         if draw > 4 {
-            server.entry.started = Some(now);
+            server.entry.started_at = Some(now);
             server.behaviour = Behaviour::Healthy;
         }
         server.entry.state = listed;
-        server.listed = listed != ServerState::Gone;
+        server.listed = listed != ServerState::Removed;
         server.entry
     }
 
@@ -479,13 +487,16 @@
         let id = RequestId(self.random.below(self.next_request + 2));
         let server = ServerId(self.random.below(60));
         match self.random.below(9) {
-            0 => self.handle(Event::Peer {
+            0 => self.handle(Event::PeerMessage {
                 from: 1,
                 data: vec![1, 2, 3],
             }),
             1 => self.handle(Event::Timer { token: id.0 }),
-            2 => self.handle(Event::Arrived { id, spent: false }),
-            3 => self.handle(Event::Started {
+            2 => self.handle(Event::BodyComplete {
+                id,
+                body_consumed: false,
+            }),
+            3 => self.handle(Event::ResponseStarted {
                 id,
                 attempt: 9,
                 server,
@@ -497,24 +508,24 @@
                 server,
                 outcome: Outcome::Reset,
                 elapsed: Duration::from_millis(5),
-                finished: false,
-                spent: false,
+                answered: false,
+                body_consumed: false,
                 report: Some(LoadReport::default()),
             })),
-            5 => self.handle(Event::Probed(ProbeEnd {
+            5 => self.handle(Event::HealthChecked(HealthCheckEnd {
                 server,
                 outcome: Outcome::ConnectFailed,
                 elapsed: Duration::from_millis(900),
                 report: None,
             })),
             6 => {
-                let unlisted = ServerEntry {
+                let unlisted = Endpoint {
                     id: ServerId(1_000_000),
-                    ..ServerEntry::default()
+                    ..Endpoint::default()
                 };
-                self.handle(Event::List {
-                    kind: ListKind::Changes,
-                    entries: vec![unlisted],
+                self.handle(Event::EndpointList {
+                    update: EndpointUpdate::Incremental,
+                    endpoints: vec![unlisted],
                 });
             }
             7 => {
--- a/crates/balancer/tests/cold_sums.rs
+++ b/crates/balancer/tests/cold_sums.rs
@@ -113,12 +113,12 @@
 impl Fleet {
     fn new(play: Play, seed: u64) -> Self {
         let class = Class {
-            aim: secs(0.4),
-            aim_stretch: 0.0,
+            latency_objective: secs(0.4),
+            objective_stretch: 0.0,
             deadline: secs(1.0),
-            worth: 1.0,
-            late_worth: 0.0,
-            repeat: Repeat::Safe,
+            priority_weight: 1.0,
+            late_weight: 0.0,
+            idempotency: Idempotency::Idempotent,
             streamed: false,
         };
         let mut settings = Settings {
@@ -126,22 +126,22 @@
             classes: vec![class],
             ..Settings::default()
         };
-        settings.rules = Rules {
-            cold_share: 0.35,
-            warm_after: secs(6.0),
+        settings.safety = SafetyRules {
+            slow_start_capacity: 0.35,
+            slow_start_window: secs(6.0),
             overload_factor: play.factor,
-            overload_time: secs(1.5),
+            overload_window: secs(1.5),
             drain_grace: secs(2.0),
-            ..settings.rules
+            ..settings.safety
         };
-        settings.reports = ReportSource::Answers;
-        settings.limits.cancel = true;
-        settings.limits.parallel_attempts = true;
+        settings.reports = ReportSource::Responses;
+        settings.limits.cancel_attempts = true;
+        settings.limits.hedging = true;
         settings.limits.max_attempts = 3;
         if play.probes {
-            settings.reports = ReportSource::Probes;
-            settings.limits.probes = true;
-            settings.prices.probe = 0.002;
+            settings.reports = ReportSource::HealthChecks;
+            settings.limits.health_checks = true;
+            settings.penalties.health_check = 0.002;
         }
         let mut fleet = Fleet {
             play,
@@ -211,16 +211,16 @@
     }
 
     fn list(&mut self, node: u32) {
-        let entries = (0..SERVERS).map(|id| ServerEntry {
+        let entries = (0..SERVERS).map(|id| Endpoint {
             id: ServerId(id),
             state: ServerState::Ready,
             weight: 1.0,
-            started: self.started.get(&id).copied(),
-            ..ServerEntry::default()
+            started_at: self.started.get(&id).copied(),
+            ..Endpoint::default()
         });
-        let event = Event::List {
-            kind: ListKind::Full,
-            entries: entries.collect(),
+        let event = Event::EndpointList {
+            update: EndpointUpdate::Full,
+            endpoints: entries.collect(),
         };
         self.tell(node, event);
     }
@@ -236,7 +236,7 @@
                 Action::SetTimer { after, token } => {
                     self.at(self.now + after, Due::Timer(node, life, token))
                 }
-                Action::Probe { server } => {
+                Action::HealthCheck { server } => {
                     // A deep probe is served like a call.
                     self.sent.entry(server.0).or_default().push(self.now);
                     self.at(self.now + secs(0.01), Due::Probed(node, life, server.0));
@@ -253,8 +253,11 @@
         // It works off one call after the other, slower while it is cold. What would come after its time is dropped, and
         // one call in twenty fails; both are sent again.
         let warm = self.started.get(&server).map_or(1.0, |at| {
-            let age = (self.now - *at).as_secs_f64() / self.settings.rules.warm_after.as_secs_f64();
-            (self.settings.rules.cold_share + (1.0 - self.settings.rules.cold_share) * age).min(1.0)
+            let age = (self.now - *at).as_secs_f64()
+                / self.settings.safety.slow_start_window.as_secs_f64();
+            (self.settings.safety.slow_start_capacity
+                + (1.0 - self.settings.safety.slow_start_capacity) * age)
+                .min(1.0)
         });
         let begins = self
             .busy
@@ -334,8 +337,8 @@
                             server: ServerId(server),
                             outcome: if ok { Outcome::Served } else { Outcome::Error },
                             elapsed: self.now - sent,
-                            finished: ok,
-                            spent: false,
+                            answered: ok,
+                            body_consumed: false,
                             report: ok.then_some(load),
                         };
                         self.tell(node, Event::AttemptEnded(end));
@@ -351,7 +354,7 @@
                     let (outcome, elapsed) = (Outcome::Served, secs(0.01));
                     self.tell(
                         node,
-                        Event::Probed(ProbeEnd {
+                        Event::HealthChecked(HealthCheckEnd {
                             server,
                             outcome,
                             elapsed,
@@ -385,26 +388,29 @@
     }
 
     fn count(&self) -> Counted {
-        let rules = self.settings.rules;
+        let rules = self.settings.safety;
         let (mut counted, mut ratios) = (Counted::default(), 0.0);
         for (server, starts) in &self.starts {
             let sent = self.sent.get(server).map_or(&[][..], Vec::as_slice);
             for start in starts {
                 let mut from = *start;
-                while from + rules.overload_time < *start + rules.warm_after {
-                    let to = from + rules.overload_time;
-                    let age = (from + rules.overload_time / 2 - *start).as_secs_f64();
-                    let warm = rules.cold_share
-                        + (1.0 - rules.cold_share) * age / rules.warm_after.as_secs_f64();
-                    let allowed =
-                        rules.overload_factor * warm * CAPACITY * rules.overload_time.as_secs_f64();
+                while from + rules.overload_window < *start + rules.slow_start_window {
+                    let to = from + rules.overload_window;
+                    let age = (from + rules.overload_window / 2 - *start).as_secs_f64();
+                    let warm = rules.slow_start_capacity
+                        + (1.0 - rules.slow_start_capacity) * age
+                            / rules.slow_start_window.as_secs_f64();
+                    let allowed = rules.overload_factor
+                        * warm
+                        * CAPACITY
+                        * rules.overload_window.as_secs_f64();
                     let calls = sent.iter().filter(|at| (from..to).contains(*at)).count() as f64;
                     let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
                     counted.windows += 1;
                     counted.breaks += usize::from(calls > bound);
                     counted.worst = counted.worst.max(calls / bound);
                     ratios += calls / allowed;
-                    from += rules.overload_time / 4;
+                    from += rules.overload_window / 4;
                 }
             }
         }
--- a/crates/balancer/tests/decisions.rs
+++ b/crates/balancer/tests/decisions.rs
@@ -19,12 +19,12 @@
 fn probed(actions: &[Action]) -> usize {
     actions
         .iter()
-        .filter(|a| matches!(a, Action::Probe { .. }))
+        .filter(|a| matches!(a, Action::HealthCheck { .. }))
         .count()
 }
 
 fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 fn failed(actions: &[Action]) -> bool {
@@ -51,7 +51,7 @@
 fn every_server_gets_one_before_any_gets_two() {
     for seed in 0..20 {
         let mut world = World::seeded(answering(), seed);
-        world.list(ListKind::Full, (0..5).map(entry).collect());
+        world.list(EndpointUpdate::Full, (0..5).map(entry).collect());
         let mut met: Vec<u64> = (0..5).flat_map(|_| sent_to(&world.request(0).1)).collect();
         met.sort();
         assert_eq!(met, [0, 1, 2, 3, 4]);
@@ -62,7 +62,7 @@
 fn ties_are_broken_at_random() {
     let first: BTreeMap<u64, u32> = (0..200).fold(BTreeMap::new(), |mut seen, seed| {
         let mut world = World::seeded(answering(), seed);
-        world.list(ListKind::Full, (0..4).map(entry).collect());
+        world.list(EndpointUpdate::Full, (0..4).map(entry).collect());
         *seen.entry(sent_to(&world.request(0).1)[0]).or_default() += 1;
         seen
     });
@@ -100,7 +100,7 @@
         .flat_map(|outcome| [(*outcome, None), (*outcome, Some(0.0))]);
     for ((outcome, report), seed) in cases.flat_map(|case| (0..20).map(move |seed| (case, seed))) {
         let mut world = World::seeded(answering(), seed);
-        world.list(ListKind::Full, (0..2).map(entry).collect());
+        world.list(EndpointUpdate::Full, (0..2).map(entry).collect());
         let (id, actions) = world.request(1);
         let first = sent_to(&actions);
         world.end(id, 0, outcome, report);
@@ -184,7 +184,7 @@
 #[test]
 fn own_traffic_pays_for_probes() {
     let mut settings = probing();
-    settings.prices.probe = 0.05; // a hundredth of the service buys one probe in five requests
+    settings.penalties.health_check = 0.05; // a hundredth of the service buys one probe in five requests
     let mut world = World::with_servers(settings, 8);
     let probes: usize = (0..100)
         .map(|_| {
@@ -301,7 +301,7 @@
         world
             .log
             .iter()
-            .any(|a| matches!(a, Action::Refuse { id: it, .. } if *it == id))
+            .any(|a| matches!(a, Action::Reject { id: it, .. } if *it == id))
     );
 }
 
@@ -310,7 +310,7 @@
     let mut world = World::new(answering());
     let (id, _) = world.request(1);
     world.pass(ms(50));
-    world.list(ListKind::Changes, vec![entry(1)]);
+    world.list(EndpointUpdate::Incremental, vec![entry(1)]);
     world.pass(ms(50));
     assert_eq!(world.server_of(id, 0), ServerId(1));
 }
@@ -325,27 +325,27 @@
     assert!(world.out().is_empty());
     assert!(world.tell(Event::Timer { token: id.0 }).is_empty());
     let server = ServerId(77);
-    let end = ProbeEnd {
+    let end = HealthCheckEnd {
         server,
         outcome: Outcome::Served,
         elapsed: ms(1),
         report: None,
     };
-    assert!(world.tell(Event::Probed(end)).is_empty());
+    assert!(world.tell(Event::HealthChecked(end)).is_empty());
     let ended = AttemptEnd {
         id,
         attempt: 0,
         server,
         outcome: Outcome::Served,
         elapsed: ms(1),
-        finished: true,
-        spent: false,
+        answered: true,
+        body_consumed: false,
         report: None,
     };
     assert!(world.tell(Event::AttemptEnded(ended)).is_empty());
     assert!(
         world
-            .tell(Event::Started {
+            .tell(Event::ResponseStarted {
                 id,
                 attempt: 0,
                 server,
@@ -465,13 +465,13 @@
 #[test]
 fn a_full_list_takes_away_what_it_omits_and_servers_may_return() {
     let mut world = World::with_servers(answering(), 3);
-    world.list(ListKind::Full, vec![entry(1)]);
+    world.list(EndpointUpdate::Full, vec![entry(1)]);
     assert!((0..10).all(|_| sent_to(&world.request(0).1).iter().all(|s| *s == 1)));
     world.list(
-        ListKind::Changes,
+        EndpointUpdate::Incremental,
         vec![
             entry(2),
-            ServerEntry {
+            Endpoint {
                 state: ServerState::Draining,
                 ..entry(1)
             },
@@ -484,12 +484,12 @@
 fn a_cold_server_gets_no_more_than_its_part() {
     // Ten warm servers carry 100 requests a second of three nodes, so a warm one has at least 10 a second.
     let mut settings = answering();
-    settings.rules = Rules {
-        cold_share: 0.2,
-        warm_after: ms(10_000),
+    settings.safety = SafetyRules {
+        slow_start_capacity: 0.2,
+        slow_start_window: ms(10_000),
         overload_factor: 4.0,
-        overload_time: ms(1500),
-        ..settings.rules
+        overload_window: ms(1500),
+        ..settings.safety
     };
     let mut world = World::with_servers(settings, 10);
     let mut cold = Vec::new();
@@ -497,9 +497,9 @@
         if step == 700 {
             let started = Some(world.now);
             world.list(
-                ListKind::Changes,
-                vec![ServerEntry {
-                    started,
+                EndpointUpdate::Incremental,
+                vec![Endpoint {
+                    started_at: started,
                     ..entry(10)
                 }],
             );
@@ -526,19 +526,19 @@
 #[test]
 fn all_servers_cold_at_once_still_serve() {
     let mut settings = answering();
-    settings.rules = Rules {
-        cold_share: 0.3,
-        warm_after: ms(10_000),
-        ..settings.rules
+    settings.safety = SafetyRules {
+        slow_start_capacity: 0.3,
+        slow_start_window: ms(10_000),
+        ..settings.safety
     };
     let mut world = World::with_servers(settings, 5);
     play(&mut world, 300, |_| Outcome::Served);
     let started = Some(world.now);
     world.list(
-        ListKind::Full,
+        EndpointUpdate::Full,
         (0..5)
-            .map(|n| ServerEntry {
-                started,
+            .map(|n| Endpoint {
+                started_at: started,
                 ..entry(n)
             })
             .collect(),
@@ -552,19 +552,19 @@
     let asks = |actions: &[Action]| {
         actions
             .iter()
-            .filter(|a| matches!(a, Action::Subscribe { on: true }))
+            .filter(|a| matches!(a, Action::WatchEndpoints { on: true }))
             .count()
     };
     let mut world = World::new(Settings {
-        list_on_request: true,
+        poll_endpoint_list: true,
         ..answering()
     });
-    world.list(ListKind::Cached, vec![entry(0)]);
+    world.list(EndpointUpdate::Cached, vec![entry(0)]);
     world.pass(ms(3000));
     assert_eq!(asks(&world.log), 1);
     for _ in 0..5 {
         let before = world.log.len();
-        world.list(ListKind::Failed, Vec::new());
+        world.list(EndpointUpdate::Failed, Vec::new());
         world.pass(ms(6000)); // within the 10 s after which a node counts as told
         assert!(asks(&world.log[before..]) >= 1);
         assert!(
@@ -572,7 +572,7 @@
             "calls jam the list's service"
         );
     }
-    world.list(ListKind::Full, vec![entry(0)]);
+    world.list(EndpointUpdate::Full, vec![entry(0)]);
     let before = world.log.len();
     world.pass(ms(60_000));
     assert_eq!(
@@ -587,12 +587,12 @@
     let mut settings = answering();
     settings.tenants = vec![
         Tenant {
-            allowance_per_s: 30.0,
+            quota_per_s: 30.0,
             share: 0.5
         };
         2
     ];
-    settings.over_share_worth = 0.1;
+    settings.over_quota_weight = 0.1;
     let mut world = World::with_servers(settings, 2);
     // Tenant 0 floods, tenant 1 keeps to its share; nothing crowded comes back in time.
     let mut refusals = [0, 0];
@@ -650,7 +650,7 @@
         let refused = world
             .log
             .iter()
-            .filter(|action| matches!(action, Action::Refuse { .. }))
+            .filter(|action| matches!(action, Action::Reject { .. }))
             .count();
         assert_eq!((refusals, refused), (0, 0), "a list of {servers}");
         assert!(
@@ -697,7 +697,7 @@
         })
     };
     let mut settings = answering();
-    settings.limits.parallel_attempts = false;
+    settings.limits.hedging = false;
     settings.limits.max_attempts = 2;
     let learned = |servers: u64, settings: &Settings| {
         let mut world = World::with_servers(settings.clone(), servers);
@@ -788,26 +788,26 @@
         ..probing()
     };
     let free_probes = Settings {
-        prices: Prices::default(),
+        penalties: Penalties::default(),
         ..probing()
     };
     let mut blind = probing();
-    blind.limits.probes = false;
+    blind.limits.health_checks = false;
     let silent = settings();
     let mut never_cold = answering();
-    never_cold.rules = Rules {
-        cold_share: 1.0,
-        warm_after: ms(0),
-        ..never_cold.rules
+    never_cold.safety = SafetyRules {
+        slow_start_capacity: 1.0,
+        slow_start_window: ms(0),
+        ..never_cold.safety
     };
     for settings in [one_node, free_probes, blind, silent, never_cold] {
         let mut world = World::new(settings);
         let started = Some(world.now);
         world.list(
-            ListKind::Full,
+            EndpointUpdate::Full,
             (0..4)
-                .map(|n| ServerEntry {
-                    started,
+                .map(|n| Endpoint {
+                    started_at: started,
                     ..entry(n)
                 })
                 .collect(),
@@ -925,7 +925,7 @@
 fn in_a_jam_the_worth_more_is_taken_first() {
     // The danger: a share of all alike is refused, and with it most of the worth.
     let mut settings = answering();
-    settings.classes[1].worth = 10.0;
+    settings.classes[1].priority_weight = 10.0;
     let mut world = World::with_servers(settings, 4);
     let mut sent = [0, 0];
     for step in 0..600 {
@@ -946,7 +946,7 @@
     for (class, further) in [(0, true), (1, false), (4, true)] {
         for parallel in [false, true] {
             let mut settings = answering();
-            settings.limits.parallel_attempts = parallel;
+            settings.limits.hedging = parallel;
             let mut world = World::with_servers(settings, 6);
             play(&mut world, 100, |_| Outcome::Served); // answers take 30 ms
             let (id, _) = world.request(class);
@@ -974,7 +974,7 @@
     }
     let mut first = 0;
     for number in 100..140 {
-        world.list(ListKind::Changes, vec![entry(number)]);
+        world.list(EndpointUpdate::Incremental, vec![entry(number)]);
         first += usize::from(serve(&mut world, 1.0) == number);
     }
     assert!(first < 20, "{first} of 40 new servers were joined at once");
@@ -1021,7 +1021,7 @@
 fn where_connections_have_a_price_a_node_keeps_to_a_few_servers_and_all_get_their_share() {
     // The danger: each node connects to each server, and most connects fail.
     let mut settings = answering();
-    (settings.nodes, settings.prices.connections) = (40, 0.1);
+    (settings.nodes, settings.penalties.connections) = (40, 0.1);
     let mut nodes_of = BTreeMap::new();
     for node in 0..40 {
         let mut world = World::seeded(
@@ -1031,7 +1031,7 @@
             },
             node.into(),
         );
-        world.list(ListKind::Full, (0..20).map(entry).collect());
+        world.list(EndpointUpdate::Full, (0..20).map(entry).collect());
         let met: std::collections::BTreeSet<u64> =
             (0..100).map(|_| serve(&mut world, 1.0)).collect();
         assert!((2..=5).contains(&met.len()), "{met:?}");
@@ -1189,7 +1189,7 @@
 /// Two servers in the same zone and cell, so that only the class decides where a repeat may go.
 fn alike(settings: Settings) -> World {
     let mut world = World::new(settings);
-    world.list(ListKind::Full, vec![entry(0), entry(3)]);
+    world.list(EndpointUpdate::Full, vec![entry(0), entry(3)]);
     world
 }
 
@@ -1199,7 +1199,7 @@
     let mut world = alike(answering());
     let (id, _) = world.request(1);
     retuned(&mut world, |settings| {
-        settings.classes[1].repeat = Repeat::Safe
+        settings.classes[1].idempotency = Idempotency::Idempotent
     });
     let actions = world.end(id, 0, Outcome::Reset, None);
     assert!(
@@ -1210,7 +1210,7 @@
     let mut world = alike(answering());
     let (id, _) = world.request(0);
     retuned(&mut world, |settings| {
-        settings.classes[0].repeat = Repeat::Unsafe
+        settings.classes[0].idempotency = Idempotency::NonIdempotent
     });
     let actions = world.end(id, 0, Outcome::Reset, None);
     assert_eq!(sent_to(&actions).len(), 1, "{actions:?}");
@@ -1224,21 +1224,21 @@
 
 #[test]
 fn where_nodes_agree_a_stricter_class_holds_for_open_requests_too() {
-    let stricter = |to: Repeat| {
+    let stricter = |to: Idempotency| {
         let mut world = alike(answering());
         let (id, _) = world.request(0);
         retuned(&mut world, |settings| {
-            settings.stricter_at_once = true;
-            settings.classes[0].repeat = to;
+            settings.tighten_open_requests = true;
+            settings.classes[0].idempotency = to;
         });
         let actions = world.end(id, 0, Outcome::Reset, None);
         sent_to(&actions).len()
     };
-    assert_eq!(stricter(Repeat::Safe), 1);
-    assert_eq!(stricter(Repeat::Unsafe), 0, "it may have run");
+    assert_eq!(stricter(Idempotency::Idempotent), 1);
+    assert_eq!(stricter(Idempotency::NonIdempotent), 0, "it may have run");
     // No box was told to drop its repeats.
     assert_eq!(
-        stricter(Repeat::Keyed {
+        stricter(Idempotency::Keyed {
             scope: Scope::All,
             window: ms(900)
         }),
@@ -1287,9 +1287,9 @@
     });
     let (_, before) = world.balancer.view();
     retuned(&mut world, |settings| {
-        settings.classes.push(class(Repeat::Safe));
+        settings.classes.push(class(Idempotency::Idempotent));
         settings.tenants.push(Tenant {
-            allowance_per_s: 10.0,
+            quota_per_s: 10.0,
             share: 1.0,
         });
     });
@@ -1316,9 +1316,9 @@
             node: Balancer::new(answering(), 1),
             now: ms(100_000),
         };
-        bodies.tell(Event::List {
-            kind: ListKind::Full,
-            entries: vec![entry(0), entry(3)],
+        bodies.tell(Event::EndpointList {
+            update: EndpointUpdate::Full,
+            endpoints: vec![entry(0), entry(3)],
         });
         bodies
     }
@@ -1335,7 +1335,7 @@
             id,
             class,
             remaining,
-            arriving,
+            body_pending: arriving,
             ..Default::default()
         }))
     }
@@ -1347,8 +1347,8 @@
             server: ServerId(server),
             outcome,
             elapsed: ms(1),
-            finished: false,
-            spent,
+            answered: false,
+            body_consumed: spent,
             report: None,
         }))
     }
@@ -1379,9 +1379,9 @@
         bodies.tell(Event::Timer { token: 1 }).is_empty(),
         "it is not late"
     );
-    let actions = bodies.tell(Event::Arrived {
+    let actions = bodies.tell(Event::BodyComplete {
         id: RequestId(1),
-        spent: true,
+        body_consumed: true,
     });
     assert_eq!(
         timers(&actions),
@@ -1396,9 +1396,9 @@
     );
     assert!(
         bodies
-            .tell(Event::Arrived {
+            .tell(Event::BodyComplete {
                 id: RequestId(1),
-                spent: true
+                body_consumed: true
             })
             .is_empty(),
         "once"
@@ -1408,9 +1408,9 @@
 #[test]
 fn a_request_that_is_still_coming_and_has_nowhere_to_go_is_refused_in_its_time() {
     let mut bodies = Bodies::new();
-    bodies.tell(Event::List {
-        kind: ListKind::Full,
-        entries: Vec::new(),
+    bodies.tell(Event::EndpointList {
+        update: EndpointUpdate::Full,
+        endpoints: Vec::new(),
     });
     assert!(
         sent_to(&bodies.request(1, 1, true)).is_empty(),
@@ -1444,9 +1444,9 @@
             if !arrived {
                 assert_eq!(sent_to(&actions).len(), 1, "{id}: {actions:?}");
             } else {
-                bodies.tell(Event::Arrived {
+                bodies.tell(Event::BodyComplete {
                     id: RequestId(id),
-                    spent: true,
+                    body_consumed: true,
                 });
             }
         }
@@ -1473,9 +1473,9 @@
         "{actions:?}"
     );
     let first = sent_to(&bodies.request(3, 1, true))[0];
-    bodies.tell(Event::Arrived {
+    bodies.tell(Event::BodyComplete {
         id: RequestId(3),
-        spent: true,
+        body_consumed: true,
     });
     let actions = bodies.end(3, first, Outcome::Reset, true);
     assert!(
@@ -1491,7 +1491,7 @@
     bodies.now += ms(399);
     let second = sent_to(&bodies.tell(Event::Timer { token: 1 }));
     assert_eq!(second.len(), 1, "a silent one is followed by a copy");
-    let started = Event::Started {
+    let started = Event::ResponseStarted {
         id: RequestId(1),
         attempt: 0,
         server: ServerId(first),
@@ -1500,7 +1500,7 @@
     let actions = bodies.tell(started.clone());
     assert_eq!(
         actions,
-        [Action::Cancel {
+        [Action::CancelAttempt {
             id: RequestId(1),
             attempt: 1
         }]
@@ -1517,8 +1517,8 @@
         server: ServerId(second[0]),
         outcome: Outcome::Cancelled,
         elapsed: ms(1),
-        finished: true,
-        spent: false,
+        answered: true,
+        body_consumed: false,
         report: None,
     };
     assert!(bodies.tell(Event::AttemptEnded(end.clone())).is_empty());
--- a/crates/balancer/tests/memory.rs
+++ b/crates/balancer/tests/memory.rs
@@ -21,9 +21,9 @@
         let now = ms(1000) + Duration::from_micros(number * 1500);
         if number % 10 == 0 {
             let servers = number / 10..number / 10 + 4;
-            let list = Event::List {
-                kind: ListKind::Full,
-                entries: servers.map(entry).collect(),
+            let list = Event::EndpointList {
+                update: EndpointUpdate::Full,
+                endpoints: servers.map(entry).collect(),
             };
             balancer.handle(now, list, &mut actions);
         }
@@ -34,9 +34,9 @@
             tenant: 0,
             key: number,
             remaining: ms(900),
-            cost: None,
+            expected_work: None,
             client_retry: false,
-            arriving: false,
+            body_pending: false,
         };
         balancer.handle(now, Event::Request(new), &mut actions);
         while let Some(action) = actions.pop() {
@@ -53,13 +53,13 @@
                         server,
                         outcome,
                         elapsed,
-                        finished: true,
-                        spent: false,
+                        answered: true,
+                        body_consumed: false,
                         report,
                     };
                     Event::AttemptEnded(end)
                 }
-                Action::Probe { server } => Event::Probed(ProbeEnd {
+                Action::HealthCheck { server } => Event::HealthChecked(HealthCheckEnd {
                     server,
                     outcome,
                     elapsed,
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -64,7 +64,7 @@
 
 fn play(settings: Settings, seed: u64, steps: &[Step]) -> Vec<Action> {
     let mut world = World::seeded(settings, seed);
-    world.list(ListKind::Cached, (0..4).map(entry).collect());
+    world.list(EndpointUpdate::Cached, (0..4).map(entry).collect());
     for step in steps {
         match step {
             Step::Request {
@@ -96,30 +96,30 @@
                 let now = world.now;
                 let lines = lines.iter().map(|(number, state, restarted)| {
                     let state = match state {
-                        0 => ServerState::Gone,
+                        0 => ServerState::Removed,
                         1 => ServerState::Draining,
                         _ => ServerState::Ready,
                     };
                     let started = restarted.then_some(now);
-                    ServerEntry {
+                    Endpoint {
                         state,
-                        started,
+                        started_at: started,
                         ..entry(*number)
                     }
                 });
                 let kind = if *full {
-                    ListKind::Full
+                    EndpointUpdate::Full
                 } else {
-                    ListKind::Changes
+                    EndpointUpdate::Incremental
                 };
                 let lines = lines
-                    .filter(|e| !full || e.state != ServerState::Gone)
+                    .filter(|e| !full || e.state != ServerState::Removed)
                     .collect();
                 world.list(kind, lines);
             }
-            Step::Fail => drop(world.tell(Event::List {
-                kind: ListKind::Failed,
-                entries: Vec::new(),
+            Step::Fail => drop(world.tell(Event::EndpointList {
+                update: EndpointUpdate::Failed,
+                endpoints: Vec::new(),
             })),
             Step::Pass { time } => world.pass(ms(*time)),
         }
@@ -150,27 +150,27 @@
     #[test]
     fn the_rules_hold_with_reports_from_probes(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
         let mut settings = probing();
-        settings.rules.cold_share = 0.2;
-        settings.rules.warm_after = ms(5000);
-        settings.rules.drain_grace = ms(0);
+        settings.safety.slow_start_capacity = 0.2;
+        settings.safety.slow_start_window = ms(5000);
+        settings.safety.drain_grace = ms(0);
         prop_assert_eq!(play(settings.clone(), seed, &steps), play(settings, seed, &steps));
     }
 
     #[test]
     fn the_rules_hold_with_reports_from_answers(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
         let mut settings = answering();
-        settings.limits.parallel_attempts = false;
-        settings.rules.drain_grace = ms(0);
-        settings.list_on_request = true;
+        settings.limits.hedging = false;
+        settings.safety.drain_grace = ms(0);
+        settings.poll_endpoint_list = true;
         play(settings, seed, &steps);
     }
 
     #[test]
     fn the_rules_hold_where_little_is_allowed(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
         let mut settings = settings();
-        settings.limits = Limits { max_attempts: 1, cancel: false, ..Settings::default().limits };
+        settings.limits = Limits { max_attempts: 1, cancel_attempts: false, ..Settings::default().limits };
         settings.nodes = 1;
-        settings.rules.drain_grace = ms(0);
+        settings.safety.drain_grace = ms(0);
         play(settings, seed, &steps);
     }
 }
@@ -181,21 +181,21 @@
     const COLD: ServerId = ServerId(9);
     let work = ms(20); // so a warm server's capacity is 50 requests a second
     let mut settings = answering();
-    settings.rules.cold_share = 0.05;
-    settings.rules.warm_after = ms(20_000);
-    settings.rules.overload_factor = 4.0;
-    settings.rules.overload_time = ms(1500);
+    settings.safety.slow_start_capacity = 0.05;
+    settings.safety.slow_start_window = ms(20_000);
+    settings.safety.overload_factor = 4.0;
+    settings.safety.overload_window = ms(1500);
     let mut world = World::seeded(settings, seed);
-    world.list(ListKind::Full, (0..3).map(entry).collect());
+    world.list(EndpointUpdate::Full, (0..3).map(entry).collect());
     let mut free_at = std::collections::BTreeMap::new();
     let (mut seen, mut cold, mut began) = (0, Vec::new(), None);
     for (step, (requests, pause)) in arrivals.iter().enumerate() {
         if step == arrivals.len() / 3 {
             began = Some(world.now);
             world.list(
-                ListKind::Changes,
-                vec![ServerEntry {
-                    started: began,
+                EndpointUpdate::Incremental,
+                vec![Endpoint {
+                    started_at: began,
                     ..entry(COLD.0)
                 }],
             );
@@ -250,10 +250,10 @@
     const NODES: u32 = 200;
     let mut settings = answering();
     settings.nodes = NODES;
-    settings.rules.cold_share = 0.12;
-    settings.rules.warm_after = ms(19_000);
-    settings.rules.overload_factor = 1.5;
-    settings.rules.overload_time = ms(1500);
+    settings.safety.slow_start_capacity = 0.12;
+    settings.safety.slow_start_window = ms(19_000);
+    settings.safety.overload_factor = 1.5;
+    settings.safety.overload_window = ms(1500);
     let nodes = 0..NODES;
     let mut worlds: Vec<_> = nodes
         .map(|node| {
@@ -264,7 +264,7 @@
                 },
                 seed.wrapping_add(node.into()),
             );
-            world.list(ListKind::Full, (0..10).map(entry).collect());
+            world.list(EndpointUpdate::Full, (0..10).map(entry).collect());
             world
         })
         .collect();
@@ -293,9 +293,9 @@
     for world in &mut worlds {
         let started = Some(world.now);
         world.list(
-            ListKind::Changes,
-            vec![ServerEntry {
-                started,
+            EndpointUpdate::Incremental,
+            vec![Endpoint {
+                started_at: started,
                 ..entry(10)
             }],
         );
@@ -303,11 +303,11 @@
     // Four seconds later most of the others drain.
     turn(&mut worlds, 200..280);
     for world in &mut worlds {
-        let drain = |n| ServerEntry {
+        let drain = |n| Endpoint {
             state: ServerState::Draining,
             ..entry(n)
         };
-        world.list(ListKind::Changes, (3..10).map(drain).collect());
+        world.list(EndpointUpdate::Incremental, (3..10).map(drain).collect());
     }
     let sent = turn(&mut worlds, 280..340);
     let capacity = 40.0 / 0.6; // the servers were in use for six tenths
--- a/crates/balancer/tests/troubles.rs
+++ b/crates/balancer/tests/troubles.rs
@@ -32,7 +32,7 @@
     }
     for action in &world.log[before..] {
         tally.sends += usize::from(matches!(action, Action::Send { .. }));
-        tally.subscribed += usize::from(matches!(action, Action::Subscribe { .. }));
+        tally.subscribed += usize::from(matches!(action, Action::WatchEndpoints { .. }));
     }
     // Two fifths of the requests, and what has been saved up: twice the burst of a fresh node.
     assert!(
@@ -91,10 +91,10 @@
 #[test]
 fn a_list_that_empties_stops_all_sends_until_it_names_a_server_again() {
     for mut world in worlds(4) {
-        world.list(ListKind::Full, vec![]);
+        world.list(EndpointUpdate::Full, vec![]);
         let tally = play(&mut world, 50, |_| Some(Outcome::Served));
         assert_eq!(tally.sends, 0);
-        world.list(ListKind::Full, (0..4).map(entry).collect());
+        world.list(EndpointUpdate::Full, (0..4).map(entry).collect());
         recovers(&mut world);
     }
 }
@@ -104,7 +104,7 @@
 #[test]
 fn a_list_that_never_comes_while_requests_flood_in_is_asked_for_again_within_half_a_second() {
     let mut world = World::new(Settings {
-        list_on_request: true,
+        poll_endpoint_list: true,
         ..probing()
     });
     let (mut failed, mut calls) = (None, 0);
@@ -112,10 +112,10 @@
     while world.now < end {
         let (before, at) = (world.log.len(), world.now);
         world.request(calls % 3);
-        world.pass(world.settings.tick);
+        world.pass(world.settings.timer_resolution);
         let asked = world.log[before..]
             .iter()
-            .any(|a| matches!(a, Action::Subscribe { on: true }));
+            .any(|a| matches!(a, Action::WatchEndpoints { on: true }));
         if let (Some(since), true) = (failed, asked) {
             let waited = world.now - since;
             assert!(
@@ -124,7 +124,7 @@
             );
         }
         if asked {
-            world.list(ListKind::Failed, vec![]);
+            world.list(EndpointUpdate::Failed, vec![]);
             (failed, calls) = (Some(at), calls + 1);
         }
         let late = failed.is_some_and(|since| world.now > since + ms(570));
@@ -138,7 +138,7 @@
     );
     // Far fewer calls than requests, and more than any wait that grows would leave.
     assert!((40..=100).contains(&calls), "{calls}");
-    world.list(ListKind::Full, (0..4).map(entry).collect());
+    world.list(EndpointUpdate::Full, (0..4).map(entry).collect());
     recovers(&mut world);
 }
 
@@ -177,12 +177,12 @@
             })
         });
         assert!(tally.served >= 170, "{tally:?}");
-        let cold = |number| ServerEntry {
-            started: Some(world.now),
+        let cold = |number| Endpoint {
+            started_at: Some(world.now),
             ..entry(number)
         };
         let successors = (6..9).map(cold).chain((3..6).map(entry)).collect();
-        world.list(ListKind::Full, successors);
+        world.list(EndpointUpdate::Full, successors);
         recovers(&mut world);
     }
 }
--- a/crates/balancer/tests/world/mod.rs
+++ b/crates/balancer/tests/world/mod.rs
@@ -11,9 +11,9 @@
 }
 
 /// A ready server of long standing. Servers are in zone and cell `number % 3`.
-pub fn entry(number: u64) -> ServerEntry {
+pub fn entry(number: u64) -> Endpoint {
     let (zone, cell) = ((number % 3) as u8, (number % 3) as u16);
-    ServerEntry {
+    Endpoint {
         id: ServerId(number),
         zone,
         cell,
@@ -23,27 +23,27 @@
     }
 }
 
-pub fn class(repeat: Repeat) -> Class {
+pub fn class(repeat: Idempotency) -> Class {
     Class {
-        aim: ms(400),
-        aim_stretch: 0.0,
+        latency_objective: ms(400),
+        objective_stretch: 0.0,
         deadline: ms(1000),
-        worth: 1.0,
-        late_worth: 0.0,
-        repeat,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        idempotency: repeat,
         streamed: false,
     }
 }
 
 /// Three nodes; class 0 safe, 1 unsafe, 2 keyed in a zone, 3 keyed in a cell, 4 keyed everywhere.
 pub fn settings() -> Settings {
-    let keyed = |scope| Repeat::Keyed {
+    let keyed = |scope| Idempotency::Keyed {
         scope,
         window: ms(300),
     };
     let repeats = [
-        Repeat::Safe,
-        Repeat::Unsafe,
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
         keyed(Scope::Zone),
         keyed(Scope::Cell),
         keyed(Scope::All),
@@ -53,22 +53,22 @@
         classes: repeats.map(class).to_vec(),
         ..Settings::default()
     };
-    settings.limits.cancel = true;
-    settings.limits.parallel_attempts = true;
+    settings.limits.cancel_attempts = true;
+    settings.limits.hedging = true;
     settings
 }
 
 pub fn probing() -> Settings {
     let mut settings = settings();
-    settings.reports = ReportSource::Probes;
-    settings.limits.probes = true;
-    settings.prices.probe = 0.002;
+    settings.reports = ReportSource::HealthChecks;
+    settings.limits.health_checks = true;
+    settings.penalties.health_check = 0.002;
     settings
 }
 
 pub fn answering() -> Settings {
     Settings {
-        reports: ReportSource::Answers,
+        reports: ReportSource::Responses,
         ..settings()
     }
 }
@@ -82,7 +82,7 @@
 
 struct Taken {
     /// What its class allowed when it came.
-    repeat: Repeat,
+    repeat: Idempotency,
     deadline: Duration,
     answered: bool,
     tries: Vec<Try>,
@@ -99,7 +99,7 @@
     timers: BTreeMap<(Duration, usize), u64>,
     timers_set: usize,
     /// What the node was last told of each server, and when it was told to stop.
-    told: BTreeMap<ServerId, (ServerEntry, Option<Duration>)>,
+    told: BTreeMap<ServerId, (Endpoint, Option<Duration>)>,
     probes: Vec<(ServerId, Duration)>,
     next_id: u64,
 }
@@ -127,7 +127,7 @@
     /// A world whose node has been told of servers 0, 1, 2 ...
     pub fn with_servers(settings: Settings, count: u64) -> Self {
         let mut world = World::new(settings);
-        world.list(ListKind::Full, (0..count).map(entry).collect());
+        world.list(EndpointUpdate::Full, (0..count).map(entry).collect());
         world
     }
 
@@ -140,9 +140,9 @@
         actions
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) -> Vec<Action> {
+    pub fn list(&mut self, kind: EndpointUpdate, entries: Vec<Endpoint>) -> Vec<Action> {
         let now = self.now;
-        if matches!(kind, ListKind::Full | ListKind::Cached) {
+        if matches!(kind, EndpointUpdate::Full | EndpointUpdate::Cached) {
             self.told
                 .values_mut()
                 .for_each(|(_, stop)| *stop = stop.or(Some(now)));
@@ -156,7 +156,10 @@
             let stop = (entry.state != ServerState::Ready).then_some(since);
             self.told.insert(entry.id, (*entry, stop));
         }
-        self.tell(Event::List { kind, entries })
+        self.tell(Event::EndpointList {
+            update: kind,
+            endpoints: entries,
+        })
     }
 
     pub fn request(&mut self, class: usize) -> (RequestId, Vec<Action>) {
@@ -180,9 +183,9 @@
                 tenant,
                 key: 0,
                 remaining,
-                cost,
+                expected_work: cost,
                 client_retry: false,
-                arriving: false,
+                body_pending: false,
             }),
         )
     }
@@ -191,7 +194,7 @@
     pub fn take(&mut self, new: NewRequest) -> Vec<Action> {
         let deadline = self.now + new.remaining;
         let taken = Taken {
-            repeat: self.settings.classes[new.class].repeat,
+            repeat: self.settings.classes[new.class].idempotency,
             deadline,
             answered: false,
             tries: Vec::new(),
@@ -226,8 +229,8 @@
             server,
             outcome,
             elapsed,
-            finished,
-            spent: false,
+            answered: finished,
+            body_consumed: false,
             report,
         }))
     }
@@ -244,7 +247,7 @@
             in_flight: Some(load),
             ..LoadReport::default()
         });
-        self.tell(Event::Probed(ProbeEnd {
+        self.tell(Event::HealthChecked(HealthCheckEnd {
             server,
             outcome,
             elapsed: self.now - sent,
@@ -270,7 +273,7 @@
     pub fn pass(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
-            self.now = (self.now + self.settings.tick).min(end);
+            self.now = (self.now + self.settings.timer_resolution).min(end);
             while let Some((&due, _)) = self
                 .timers
                 .first_key_value()
@@ -342,7 +345,7 @@
                 server,
                 timeout,
             } => self.check_send(*id, *server, *timeout),
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 let taken = self
                     .requests
                     .get_mut(id)
@@ -353,8 +356,8 @@
                     .iter()
                     .any(|t| !t.outcome.is_some_and(proves_no_run));
                 let allowed = match taken.repeat {
-                    Repeat::Safe
-                    | Repeat::Keyed {
+                    Idempotency::Idempotent
+                    | Idempotency::Keyed {
                         scope: Scope::All, ..
                     } => true,
                     _ => !ran,
@@ -370,9 +373,9 @@
                 assert!(!taken.answered, "rule 1: a second answer for {id:?}");
                 taken.answered = true;
             }
-            Action::Cancel { id, attempt } => {
+            Action::CancelAttempt { id, attempt } => {
                 assert!(
-                    self.settings.limits.cancel,
+                    self.settings.limits.cancel_attempts,
                     "cancels where that is not allowed"
                 );
                 let one =
@@ -385,14 +388,14 @@
                 self.timers_set += 1;
                 self.timers.insert((due, self.timers_set), *token);
             }
-            Action::Probe { server } => {
+            Action::HealthCheck { server } => {
                 assert!(
-                    self.settings.limits.probes,
+                    self.settings.limits.health_checks,
                     "probes where that is not allowed"
                 );
                 self.probes.push((*server, self.now));
             }
-            Action::Subscribe { .. } | Action::FetchList => {}
+            Action::WatchEndpoints { .. } | Action::FetchEndpoints => {}
             other => panic!("unexpected {other:?}"),
         }
     }
@@ -407,7 +410,7 @@
             .told
             .get(&to)
             .expect("sends to a server that was never listed");
-        let grace = self.settings.rules.drain_grace;
+        let grace = self.settings.safety.drain_grace;
         assert!(
             stop.is_none_or(|at| self.now <= at + grace),
             "rule 3: {to:?} drains or is gone"
@@ -418,10 +421,7 @@
             "too many attempts"
         );
         let parallel = taken.tries.iter().any(|t| t.outcome.is_none());
-        assert!(
-            !parallel || limits.parallel_attempts,
-            "two attempts at once"
-        );
+        assert!(!parallel || limits.hedging, "two attempts at once");
         let ran = taken
             .tries
             .iter()
@@ -429,9 +429,9 @@
         if let Some(first) = ran {
             let home = &self.told[&first.server].0;
             let allowed = match taken.repeat {
-                Repeat::Safe => true,
-                Repeat::Unsafe => false,
-                Repeat::Keyed { scope, window } => {
+                Idempotency::Idempotent => true,
+                Idempotency::NonIdempotent => false,
+                Idempotency::Keyed { scope, window } => {
                     let group = match scope {
                         Scope::All => true,
                         Scope::Zone => home.zone == entry.zone,
--- a/crates/discovery/src/entries.rs
+++ b/crates/discovery/src/entries.rs
@@ -2,8 +2,8 @@
 
 use serde::Deserialize;
 use serde_json::Value;
-use sillward_balancer::settings::{Site, millis};
-use sillward_balancer::{ServerEntry, ServerId, ServerState};
+use sillward_balancer::settings::{PlatformSettings, millis};
+use sillward_balancer::{Endpoint, ServerId, ServerState};
 use sillward_forwarding::Backend;
 use std::net::SocketAddr;
 
@@ -50,13 +50,13 @@
 ///
 /// # Errors
 /// The text is no such line, or names a zone that the settings don't know.
-pub fn read_entry(site: &Site, text: &[u8]) -> Result<Backend, String> {
+pub fn read_entry(site: &PlatformSettings, text: &[u8]) -> Result<Backend, String> {
     serde_json::from_slice(text)
         .map_err(|e| e.to_string())
         .and_then(|line| read(site, line))
 }
 
-pub fn read(site: &Site, line: Line) -> Result<Backend, String> {
+pub fn read(site: &PlatformSettings, line: Line) -> Result<Backend, String> {
     let place = |names: &[String], name: &str| names.iter().position(|known| known == name);
     let zone = if line.zone.is_empty() {
         Some(0)
@@ -65,20 +65,20 @@
     };
     let zone = zone.and_then(|zone| u8::try_from(zone).ok());
     // A new kind of machine serves like any other, but the zone decides where repeats may go.
-    let kind = place(&site.kind_names, &line.kind).and_then(|kind| u8::try_from(kind).ok());
+    let kind = place(&site.machine_type_names, &line.kind).and_then(|kind| u8::try_from(kind).ok());
     let state = match line.status {
         Status::InService => ServerState::Ready,
         Status::Terminating => ServerState::Draining,
-        Status::Terminated => ServerState::Gone,
+        Status::Terminated => ServerState::Removed,
     };
-    let entry = ServerEntry {
+    let entry = Endpoint {
         id: number(&line.name),
         zone: zone.ok_or_else(|| format!("{}: unknown zone {}", line.name, line.zone))?,
-        kind: kind.unwrap_or(u8::MAX),
+        machine_type: kind.unwrap_or(u8::MAX),
         cell: line.group,
         state,
         weight: line.weight,
-        started: (line.since_ms > 0.0).then(|| millis(line.since_ms)),
+        started_at: (line.since_ms > 0.0).then(|| millis(line.since_ms)),
     };
     Ok(Backend {
         entry,
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -19,7 +19,7 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use lines::{Item, LIST_LIMIT, Lines};
-use sillward_balancer::ListKind;
+use sillward_balancer::EndpointUpdate;
 use sillward_forwarding::{Backend, Live, Message, News, Order};
 use sillward_logging::{log, log_peer};
 use sillward_runtime::net::TcpStream;
@@ -102,7 +102,10 @@
     /// Keeps the list fresh, from `moved`'s address whenever that changes.
     pub async fn run(mut self, orders: mpsc::Receiver<Order>, moved: watch::Receiver<SocketAddr>) {
         if let Some(known) = self.known.take() {
-            let some = match self.take(known.as_bytes(), Some(ListKind::Cached)).await {
+            let some = match self
+                .take(known.as_bytes(), Some(EndpointUpdate::Cached))
+                .await
+            {
                 Ok(some) => some,
                 Err(Unusable::Malformed(what) | Unusable::Older(what)) => {
                     log(format_args!(
@@ -126,7 +129,7 @@
     }
 
     fn is_asked(&self) -> bool {
-        self.live.get().settings.list_on_request
+        self.live.get().settings.poll_endpoint_list
     }
 
     /// Lists are pushed: watches for good. A broken watch is no news, the list stays as it is.
@@ -213,7 +216,7 @@
                             "the list of {} did not come: {broken}",
                             self.address
                         ));
-                        self.tell(ListKind::Failed, Vec::new()).await;
+                        self.tell(EndpointUpdate::Failed, Vec::new()).await;
                     }
                     break;
                 },
@@ -228,7 +231,7 @@
                         self.address
                     ));
                     watching = false;
-                    self.tell(ListKind::Failed, Vec::new()).await;
+                    self.tell(EndpointUpdate::Failed, Vec::new()).await;
                 }
             }
         }
@@ -254,7 +257,10 @@
         )
         .await;
         let body = body.map_err(|_| "silent")?.map_err(|e| e.to_string())?;
-        match self.take(&body.to_bytes(), Some(ListKind::Full)).await {
+        match self
+            .take(&body.to_bytes(), Some(EndpointUpdate::Full))
+            .await
+        {
             Ok(_) => Ok(()),
             Err(Unusable::Malformed(what) | Unusable::Older(what)) => Err(what),
         }
@@ -366,17 +372,17 @@
 
     /// Takes in a list, and says how many entries of it could be read: what is malformed is dropped, an entry of it alone
     /// where the rest can be read.
-    async fn take(&mut self, text: &[u8], kind: Option<ListKind>) -> Result<usize, Unusable> {
+    async fn take(&mut self, text: &[u8], kind: Option<EndpointUpdate>) -> Result<usize, Unusable> {
         let list: List =
             serde_json::from_slice(text).map_err(|e| Unusable::Malformed(e.to_string()))?;
         let (mut backends, site) = (Vec::new(), self.live.get());
         let listed = if list.snapshot {
-            ListKind::Full
+            EndpointUpdate::Full
         } else {
-            ListKind::Changes
+            EndpointUpdate::Incremental
         };
         let kind = kind.unwrap_or(listed);
-        if kind != ListKind::Cached && list.index < self.held {
+        if kind != EndpointUpdate::Cached && list.index < self.held {
             self.older += 1;
             if self.older < OLDER_IN_A_ROW {
                 let what = format!("a list of version {}, older than {}", list.index, self.held);
@@ -405,15 +411,15 @@
         self.tell(kind, backends).await;
         // Only now: a watch that is dropped before has not told the node, and must be told again.
         self.index = list.index;
-        if kind != ListKind::Cached {
+        if kind != EndpointUpdate::Cached {
             (self.held, self.older) = (list.index, 0);
         }
         self.ready
-            .set(self.ready.get() || kind != ListKind::Cached || self.is_asked());
+            .set(self.ready.get() || kind != EndpointUpdate::Cached || self.is_asked());
         Ok(read)
     }
 
-    async fn tell(&self, kind: ListKind, backends: Vec<Backend>) {
+    async fn tell(&self, kind: EndpointUpdate, backends: Vec<Backend>) {
         let _ = self
             .messages
             .send(Message::List(News { kind, backends }))
--- a/crates/endpoint-updates/src/lib.rs
+++ b/crates/endpoint-updates/src/lib.rs
@@ -1,7 +1,7 @@
 //! Carries what sources tell to the membership module, and what that comes to on to the node. Decides nothing.
 #![forbid(unsafe_code)]
 
-use sillward_balancer::{ListKind, ServerId};
+use sillward_balancer::{EndpointUpdate, ServerId};
 use sillward_endpoints::{Line, Membership};
 use sillward_forwarding::{Backend, Message, News};
 use sillward_runtime::Clock;
@@ -91,7 +91,7 @@
             };
             let backends = changed.into_iter().map(backend).collect();
             let news = News {
-                kind: ListKind::Changes,
+                kind: EndpointUpdate::Incremental,
                 backends,
             };
             if self.node.send(Message::List(news)).await.is_err() {
@@ -102,14 +102,14 @@
 
     async fn roster(&self, news: News) -> Vec<Line> {
         let now = self.clock.now();
-        if news.kind == ListKind::Failed {
+        if news.kind == EndpointUpdate::Failed {
             self.membership.borrow_mut().silent(ROSTER);
             let _ = self.node.send(Message::List(news)).await; // or the node has ended
             return Vec::new();
         }
         let lines = lines(&news.backends);
         let mut membership = self.membership.borrow_mut();
-        if news.kind == ListKind::Changes {
+        if news.kind == EndpointUpdate::Incremental {
             return membership.tell(ROSTER, now, &lines);
         }
         membership.begin(ROSTER, now);
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -11,7 +11,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-use sillward_balancer::{ServerEntry, ServerId, ServerState};
+use sillward_balancer::{Endpoint, ServerId, ServerState};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
     /// Who it is, and its state.
-    pub entry: ServerEntry,
+    pub entry: Endpoint,
     /// Where it listens.
     pub address: SocketAddr,
 }
@@ -151,7 +151,7 @@
             return Vec::new();
         };
         let mut line = said.line;
-        line.entry.state = ServerState::Gone;
+        line.entry.state = ServerState::Removed;
         self.say(source, now, &line);
         self.merge(id).into_iter().collect()
     }
@@ -161,7 +161,7 @@
     pub fn end(&mut self, source: usize, now: Duration) -> Vec<Line> {
         let told = &mut self.sources[source];
         (told.standing, told.heard) = (Standing::Current, Some(now));
-        let live = |said: &&Said| said.line.entry.state != ServerState::Gone;
+        let live = |said: &&Said| said.line.entry.state != ServerState::Removed;
         let listed = told.said.values().filter(live).count();
         let missing: Vec<ServerId> = told
             .said
@@ -217,7 +217,7 @@
             let live = told
                 .said
                 .values()
-                .filter(|said| said.line.entry.state != ServerState::Gone)
+                .filter(|said| said.line.entry.state != ServerState::Removed)
                 .count();
             let Some(guard) = told.guard else { continue };
             if told.held == 0 || told.standing != Standing::Current || told.held >= live {
@@ -252,9 +252,9 @@
         let others = self
             .sources
             .iter()
-            .filter_map(|source| source.said.get(&id)?.line.entry.started);
+            .filter_map(|source| source.said.get(&id)?.line.entry.started_at);
         // Without a start time of its own, it is about the newest run that anybody knows of.
-        let run = line.entry.started.or(others.max());
+        let run = line.entry.started_at.or(others.max());
         let told = &mut self.sources[source];
         let said = Said {
             line: *line,
@@ -267,7 +267,7 @@
             Some(old) => {
                 let (before, after) = (old.line.entry, line.entry);
                 // The same word about the same run was said before, and counts from then.
-                let same = before.state == after.state && before.started == after.started;
+                let same = before.state == after.state && before.started_at == after.started_at;
                 let (since, run) = if same {
                     (old.since, old.run)
                 } else {
@@ -276,7 +276,7 @@
                 *old = Said { since, run, ..said };
             }
             // Gone from a source that never listed it: no word of its.
-            None if line.entry.state == ServerState::Gone => {}
+            None if line.entry.state == ServerState::Removed => {}
             None => drop(told.said.insert(id, said)),
         }
     }
@@ -288,7 +288,10 @@
             .iter()
             .filter_map(|source| source.said.get(&id))
             .collect();
-        let newest = said.iter().filter_map(|said| said.line.entry.started).max();
+        let newest = said
+            .iter()
+            .filter_map(|said| said.line.entry.started_at)
+            .max();
         let strictest = |said: &&&Said| {
             // What was said of an earlier run is void.
             let counts = said.run >= newest;
@@ -296,20 +299,20 @@
                 ServerState::Ready => 0,
                 _ if !counts => 0,
                 ServerState::Draining => 1,
-                ServerState::Gone => 2,
+                ServerState::Removed => 2,
             }
         };
         let state = match said.iter().map(|said| strictest(&said)).max() {
             None => return None,
             Some(0) => ServerState::Ready,
             Some(1) => ServerState::Draining,
-            Some(_) => ServerState::Gone,
+            Some(_) => ServerState::Removed,
         };
-        let live = |said: &&&Said| said.line.entry.state != ServerState::Gone;
+        let live = |said: &&&Said| said.line.entry.state != ServerState::Removed;
         let in_run = |said: &&&Said| {
             said.line
                 .entry
-                .started
+                .started_at
                 .is_none_or(|started| Some(started) == newest)
         };
         let first = said
@@ -318,7 +321,7 @@
             .or_else(|| said.iter().find(live))
             .or_else(|| said.first())?;
         let mut line = first.line;
-        (line.entry.state, line.entry.started) = (state, newest);
+        (line.entry.state, line.entry.started_at) = (state, newest);
         if !said.iter().any(|said| live(&said)) {
             // Nobody lists it any more, so nobody's word need be kept.
             for source in &mut self.sources {
@@ -327,12 +330,12 @@
             return self
                 .merged
                 .remove(&id)
-                .filter(|old| old.entry.state != ServerState::Gone)
+                .filter(|old| old.entry.state != ServerState::Removed)
                 .map(|_| line);
         }
         let old = self.merged.insert(id, line);
         // One that comes in as gone was never there.
-        let news = old != Some(line) && !(old.is_none() && state == ServerState::Gone);
+        let news = old != Some(line) && !(old.is_none() && state == ServerState::Removed);
         news.then_some(line)
     }
 
@@ -340,7 +343,7 @@
     pub fn lines(&self) -> impl Iterator<Item = &Line> {
         self.merged
             .values()
-            .filter(|line| line.entry.state != ServerState::Gone)
+            .filter(|line| line.entry.state != ServerState::Removed)
     }
 
     /// How the sources stand, in their order.
@@ -352,7 +355,7 @@
             lines: source
                 .said
                 .values()
-                .filter(|said| said.line.entry.state != ServerState::Gone)
+                .filter(|said| said.line.entry.state != ServerState::Removed)
                 .count(),
             held: source.held,
         };
--- a/crates/endpoints/tests/merging.rs
+++ b/crates/endpoints/tests/merging.rs
@@ -1,7 +1,7 @@
 //! What sources say and what it comes to: pairs of words, random histories against a plain model, and the guard.
 
 use proptest::prelude::*;
-use sillward_balancer::{ServerEntry, ServerId, ServerState};
+use sillward_balancer::{Endpoint, ServerId, ServerState};
 use sillward_endpoints::{Guard, Line, Membership, Standing};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,11 +14,11 @@
 }
 
 fn line(id: u64, state: ServerState, started: Option<u64>, port: u16) -> Line {
-    let entry = ServerEntry {
+    let entry = Endpoint {
         id: ServerId(id),
         state,
-        started: started.map(at),
-        ..ServerEntry::default()
+        started_at: started.map(at),
+        ..Endpoint::default()
     };
     Line {
         entry,
@@ -37,13 +37,13 @@
         .map(|line| line.entry.state)
 }
 
-use ServerState::{Draining, Gone, Ready};
+use ServerState::{Draining, Ready, Removed};
 
 /// Every pair of words, in both orders, with the same run, an older and a newer one, and with no start time at one of
 /// them. `None`: the source never lists it.
 #[test]
 fn every_pair_of_words() {
-    let words = [None, Some(Ready), Some(Draining), Some(Gone)];
+    let words = [None, Some(Ready), Some(Draining), Some(Removed)];
     let runs = [
         (Some(5), Some(5)),
         (Some(5), Some(9)),
@@ -83,7 +83,7 @@
                 let known = [run_a.or(second.and(run_b)), run_b.or(first.and(run_a))];
                 let counts = |i: usize| said[i].0.filter(|s| *s == Ready || known[i] >= newest);
                 let strict = [counts(0), counts(1)];
-                let expected = if !live || strict.contains(&Some(Gone)) {
+                let expected = if !live || strict.contains(&Some(Removed)) {
                     None
                 } else if strict.contains(&Some(Draining)) {
                     Some(Draining)
@@ -305,11 +305,11 @@
         };
         let run = started.or(of(&self.0));
         match self.0.get(&(id, source)) {
-            None if state == Gone => return,
+            None if state == Removed => return,
             Some(old) if old.0 == state && old.1 == started => {}
             _ => drop(self.0.insert((id, source), (state, started, run))),
         }
-        if (0..3).all(|s| self.0.get(&(id, s)).is_none_or(|word| word.0 == Gone)) {
+        if (0..3).all(|s| self.0.get(&(id, s)).is_none_or(|word| word.0 == Removed)) {
             self.0.retain(|(of, _), _| *of != id);
         }
     }
@@ -318,7 +318,7 @@
         let words: Vec<&Word> = (0..3).filter_map(|s| self.0.get(&(id, s))).collect();
         let newest = words.iter().filter_map(|word| word.1).max();
         let strict = |state| words.iter().any(|word| word.0 == state && word.2 >= newest);
-        if words.is_empty() || strict(Gone) {
+        if words.is_empty() || strict(Removed) {
             None
         } else if strict(Draining) {
             Some(Draining)
@@ -342,13 +342,13 @@
             let now = at(i as u64);
             let changed = match telling {
                 Telling::Line { source, id, state, started } => {
-                    let state = [Ready, Draining, Gone][state as usize];
+                    let state = [Ready, Draining, Removed][state as usize];
                     model.say(source, id, state, started);
                     membership.tell(source, now, &[line(id, state, started, 80)])
                 }
                 Telling::Remove { source, id } => {
                     if let Some((_, started, _)) = model.0.get(&(id, source)).copied() {
-                        model.say(source, id, Gone, started);
+                        model.say(source, id, Removed, started);
                     }
                     membership.remove(source, now, ServerId(id))
                 }
@@ -356,12 +356,12 @@
                     for id in &ids {
                         model.say(source, *id, Ready, None);
                     }
-                    let live = |model: &Model, id| model.0.get(&(id, source)).is_some_and(|word| word.0 != Gone);
+                    let live = |model: &Model, id| model.0.get(&(id, source)).is_some_and(|word| word.0 != Removed);
                     let missing: Vec<u64> = (0..4).filter(|id| live(&model, *id) && !ids.contains(id)).collect();
                     if !ids.is_empty() {
                         for id in missing {
                             let started = model.0[&(id, source)].1;
-                            model.say(source, id, Gone, started);
+                            model.say(source, id, Removed, started);
                         }
                     }
                     let lines: Vec<Line> = ids.iter().map(|id| line(*id, Ready, None, 80)).collect();
@@ -374,7 +374,7 @@
             };
             for line in changed {
                 match line.entry.state {
-                    Gone => drop(told.remove(&line.entry.id.0)),
+                    Removed => drop(told.remove(&line.entry.id.0)),
                     state => drop(told.insert(line.entry.id.0, state)),
                 }
             }
--- a/crates/forwarding/src/attempt.rs
+++ b/crates/forwarding/src/attempt.rs
@@ -1,7 +1,7 @@
 //! Attempts and probes, and what a backend protocol is to the node.
 
 use crate::{Call, Content, News, Rest};
-use sillward_balancer::settings::Site;
+use sillward_balancer::settings::PlatformSettings;
 use sillward_balancer::{LoadReport, Outcome, RequestId, ServerId};
 use std::cell::Cell;
 use std::pin::Pin;
@@ -21,7 +21,7 @@
     /// Takes in news of the list: addresses, and when a backend was told to drain or to be gone.
     fn listed(&self, news: &News, now: Duration);
     /// Takes in new settings.
-    fn retuned(&self, site: &Site);
+    fn retuned(&self, site: &PlatformSettings);
     /// Closes idle connections to a backend.
     fn close_idle(&self, server: ServerId);
 }
--- a/crates/forwarding/src/dispatch.rs
+++ b/crates/forwarding/src/dispatch.rs
@@ -1,8 +1,8 @@
 //! Several backend protocols side by side: each backend speaks the one of its machine kind.
 
 use crate::{Attempt, Backend, Backends, Ended, News, Stop, Task};
-use sillward_balancer::settings::Site;
-use sillward_balancer::{ListKind, LoadReport, Outcome, ServerId, ServerState};
+use sillward_balancer::settings::PlatformSettings;
+use sillward_balancer::{EndpointUpdate, LoadReport, Outcome, ServerId, ServerState};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -56,23 +56,23 @@
     fn listed(&self, news: &News, now: Duration) {
         let mut parts: Vec<Vec<Backend>> = vec![Vec::new(); self.protocols.len()];
         let mut servers = self.servers.borrow_mut();
-        if matches!(news.kind, ListKind::Full | ListKind::Cached) {
+        if matches!(news.kind, EndpointUpdate::Full | EndpointUpdate::Cached) {
             servers.clear();
         }
         for backend in &news.backends {
             let place = self
                 .by_kind
-                .get(&backend.entry.kind)
+                .get(&backend.entry.machine_type)
                 .copied()
                 .unwrap_or_default();
             let before = servers.insert(backend.entry.id, place);
             // What the other protocol still holds of it leads nowhere from now on.
             if let Some(before) = before.filter(|before| *before != place) {
                 let mut gone = backend.clone();
-                gone.entry.state = ServerState::Gone;
+                gone.entry.state = ServerState::Removed;
                 parts[before].push(gone);
             }
-            if backend.entry.state == ServerState::Gone {
+            if backend.entry.state == ServerState::Removed {
                 servers.remove(&backend.entry.id);
             }
             parts[place].push(backend.clone());
@@ -89,7 +89,7 @@
         }
     }
 
-    fn retuned(&self, site: &Site) {
+    fn retuned(&self, site: &PlatformSettings) {
         self.protocols
             .iter()
             .for_each(|protocol| protocol.retuned(site));
@@ -103,10 +103,10 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use sillward_balancer::ServerEntry;
+    use sillward_balancer::Endpoint;
 
     /// A list, as numbers and states.
-    type Listed = (ListKind, Vec<(u64, ServerState)>);
+    type Listed = (EndpointUpdate, Vec<(u64, ServerState)>);
 
     /// Writes down what it is told.
     #[derive(Default)]
@@ -127,26 +127,26 @@
                 .collect();
             self.0.borrow_mut().push((news.kind, backends));
         }
-        fn retuned(&self, _: &Site) {}
+        fn retuned(&self, _: &PlatformSettings) {}
         fn close_idle(&self, server: ServerId) {
             self.0
                 .borrow_mut()
-                .push((ListKind::Failed, vec![(server.0, ServerState::Ready)]));
+                .push((EndpointUpdate::Failed, vec![(server.0, ServerState::Ready)]));
         }
     }
 
     #[test]
     fn each_protocol_learns_of_its_own_backends_and_of_those_that_change_to_another() {
-        use ServerState::{Draining, Gone, Ready};
+        use ServerState::{Draining, Ready, Removed};
         let (http, thrift) = (Rc::new(Told::default()), Rc::new(Told::default()));
         let dispatch = Dispatch::new(http.clone(), vec![(3, thrift.clone())]);
         let tell = |kind, lines: &[(u64, u8, ServerState)]| {
             let backends = lines.iter().map(|(id, kind, state)| Backend {
-                entry: ServerEntry {
+                entry: Endpoint {
                     id: ServerId(*id),
-                    kind: *kind,
+                    machine_type: *kind,
                     state: *state,
-                    ..ServerEntry::default()
+                    ..Endpoint::default()
                 },
                 address: ([127, 0, 0, 1], 1).into(),
             });
@@ -161,14 +161,23 @@
         };
         // A full list is one for each: what is not in it is gone there too.
         let (h, t) = tell(
-            ListKind::Full,
+            EndpointUpdate::Full,
             &[(1, 0, Ready), (2, 3, Ready), (4, u8::MAX, Ready)],
         );
-        assert_eq!(h, [(ListKind::Full, vec![(1, Ready), (4, Ready)])]);
-        assert_eq!(t, [(ListKind::Full, vec![(2, Ready)])]);
-        let (h, t) = tell(ListKind::Changes, &[(1, 3, Draining), (2, 3, Gone)]);
-        assert_eq!(h, [(ListKind::Changes, vec![(1, Gone)])]);
-        assert_eq!(t, [(ListKind::Changes, vec![(1, Draining), (2, Gone)])]);
+        assert_eq!(h, [(EndpointUpdate::Full, vec![(1, Ready), (4, Ready)])]);
+        assert_eq!(t, [(EndpointUpdate::Full, vec![(2, Ready)])]);
+        let (h, t) = tell(
+            EndpointUpdate::Incremental,
+            &[(1, 3, Draining), (2, 3, Removed)],
+        );
+        assert_eq!(h, [(EndpointUpdate::Incremental, vec![(1, Removed)])]);
+        assert_eq!(
+            t,
+            [(
+                EndpointUpdate::Incremental,
+                vec![(1, Draining), (2, Removed)]
+            )]
+        );
         dispatch.close_idle(ServerId(1));
         dispatch.close_idle(ServerId(4));
         assert_eq!((http.0.take()[0].1[0].0, thrift.0.take()[0].1[0].0), (4, 1));
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -56,7 +56,10 @@
     /// News of the list of backends.
     List(News),
     /// The settings have changed; the generation, where a [`Lapse`] says whether they may be acted on.
-    Settings(std::rc::Rc<sillward_balancer::settings::Site>, u64),
+    Settings(
+        std::rc::Rc<sillward_balancer::settings::PlatformSettings>,
+        u64,
+    ),
     /// Somebody asks how many backends are listed, and how many of them are avoided.
     View(tokio::sync::oneshot::Sender<sillward_metrics::View>),
 }
--- a/crates/forwarding/src/live.rs
+++ b/crates/forwarding/src/live.rs
@@ -1,26 +1,26 @@
 //! The settings that hold now, for all who read requests and lists by them.
 
-use sillward_balancer::settings::Site;
+use sillward_balancer::settings::PlatformSettings;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
 
 /// The settings as they are now. What reads a request keeps what it got, so that one request meets one set of terms.
-pub struct Live(RefCell<Rc<Site>>);
+pub struct Live(RefCell<Rc<PlatformSettings>>);
 
 impl Live {
     /// Those of the start.
-    pub fn new(site: Site) -> Rc<Self> {
+    pub fn new(site: PlatformSettings) -> Rc<Self> {
         Rc::new(Live(RefCell::new(Rc::new(site))))
     }
 
     /// Those of now.
-    pub fn get(&self) -> Rc<Site> {
+    pub fn get(&self) -> Rc<PlatformSettings> {
         self.0.borrow().clone()
     }
 
     /// Others from now on. Whoever calls has told the node before: a request of a new class is behind that news.
-    pub fn set(&self, site: Rc<Site>) {
+    pub fn set(&self, site: Rc<PlatformSettings>) {
         self.0.replace(site);
     }
 }
@@ -32,7 +32,7 @@
     /// Settings of another generation are acted on no more.
     generation: Cell<u64>,
     until: Cell<Duration>,
-    careful: RefCell<Option<Rc<Site>>>,
+    careful: RefCell<Option<Rc<PlatformSettings>>>,
 }
 
 impl Lapse {
@@ -48,7 +48,7 @@
     }
 
     /// What is acted on when nothing else may be.
-    pub fn careful(&self, site: Rc<Site>) {
+    pub fn careful(&self, site: Rc<PlatformSettings>) {
         self.careful.replace(Some(site));
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// See [`Lapse::careful`].
-    pub fn instead(&self) -> Option<Rc<Site>> {
+    pub fn instead(&self) -> Option<Rc<PlatformSettings>> {
         self.careful.borrow().clone()
     }
 }
--- a/crates/forwarding/src/news.rs
+++ b/crates/forwarding/src/news.rs
@@ -1,18 +1,18 @@
 //! What the node is told of the list of backends, and what it asks of whoever keeps that list.
 
-use sillward_balancer::{ListKind, ServerEntry};
+use sillward_balancer::{Endpoint, EndpointUpdate};
 use std::net::SocketAddr;
 
 /// A line of the list, and where that backend listens.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    pub entry: ServerEntry,
+    pub entry: Endpoint,
     pub address: SocketAddr,
 }
 
 /// News of the list.
 pub struct News {
-    pub kind: ListKind,
+    pub kind: EndpointUpdate,
     pub backends: Vec<Backend>,
 }
 
--- a/crates/forwarding/src/node.rs
+++ b/crates/forwarding/src/node.rs
@@ -5,7 +5,7 @@
     Answer, Attempt, Backends, Call, Ended, Message, Order, ProbeEnded, Started, Stop, Taken,
 };
 use crate::{Lapse, Witness};
-use sillward_balancer::settings::Site;
+use sillward_balancer::settings::PlatformSettings;
 use sillward_balancer::*;
 use sillward_logging::{log, log_peer};
 use sillward_metrics::{Counters, End, InProgress, View};
@@ -129,7 +129,7 @@
             backends,
             messages,
             discovery,
-            tick: settings.tick,
+            tick: settings.timer_resolution,
             max_attempts: most_attempts(&settings),
             balancer: Balancer::new(settings, seed),
             held: BTreeMap::new(),
@@ -197,8 +197,11 @@
         }
     }
 
-    fn tune(&mut self, site: &Site) {
-        (self.tick, self.max_attempts) = (site.settings.tick, most_attempts(&site.settings));
+    fn tune(&mut self, site: &PlatformSettings) {
+        (self.tick, self.max_attempts) = (
+            site.settings.timer_resolution,
+            most_attempts(&site.settings),
+        );
         self.backends.retuned(site);
         self.decide(Event::Settings(Box::new(site.settings.clone())));
     }
@@ -253,7 +256,7 @@
                 report,
             }) => {
                 let elapsed = self.clock.now().saturating_sub(sent);
-                self.decide(Event::Probed(ProbeEnd {
+                self.decide(Event::HealthChecked(HealthCheckEnd {
                     server,
                     outcome,
                     elapsed,
@@ -267,9 +270,9 @@
                     .into_iter()
                     .map(|backend| backend.entry)
                     .collect();
-                self.decide(Event::List {
-                    kind: news.kind,
-                    entries,
+                self.decide(Event::EndpointList {
+                    update: news.kind,
+                    endpoints: entries,
                 });
             }
             Message::Settings(site, generation) => {
@@ -299,8 +302,8 @@
             reply,
         } = *taken;
         let (id, deadline) = (new.id, call.deadline.get());
-        new.arriving = call.coming.is_some();
-        if !new.arriving {
+        new.body_pending = call.coming.is_some();
+        if !new.body_pending {
             let waited = self.clock.now().saturating_sub(at);
             new.remaining = new.remaining.saturating_sub(waited);
         }
@@ -338,7 +341,10 @@
         held.arrived = Some(at);
         held.call.deadline.set(deadline);
         self.set(deadline.saturating_sub(self.tick), Due::Deadline(id));
-        self.decide(Event::Arrived { id, spent });
+        self.decide(Event::BodyComplete {
+            id,
+            body_consumed: spent,
+        });
         self.forget(id);
     }
 
@@ -364,7 +370,7 @@
         let Some(server) = held.attempts.get(number as usize).map(|out| out.server) else {
             return;
         };
-        self.decide(Event::Started {
+        self.decide(Event::ResponseStarted {
             id,
             attempt: number,
             server,
@@ -410,8 +416,8 @@
             server,
             outcome: ended.outcome,
             elapsed: until.saturating_sub(from),
-            finished,
-            spent,
+            answered: finished,
+            body_consumed: spent,
             report: ended.report,
         }));
         self.forget(ended.id);
@@ -476,7 +482,7 @@
                 server,
                 timeout,
             } => return self.send(id, server, timeout),
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 if let (Some(witness), Some(held)) = (&self.witness, self.held.get(&id)) {
                     witness.refused(self.clock.now(), held.call.class);
                 }
@@ -493,16 +499,16 @@
                 );
             }
             Action::Fail { id } => self.finish(id, Answer::Failed),
-            Action::Cancel { id, attempt } => self.stop(id, attempt, Stop::Cancelled),
+            Action::CancelAttempt { id, attempt } => self.stop(id, attempt, Stop::Cancelled),
             Action::SetTimer { after, token } => {
                 self.set(self.clock.now() + after, Due::Module(token))
             }
-            Action::Probe { server } => self.probe(server),
+            Action::HealthCheck { server } => self.probe(server),
             Action::CloseIdle { server } => self.backends.close_idle(server),
-            Action::Subscribe { on } => self.order(Order::Subscribe(on)),
-            Action::FetchList => self.order(Order::Fetch),
+            Action::WatchEndpoints { on } => self.order(Order::Subscribe(on)),
+            Action::FetchEndpoints => self.order(Order::Fetch),
             // No message between nodes: the module sends none, and the site allows none.
-            Action::Tell { .. } => log("a message to another node was dropped"),
+            Action::SendToPeer { .. } => log("a message to another node was dropped"),
             Action::Log { text } => log(text),
         }
         None
@@ -526,8 +532,8 @@
                 server,
                 outcome: Outcome::NotSent,
                 elapsed: Duration::ZERO,
-                finished,
-                spent: held.call.is_spent(),
+                answered: finished,
+                body_consumed: held.call.is_spent(),
                 report: None,
             }));
         }
--- a/crates/forwarding/src/report.rs
+++ b/crates/forwarding/src/report.rs
@@ -1,7 +1,7 @@
 //! Load reports as text, whichever protocol carries them.
 
 use crate::Live;
-use sillward_balancer::settings::Column;
+use sillward_balancer::settings::ReportField;
 use sillward_balancer::{LoadReport, ReportSource};
 use std::rc::Rc;
 
@@ -24,13 +24,13 @@
         let (mut report, site) = (LoadReport::default(), self.0.get());
         for field in text.trim().split(',') {
             let (name, value) = field.split_once('=')?;
-            let column = Column::on_sockets(name.trim());
+            let column = ReportField::from_report_name(name.trim());
             let value: f32 = value
                 .trim()
                 .parse()
                 .ok()
                 .filter(|v: &f32| v.is_finite() && *v >= 0.0)?;
-            if site.columns.contains(&column) {
+            if site.report_fields.contains(&column) {
                 column.set(&mut report, value);
             }
         }
--- a/crates/http1/src/backend.rs
+++ b/crates/http1/src/backend.rs
@@ -9,7 +9,7 @@
 use hyper::header::{CONNECTION, CONTENT_TYPE, HOST, HeaderMap, HeaderValue, TRANSFER_ENCODING};
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, Request, Response, StatusCode};
-use sillward_balancer::settings::Site;
+use sillward_balancer::settings::PlatformSettings;
 use sillward_balancer::{LoadReport, Outcome, ServerId};
 use sillward_forwarding::{
     Attempt, BODY_LIMIT, Backends, Broken, Budget, Content, Ended, Exchanged, Form, News,
@@ -148,7 +148,7 @@
         self.pool.update(news, now);
     }
 
-    fn retuned(&self, site: &Site) {
+    fn retuned(&self, site: &PlatformSettings) {
         self.pool.retune(Terms::of(site));
     }
 
--- a/crates/http1/src/backend/tests.rs
+++ b/crates/http1/src/backend/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use sillward_balancer::{ListKind, RequestId, ServerEntry, ServerState};
+use sillward_balancer::{Endpoint, EndpointUpdate, RequestId, ServerState};
 use sillward_forwarding::{Call, Live};
 use sillward_pool::Sockets;
 use sillward_runtime::Clock;
@@ -24,17 +24,17 @@
             drain_grace: Duration::ZERO,
         };
         let pool = Pool::start(Clock::start(), Http1, terms, Sockets::new(10));
-        let entry = ServerEntry {
+        let entry = Endpoint {
             id: SERVER,
             state: ServerState::Ready,
-            ..ServerEntry::default()
+            ..Endpoint::default()
         };
         let address = listener.local_addr().expect("its address");
         let news = |kind| News {
             kind,
             backends: vec![sillward_forwarding::Backend { entry, address }],
         };
-        pool.update(&news(ListKind::Full), pool.clock.now());
+        pool.update(&news(EndpointUpdate::Full), pool.clock.now());
         let now = pool.clock.now();
         let call = Rc::into_inner(empty(now)).expect("nobody else's");
         let (until, call) = (now + MINUTE, Rc::new(call));
@@ -46,7 +46,7 @@
             call,
             started: Cell::default(),
         };
-        by(&pool, &mut attempt, news(ListKind::Changes), now);
+        by(&pool, &mut attempt, news(EndpointUpdate::Incremental), now);
         let (_stop, stopped) = oneshot::channel();
         let served = spawn_local(async move {
             let (stream, _) = listener.accept().await.expect("a dial");
--- a/crates/http1/src/front.rs
+++ b/crates/http1/src/front.rs
@@ -11,7 +11,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode, Version};
-use sillward_balancer::{NewRequest, Repeat};
+use sillward_balancer::{Idempotency, NewRequest};
 use sillward_forwarding::{Answer, Budget, Call, Coming, Content, Feed, Intake, Live, READ_BUFFER};
 use sillward_listener::{Client, Door, LINGER, Life, READ_PAST, Serve};
 use sillward_logging::log_peer;
@@ -165,7 +165,7 @@
             tenant: request.tenant,
             key: request.key,
             remaining: request.budget,
-            cost: request.cost,
+            expected_work: request.cost,
             client_retry: request.client_retry,
             ..NewRequest::default()
         };
@@ -176,7 +176,7 @@
         let copied = |value: &HeaderValue| Bytes::copy_from_slice(value.as_bytes());
         let call = Call {
             class,
-            safe: site.settings.classes[class].repeat == Repeat::Safe,
+            safe: site.settings.classes[class].idempotency == Idempotency::Idempotent,
             target: Bytes::copy_from_slice(request.path.as_str().as_bytes()),
             call_id: copied(&request.call_id),
             idempotency_key: request.idempotency_key.as_ref().map(copied),
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -8,8 +8,8 @@
 use hyper::http::request::Parts;
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, StatusCode};
-use sillward_balancer::Repeat;
-use sillward_balancer::settings::Site;
+use sillward_balancer::Idempotency;
+use sillward_balancer::settings::PlatformSettings;
 use sillward_forwarding::{BODY_LIMIT, Budget, KEPT_BODY, READ_BUFFER, WHOLE_ANSWER, key_number};
 use sillward_logging::log_peer;
 use sillward_runtime::time::{Instant, timeout, timeout_at};
@@ -91,7 +91,7 @@
 }
 
 /// Reads a head as the protocol words it. What does not fit never reaches a backend.
-pub fn check(site: &Site, head: Parts, framing: Framing) -> Result<Checked, Bad> {
+pub fn check(site: &PlatformSettings, head: Parts, framing: Framing) -> Result<Checked, Bad> {
     let path = head.uri.path_and_query().ok_or((BAD, "no path"))?.clone();
     let mut parts = path
         .path()
@@ -115,7 +115,7 @@
         return Err((BAD, "a header stands twice"));
     }
     let idempotency_key = head.headers.get("idempotency-key").cloned();
-    let method = if terms.repeat == Repeat::Safe {
+    let method = if terms.idempotency == Idempotency::Idempotent {
         Method::GET
     } else {
         Method::POST
@@ -129,9 +129,9 @@
     if method == Method::GET && framing != Framing::Length(0) {
         return Err((BAD, "a body where none belongs"));
     }
-    let window = match terms.repeat {
-        Repeat::Keyed { window, .. } if idempotency_key.is_some() => Some(window),
-        Repeat::Keyed { .. } => return Err((BAD, "no Idempotency-Key")),
+    let window = match terms.idempotency {
+        Idempotency::Keyed { window, .. } if idempotency_key.is_some() => Some(window),
+        Idempotency::Keyed { .. } => return Err((BAD, "no Idempotency-Key")),
         _ => None,
     };
     let call_id = head
--- a/crates/node-config/src/lib.rs
+++ b/crates/node-config/src/lib.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use serde_json::value::RawValue;
-use sillward_balancer::settings::{self, Site};
+use sillward_balancer::settings::{self, PlatformSettings};
 use sillward_forwarding::READ_BUFFER;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -69,7 +69,7 @@
     pub body_bytes: usize,
     /// The list of backends as this node last had it: discovery's JSON, perhaps old.
     pub known: Option<String>,
-    pub site: Site,
+    pub site: PlatformSettings,
     /// The listening socket that this process was started with, where the platform replaces processes.
     pub listen_fd: Option<i32>,
     /// Where processes of this node find each other, where the platform replaces them.
@@ -225,7 +225,11 @@
     ///
     /// # Errors
     /// It lacks keys that this one has, each by its path; or it names more than a process may come to know.
-    pub fn followed_by(&self, later: &Config, now: &Site) -> Result<Site, String> {
+    pub fn followed_by(
+        &self,
+        later: &Config,
+        now: &PlatformSettings,
+    ) -> Result<PlatformSettings, String> {
         let mut missing = Vec::new();
         lacks("", &self.text, &later.text, &mut missing);
         if !missing.is_empty() {
@@ -237,7 +241,7 @@
         later
             .site
             .clone()
-            .onto(now)
+            .merged_onto(now)
             .map_err(|what| format!("bad configuration: {what}"))
     }
 
@@ -276,7 +280,7 @@
     }
 
     /// What a node that runs with FILE comes to by another.
-    fn after(text: &str) -> Result<Site, String> {
+    fn after(text: &str) -> Result<PlatformSettings, String> {
         let running = parsed(FILE);
         running.followed_by(&Config::parse(text)?, &running.site)
     }
--- a/crates/operator-config/src/etcd.rs
+++ b/crates/operator-config/src/etcd.rs
@@ -1,13 +1,13 @@
 //! The table `[etcd]`.
 
 use crate::reader::Section;
-use sillward_balancer::settings::Site;
+use sillward_balancer::settings::PlatformSettings;
 use sillward_endpoints::Guard;
 use sillward_etcd::{Terms, Times};
 use std::time::Duration;
 
-pub fn read(section: &Section<'_>, site: Option<&Site>) -> Option<(Terms, Guard)> {
-    if site.is_some_and(|site| site.settings.list_on_request) {
+pub fn read(section: &Section<'_>, site: Option<&PlatformSettings>) -> Option<(Terms, Guard)> {
+    if site.is_some_and(|site| site.settings.poll_endpoint_list) {
         section.fault(
             "endpoints",
             "the settings' RegistryMode is \"ask\": etcd goes with pushed lists only",
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -15,7 +15,7 @@
 pub use reader::Fault;
 
 use reader::Reader;
-use sillward_balancer::settings::Site;
+use sillward_balancer::settings::PlatformSettings;
 use sillward_endpoints::Guard;
 use sillward_thrift::{BackendTerms, FrontTerms};
 use std::net::SocketAddr;
@@ -44,7 +44,11 @@
 ///
 /// # Errors
 /// Everything that is wrong, in the order of lines.
-pub fn parse(name: &str, text: &str, site: Option<&Site>) -> Result<Operator, Vec<Fault>> {
+pub fn parse(
+    name: &str,
+    text: &str,
+    site: Option<&PlatformSettings>,
+) -> Result<Operator, Vec<Fault>> {
     let reader = Reader::new(name, text);
     let mut operator = Operator::default();
     reader.root(|root| {
--- a/crates/operator-config/src/thrift.rs
+++ b/crates/operator-config/src/thrift.rs
@@ -2,8 +2,8 @@
 
 use crate::Operator;
 use crate::reader::Section;
-use sillward_balancer::Repeat;
-use sillward_balancer::settings::Site;
+use sillward_balancer::Idempotency;
+use sillward_balancer::settings::PlatformSettings;
 use sillward_thrift::wire::{Bounds, Encoding};
 use sillward_thrift::{BackendTerms, FrontTerms, HttpCall, Method, Order, TurnedAway};
 use std::time::Duration;
@@ -11,7 +11,7 @@
 /// The longest budget that a call may have, as over HTTP.
 const LONGEST_BUDGET_MS: i64 = 600_000;
 
-pub fn read(section: &Section<'_>, site: Option<&Site>, operator: &mut Operator) {
+pub fn read(section: &Section<'_>, site: Option<&PlatformSettings>, operator: &mut Operator) {
     let bounds = bounds(section);
     let methods = methods(section, site);
     if section.has("listen") {
@@ -72,7 +72,7 @@
     }
 }
 
-fn methods(section: &Section<'_>, site: Option<&Site>) -> Vec<Method> {
+fn methods(section: &Section<'_>, site: Option<&PlatformSettings>) -> Vec<Method> {
     let mut methods: Vec<Method> = Vec::new();
     for table in section.tables("method") {
         if let Some(method) = read_method(&table, site) {
@@ -89,7 +89,7 @@
     methods
 }
 
-fn read_method(table: &Section<'_>, site: Option<&Site>) -> Option<Method> {
+fn read_method(table: &Section<'_>, site: Option<&PlatformSettings>) -> Option<Method> {
     let service = table.text("service").map(str::to_owned);
     let name = table.needed("name").map(str::to_owned);
     if name.as_ref().is_some_and(|name| name.contains(':')) {
@@ -103,7 +103,7 @@
     let idempotency_key = table.parsed("idempotency_key");
     let key_from_content = table.word("default_idempotency_key", &["refuse", "content"]) == Some(1);
     let terms = class.and_then(|class| site?.settings.classes.get(class));
-    if terms.is_some_and(|class| matches!(class.repeat, Repeat::Keyed { .. }))
+    if terms.is_some_and(|class| matches!(class.idempotency, Idempotency::Keyed { .. }))
         && !table.has("idempotency_key")
         && !key_from_content
     {
@@ -147,12 +147,16 @@
     })
 }
 
-fn read_backend(table: &Section<'_>, site: Option<&Site>, bounds: Bounds) -> Option<BackendTerms> {
+fn read_backend(
+    table: &Section<'_>,
+    site: Option<&PlatformSettings>,
+    bounds: Bounds,
+) -> Option<BackendTerms> {
     table.needed("type");
     let kind = table.named(
         "type",
         "machine type",
-        site.map(|site| &site.kind_names[..]),
+        site.map(|site| &site.machine_type_names[..]),
     );
     table.needed("encoding");
     let encoding = table
@@ -210,7 +214,7 @@
     }
 }
 
-fn read_http_call(table: &Section<'_>, site: Option<&Site>) -> Option<HttpCall> {
+fn read_http_call(table: &Section<'_>, site: Option<&PlatformSettings>) -> Option<HttpCall> {
     table.needed("class");
     let class = table.named("class", "class", site.map(|site| &site.class_names[..]));
     let method = table.needed("method").map(str::to_owned);
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -2,8 +2,8 @@
 //! Knows no protocol: what carries a request over a connection is a [`Protocol`] of its own.
 #![forbid(unsafe_code)]
 
-use sillward_balancer::settings::Site;
-use sillward_balancer::{ListKind, Outcome, ServerId, ServerState};
+use sillward_balancer::settings::PlatformSettings;
+use sillward_balancer::{EndpointUpdate, Outcome, ServerId, ServerState};
 use sillward_forwarding::{Backend, News};
 use sillward_logging::log_peer;
 use sillward_runtime::net::TcpStream;
@@ -105,12 +105,12 @@
 
 impl Terms {
     /// The site's.
-    pub fn of(site: &Site) -> Self {
+    pub fn of(site: &PlatformSettings) -> Self {
         Terms {
             // A request written just when the backend closes the connection would end as a reset.
-            idle_limit: site.idle_close * 3 / 4,
+            idle_limit: site.server_idle_timeout * 3 / 4,
             connect_timeout: site.settings.limits.connect_timeout,
-            drain_grace: site.settings.rules.drain_grace,
+            drain_grace: site.settings.safety.drain_grace,
         }
     }
 }
@@ -183,7 +183,7 @@
 /// A day brings ever new backends. Nothing is sent any more to one that is gone, whoever decided to; only a dial
 /// under way still looks for its place.
 fn drop_gone<P: Protocol>(places: &mut BTreeMap<ServerId, Place<P>>) {
-    places.retain(|_, place| place.state != ServerState::Gone || place.dialling > 0);
+    places.retain(|_, place| place.state != ServerState::Removed || place.dialling > 0);
 }
 
 pub struct Pool<P: Protocol> {
@@ -239,20 +239,20 @@
     pub fn update(&self, news: &News, now: Duration) {
         let News { kind, backends } = news;
         let mut places = self.places.borrow_mut();
-        if matches!(kind, ListKind::Full | ListKind::Cached) {
+        if matches!(kind, EndpointUpdate::Full | EndpointUpdate::Cached) {
             let listed: std::collections::BTreeSet<_> =
                 backends.iter().map(|b| b.entry.id).collect();
             for (_, place) in places.iter_mut().filter(|(id, _)| !listed.contains(id)) {
-                place.state = ServerState::Gone;
+                place.state = ServerState::Removed;
                 place.told.get_or_insert(now);
                 place.drop_idle();
             }
         }
         for Backend { entry, address } in backends {
             let place = places.entry(entry.id).or_default();
-            let moved = place.address != Some(*address) || place.started != entry.started;
+            let moved = place.address != Some(*address) || place.started != entry.started_at;
             (place.address, place.started, place.state) =
-                (Some(*address), entry.started, entry.state);
+                (Some(*address), entry.started_at, entry.state);
             if entry.state == ServerState::Ready {
                 place.told = None;
             } else {
--- a/crates/pool/src/tests.rs
+++ b/crates/pool/src/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use sillward_balancer::ServerEntry;
+use sillward_balancer::Endpoint;
 use sillward_runtime::net::TcpListener;
 use sillward_runtime::task::{block_on, yield_now};
 
@@ -61,17 +61,17 @@
             drain_grace: Duration::ZERO,
         };
         let pool = Pool::start(Clock::start(), protocol, terms, Sockets::new(most));
-        let entry = ServerEntry {
+        let entry = Endpoint {
             id: SERVER,
             state: ServerState::Ready,
-            ..ServerEntry::default()
+            ..Endpoint::default()
         };
         let backend = Backend {
             entry,
             address: listener.local_addr().expect("its address"),
         };
         let news = News {
-            kind: ListKind::Full,
+            kind: EndpointUpdate::Full,
             backends: vec![backend],
         };
         pool.update(&news, pool.clock.now());
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -4,7 +4,7 @@
 
 mod wire;
 
-use sillward_balancer::settings::{self, Column};
+use sillward_balancer::settings::{self, ReportField};
 use sillward_balancer::{Balancer, Event};
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Read, Write};
@@ -16,7 +16,7 @@
 /// A running instance.
 struct Instance {
     balancer: Balancer,
-    columns: Vec<Column>,
+    columns: Vec<ReportField>,
 }
 
 impl Instance {
@@ -24,7 +24,7 @@
         let site = settings::parse(settings)?;
         Ok(Instance {
             balancer: Balancer::new(site.settings, seed),
-            columns: site.columns,
+            columns: site.report_fields,
         })
     }
 
@@ -38,7 +38,7 @@
         let report = raw.map(|raw| named_report(raw, &self.columns));
         match &mut event {
             Event::AttemptEnded(end) => end.report = report,
-            Event::Probed(end) => end.report = report,
+            Event::HealthChecked(end) => end.report = report,
             _ => {}
         }
         let mut actions = Vec::new();
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,9 +1,9 @@
 //! The simulator's frames: batches of events in, one reply with actions for each.
 
-use sillward_balancer::settings::{Column, millis};
+use sillward_balancer::settings::{ReportField, millis};
 use sillward_balancer::{
-    Action, AttemptEnd, Event, ListKind, LoadReport, NewRequest, Outcome, ProbeEnd, RequestId,
-    ServerEntry, ServerId, ServerState,
+    Action, AttemptEnd, Endpoint, EndpointUpdate, Event, HealthCheckEnd, LoadReport, NewRequest,
+    Outcome, RequestId, ServerId, ServerState,
 };
 use std::io::{self, Read};
 use std::time::Duration;
@@ -110,9 +110,9 @@
             seed: at.u64(3),
             settings: slice(tail, at, 11, 1)?.to_vec(),
         }),
-        2 => plain(Event::List {
-            kind: list_kind(at.u8(3))?,
-            entries: entries(slice(tail, at, 8, ENTRY)?)?,
+        2 => plain(Event::EndpointList {
+            update: list_kind(at.u8(3))?,
+            endpoints: entries(slice(tail, at, 8, ENTRY)?)?,
         }),
         3 => {
             let flags = at.u8(39);
@@ -122,12 +122,12 @@
                 tenant: at.u16(13).into(),
                 key: at.u64(15),
                 remaining: millis(at.f64(23)),
-                cost: (flags & 1 != 0).then(|| millis(at.f64(31))),
+                expected_work: (flags & 1 != 0).then(|| millis(at.f64(31))),
                 client_retry: flags & 2 != 0,
-                arriving: false,
+                body_pending: false,
             }))
         }
-        4 => plain(Event::Started {
+        4 => plain(Event::ResponseStarted {
             id: id(),
             attempt: at.u8(19).into(),
             server: at.server(20),
@@ -140,8 +140,8 @@
                 server: at.server(12),
                 outcome: outcome(at.u8(18))?,
                 elapsed: millis(at.f64(19)),
-                finished: at.u8(27) != 0,
-                spent: false,
+                answered: at.u8(27) != 0,
+                body_consumed: false,
                 report: None,
             }),
             at.report(28)?,
@@ -149,7 +149,7 @@
         6 => plain(Event::ClientGone { id: id() }),
         7 => plain(Event::Timer { token: at.u64(3) }),
         8 => Ok(Input::Event(
-            Event::Probed(ProbeEnd {
+            Event::HealthChecked(HealthCheckEnd {
                 server: at.server(3),
                 outcome: outcome(at.u8(9))?,
                 elapsed: millis(at.f64(10)),
@@ -157,7 +157,7 @@
             }),
             at.report(18)?,
         )),
-        9 => plain(Event::Peer {
+        9 => plain(Event::PeerMessage {
             from: at.u32(3),
             data: slice(tail, at, 7, 1)?.to_vec(),
         }),
@@ -180,12 +180,12 @@
     })
 }
 
-fn list_kind(code: u8) -> Result<ListKind, String> {
+fn list_kind(code: u8) -> Result<EndpointUpdate, String> {
     match code {
-        0 => Ok(ListKind::Changes),
-        1 => Ok(ListKind::Full),
-        2 => Ok(ListKind::Cached),
-        3 => Ok(ListKind::Failed),
+        0 => Ok(EndpointUpdate::Incremental),
+        1 => Ok(EndpointUpdate::Full),
+        2 => Ok(EndpointUpdate::Cached),
+        3 => Ok(EndpointUpdate::Failed),
         _ => Err(format!("unknown list form {code}")),
     }
 }
@@ -204,7 +204,7 @@
     }
 }
 
-fn entries(bytes: &[u8]) -> Result<Vec<ServerEntry>, String> {
+fn entries(bytes: &[u8]) -> Result<Vec<Endpoint>, String> {
     bytes
         .chunks_exact(ENTRY)
         .map(|entry| Fields(entry).entry())
@@ -212,7 +212,7 @@
 }
 
 /// Gives the values of a report their names.
-pub fn named_report((values, count): RawReport, columns: &[Column]) -> LoadReport {
+pub fn named_report((values, count): RawReport, columns: &[ReportField]) -> LoadReport {
     let mut report = LoadReport::default();
     for (column, value) in columns.iter().zip(&values[..count]) {
         column.set(&mut report, *value);
@@ -260,21 +260,21 @@
         let values = [0, 1, 2, 3].map(|i| self.f32(at + 1 + 4 * i));
         Ok((count > 0).then_some((values, count)))
     }
-    fn entry(self) -> Result<ServerEntry, String> {
+    fn entry(self) -> Result<Endpoint, String> {
         let started = self.f64(15);
-        Ok(ServerEntry {
+        Ok(Endpoint {
             id: self.server(0),
             zone: self.u8(6),
-            kind: self.u8(7),
+            machine_type: self.u8(7),
             cell: self.u16(8),
             state: match self.u8(10) {
-                0 => ServerState::Gone,
+                0 => ServerState::Removed,
                 1 => ServerState::Draining,
                 2 => ServerState::Ready,
                 code => return Err(format!("unknown server state {code}")),
             },
             weight: self.f32(11),
-            started: (started > 0.0).then(|| millis(started)),
+            started_at: (started > 0.0).then(|| millis(started)),
         })
     }
 }
@@ -292,17 +292,17 @@
     pub fn push(&mut self, instance: u16, action: &Action) {
         match action {
             Action::Fail { id } => self.record(65, instance).u64(id.0),
-            Action::Probe { server } => self.record(66, instance).server(*server),
+            Action::HealthCheck { server } => self.record(66, instance).server(*server),
             Action::Log { text } => self.text(67, instance, text),
             Action::SetTimer { after, token } => {
                 self.record(68, instance).millis(*after).u64(*token)
             }
-            Action::Cancel { id, attempt } => {
+            Action::CancelAttempt { id, attempt } => {
                 self.record(69, instance).u64(id.0).u8(*attempt as u8)
             }
-            Action::Subscribe { on } => self.record(70, instance).u8((*on).into()),
-            Action::FetchList => self.record(72, instance),
-            Action::Tell { to, data } => {
+            Action::WatchEndpoints { on } => self.record(70, instance).u8((*on).into()),
+            Action::FetchEndpoints => self.record(72, instance),
+            Action::SendToPeer { to, data } => {
                 let at = self.tail.len() as u32;
                 self.tail.extend(data);
                 let to = to.map_or(u16::MAX, |to| to as u16);
@@ -312,7 +312,7 @@
                     .u32(data.len() as u32)
             }
             Action::CloseIdle { server } => self.record(74, instance).server(*server),
-            Action::Refuse { id, retry_after } => self
+            Action::Reject { id, retry_after } => self
                 .record(75, instance)
                 .u64(id.0)
                 .millis(retry_after.unwrap_or_default()),
--- a/crates/simulator-adapter/src/wire_tests.rs
+++ b/crates/simulator-adapter/src/wire_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use sillward_balancer::{AttemptEnd, ProbeEnd};
+use sillward_balancer::{AttemptEnd, HealthCheckEnd};
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(|b| !b.is_ascii_whitespace()).collect();
@@ -72,9 +72,9 @@
         tenant: 0,
         key: 0x91f0_3b7c_55d2_0a64,
         remaining: ms(240.0),
-        cost: Some(ms(12.0)),
+        expected_work: Some(ms(12.0)),
         client_retry: false,
-        arriving: false,
+        body_pending: false,
     };
     assert_eq!(
         read(&frame).expect("legal"),
@@ -135,25 +135,25 @@
     let tail = "0a124a07 1b5b 00 00 0000 02 3f800000 0000000000000000
                 0a9011f2 1b84 01 00 0000 02 3fc00000 40b7d40000000000";
     let (_, input) = one("02 0003 02 00000029 00000000 00000002", tail);
-    let near = ServerEntry {
+    let near = Endpoint {
         id: ServerId(0x0a12_4a07_1b5b),
         zone: 0,
-        kind: 0,
+        machine_type: 0,
         cell: 0,
         state: ServerState::Ready,
         weight: 1.0,
-        started: None,
+        started_at: None,
     };
-    let far = ServerEntry {
+    let far = Endpoint {
         id: ServerId(0x0a90_11f2_1b84),
         zone: 1,
         weight: 1.5,
-        started: Some(ms(6100.0)),
+        started_at: Some(ms(6100.0)),
         ..near
     };
-    let list = Event::List {
-        kind: ListKind::Cached,
-        entries: vec![near, far],
+    let list = Event::EndpointList {
+        update: EndpointUpdate::Cached,
+        endpoints: vec![near, far],
     };
     assert_eq!(input, Input::Event(list, None));
 }
@@ -170,8 +170,8 @@
         server: ServerId(0x0a12_4a07_1b5b),
         outcome: Outcome::Served,
         elapsed: ms(18.5),
-        finished: true,
-        spent: false,
+        answered: true,
+        body_consumed: false,
         report: None,
     };
     assert_eq!(input, Input::Event(Event::AttemptEnded(end), None));
@@ -183,10 +183,10 @@
         "08 0001 0a124a07 1b5b 01 3ff0000000000000 03 40400000 3f800000 3f000000",
         "",
     );
-    let Input::Event(Event::Probed(end), Some(raw)) = input else {
+    let Input::Event(Event::HealthChecked(end), Some(raw)) = input else {
         panic!("{input:?}")
     };
-    let expected = ProbeEnd {
+    let expected = HealthCheckEnd {
         server: ServerId(0x0a12_4a07_1b5b),
         outcome: Outcome::Served,
         elapsed: ms(1.0),
@@ -195,7 +195,11 @@
     assert_eq!(end, expected);
     let report = named_report(
         raw,
-        &[Column::Concurrent, Column::Unknown, Column::LoadShare],
+        &[
+            ReportField::InFlight,
+            ReportField::Unknown,
+            ReportField::Utilisation,
+        ],
     );
     let expected = LoadReport {
         in_flight: Some(3.0),
@@ -223,7 +227,7 @@
         "04 0001 0000000000000005 4000000000000000 02 00000000 0007",
         "",
     );
-    let started = Event::Started {
+    let started = Event::ResponseStarted {
         id: RequestId(5),
         attempt: 2,
         server: ServerId(7),
@@ -234,7 +238,7 @@
     assert_eq!(
         input,
         Input::Event(
-            Event::Peer {
+            Event::PeerMessage {
                 from: 2,
                 data: b"hi".to_vec()
             },
@@ -248,16 +252,16 @@
     let (id, server) = (RequestId(5), ServerId(0x0102_0304_0506));
     let cases = [
         (Action::Fail { id }, "41 0003 0000000000000005", ""),
-        (Action::Probe { server }, "42 0003 01020304 0506", ""),
+        (Action::HealthCheck { server }, "42 0003 01020304 0506", ""),
         (
-            Action::Cancel { id, attempt: 2 },
+            Action::CancelAttempt { id, attempt: 2 },
             "45 0003 0000000000000005 02",
             "",
         ),
-        (Action::Subscribe { on: true }, "46 0003 01", ""),
-        (Action::FetchList, "48 0003", ""),
+        (Action::WatchEndpoints { on: true }, "46 0003 01", ""),
+        (Action::FetchEndpoints, "48 0003", ""),
         (
-            Action::Tell {
+            Action::SendToPeer {
                 to: None,
                 data: b"hi 7".to_vec(),
             },
@@ -266,7 +270,7 @@
         ),
         (Action::CloseIdle { server }, "4a 0003 01020304 0506", ""),
         (
-            Action::Refuse {
+            Action::Reject {
                 id,
                 retry_after: Some(ms(500.0)),
             },
@@ -274,7 +278,7 @@
             "",
         ),
         (
-            Action::Refuse {
+            Action::Reject {
                 id,
                 retry_after: None,
             },
@@ -357,7 +361,13 @@
 fn ids_go_out_as_they_came_in() {
     let tail = "0a90ffff 1b84 02 00 0000 02 3f800000 0000000000000000";
     let (_, input) = one("02 0003 01 00000001 00000000 00000001", tail);
-    let Input::Event(Event::List { entries, .. }, None) = input else {
+    let Input::Event(
+        Event::EndpointList {
+            endpoints: entries, ..
+        },
+        None,
+    ) = input
+    else {
         panic!("{input:?}")
     };
     let (_, input) = one(
@@ -367,7 +377,7 @@
     let Input::Event(Event::Request(new), None) = input else {
         panic!("{input:?}")
     };
-    assert_eq!((new.class, new.tenant, new.cost), (1, 2, None));
+    assert_eq!((new.class, new.tenant, new.expected_work), (1, 2, None));
     let mut reply = Reply::default();
     reply.push(
         3,
--- a/crates/thrift/src/backend.rs
+++ b/crates/thrift/src/backend.rs
@@ -12,7 +12,7 @@
 };
 use crate::{BINARY, COMPACT};
 use bytes::Bytes;
-use sillward_balancer::settings::Site;
+use sillward_balancer::settings::PlatformSettings;
 use sillward_balancer::{LoadReport, Outcome, ServerId};
 use sillward_forwarding::{
     Attempt, Backends, Budget, Call, Content, Ended, Exchanged, Form, News, PROBE_TIMEOUT,
@@ -107,7 +107,7 @@
         self.pool.update(news, now);
     }
 
-    fn retuned(&self, site: &Site) {
+    fn retuned(&self, site: &PlatformSettings) {
         self.pool.retune(Terms::of(site));
     }
 
--- a/crates/thrift/src/calls.rs
+++ b/crates/thrift/src/calls.rs
@@ -9,8 +9,8 @@
 };
 use crate::{BINARY, COMPACT};
 use bytes::Bytes;
-use sillward_balancer::settings::Site;
-use sillward_balancer::{NewRequest, Repeat};
+use sillward_balancer::settings::PlatformSettings;
+use sillward_balancer::{Idempotency, NewRequest};
 use sillward_forwarding::{Answer, Call, Content, Judge, key_number};
 use std::cell::Cell;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -93,7 +93,7 @@
 /// Reads a message as the terms word it. What does not fit never reaches a backend.
 pub fn check(
     terms: &FrontTerms,
-    site: &Site,
+    site: &PlatformSettings,
     bytes: Bytes,
     call_id: u128,
     now: Duration,
@@ -134,7 +134,7 @@
     if station.len() > LONGEST_KEY || key.as_ref().is_some_and(|key| key.len() > LONGEST_KEY) {
         return Err(bad("a key of more than 256 bytes"));
     }
-    if !site.live_classes[method.class] {
+    if !site.active_classes[method.class] {
         return Err(turned(
             &message,
             ExceptionKind::UnknownMethod,
@@ -142,9 +142,9 @@
         ));
     }
     let class = &site.settings.classes[method.class];
-    let window = match class.repeat {
-        Repeat::Keyed { window, .. } => Some(window),
-        Repeat::Safe | Repeat::Unsafe => None,
+    let window = match class.idempotency {
+        Idempotency::Keyed { window, .. } => Some(window),
+        Idempotency::Idempotent | Idempotency::NonIdempotent => None,
     };
     if window.is_some() && key.as_ref().is_none_or(Vec::is_empty) && !method.key_from_content {
         return Err(bad("no idempotency key"));
@@ -185,7 +185,7 @@
     };
     let call = Call {
         class: method.class,
-        safe: class.repeat == Repeat::Safe,
+        safe: class.idempotency == Idempotency::Idempotent,
         target: target(&site.class_names[method.class], &station),
         call_id: format!("{call_id:032x}").into(),
         idempotency_key: key.filter(|key| !key.is_empty()).map(Bytes::from),
--- a/src/main.rs
+++ b/src/main.rs
@@ -7,7 +7,7 @@
 
 use clap::{Parser, Subcommand};
 use sillward_app::{Controls, fit};
-use sillward_balancer::settings::Site;
+use sillward_balancer::settings::PlatformSettings;
 use sillward_logging::log;
 use sillward_node_config::Config;
 use sillward_operator_config::Operator;
@@ -79,7 +79,7 @@
 }
 
 /// Reads an operator file, if there is one; all that is wrong with it, a line each.
-fn read_operator(path: Option<&Path>, site: Option<&Site>) -> Result<Operator, String> {
+fn read_operator(path: Option<&Path>, site: Option<&PlatformSettings>) -> Result<Operator, String> {
     let Some(path) = path else {
         return Ok(Operator::default());
     };
--- a/testing/simulation/src/plants.rs
+++ b/testing/simulation/src/plants.rs
@@ -5,7 +5,7 @@
 use crate::net::Net;
 use crate::script::Script;
 use sillward_app::Wrap;
-use sillward_balancer::settings::Site;
+use sillward_balancer::settings::PlatformSettings;
 use sillward_balancer::{LoadReport, Outcome, ServerId};
 use sillward_forwarding::{Attempt, Backends, Ended, News, Stop, Task};
 use std::cell::{Cell, RefCell};
@@ -136,7 +136,7 @@
         self.inner.listed(news, now);
     }
 
-    fn retuned(&self, site: &Site) {
+    fn retuned(&self, site: &PlatformSettings) {
         self.inner.retuned(site);
     }
 
