--- /dev/null
+++ b/crates/balancer/src/endpoint.rs
@@ -0,0 +1,48 @@
+//! The endpoint list: servers, their states, and updates of the list.
+
+use crate::ids::ServerId;
+use std::time::Duration;
+
+/// A server's state in the endpoint list.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum ServerState {
+    /// Accepts requests.
+    Ready,
+    /// Finishes its requests in flight and accepts no new ones.
+    Draining,
+    /// No longer listed.
+    #[default]
+    Removed,
+}
+
+/// An entry of the endpoint list.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Endpoint {
+    /// The server.
+    pub id: ServerId,
+    /// Its zone, by number.
+    pub zone: u8,
+    /// Its machine type, by number.
+    pub machine_type: u8,
+    /// Its cell, a group of servers within a zone.
+    pub cell: u16,
+    /// Its state.
+    pub state: ServerState,
+    /// Its weight relative to other servers.
+    pub weight: f32,
+    /// When it last started; `None` if that is too long ago to matter.
+    pub started_at: Option<Duration>,
+}
+
+/// What an event about the endpoint list brings.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EndpointUpdate {
+    /// Changed entries only.
+    Incremental,
+    /// The whole list.
+    Full,
+    /// The whole list as this node last had it before it started. It may be stale.
+    Cached,
+    /// A poll failed, or the watch ended. No entries.
+    Failed,
+}
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -1,229 +1,261 @@
-//! Every decision of sillward_balancer. Types, events and actions are in `src/interface.rs`; what a node
-//! remembers of servers and requests in `src/state.rs`; departures from the paper in `README.md`.
-
-mod admission;
-mod cold;
-mod health;
-mod lists;
-mod repeats;
+//! The decisions, a file a policy, and the [`Balancer`], which composes them.
+//!
+//! | file | decides |
+//! | --- | --- |
+//! | `dispatch`, `selection` | which server a request goes to, or that it is held back |
+//! | `join_up_to`, `subset`, `endpoint_table` | estimates and the cap m; how many servers a node uses; the ring |
+//! | `crowding`, `priority`, `deadline` | admission: by crowding, by weight and quota, by time |
+//! | `slow_start` | how much a warming server is sent |
+//! | `outlier` | when a server is ejected and when it returns |
+//! | `retry`, `send_gate` | when a request is retried or hedged; the rules before a send |
+//! | `health_check`, `polling` | when servers are checked, and the endpoint list polled |
+//! | `final_answer` | when a request is rejected or failed, and which of the two |
+//! | `arrival`, `completion` | what each policy takes from an event |
+
+mod arrival;
+mod completion;
+mod context;
+mod crowding;
+mod deadline;
+mod dispatch;
+mod endpoint_table;
+mod estimators;
+mod final_answer;
+mod health_check;
+mod join_up_to;
+mod outlier;
+mod polling;
+mod priority;
+mod random;
+mod request;
+mod request_table;
+mod retry;
 mod selection;
+mod send_gate;
+mod server;
+mod slow_start;
+mod subset;
+
+pub use dispatch::HoldReason;
+pub use endpoint_table::EndpointCounts;
+pub use final_answer::FinishReason;
+pub use send_gate::SendBlocked;
 
-use crate::interface::*;
-pub use crate::state::Balancer;
-use crate::state::{Attempt, Request, Server};
-use rand_pcg::Pcg32;
-use rand_pcg::rand_core::{RngCore, SeedableRng};
+use crate::action::Action;
+use crate::endpoint::{Endpoint, EndpointUpdate};
+use crate::event::Event;
+use crate::ids::RequestId;
+use crate::settings::Settings;
+use context::Context;
+use crowding::CrowdingGate;
+use deadline::FirstRequestTimes;
+use endpoint_table::EndpointTable;
+use estimators::{DecayedRate, LatencyEstimates};
+use health_check::HealthChecks;
+use join_up_to::JoinUpTo;
+use outlier::OutlierDetector;
+use polling::EndpointPoller;
+use priority::{Priorities, UsualWork};
+use random::RandomSource;
+use request_table::RequestTable;
+use retry::RetryBudget;
+use slow_start::SlowStart;
+use std::collections::BTreeMap;
 use std::time::Duration;
 
-const TICK: u64 = u64::MAX; // the token of the housekeeping timer; a request's timers carry its id
-/// The share of the service that probes, and connections, may cost: little beside what blind sends
-/// cost.
-const PRICE_SPEND: f64 = 0.01;
-/// Further attempts, as a share of first attempts: the usual retry budget.
-const RETRY_SHARE: f64 = 0.4;
-/// One observation's weight in a smoothed value: the last handful of observations decide.
-const SMOOTH: f64 = 1.0 / 8.0;
-/// A server is to be seen so often within the memory of rates, or else fewer are used, but not
-/// under a few.
-const SIGHTINGS: f64 = 3.0;
-const FEW: f64 = 6.0;
-/// An attempt is silent after so many times the median answer: for exponential answer times one in
-/// sixteen.
-const SILENT: f64 = 4.0;
-/// The most of the cold rule's allowance that is aimed at, and how many roots of its mean below the
-/// bound the aim lies.
-const COLD_SPEND: f64 = 0.75;
-const COLD_ROOTS: f64 = 6.0;
-/// A permit for a cold server lasts for so much of the time in which the server is judged: a node that
-/// had nothing to send saves no more.
-const COLD_SAVED: f64 = 0.5;
-/// Of what arrives, where it is not known what a warm server carries: more may arrive than all can
-/// carry.
-const COLD_START: f64 = 0.5;
-/// The longest body at the least rate takes less.
-const ARRIVES: Duration = Duration::from_secs(1200);
-/// A call for the list that failed is made again after so long at the most: what the list has
-/// counts as told within seconds of when it could be had, whatever calls failed before.
-const ASK_AGAIN: Duration = Duration::from_millis(400);
-const HEAVY: f64 = 2.0; // nothing of more than so many times the usual work goes to a cold server
-/// Crowding beyond this many requests is treated alike, and no more servers than this are compared.
-const LEVELS: usize = 64;
-
-/// A server's place on the ring: multiplied by the golden ratio's part of 2^64, neighbouring ids
-/// fall apart.
-fn scatter(id: ServerId) -> u64 {
-    id.0.wrapping_mul(0x9e37_79b9_7f4a_7c15)
+/// The token of the housekeeping timer. A request's timers carry its id.
+const TICK_TOKEN: u64 = u64::MAX;
+
+/// The decisions of one node.
+pub struct Balancer {
+    settings: Settings,
+    random: RandomSource,
+    now: Duration,
+    endpoints: EndpointTable,
+    requests: RequestTable,
+    latency: LatencyEstimates,
+    /// Own attempts.
+    send_rate: DecayedRate,
+    join_up_to: JoinUpTo,
+    crowding_gate: CrowdingGate,
+    priorities: Priorities,
+    usual_work: UsualWork,
+    first_request_times: FirstRequestTimes,
+    slow_start: SlowStart,
+    outliers: OutlierDetector,
+    retry_budget: RetryBudget,
+    health_checks: HealthChecks,
+    poller: EndpointPoller,
+    finish_counts: BTreeMap<FinishReason, u64>,
+    hold_counts: BTreeMap<HoldReason, u64>,
 }
 
-/// One of them at random, as a draw between 0 and 1 falls.
-fn any_of(among: &[&Server], draw: f64) -> Option<ServerId> {
-    among
-        .get((draw * among.len() as f64) as usize)
-        .map(|server| server.entry.id)
+/// The context of judgements, from the parts of a balancer that it borrows.
+fn context_of<'a>(
+    settings: &'a Settings,
+    now: Duration,
+    latency: &LatencyEstimates,
+) -> Context<'a> {
+    Context {
+        now,
+        settings,
+        mean_latency_s: latency.mean_s(),
+    }
 }
 
 impl Balancer {
-    /// A node that has just started and holds no state.
+    /// A node that has just started. Its random numbers follow from `seed`.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let aim = settings
-            .classes
-            .iter()
-            .map(|c| c.latency_objective)
-            .min()
-            .unwrap_or_default();
-        let mut node = Balancer::empty(settings, Pcg32::seed_from_u64(seed));
-        (node.answer_time, node.median) = (aim.as_secs_f64() / 2.0, aim.as_secs_f64() / 4.0);
-        (node.sends, node.idle_signs, node.busy) = (1.0, 1.0, 0.5);
-        (node.in_time, node.tried) = (vec![0.75; LEVELS], 1);
-        (node.taken, node.retry_tokens) = (2.0, 1.0 / RETRY_SHARE);
-        node
+        let objectives = settings.classes.iter().map(|class| class.latency_objective);
+        let shortest_objective = objectives.min().unwrap_or_default();
+        Balancer {
+            random: RandomSource::new(seed),
+            now: Duration::ZERO,
+            endpoints: EndpointTable::default(),
+            requests: RequestTable::default(),
+            latency: LatencyEstimates::new(shortest_objective),
+            send_rate: DecayedRate::default(),
+            join_up_to: JoinUpTo::new(),
+            crowding_gate: CrowdingGate::new(),
+            priorities: Priorities::new(&settings),
+            usual_work: UsualWork::default(),
+            first_request_times: FirstRequestTimes::new(&settings),
+            slow_start: SlowStart::default(),
+            outliers: OutlierDetector::default(),
+            retry_budget: RetryBudget::new(),
+            health_checks: HealthChecks::default(),
+            poller: EndpointPoller::default(),
+            finish_counts: BTreeMap::new(),
+            hold_counts: BTreeMap::new(),
+            settings,
+        }
     }
 
-    /// Takes in what happened at `now` and adds what is to be done to `actions`, in order.
+    /// Handles an event that happened at `now`, and appends what is to be done to `actions`, in order.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
-        let first = self.now.is_zero();
+        let is_first = self.now.is_zero();
         self.now = now.max(self.now).max(Duration::from_nanos(1));
-        if first && self.settings.poll_endpoint_list {
-            // All nodes may have started together: they spread their first calls.
-            self.ask_at = Some(
-                self.now
-                    + self
-                        .settings
-                        .safety
-                        .max_poll_interval
-                        .mul_f64(self.random() / 4.0),
-            );
-            self.on_tick(actions);
+        if is_first && self.settings.poll_endpoint_list {
+            self.start_polling(actions);
         }
         match event {
             Event::Settings(settings) => self.on_settings(*settings),
-            Event::EndpointList {
-                update: kind,
-                endpoints: entries,
-            } => self.on_list(kind, entries),
+            Event::EndpointList { update, endpoints } => self.on_endpoint_list(update, endpoints),
             Event::Request(new) => self.on_request(new, actions),
-            Event::BodyComplete {
-                id,
-                body_consumed: spent,
-            } => self.on_arrived(id, spent, actions),
+            Event::BodyComplete { id, body_consumed } => {
+                self.on_body_complete(id, body_consumed, actions);
+            }
             Event::ResponseStarted {
                 id,
                 attempt,
                 server,
                 report,
-            } => {
-                self.on_started(id, attempt, server, report, actions);
-            }
-            Event::AttemptEnded(end) => self.on_outcome(end, actions),
+            } => self.on_response_started(id, attempt, server, report, actions),
+            Event::AttemptEnded(end) => self.on_attempt_end(end, actions),
             Event::ClientGone { id } => self.close(id, actions),
-            Event::Timer { token: TICK } => self.on_tick(actions),
+            Event::Timer { token: TICK_TOKEN } => self.on_tick(actions),
             Event::Timer { token } => self.on_request_timer(RequestId(token), actions),
-            Event::HealthChecked(end) => self.on_probed(end, actions),
+            Event::HealthChecked(end) => self.on_health_check_end(end, actions),
             Event::PeerMessage { .. } => {}
         }
     }
 
-    /// How many servers are listed, and how many of these are avoided for what they did. One that
-    /// drains is not: it is on its way out as it should be.
-    pub fn view(&self) -> (usize, usize) {
-        let listed = self
-            .servers
-            .values()
-            .filter(|s| s.entry.state != ServerState::Removed);
-        let avoided = |s: &&Server| s.entry.state == ServerState::Ready && s.ejected.is_some();
-        (listed.clone().count(), listed.filter(avoided).count())
+    /// How many servers are listed, and how many of the ready ones are ejected. Draining servers are not ejected.
+    pub fn endpoint_counts(&self) -> EndpointCounts {
+        self.endpoints.counts()
     }
 
-    /// The only place that gives a final answer: refused if to try again is harmless, else failed.
-    fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self
-            .requests
-            .get(&id)
-            .filter(|r| !r.done && r.streaming.is_none())
-        else {
-            return;
-        };
-        if request.out() > 0 && self.now < request.until {
-            return; // what is out may still be answered
-        }
-        let harmless = match request.repeat {
-            Idempotency::Idempotent
-            | Idempotency::Keyed {
-                scope: Scope::All, ..
-            } => true,
-            _ => !request.attempts.iter().any(Attempt::may_have_run),
-        };
-        let retry_after = self.settings.limits.max_retry_after;
-        actions.push(if harmless {
-            Action::Reject { id, retry_after }
-        } else {
-            Action::Fail { id }
-        });
-        self.close(id, actions);
+    /// How many requests got their final answer from this node, by reason.
+    pub fn finish_counts(&self) -> &BTreeMap<FinishReason, u64> {
+        &self.finish_counts
     }
 
-    /// Nothing more is sent for a request. What is out is called off, and it is kept until that has
-    /// ended.
-    fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        self.held.retain(|held| *held != id);
-        self.waits(id, false);
-        let Some(request) = self.requests.get_mut(&id) else {
-            return;
-        };
-        if !request.done && self.settings.limits.cancel_attempts && request.streaming.is_none() {
-            let out = request
-                .attempts
-                .iter()
-                .enumerate()
-                .filter(|(_, a)| a.outcome.is_none());
-            actions.extend(out.map(|(i, _)| Action::CancelAttempt {
-                id,
-                attempt: i as u32,
-            }));
-        }
-        request.done = true;
-        if request.out() == 0 {
-            self.requests.remove(&id);
-        }
+    /// How often requests were held back, by reason.
+    pub fn hold_counts(&self) -> &BTreeMap<HoldReason, u64> {
+        &self.hold_counts
     }
 
-    /// Takes new settings in; what was learnt of servers and times stays, since they are the same.
+    fn context(&self) -> Context<'_> {
+        context_of(&self.settings, self.now, &self.latency)
+    }
+
+    /// The number of servers that this node chooses among.
+    fn subset_size(&self) -> usize {
+        subset::size(
+            &self.context(),
+            self.endpoints.ready_count(),
+            &self.send_rate,
+        )
+    }
+
+    fn accrue_permits(&mut self) {
+        let subset_size = self.subset_size();
+        let context = context_of(&self.settings, self.now, &self.latency);
+        let random = &mut self.random;
+        self.slow_start
+            .accrue_permits(&context, &mut self.endpoints, subset_size, random);
+    }
+
+    /// Takes new settings. What was learnt of servers and latencies stays.
     fn on_settings(&mut self, settings: Settings) {
-        self.allowances.resize_with(
-            settings.tenants.len().max(self.allowances.len()),
-            Default::default,
-        );
-        self.patience.resize(
-            settings.classes.len().max(self.patience.len()),
-            Duration::ZERO,
-        );
-        // A request keeps its class with its terms, but for a repeat kind that is stricter now, where nodes
-        // have agreed on it.
-        for request in self
-            .requests
-            .values_mut()
-            .filter(|_| settings.tighten_open_requests)
-        {
-            let Some(class) = settings.classes.get(request.class) else {
-                continue;
-            };
-            request.repeat = request.repeat.stricter(class.idempotency);
+        self.priorities.on_settings(&settings);
+        self.first_request_times.on_settings(&settings);
+        if settings.tighten_open_requests {
+            for request in self.requests.all_mut() {
+                if let Some(class) = settings.classes.get(request.class) {
+                    request.idempotency = request.idempotency.stricter(class.idempotency);
+                }
+            }
         }
         self.settings = settings;
     }
 
+    /// A request's timer has expired: its deadline has passed, or it was held back long enough.
     fn on_request_timer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let now = self.now;
-        let Some(request) = self.requests.get_mut(&id) else {
+        let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        if now >= request.until {
-            self.finish(id, actions);
-        } else {
-            // Whoever was held for probes, or for want of servers, has waited long enough.
-            request.probed = true;
-            self.held.retain(|held| *held != id);
-            self.dispatch(id, actions);
+        if self.now >= request.deadline {
+            return self.finish(id, FinishReason::DeadlinePassed, actions);
         }
+        request.health_checks_done = true;
+        self.health_checks.stop_waiting(id);
+        self.dispatch(id, actions);
+    }
+
+    fn on_endpoint_list(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) {
+        match update {
+            EndpointUpdate::Failed => {
+                let draw = self.random.unit();
+                return self.poller.on_failure(self.now, draw);
+            }
+            EndpointUpdate::Incremental | EndpointUpdate::Full => self.poller.on_success(),
+            EndpointUpdate::Cached => {}
+        }
+        let subset_size = self.subset_size();
+        let context = context_of(&self.settings, self.now, &self.latency);
+        self.slow_start
+            .before_list_update(&context, &self.endpoints, subset_size);
+        let initial_estimate = self.usual_estimate(subset_size);
+        self.endpoints.apply(update, endpoints, initial_estimate);
+    }
+
+    /// The mean estimate of the servers that this node uses.
+    fn usual_estimate(&self, subset_size: usize) -> u32 {
+        let count = subset_size.min(self.endpoints.ready_count());
+        let subset = self.endpoints.in_ring_order(&self.settings).take(count);
+        let sum: u32 = subset.map(|server| server.sends_since_idle).sum();
+        sum / count.max(1) as u32
+    }
+
+    fn start_polling(&mut self, actions: &mut Vec<Action>) {
+        let draw = self.random.unit();
+        self.poller.start(self.now, &self.settings.safety, draw);
+        self.on_tick(actions);
+    }
+
+    fn on_tick(&mut self, actions: &mut Vec<Action>) {
+        self.poller
+            .on_tick(self.now, &self.settings.safety, TICK_TOKEN, actions);
     }
 }
--- /dev/null
+++ b/crates/balancer/src/policy/arrival.rs
@@ -0,0 +1,112 @@
+//! New requests and the ends of their bodies.
+
+use super::Balancer;
+use super::deadline::MAX_BODY_TIME;
+use super::final_answer::FinishReason;
+use super::request::Request;
+use crate::action::Action;
+use crate::event::NewRequest;
+use crate::ids::RequestId;
+use std::time::Duration;
+
+/// Where fewer reports than this are of busy servers, a request may take twice its expected work: estimates are rough.
+const MOSTLY_IDLE: f64 = 0.5;
+
+impl Balancer {
+    /// Accepts a request and finds a server for it.
+    pub(super) fn on_request(&mut self, new: NewRequest, actions: &mut Vec<Action>) {
+        let id = new.id;
+        let request = self.new_request(&new);
+        let time = match request.time_after_body {
+            Some(time) => time,
+            None => request.deadline.saturating_sub(self.now),
+        };
+        let timer = request.deadline;
+        self.requests.insert(id, request);
+        if self.is_too_much_work(new.expected_work, time) {
+            return self.finish(id, FinishReason::ExpectedWorkTooLong, actions);
+        }
+        actions.push(Action::SetTimer {
+            after: timer - self.now,
+            token: id.0,
+        });
+        self.dispatch(id, actions);
+    }
+
+    /// The request as it is kept; counts it with every policy that needs to know.
+    fn new_request(&mut self, new: &NewRequest) -> Request {
+        let now = self.now;
+        let class = new.class.min(self.settings.classes.len() - 1);
+        let deadline = self
+            .first_request_times
+            .deadline(&self.settings, now, new, class);
+        let relative_work = self.usual_work.relative(new.expected_work);
+        let context = super::context_of(&self.settings, now, &self.latency);
+        self.slow_start.on_request(&context, relative_work);
+        self.retry_budget.on_request();
+        let ready_servers = self.endpoints.ready_count();
+        self.health_checks
+            .on_request(&self.settings.penalties, ready_servers);
+        let priority = self
+            .priorities
+            .of_request(&self.settings, now, class, new.tenant);
+        let time = deadline.saturating_sub(now);
+        Request {
+            class,
+            idempotency: self.settings.classes[class].idempotency,
+            max_attempts: self.settings.limits.max_attempts,
+            relative_work,
+            priority,
+            deadline: if new.body_pending {
+                now + MAX_BODY_TIME
+            } else {
+                deadline
+            },
+            health_checks_done: !self.context().load_by_health_check(),
+            time_after_body: new.body_pending.then_some(time),
+            ..Request::default()
+        }
+    }
+
+    /// Whether not even a free server could answer in time.
+    fn is_too_much_work(&self, expected_work: Option<Duration>, time: Duration) -> bool {
+        let mostly_idle = self.join_up_to.busy_fraction() < MOSTLY_IDLE;
+        let limit = if mostly_idle { time * 2 } else { time };
+        expected_work.unwrap_or_default() >= limit
+    }
+
+    /// A request's body is complete: its deadline counts from now on, and what is in flight is work of its server's.
+    pub(super) fn on_body_complete(
+        &mut self,
+        id: RequestId,
+        body_consumed: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        let now = self.now;
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        if request.closed {
+            return;
+        }
+        let Some(time) = request.time_after_body.take() else {
+            return;
+        };
+        request.deadline = now + time;
+        request.body_consumed |= body_consumed;
+        let in_flight = request.attempts.iter().filter(|a| a.is_in_flight());
+        let servers: Vec<_> = in_flight.map(|a| a.endpoint.id).collect();
+        for server in &servers {
+            if let Some(server) = self.endpoints.get_mut(*server) {
+                server.in_flight += 1;
+            }
+        }
+        actions.push(Action::SetTimer {
+            after: time,
+            token: id.0,
+        });
+        if servers.is_empty() {
+            self.dispatch(id, actions);
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/policy/dispatch.rs
@@ -0,0 +1,170 @@
+//! Finds a server for a request that needs its first or a further attempt: composes selection, holding, health checks, the
+//! send gate and the final answer.
+
+use super::Balancer;
+use super::deadline::MAX_BODY_TIME;
+use super::final_answer::FinishReason;
+use super::health_check;
+use super::request::Request;
+use super::retry;
+use super::selection::{Draws, Selection, Selector};
+use super::send_gate;
+use crate::action::Action;
+use crate::ids::{RequestId, ServerId};
+use std::time::Duration;
+
+/// No more requests than this are held back until more is known of crowding.
+const MAX_WAITING: usize = 64;
+/// A held request is looked at again after this fraction of the mean latency.
+const HOLD_TIME: f64 = 1.0 / 8.0;
+
+/// Why a request is held back for a while.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum HoldReason {
+    /// No server is listed, or only warming ones without a permit.
+    NoEligibleServer,
+    /// Nothing tells yet whether servers as crowded as these answer in time.
+    CrowdingUnexplored,
+    /// Health checks are in flight that may show an idle server.
+    HealthChecks,
+}
+
+impl Balancer {
+    /// Finds a server for a request, if it may be attempted now.
+    pub(super) fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let draws = Draws {
+            admission: self.random.unit(),
+            choice: self.random.unit(),
+        };
+        self.accrue_permits();
+        self.requests.set_waiting(id, false);
+        let context = self.context();
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        if request.closed || !retry::may_attempt_now(&context, &self.latency, request) {
+            return;
+        }
+        let is_eligible = |s: &&_| send_gate::check_server(&context, s, request).is_ok();
+        let ready = self
+            .endpoints
+            .in_ring_order(&self.settings)
+            .filter(is_eligible);
+        let eligible: Vec<_> = ready.take(self.subset_size()).collect();
+        if let Some(reason) = self.hopeless(request, eligible.is_empty()) {
+            return self.finish(id, reason, actions);
+        }
+        if eligible.is_empty() {
+            return self.hold(id, HoldReason::NoEligibleServer, actions);
+        }
+        let selector = Selector {
+            context,
+            gate: &self.crowding_gate,
+            join_up_to: &self.join_up_to,
+        };
+        let selection = selector.select(request, eligible, draws);
+        let first_attempt = !request.was_attempted();
+        let may_check_health = !request.health_checks_done;
+        self.act_on(id, selection, first_attempt, may_check_health, actions);
+    }
+
+    /// Why a request gets no attempt at all, if so.
+    fn hopeless(&self, request: &Request, no_server: bool) -> Option<FinishReason> {
+        if self.now >= request.deadline {
+            return Some(FinishReason::DeadlinePassed);
+        }
+        if !request.was_attempted() {
+            return None;
+        }
+        if !self.retry_budget.has(1.0) {
+            return Some(FinishReason::RetryBudgetExhausted);
+        }
+        no_server.then_some(FinishReason::NoServerForRetry)
+    }
+
+    fn act_on(
+        &mut self,
+        id: RequestId,
+        selection: Selection,
+        first_attempt: bool,
+        may_check_health: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        let (fallback, unknown_load) = match selection {
+            Selection::BelowCap(server) => return self.send(id, server, actions),
+            Selection::AtCap {
+                fallback,
+                unknown_load,
+            } => (Some(fallback), unknown_load),
+            Selection::Crowded {
+                unknown_load,
+                unexplored,
+            } => {
+                if unexplored && first_attempt && self.requests.waiting() < MAX_WAITING {
+                    return self.hold(id, HoldReason::CrowdingUnexplored, actions);
+                }
+                (None, unknown_load)
+            }
+        };
+        if self.health_checks.is_waiting(id) {
+            return;
+        }
+        if may_check_health && self.check_health(id, unknown_load, actions) {
+            return;
+        }
+        match fallback {
+            Some(server) => self.send(id, server, actions),
+            None => self.finish(id, FinishReason::ServersCrowded, actions),
+        }
+    }
+
+    /// Holds a request back for a while. One whose body is still being received is not read on meanwhile: its client waits
+    /// for that as long as it would for an answer, and no longer.
+    fn hold(&mut self, id: RequestId, reason: HoldReason, actions: &mut Vec<Action>) {
+        let now = self.now;
+        let out_of_time = |request: &Request| {
+            let time = request.time_after_body;
+            time.is_some_and(|time| now + MAX_BODY_TIME >= request.deadline + time)
+        };
+        if self.requests.get(id).is_some_and(out_of_time) {
+            return self.finish(id, FinishReason::NoServerDuringBody, actions);
+        }
+        *self.hold_counts.entry(reason).or_default() += 1;
+        let after = Duration::from_secs_f64(self.latency.mean_s() * HOLD_TIME);
+        self.requests.set_waiting(id, true);
+        actions.push(Action::SetTimer {
+            after: after.max(self.settings.timer_resolution),
+            token: id.0,
+        });
+    }
+
+    /// Sends health checks to some of the candidates, as far as the budget goes, and holds the request meanwhile. Returns
+    /// whether any health check is in flight to wait for.
+    fn check_health(
+        &mut self,
+        id: RequestId,
+        candidates: Vec<ServerId>,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        for server in self.health_checks.choose(candidates, &mut self.random) {
+            if let Some(server) = self.endpoints.get_mut(server) {
+                server.health_check_pending = true;
+            }
+            actions.push(Action::HealthCheck { server });
+        }
+        if !self.health_checks.any_in_flight() {
+            return false;
+        }
+        *self
+            .hold_counts
+            .entry(HoldReason::HealthChecks)
+            .or_default() += 1;
+        self.health_checks.wait(id);
+        let resolution = self.settings.timer_resolution;
+        actions.push(Action::SetTimer {
+            after: health_check::wait_time(self.latency.mean_s(), resolution),
+            token: id.0,
+        });
+        true
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/policy/estimators.rs
@@ -0,0 +1,103 @@
+//! Estimators of fractions, latencies and rates.
+
+use std::time::Duration;
+
+/// Usual weight of one observation: the last handful of observations decide.
+pub(super) const SMOOTHING: f64 = 1.0 / 8.0;
+
+/// An exponentially weighted moving average.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct Ewma(f64);
+
+impl Ewma {
+    pub(super) fn new(value: f64) -> Self {
+        Ewma(value)
+    }
+
+    pub(super) fn value(self) -> f64 {
+        self.0
+    }
+
+    /// Moves the average towards `sample` by the fraction `weight` of the distance.
+    pub(super) fn observe(&mut self, sample: f64, weight: f64) {
+        self.0 += (sample - self.0) * weight;
+    }
+}
+
+/// A running median: moves by a fixed fraction of itself, up for a sample above it and down for any other.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct StreamingMedian(f64);
+
+impl StreamingMedian {
+    const STEP: f64 = SMOOTHING / 4.0;
+
+    pub(super) fn new(value: f64) -> Self {
+        StreamingMedian(value)
+    }
+
+    pub(super) fn value(self) -> f64 {
+        self.0
+    }
+
+    pub(super) fn observe(&mut self, above: bool) {
+        self.0 *= 1.0 + if above { Self::STEP } else { -Self::STEP };
+    }
+}
+
+/// An amount per second, in which the past decays exponentially over a window.
+#[derive(Debug, Default)]
+pub(super) struct DecayedRate {
+    amount: f64,
+    at: Duration,
+}
+
+impl DecayedRate {
+    /// Adds an amount; `window_s` is the decay time in seconds.
+    pub(super) fn add(&mut self, now: Duration, window_s: f64, amount: f64) {
+        *self = DecayedRate {
+            amount: self.per_second(now, window_s) * window_s + amount,
+            at: now,
+        };
+    }
+
+    /// The rate per second.
+    pub(super) fn per_second(&self, now: Duration, window_s: f64) -> f64 {
+        self.amount * (-(now - self.at).as_secs_f64() / window_s).exp() / window_s
+    }
+}
+
+/// Mean and median latency of served attempts, in seconds.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct LatencyEstimates {
+    mean: Ewma,
+    median: StreamingMedian,
+}
+
+impl LatencyEstimates {
+    const MEAN_WEIGHT: f64 = SMOOTHING / 4.0;
+
+    /// Before the first answer: from the shortest latency objective.
+    pub(super) fn new(latency_objective: Duration) -> Self {
+        let objective_s = latency_objective.as_secs_f64();
+        LatencyEstimates {
+            mean: Ewma::new(objective_s / 2.0),
+            median: StreamingMedian::new(objective_s / 4.0),
+        }
+    }
+
+    pub(super) fn mean_s(&self) -> f64 {
+        self.mean.value()
+    }
+
+    pub(super) fn median_s(&self) -> f64 {
+        self.median.value()
+    }
+
+    /// Takes the latency of a served attempt; `relative_work` is its work in units of a usual request's.
+    pub(super) fn observe(&mut self, elapsed: Duration, relative_work: f64) {
+        let elapsed_s = elapsed.as_secs_f64();
+        let expected_s = self.median.value() * relative_work.max(1.0);
+        self.median.observe(elapsed_s > expected_s);
+        self.mean.observe(elapsed_s, Self::MEAN_WEIGHT);
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/policy/final_answer.rs
@@ -0,0 +1,88 @@
+//! The one place that gives final answers: rejected where a retry by the client is safe, else failed.
+
+use super::Balancer;
+use super::request::Request;
+use super::send_gate::SendBlocked;
+use crate::action::Action;
+use crate::ids::RequestId;
+use crate::settings::{Idempotency, Scope};
+
+/// Why a request gets its final answer from this node and not from a server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum FinishReason {
+    /// Its expected work alone takes longer than its deadline allows.
+    ExpectedWorkTooLong,
+    /// Its deadline passed.
+    DeadlinePassed,
+    /// Its body was still being received, no server was eligible, and all the time that it would have is over.
+    NoServerDuringBody,
+    /// It needs a retry, and the retry budget is used up.
+    RetryBudgetExhausted,
+    /// It needs a retry, and no other server is eligible.
+    NoServerForRetry,
+    /// All eligible servers are too crowded to answer in time.
+    ServersCrowded,
+    /// A rule forbids the send to the chosen server.
+    SendBlocked(SendBlocked),
+}
+
+/// Whether a client may safely retry a request: nothing has run, or servers discard duplicates everywhere.
+fn is_safe_to_retry(request: &Request) -> bool {
+    match request.idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::Keyed {
+            scope: Scope::All, ..
+        } => true,
+        Idempotency::Keyed { .. } | Idempotency::NonIdempotent => {
+            request.first_that_may_have_run().is_none()
+        }
+    }
+}
+
+impl Balancer {
+    /// Gives a request its final answer, unless it has one, its client is receiving one, or an attempt in flight may still
+    /// answer in time.
+    pub(super) fn finish(
+        &mut self,
+        id: RequestId,
+        reason: FinishReason,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        if request.closed || request.streaming.is_some() {
+            return;
+        }
+        if request.in_flight() > 0 && self.now < request.deadline {
+            return;
+        }
+        *self.finish_counts.entry(reason).or_default() += 1;
+        let retry_after = self.settings.limits.max_retry_after;
+        actions.push(if is_safe_to_retry(request) {
+            Action::Reject { id, retry_after }
+        } else {
+            Action::Fail { id }
+        });
+        self.close(id, actions);
+    }
+
+    /// Sends nothing more for a request. Attempts in flight are cancelled where that is allowed, and the request is kept
+    /// until they have ended.
+    pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        self.health_checks.stop_waiting(id);
+        self.requests.set_waiting(id, false);
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        let cancel = self.settings.limits.cancel_attempts;
+        if !request.closed && cancel && request.streaming.is_none() {
+            let attempts = request.attempts_in_flight();
+            actions.extend(attempts.map(|attempt| Action::CancelAttempt { id, attempt }));
+        }
+        request.closed = true;
+        if request.in_flight() == 0 {
+            self.requests.remove(id);
+        }
+    }
+}
--- a/crates/balancer/src/policy/selection.rs
+++ b/crates/balancer/src/policy/selection.rs
@@ -1,233 +1,151 @@
-//! Which server: Join-Up-To(m) among those that are seen often enough, and probes for one that is free.
-
-use super::*;
-
-impl Balancer {
-    /// How crowded a server is: what it reported lately, and at least own attempts that are out.
-    pub(super) fn crowd(&self, server: &Server) -> f64 {
-        let guess = f64::from(server.out) / (1.0 - server.failing).max(SMOOTH);
-        self.fresh_load(server)
-            .map_or(guess, |load| load.max(server.out.into()))
-    }
-
-    /// The load that a probe told of lately, with own sends since.
-    pub(super) fn fresh_load(&self, server: &Server) -> Option<f64> {
-        server
-            .load
-            .filter(|&(_, at)| self.probes_tell() && self.fresh(at))
-            .map(|(load, _)| load)
-    }
-
-    /// A queue turns over within about one answer time; then news of it is old.
-    pub(super) fn fresh(&self, at: Duration) -> bool {
-        (self.now - at).as_secs_f64() <= self.answer_time / 4.0
-    }
+//! Server selection: eligible, then healthy, then not too crowded servers, and Join-Up-To(m) among these.
+
+use super::context::Context;
+use super::crowding::{self, CrowdingGate};
+use super::join_up_to::JoinUpTo;
+use super::outlier;
+use super::random;
+use super::request::Request;
+use super::server::Server;
+use crate::ids::ServerId;
+use crate::settings::Idempotency;
+
+/// Two random numbers, from 0 up to 1, that decide about a request.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Draws {
+    /// For admission and trials.
+    pub(super) admission: f64,
+    /// For ties and random picks.
+    pub(super) choice: f64,
+}
 
-    pub(super) fn probes_tell(&self) -> bool {
-        self.settings.reports == ReportSource::HealthChecks && self.settings.limits.health_checks
-    }
+/// What comes of a selection.
+#[derive(Debug)]
+pub(super) enum Selection {
+    /// This server has the lowest estimate below the cap.
+    BelowCap(ServerId),
+    /// All servers that are not too crowded have reached the cap.
+    AtCap {
+        /// One of them at random.
+        fallback: ServerId,
+        /// Servers whose load a health check could find out.
+        unknown_load: Vec<ServerId>,
+    },
+    /// All servers are too crowded to answer in time.
+    Crowded {
+        /// Servers whose load a health check could find out.
+        unknown_load: Vec<ServerId>,
+        /// Whether it is unexplored if one of them answers in time.
+        unexplored: bool,
+    },
+}
 
-    /// Join-Up-To(m): the lowest estimate strictly below m, ties at random.
-    pub(super) fn below_cap(&self, among: &[&Server], draw: f64) -> Option<ServerId> {
-        let cap = self.cap();
-        let estimates: Vec<_> = among.iter().map(|s| self.estimate(s, cap)).collect();
-        let lowest = *estimates.iter().min().filter(|e| **e < cap)?;
-        let ties = among.iter().zip(estimates).filter(|(_, e)| *e == lowest);
-        any_of(&ties.map(|(s, _)| *s).collect::<Vec<_>>(), draw)
-    }
+/// The policies that a selection asks.
+pub(super) struct Selector<'a> {
+    pub(super) context: Context<'a>,
+    pub(super) gate: &'a CrowdingGate,
+    pub(super) join_up_to: &'a JoinUpTo,
+}
 
-    /// Own sends since the last idle sign. Where those come from cheap probes and other nodes send as well,
-    /// a sign lapses once they may have sent there too. A cold server is not probed: its permit stands for a
-    /// sign, since it is this node's part of what all may send there.
-    pub(super) fn estimate(&self, server: &Server, cap: u32) -> u32 {
-        let lapses = self.probes_tell() && self.settings.nodes > 1;
-        match server.idle_at {
-            _ if !lapses => server.count,
-            _ if self.warmth(server) < 1.0 => server.out,
-            Some(at) if self.fresh(at) => server.count,
-            _ => cap,
+impl Selector<'_> {
+    /// Selects among the eligible servers, of which there is at least one.
+    pub(super) fn select(
+        &self,
+        request: &Request,
+        eligible: Vec<&Server>,
+        draws: Draws,
+    ) -> Selection {
+        let healthy = self.healthy(request, eligible, draws);
+        let open: Vec<_> = healthy
+            .iter()
+            .copied()
+            .filter(|s| self.admits(s, request, draws))
+            .collect();
+        let is_crowded = open.is_empty();
+        let candidates = self.least_crowded(open);
+        if let Some(server) = self
+            .join_up_to
+            .choose(&self.context, &candidates, draws.choice)
+        {
+            return Selection::BelowCap(server);
+        }
+        let unknown_load = self.unknown_load(request, &healthy);
+        match random::pick(&candidates, draws.choice) {
+            Some(server) => Selection::AtCap {
+                fallback: server.endpoint.id,
+                unknown_load,
+            },
+            None => Selection::Crowded {
+                unknown_load,
+                unexplored: is_crowded && healthy.iter().any(|s| self.is_unexplored(s)),
+            },
         }
     }
 
-    /// The cap m of Theorem 6 of the paper, from own sends for each idle sign (its lambda / delta) and the
-    /// share of reports that were not idle (its lambda), for exponential job sizes.
-    pub(super) fn cap(&self) -> u32 {
-        let per_sign = self.sends / self.idle_signs;
-        let half = 0.5 + per_sign * (1.0 - self.busy) / self.busy.max(SMOOTH);
-        let best = ((half * half + 2.0 * per_sign).sqrt() - half).ceil();
-        best.min(per_sign.floor()).max(1.0) as u32
-    }
-
-    /// Soft gate: those that are not more crowded than the average.
-    pub(super) fn uncrowded<'a>(&self, among: Vec<&'a Server>) -> Vec<&'a Server> {
-        let crowds: Vec<_> = among.iter().map(|s| self.crowd(s)).collect();
-        let average = crowds.iter().sum::<f64>() / among.len() as f64 + 1e-9;
-        among
-            .into_iter()
-            .zip(crowds)
-            .filter(|(_, crowd)| *crowd <= average)
-            .map(|(s, _)| s)
-            .collect()
-    }
-
-    /// How many servers to choose from: no more than own traffic can keep in view, since a server seen once a
-    /// minute is never known to be slow or gone. Where connections have a price, all nodes together keep it
-    /// within a hundredth of the service. Each has a server for every request at once and two to choose from.
-    pub(super) fn enough(&self) -> usize {
-        let affordable = 100.0 * PRICE_SPEND / self.settings.penalties.connections;
-        let part = affordable * self.order.len() as f64 / f64::from(self.settings.nodes);
-        let rate = self.sent.per_s(self.now, self.memory());
-        let sightings = SIGHTINGS / if self.probes_tell() { 2.0 } else { 1.0 };
-        let in_view = (rate * self.memory()).max(FEW * SIGHTINGS) / sightings;
-        (part.min(in_view).max(2.0 + rate * self.answer_time) as usize).min(LEVELS)
-    }
-
-    pub(super) fn random(&mut self) -> f64 {
-        f64::from(self.rng.next_u32()) / 2f64.powi(32)
-    }
-
-    /// Finds a server for a request that waits for its first or a further attempt.
-    pub(super) fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let (luck, draw) = (self.random(), self.random());
-        self.draw_permits();
-        self.waits(id, false);
-        let Some(request) = self.requests.get(&id).filter(|r| !r.done && self.may_go(r)) else {
-            return;
-        };
-        let permitted = self
-            .ring()
-            .filter_map(|id| self.servers.get(&id))
-            .filter(|s| self.permitted(s, request));
-        let permitted: Vec<_> = permitted.take(self.enough()).collect();
-        let again = !request.attempts.is_empty();
-        if self.now >= request.until || again && (self.retry_tokens < 1.0 || permitted.is_empty()) {
-            return self.finish(id, actions);
+    /// On trial, an ejected server that is due; else servers that are not ejected; else all.
+    fn healthy<'s>(
+        &self,
+        request: &Request,
+        eligible: Vec<&'s Server>,
+        draws: Draws,
+    ) -> Vec<&'s Server> {
+        let can_be_retried = request.idempotency != Idempotency::NonIdempotent;
+        let trial = !request.was_attempted() && outlier::is_trial(draws.admission, can_be_retried);
+        if trial {
+            let now = self.context.now;
+            let is_due = |s: &&Server| s.health.is_due_for_trial(now) && s.in_flight == 0;
+            let due: Vec<_> = eligible.iter().copied().filter(is_due).collect();
+            if !due.is_empty() {
+                return due;
+            }
         }
-        if permitted.is_empty() {
-            // Nobody is listed, or only cold servers without a permit: hold it a while.
-            return self.wait(id, actions);
-        }
-        // Soft gates give way when they leave nobody. Ejected servers get one request in so many on trial,
-        // seldom one that can't be sent again: else trials take most of a quiet node's requests.
-        let once = request.repeat == Idempotency::NonIdempotent;
-        let trial = !again && luck * if once { 4.0 } else { 1.0 } < SMOOTH;
-        let due = |s: &Server| {
-            trial
-                && s.ejected
-                    .is_some_and(|until| self.now >= until && s.out == 0)
-        };
-        let due: Vec<_> = permitted.iter().copied().filter(|s| due(s)).collect();
-        let sound: Vec<_> = permitted
+        let sound: Vec<_> = eligible
             .iter()
             .copied()
-            .filter(|s| s.ejected.is_none())
+            .filter(|s| !s.health.is_ejected())
             .collect();
-        let healthy = [due, sound, permitted]
-            .into_iter()
-            .find(|some| !some.is_empty())
-            .unwrap_or_default();
-        let fits: Vec<_> = healthy
-            .iter()
-            .copied()
-            .filter(|s| self.fits(s, request, luck))
-            .collect();
-        let (open, unknown) = (!fits.is_empty(), healthy.iter().any(|s| self.untried(s)));
-        if !open && unknown && !again && self.waiting < LEVELS {
-            return self.wait(id, actions);
-        }
-        let fitting = self.uncrowded(fits);
-        let (below, any) = (self.below_cap(&fitting, draw), any_of(&fitting, draw));
-        let ask = below.is_none() && !request.probed && !self.held.contains(&id);
-        // A probe is work like a request's: a cold server's part is for requests.
-        let unknown = |s: &&&Server| {
-            ask && !s.probing && self.warmth(s) >= 1.0 && self.fresh_load(s).is_none()
-        };
-        let unknown: Vec<_> = healthy.iter().filter(unknown).map(|s| s.entry.id).collect();
-        // The lowest estimate below m, or a probe for one, or one at random where all have reached m.
-        match below {
-            Some(server) => self.send(id, server, actions),
-            None if self.held.contains(&id) || ask && self.probe(id, unknown, actions) => {}
-            None if any.is_some() => any
-                .into_iter()
-                .for_each(|server| self.send(id, server, actions)),
-            // Everybody is too crowded to answer in time: better to say so now.
-            None => self.finish(id, actions),
-        }
+        if sound.is_empty() { eligible } else { sound }
     }
 
-    /// Nothing in flight with an answer (an empty queue where that is all there is) is an idle sign, but a
-    /// late one if own attempts are still out there: those stay in the estimate.
-    pub(super) fn on_report(&mut self, id: ServerId, report: Option<LoadReport>, served: bool) {
-        let (Some(report), Some(server)) = (report, self.servers.get_mut(&id)) else {
-            return;
-        };
-        let Some(load) = report.in_flight.or(report.queue).map(f64::from) else {
-            return;
-        };
-        server.load = Some((load, self.now));
-        self.busy += (if load < 0.5 { 0.0 } else { 1.0 } - self.busy) * SMOOTH / 8.0;
-        if load < 0.5 && served {
-            self.idle_signs += if server.count > server.out { 1.0 } else { 0.0 };
-            server.count = server.count.min(server.out);
-            server.idle_at = Some(self.now);
-        }
+    fn level(&self, server: &Server) -> usize {
+        crowding::level(server.crowding(&self.context))
     }
 
-    /// Probes servers at the cap, two at a time, as own traffic has paid, and holds the request meanwhile.
-    pub(super) fn probe(
-        &mut self,
-        id: RequestId,
-        mut targets: Vec<ServerId>,
-        actions: &mut Vec<Action>,
-    ) -> bool {
-        for _ in 0..2.min(self.probe_tokens as usize) {
-            let draw = (self.random() * targets.len() as f64) as usize;
-            let Some(target) = targets.get(draw).copied() else {
-                break;
-            };
-            targets.retain(|t| *t != target);
-            self.probe_tokens -= 1.0;
-            self.servers.entry(target).and_modify(|s| s.probing = true);
-            self.probes_out += 1;
-            actions.push(Action::HealthCheck { server: target });
-        }
-        if self.probes_out == 0 {
-            return false;
-        }
-        self.held.push(id);
-        // A server that answers a probe later than this is no place to send to.
-        let patience = Duration::from_secs_f64(self.answer_time / 16.0)
-            .max(4 * self.settings.timer_resolution);
-        actions.push(Action::SetTimer {
-            after: patience,
-            token: id.0,
-        });
-        true
+    fn admits(&self, server: &Server, request: &Request, draws: Draws) -> bool {
+        let unused = server.in_flight == 0;
+        let level = self.level(server);
+        self.gate
+            .admits(level, unused, request.priority, draws.admission)
     }
 
-    pub(super) fn on_probed(&mut self, end: HealthCheckEnd, actions: &mut Vec<Action>) {
-        self.servers
-            .entry(end.server)
-            .and_modify(|s| (s.probing, s.load) = (false, None));
-        self.on_report(end.server, end.report, end.outcome == Outcome::Served);
-        if end.outcome == Outcome::ConnectFailed {
-            self.unreached(end.server, end.elapsed);
-        }
-        self.probes_out = self.probes_out.saturating_sub(1);
-        let last = self.probes_out == 0;
-        for id in self.held.clone() {
-            self.held.retain(|held| !last || *held != id);
-            self.dispatch(id, actions);
+    fn is_unexplored(&self, server: &Server) -> bool {
+        self.gate.is_unexplored(self.level(server))
+    }
+
+    /// Servers whose load a health check could find out, if the request may still wait for health checks.
+    fn unknown_load(&self, request: &Request, servers: &[&Server]) -> Vec<ServerId> {
+        if request.health_checks_done {
+            return Vec::new();
         }
+        let unknown = servers.iter().filter(|s| self.needs_health_check(s));
+        unknown.map(|s| s.endpoint.id).collect()
     }
 
-    /// All nodes see the same ring of ready servers and start evenly spaced, so that each has as many nodes.
-    pub(super) fn ring(&self) -> impl Iterator<Item = ServerId> + '_ {
-        let (node, nodes) = (
-            self.settings.node as usize,
-            self.settings.nodes.max(1) as usize,
-        );
-        let (before, after) = self.order.split_at(node % nodes * self.order.len() / nodes);
-        after.iter().chain(before).copied()
+    /// A health check is work like a request's: what a warming server can take is left to requests.
+    fn needs_health_check(&self, server: &Server) -> bool {
+        !server.health_check_pending
+            && !server.is_warming(&self.context)
+            && server.recent_load(&self.context).is_none()
+    }
+
+    /// Those that are not more crowded than the average.
+    fn least_crowded<'s>(&self, servers: Vec<&'s Server>) -> Vec<&'s Server> {
+        let crowding: Vec<_> = servers.iter().map(|s| s.crowding(&self.context)).collect();
+        let average = crowding.iter().sum::<f64>() / servers.len() as f64 + 1e-9;
+        let pairs = servers.into_iter().zip(crowding);
+        pairs
+            .filter(|(_, crowding)| *crowding <= average)
+            .map(|(server, _)| server)
+            .collect()
     }
 }
--- /dev/null
+++ b/crates/balancer/src/policy/server.rs
@@ -0,0 +1,74 @@
+//! What a node knows of a server. Each policy keeps its part in a type of its own.
+
+use super::context::Context;
+use super::estimators::SMOOTHING;
+use super::outlier::ServerHealth;
+use super::slow_start::{self, Permit};
+use crate::endpoint::Endpoint;
+use std::time::Duration;
+
+/// A server's load as it last reported it, counted on by own sends since.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ReportedLoad {
+    /// Requests in flight.
+    pub(super) in_flight: f64,
+    pub(super) at: Duration,
+}
+
+/// A listed server.
+#[derive(Default)]
+pub(super) struct Server {
+    pub(super) endpoint: Endpoint,
+    /// Join-Up-To(m)'s estimate: own sends since the server last showed idle.
+    pub(super) sends_since_idle: u32,
+    /// When it last showed idle.
+    pub(super) idle_at: Option<Duration>,
+    /// Own attempts in flight whose request body is complete and whose response has not started.
+    pub(super) in_flight: u32,
+    pub(super) reported_load: Option<ReportedLoad>,
+    /// Whether a health check of it is in flight.
+    pub(super) health_check_pending: bool,
+    pub(super) health: ServerHealth,
+    pub(super) permit: Permit,
+}
+
+impl Server {
+    /// The fraction of its capacity that it has for certain: below 1 while it warms up.
+    pub(super) fn capacity(&self, context: &Context<'_>) -> f64 {
+        slow_start::capacity(context, &self.endpoint)
+    }
+
+    /// Whether it is still warming up after a start.
+    pub(super) fn is_warming(&self, context: &Context<'_>) -> bool {
+        self.capacity(context) < 1.0
+    }
+
+    /// Its load by a recent health check, with own sends since.
+    pub(super) fn recent_load(&self, context: &Context<'_>) -> Option<f64> {
+        let load = self.reported_load?;
+        let counts = context.load_by_health_check() && context.is_recent(load.at);
+        counts.then_some(load.in_flight)
+    }
+
+    /// How crowded it is, in requests: its recent load, at least own attempts in flight. Without a recent load the own
+    /// ones stand for it, more of them the more often the server fails.
+    pub(super) fn crowding(&self, context: &Context<'_>) -> f64 {
+        let own = f64::from(self.in_flight);
+        match self.recent_load(context) {
+            Some(load) => load.max(own),
+            None => own / (1.0 - self.health.failure_rate()).max(SMOOTHING),
+        }
+    }
+
+    /// Counts a send to it. An attempt whose body is still being received is not work of the server's yet.
+    pub(super) fn on_send(&mut self, body_pending: bool) {
+        self.permit.use_up();
+        self.sends_since_idle += 1;
+        if !body_pending {
+            self.in_flight += 1;
+        }
+        if let Some(load) = &mut self.reported_load {
+            load.in_flight += 1.0;
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/settings/model.rs
@@ -0,0 +1,237 @@
+//! The balancer's settings, in its own terms. The wire's names are in `wire.rs`.
+
+use std::time::Duration;
+
+/// The balancer's settings. Times are wall-clock durations; fractions are from 0 to 1.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Settings {
+    /// Number of nodes that share the servers, this one included; at least 1.
+    pub nodes: u32,
+    /// This node's number among them, from 0.
+    pub node: u32,
+    /// The zone of this node, by number.
+    pub zone: u8,
+    /// Request classes; events refer to them by position.
+    pub classes: Vec<Class>,
+    /// Tenants; events refer to them by position. May be empty.
+    pub tenants: Vec<Tenant>,
+    /// Priority weight of a request over its tenant's quota, as a fraction of its class's.
+    pub over_quota_weight: f64,
+    /// Whether priority weight counts per unit of work instead of per request.
+    pub weight_by_work: bool,
+    /// How servers report their load.
+    pub reports: ReportSource,
+    /// What the deployment permits.
+    pub limits: Limits,
+    /// Bounds of the safety rules.
+    pub safety: SafetyRules,
+    /// Costs that the deployment charges, as fractions of the service.
+    pub penalties: Penalties,
+    /// Weights of the deployment's service objective.
+    pub objective_weights: ObjectiveWeights,
+    /// Whether the endpoint list has to be polled; otherwise updates are pushed.
+    pub poll_endpoint_list: bool,
+    /// Whether a stricter idempotency in new settings also binds open requests. Set where the fleet agrees on settings by
+    /// consensus; otherwise open requests keep the one under which they were accepted.
+    pub tighten_open_requests: bool,
+    /// Precision of the host's timers.
+    pub timer_resolution: Duration,
+}
+
+/// A class of requests.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Class {
+    /// An answer within this time counts in full.
+    pub latency_objective: Duration,
+    /// The latency objective is extended by this multiple of the request's expected work.
+    pub objective_stretch: f64,
+    /// How long a client waits in all, over its own retries.
+    pub deadline: Duration,
+    /// Priority weight of a request.
+    pub priority_weight: f64,
+    /// Fraction of the weight that an answer after the latency objective still has; 0 where late answers are useless.
+    pub late_weight: f64,
+    /// Whether a request may be retried once it may have run.
+    pub idempotency: Idempotency,
+    /// Whether responses are streamed, so that [`crate::Event::ResponseStarted`] is reported.
+    pub streamed: bool,
+}
+
+/// Whether a request may be retried once an attempt may have run.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Idempotency {
+    /// It may be retried on any server.
+    Idempotent,
+    /// It carries an idempotency key: servers discard duplicates, within a scope and for a time.
+    Keyed {
+        /// The servers that share their keys.
+        scope: Scope,
+        /// How long they remember a key, from the send of the first attempt that may have run.
+        window: Duration,
+    },
+    /// It must never run twice: no retry once an attempt may have run.
+    #[default]
+    NonIdempotent,
+}
+
+impl Idempotency {
+    /// What both allow: for a request accepted under one and continued under the other.
+    pub fn stricter(self, other: Idempotency) -> Idempotency {
+        match (self, other) {
+            (same, Idempotency::Idempotent) => same,
+            (
+                Idempotency::Keyed { scope, window },
+                Idempotency::Keyed {
+                    scope: group,
+                    window: other,
+                },
+            ) if scope == group => Idempotency::Keyed {
+                scope,
+                window: window.min(other),
+            },
+            // A request accepted without a key has none that servers could match.
+            _ => Idempotency::NonIdempotent,
+        }
+    }
+}
+
+/// The group of servers within which duplicates of a keyed request are discarded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Scope {
+    /// All servers.
+    All,
+    /// The servers of one zone.
+    Zone,
+    /// The servers of one cell.
+    Cell,
+}
+
+/// A tenant and its quota.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Tenant {
+    /// Requests per second within its quota, over all nodes.
+    pub quota_per_s: f64,
+    /// Its fraction of the service objective.
+    pub share: f64,
+}
+
+/// Which messages carry load reports.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReportSource {
+    /// Responses and health checks.
+    Responses,
+    /// Health checks only.
+    HealthChecks,
+    /// None.
+    None,
+}
+
+/// What the deployment permits.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Limits {
+    /// Most attempts of a request, the first included.
+    pub max_attempts: u32,
+    /// Whether an attempt in flight may be cancelled.
+    pub cancel_attempts: bool,
+    /// Whether health checks may be sent.
+    pub health_checks: bool,
+    /// Whether a request may have two attempts in flight (hedged requests).
+    pub hedging: bool,
+    /// The longest `Retry-After` that clients obey; `None` where they are sent none.
+    pub max_retry_after: Option<Duration>,
+    /// A connection that takes longer than this has failed.
+    pub connect_timeout: Duration,
+}
+
+/// Bounds of the safety rules.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SafetyRules {
+    /// How long after the notification a node may still send to a draining or removed server.
+    pub drain_grace: Duration,
+    /// A started server has at least this fraction of its capacity.
+    pub slow_start_capacity: f64,
+    /// A started server has its full capacity after this time at the latest.
+    pub slow_start_window: Duration,
+    /// A warming server fails when it is sent more than this multiple of its present capacity ...
+    pub overload_factor: f64,
+    /// ... for this long.
+    pub overload_window: Duration,
+    /// Where the endpoint list is polled: the longest time without a poll or an open watch.
+    pub max_poll_interval: Duration,
+}
+
+/// Costs that the deployment charges, as fractions of the service.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Penalties {
+    /// Cost of one health check per request.
+    pub health_check: f64,
+    /// Cost of one attempt across zones per request.
+    pub cross_zone: f64,
+    /// Cost of wasted work equal to all requested work.
+    pub waste: f64,
+    /// Cost of all requests failing only after their latency objective.
+    pub late_failure: f64,
+    /// Cost of a new connection per request and of 100 open connections per server, together.
+    pub connections: f64,
+}
+
+/// Weights of the parts of the service objective.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct ObjectiveWeights {
+    /// All requests.
+    pub whole: f64,
+    /// The worst time window.
+    pub worst_window: f64,
+    /// The worst-served class.
+    pub worst_class: f64,
+    /// The worst-served tenant, within its quota.
+    pub worst_tenant: f64,
+}
+
+impl Default for Settings {
+    /// One node, one idempotent class, no tenants, no load reports and no health checks.
+    fn default() -> Self {
+        Settings {
+            nodes: 1,
+            node: 0,
+            zone: 0,
+            classes: vec![Class {
+                latency_objective: Duration::from_millis(500),
+                objective_stretch: 0.0,
+                deadline: Duration::from_secs(1),
+                priority_weight: 1.0,
+                late_weight: 0.0,
+                idempotency: Idempotency::Idempotent,
+                streamed: false,
+            }],
+            tenants: Vec::new(),
+            over_quota_weight: 1.0,
+            weight_by_work: false,
+            reports: ReportSource::None,
+            limits: Limits {
+                max_attempts: 3,
+                cancel_attempts: false,
+                health_checks: false,
+                hedging: false,
+                max_retry_after: None,
+                connect_timeout: Duration::from_millis(250),
+            },
+            safety: SafetyRules {
+                drain_grace: Duration::from_secs(1),
+                slow_start_capacity: 1.0,
+                slow_start_window: Duration::ZERO,
+                overload_factor: 3.0,
+                overload_window: Duration::from_secs(2),
+                max_poll_interval: Duration::from_secs(10),
+            },
+            penalties: Penalties::default(),
+            objective_weights: ObjectiveWeights {
+                whole: 1.0,
+                ..ObjectiveWeights::default()
+            },
+            poll_endpoint_list: false,
+            tighten_open_requests: false,
+            timer_resolution: Duration::from_millis(1),
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/settings/validation.rs
@@ -0,0 +1,109 @@
+//! Checks of the platform's settings. Every fault is reported at once, with its key on the wire.
+
+use super::error::SettingsError;
+use super::wire::{WireClass, WireIdempotency, WireSettings, WireTenant};
+
+/// Longer times are taken for mistakes: about a year, in milliseconds.
+const MAX_TIME_MS: f64 = 3.2e10;
+/// Larger weights, quotas and factors are taken for mistakes.
+const MAX_AMOUNT: f64 = 1e12;
+
+/// Checks settings as a whole.
+///
+/// # Errors
+/// [`SettingsError::Invalid`] with all faults.
+pub(super) fn validate(settings: &WireSettings) -> Result<(), SettingsError> {
+    let mut faults = Vec::new();
+    if settings.classes.is_empty() {
+        faults.push("no classes".to_owned());
+    }
+    for class in &settings.classes {
+        check_class(class, &mut faults);
+    }
+    for tenant in &settings.tenants {
+        check_tenant(tenant, &mut faults);
+    }
+    if settings.limits.max_attempts == 0 {
+        faults.push("Permissions.AttemptsCap is 0: nothing could be sent".to_owned());
+    }
+    check_times(settings, &mut faults);
+    if faults.is_empty() {
+        return Ok(());
+    }
+    Err(SettingsError::Invalid(faults))
+}
+
+fn is_time(ms: f64) -> bool {
+    ms > 0.0 && ms < MAX_TIME_MS
+}
+
+fn is_amount(number: f64) -> bool {
+    (0.0..MAX_AMOUNT).contains(&number)
+}
+
+fn check_class(class: &WireClass, faults: &mut Vec<String>) {
+    let name = &class.name;
+    let keyed = class.idempotency == WireIdempotency::Keyed;
+    let window = keyed.then_some(("Window", class.window_ms));
+    let times = [
+        ("Target", class.latency_objective_ms),
+        ("GiveUp", class.deadline_ms),
+    ];
+    for (key, ms) in times.into_iter().chain(window) {
+        if !is_time(ms) {
+            faults.push(format!(
+                "Classes: {name}: {key} is {ms}, and no time over 0"
+            ));
+        }
+    }
+    let amounts = [
+        ("Credit", class.priority_weight),
+        ("LateWorth", class.late_weight),
+        ("AimStretch", class.objective_stretch),
+    ];
+    for (key, number) in amounts {
+        if !is_amount(number) {
+            faults.push(format!("Classes: {name}: {key} is {number}, and no amount"));
+        }
+    }
+}
+
+fn check_tenant(tenant: &WireTenant, faults: &mut Vec<String>) {
+    let name = &tenant.name;
+    let amounts = [
+        ("AllowancePerS", tenant.quota_per_s),
+        ("Share", tenant.share),
+    ];
+    for (key, number) in amounts {
+        if !is_amount(number) {
+            faults.push(format!(
+                "Projects: {name}: {key} is {number}, and no amount"
+            ));
+        }
+    }
+}
+
+fn check_times(settings: &WireSettings, faults: &mut Vec<String>) {
+    let limits = &settings.limits;
+    let safety = &settings.safety;
+    // Where 0 is allowed, 1 ms is added to what is checked.
+    let unused_retry_after = f64::from(!limits.sends_retry_after);
+    let times = [
+        ("Permissions.ConnectTimeout", limits.connect_timeout_ms),
+        ("Permissions.IdleClose", limits.server_idle_timeout_ms),
+        (
+            "Permissions.MaxRetryAfter",
+            limits.max_retry_after_ms + unused_retry_after,
+        ),
+        ("Rules.DrainGrace", safety.drain_grace_ms + 1.0),
+        ("Rules.RampTime", safety.slow_start_window_ms + 1.0),
+        ("Rules.TipAfter", safety.overload_window_ms),
+        ("Rules.MustAskIn", safety.max_poll_interval_ms),
+        ("Quantum", settings.timer_resolution_ms),
+    ];
+    for (key, ms) in times {
+        if !is_time(ms) {
+            faults.push(format!("{key}: {ms} is no time"));
+        }
+    }
+}
--- a/crates/balancer/tests/characterization.rs
+++ b/crates/balancer/tests/characterization.rs
@@ -3,6 +3,8 @@
 //!
 //! `CHARACTERIZATION_WRITE=1` prints the fixture instead of comparing with it.
 
+#![allow(unreachable_pub)]
+
 #[path = "characterization/conditions.rs"]
 mod conditions;
 #[path = "characterization/encoding.rs"]
--- a/crates/balancer/tests/characterization/sequence.rs
+++ b/crates/balancer/tests/characterization/sequence.rs
@@ -180,9 +180,9 @@
         let mut actions = Vec::new();
         self.balancer
             .handle(Duration::from_micros(self.now_us), event, &mut actions);
-        let (listed, avoided) = self.balancer.view();
-        self.digest.number(listed as u64);
-        self.digest.number(avoided as u64);
+        let counts = self.balancer.endpoint_counts();
+        self.digest.number(counts.listed as u64);
+        self.digest.number(counts.ejected as u64);
         for action in actions {
             self.digest.action(&action);
             self.obey(action);
--- a/crates/balancer/tests/decisions.rs
+++ b/crates/balancer/tests/decisions.rs
@@ -1163,7 +1163,7 @@
             for (id, attempt) in world.out() {
                 world.end(id, attempt, Outcome::Served, Some(0.0));
             }
-            most = most.max(world.balancer.view().1);
+            most = most.max(world.balancer.endpoint_counts().ejected);
         }
         assert!(at > 2, "server 0 was sent {at}");
         most
@@ -1285,7 +1285,7 @@
             Outcome::Served
         }
     });
-    let (_, before) = world.balancer.view();
+    let before = world.balancer.endpoint_counts().ejected;
     retuned(&mut world, |settings| {
         settings.classes.push(class(Idempotency::Idempotent));
         settings.tenants.push(Tenant {
@@ -1294,7 +1294,7 @@
         });
     });
     assert_eq!(
-        (before, world.balancer.view().1),
+        (before, world.balancer.endpoint_counts().ejected),
         (1, 1),
         "who is ejected stays so"
     );
--- a/crates/balancer/tests/world/mod.rs
+++ b/crates/balancer/tests/world/mod.rs
@@ -1,6 +1,6 @@
 //! A small world around one node for tests: it plays legal events, obeys the actions, and checks the
 //! four rules with bookkeeping of its own.
-#![allow(dead_code)] // each test file uses its own part of this
+#![allow(dead_code, unreachable_pub)] // each test file uses its own part of this
 
 use sillward_balancer::*;
 use std::collections::BTreeMap;
--- a/crates/forwarding/src/node.rs
+++ b/crates/forwarding/src/node.rs
@@ -288,7 +288,8 @@
                 }
             }
             Message::View(told) => {
-                let (known, skipped) = self.balancer.view();
+                let counts = self.balancer.endpoint_counts();
+                let (known, skipped) = (counts.listed, counts.ejected);
                 let _ = told.send(View { known, skipped }); // or nobody waits for it any more
             }
         }
--- a/crates/node-config/src/lib.rs
+++ b/crates/node-config/src/lib.rs
@@ -172,7 +172,8 @@
             "" => 0,
             seed => u64::from_str_radix(seed, 16).map_err(|e| format!("seed: {e}"))?,
         };
-        let site = settings::parse(file.settings.get().as_bytes())?;
+        let site =
+            settings::parse(file.settings.get().as_bytes()).map_err(|fault| fault.to_string())?;
         // Two numbers would mean the same class or tenant if a name stood twice.
         for (key, names) in [
             ("Classes: a Name", &site.class_names),
