--- /dev/null
+++ b/crates/simulator-adapter/src/instance.rs
@@ -0,0 +1,60 @@
+//! A simulated node: its balancer, and the order in which its load reports list their fields.
+
+use crate::wire::{RawReport, named_report};
+use sillward_balancer::settings::{self, ReportField, SettingsError};
+use sillward_balancer::{Action, Balancer, Event};
+use std::panic::{AssertUnwindSafe, catch_unwind};
+use std::time::Duration;
+use thiserror::Error;
+
+/// The decisions of an instance panicked. Its state cannot be used any more.
+#[derive(Debug, Error, PartialEq)]
+#[error("{0}")]
+pub(crate) struct DecisionPanic(String);
+
+/// A running instance.
+pub(crate) struct Instance {
+    balancer: Balancer,
+    report_fields: Vec<ReportField>,
+}
+
+impl Instance {
+    /// Starts an instance with its settings, as JSON, and the seed of its random numbers.
+    pub(crate) fn start(settings: &[u8], seed: u64) -> Result<Self, SettingsError> {
+        let platform = settings::parse(settings)?;
+        Ok(Instance {
+            balancer: Balancer::new(platform.settings, seed),
+            report_fields: platform.report_fields,
+        })
+    }
+
+    /// Handles an event, with the load report that came with it.
+    pub(crate) fn handle(
+        &mut self,
+        now: Duration,
+        mut event: Event,
+        raw: Option<RawReport>,
+    ) -> Result<Vec<Action>, DecisionPanic> {
+        let report = raw.map(|raw| named_report(raw, &self.report_fields));
+        match &mut event {
+            Event::AttemptEnded(end) => end.report = report,
+            Event::HealthChecked(end) => end.report = report,
+            _ => {}
+        }
+        let mut actions = Vec::new();
+        catch_panic(|| self.balancer.handle(now, event, &mut actions))?;
+        Ok(actions)
+    }
+}
+
+fn catch_panic(decide: impl FnOnce()) -> Result<(), DecisionPanic> {
+    catch_unwind(AssertUnwindSafe(decide)).map_err(|panic| {
+        let formatted = panic.downcast_ref::<String>().map(String::as_str);
+        let literal = panic.downcast_ref::<&str>().copied();
+        let message = formatted.or(literal).unwrap_or("the decisions panicked");
+        DecisionPanic(message.to_owned())
+    })
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/simulator-adapter/src/instance/tests.rs
@@ -0,0 +1,9 @@
+use super::{DecisionPanic, catch_panic};
+
+#[test]
+fn a_panic_in_the_decisions_becomes_its_message() {
+    let panic = |message: &str| Err(DecisionPanic(message.to_owned()));
+    assert_eq!(catch_panic(|| ()), Ok(()));
+    assert_eq!(catch_panic(|| panic!("plain")), panic("plain"));
+    assert_eq!(catch_panic(|| panic!("number {}", 7)), panic("number 7"));
+}
--- a/crates/simulator-adapter/src/wire_tests.rs
+++ b/crates/simulator-adapter/src/wire/tests.rs
@@ -1,5 +1,13 @@
-use super::*;
-use sillward_balancer::{AttemptEnd, HealthCheckEnd};
+use super::{
+    ACTION_RECORD, AdapterError, ENDPOINT_ENTRY, EVENT_RECORD, Input, Reply, named_report,
+    read_batch,
+};
+use sillward_balancer::settings::{ReportField, millis};
+use sillward_balancer::{
+    Action, AttemptEnd, Endpoint, EndpointUpdate, Event, HealthCheckEnd, LoadReport, NewRequest,
+    Outcome, RequestId, ServerId, ServerState,
+};
+use std::time::Duration;
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(|b| !b.is_ascii_whitespace()).collect();
@@ -19,20 +27,20 @@
     let mut frame = Vec::new();
     frame.extend(12u32.to_be_bytes());
     frame.extend((records.len() as u32).to_be_bytes());
-    frame.extend(((records.len() * EVENT + tail.len()) as u32).to_be_bytes());
+    frame.extend(((records.len() * EVENT_RECORD + tail.len()) as u32).to_be_bytes());
     frame.extend(hex("40c06e2000000000"));
     records.iter().for_each(|record| frame.extend(record));
     frame.extend(tail);
     frame
 }
 
-fn read(frame: &[u8]) -> Result<Vec<(u16, Input)>, String> {
+fn read(frame: &[u8]) -> Result<Vec<(u16, Input)>, AdapterError> {
     let batch = read_batch(&mut &frame[..])?.expect("a batch");
     batch.records().collect()
 }
 
 fn one(record: &str, tail: &str) -> (u16, Input) {
-    read(&batch(&[padded(record, EVENT)], &hex(tail)))
+    read(&batch(&[padded(record, EVENT_RECORD)], &hex(tail)))
         .expect("legal")
         .remove(0)
 }
@@ -59,10 +67,10 @@
     let records = [
         padded(
             "03 0003 000fb0475d3a91c4 0000 0000 91f03b7c55d20a64 406e000000000000 4028000000000000 01",
-            EVENT,
+            EVENT_RECORD,
         ),
-        padded("07 0003 000000000000004d", EVENT),
-        padded("06 0005 0004ed230e6f2b19", EVENT),
+        padded("07 0003 000000000000004d", EVENT_RECORD),
+        padded("06 0005 0004ed230e6f2b19", EVENT_RECORD),
     ];
     let frame = batch(&records, &[]);
     assert_eq!(frame[..12], hex("0000000c 00000003 00000090"));
@@ -122,10 +130,13 @@
     let mut expected = hex("0000000c 00000071 00000003");
     expected.extend(padded(
         "4c 0003 000fb0475d3a91c4 0a124a07 1b5b 4054000000000000",
-        ACTION,
+        ACTION_RECORD,
     ));
-    expected.extend(padded("44 0003 407f400000000000 000000000000004d", ACTION));
-    expected.extend(padded("43 0005 00000000 00000011", ACTION));
+    expected.extend(padded(
+        "44 0003 407f400000000000 000000000000004d",
+        ACTION_RECORD,
+    ));
+    expected.extend(padded("43 0005 00000000 00000011", ACTION_RECORD));
     expected.extend(hex("74776f2073657276657273206b6e6f776e"));
     assert_eq!(reply.frame(12), expected);
 }
@@ -289,21 +300,25 @@
     for (action, record, tail) in cases {
         let mut reply = Reply::default();
         reply.push(3, &action);
-        let expected: Vec<u8> = [padded(record, ACTION), hex(tail)].concat();
+        let expected: Vec<u8> = [padded(record, ACTION_RECORD), hex(tail)].concat();
         assert_eq!(reply.frame(1)[12..], expected, "{action:?}");
     }
     let mut reply = Reply::default();
     reply.push_fault(3, "hi");
     assert_eq!(
         reply.frame(1)[12..],
-        [padded("47 0003 00000000 00000002", ACTION), b"hi".to_vec()].concat()
+        [
+            padded("47 0003 00000000 00000002", ACTION_RECORD),
+            b"hi".to_vec()
+        ]
+        .concat()
     );
 }
 
 #[test]
 fn bad_frames_are_named_by_batch_record_and_fault() {
-    let good = padded("0a 0001", EVENT);
-    let with = |bad: &str| batch(&[good.clone(), padded(bad, EVENT)], b"tail");
+    let good = padded("0a 0001", EVENT_RECORD);
+    let with = |bad: &str| batch(&[good.clone(), padded(bad, EVENT_RECORD)], b"tail");
     let cases = [
         (hex("00000001 0000"), "batch header: 6 of 20 bytes"),
         (with("0a 0001")[..60].to_vec(), "batch 12: 40 of 100 bytes"),
@@ -338,16 +353,19 @@
         ),
     ];
     for (frame, expected) in cases {
-        let fault = read(&frame).expect_err(expected);
+        let fault = read(&frame).expect_err(expected).to_string();
         assert!(fault.starts_with(expected), "{fault} instead of {expected}");
     }
-    let entry = padded("0a124a07 1b5b 00 00 0000 03", ENTRY);
+    let entry = padded("0a124a07 1b5b 00 00 0000 03", ENDPOINT_ENTRY);
     let fault = read(&batch(
-        &[padded("02 0001 01 00000001 00000000 00000001", EVENT)],
+        &[padded(
+            "02 0001 01 00000001 00000000 00000001",
+            EVENT_RECORD,
+        )],
         &entry,
     ));
     assert_eq!(
-        fault.expect_err("bad state"),
+        fault.expect_err("bad state").to_string(),
         "batch 12: record 0: unknown server state 3"
     );
 }
@@ -389,7 +407,7 @@
     );
     let expected = padded(
         "4c 0003 000fffffffffffff 0a90ffff 1b84 406e000000000000",
-        ACTION,
+        ACTION_RECORD,
     );
     assert_eq!(reply.frame(1)[12..], expected);
 }
