--- a/crates/assembly/src/control.rs
+++ b/crates/app/src/control.rs
@@ -2,21 +2,27 @@
 
 use hyper::{Method, StatusCode};
 use sillward_admin::{Answering, Reply, Route};
-use sillward_core::Message;
+use sillward_forwarding::Message;
 use sillward_lifecycle::{Event, Said};
 use sillward_listener::Life;
-use sillward_log::log;
+use sillward_logging::log;
 use sillward_metrics::{Counters, View};
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
 /// All of them.
-pub fn routes(life: &Rc<Life>, counters: &Rc<Counters>, node: &mpsc::Sender<Message>) -> Vec<Route> {
+pub fn routes(
+    life: &Rc<Life>,
+    counters: &Rc<Counters>,
+    node: &mpsc::Sender<Message>,
+) -> Vec<Route> {
     let ready = {
         let life = life.clone();
-        Route::new(Method::GET, "/control/ready", move || match life.can_serve() {
-            true => Reply::yes("ready\n"),
-            false => Reply::no(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+        Route::new(Method::GET, "/control/ready", move || {
+            match life.can_serve() {
+                true => Reply::yes("ready\n"),
+                false => Reply::no(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+            }
         })
     };
     let figures = {
@@ -25,7 +31,11 @@
             let (counters, node) = (counters.clone(), node.clone());
             Box::pin(async move { Reply::yes(counters.text(view(&node).await)) })
         };
-        Route { method: Method::GET, path: "/control/counters", answer: Box::new(answer) }
+        Route {
+            method: Method::GET,
+            path: "/control/counters",
+            answer: Box::new(answer),
+        }
     };
     vec![
         ready,
--- a/crates/assembly/src/fleet.rs
+++ b/crates/app/src/fleet.rs
@@ -1,19 +1,19 @@
 //! The fleet that the node is a member of, where the operator file names one.
 
-use sillward_config::Config;
-use sillward_links::envelope::Keys;
-use sillward_links::{Fleet, Terms};
-use sillward_log::log;
-use sillward_operator::FleetTerms;
-use sillward_peers::{About, Name};
-use sillward_seam::task::spawn_local;
-use sillward_seam::{Clock, files};
+use sillward_logging::log;
+use sillward_membership::{About, Name};
+use sillward_node_config::Config;
+use sillward_operator_config::FleetTerms;
+use sillward_peer_transport::envelope::Keys;
+use sillward_peer_transport::{Fleet, Terms};
+use sillward_runtime::task::spawn_local;
+use sillward_runtime::{Clock, files};
 use std::rc::Rc;
 
 /// The shortest and the longest key, in bytes.
 const KEY: std::ops::RangeInclusive<usize> = 32..=1024;
 /// What this build speaks to other members.
-const SPEAKS: &[&str] = &["fleet1", sillward_rules::SPEAKS];
+const SPEAKS: &[&str] = &["fleet1", sillward_fleet_settings::SPEAKS];
 
 /// A member's sockets beside its links: one for datagrams, one that listens.
 const OWN_SOCKETS: usize = 2;
@@ -53,10 +53,19 @@
     }
     let file = fleet.key_file.display();
     let secret = files::secret(&fleet.key_file, *KEY.end() as u64 + 1);
-    let secret = secret.map_err(|e| faults.push(format!("fleet.key_file: cannot use {file}: {e}"))).ok();
+    let secret = secret
+        .map_err(|e| faults.push(format!("fleet.key_file: cannot use {file}: {e}")))
+        .ok();
     let secret: Option<Vec<u8>> = secret.map(|bytes| bytes.trim_ascii().to_vec());
-    if secret.as_ref().is_some_and(|secret| !KEY.contains(&secret.len())) {
-        faults.push(format!("fleet.key_file: {file} must hold {} to {} bytes", KEY.start(), KEY.end()));
+    if secret
+        .as_ref()
+        .is_some_and(|secret| !KEY.contains(&secret.len()))
+    {
+        faults.push(format!(
+            "fleet.key_file: {file} must hold {} to {} bytes",
+            KEY.start(),
+            KEY.end()
+        ));
     }
     let (Some(name), Some(secret), true) = (name, secret, faults.is_empty()) else {
         return Err(faults.join("\n"));
@@ -88,26 +97,27 @@
 }
 
 #[cfg(not(feature = "faults"))]
-fn planted(peers: sillward_peers::Terms) -> sillward_peers::Terms {
+fn planted(peers: sillward_membership::Terms) -> sillward_membership::Terms {
     peers
 }
 
 /// The ground tells one build from another by this.
 #[cfg(feature = "faults")]
 fn build() -> String {
-    sillward_seam::told("SILLWARD_FAULT_BUILD").unwrap_or_else(|| env!("CARGO_PKG_VERSION").to_owned())
+    sillward_runtime::told("SILLWARD_FAULT_BUILD")
+        .unwrap_or_else(|| env!("CARGO_PKG_VERSION").to_owned())
 }
 
 #[cfg(feature = "faults")]
-fn planted(peers: sillward_peers::Terms) -> sillward_peers::Terms {
-    use sillward_peers::Plant;
-    let plant = match sillward_seam::told("SILLWARD_FAULT_PLANT").as_deref() {
+fn planted(peers: sillward_membership::Terms) -> sillward_membership::Terms {
+    use sillward_membership::Plant;
+    let plant = match sillward_runtime::told("SILLWARD_FAULT_PLANT").as_deref() {
         Some("no-incarnation") => Some(Plant::NoIncarnation),
         Some("one-way-blind") => Some(Plant::OneWayBlind),
         Some("never-forget") => Some(Plant::NeverForget),
         _ => None,
     };
-    sillward_peers::Terms { plant, ..peers }
+    sillward_membership::Terms { plant, ..peers }
 }
 
 /// Starts the member; it says goodbye when `stop` is over.
@@ -121,7 +131,10 @@
     stop: impl Future<Output = ()> + 'static,
 ) -> Result<Rc<Fleet>, String> {
     let (fleet, listening) = Fleet::start(terms(config, fleet)?, clock).await?;
-    log(format_args!("{} listens for its fleet on {}", config.name, listening.address));
+    log(format_args!(
+        "{} listens for its fleet on {}",
+        config.name, listening.address
+    ));
     spawn_local(fleet.clone().run(listening, stop));
     Ok(fleet)
 }
--- a/crates/hillpick/tests/cold_sums.rs
+++ b/crates/balancer/tests/cold_sums.rs
@@ -3,7 +3,7 @@
 //! A cold server falls when the calls of a judged time, of all nodes together, are more than N + 2 root of N + 2, N being
 //! what the settings allow it then. Counted here from what the servers were sent, by an account of its own.
 
-use hillpick::*;
+use sillward_balancer::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
@@ -22,7 +22,10 @@
 
 impl Dice {
     fn fraction(&mut self) -> f64 {
-        self.0 = self.0.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        self.0 = self
+            .0
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1442695040888963407);
         (self.0 >> 11) as f64 / 2f64.powi(53)
     }
     fn exponential(&mut self, rate: f64) -> Duration {
@@ -74,7 +77,15 @@
 enum Due {
     Arrival(u32),
     Timer(u32, u32, u64),
-    Answer { node: u32, life: u32, id: u64, attempt: u32, server: u64, sent: Duration, ok: bool },
+    Answer {
+        node: u32,
+        life: u32,
+        id: u64,
+        attempt: u32,
+        server: u64,
+        sent: Duration,
+        ok: bool,
+    },
     Probed(u32, u32, u64),
     Starts,
 }
@@ -102,12 +113,12 @@
 impl Fleet {
     fn new(play: Play, seed: u64) -> Self {
         let class = Class {
-            aim: secs(0.4),
-            aim_stretch: 0.0,
+            latency_objective: secs(0.4),
+            objective_stretch: 0.0,
             deadline: secs(1.0),
-            worth: 1.0,
-            late_worth: 0.0,
-            repeat: Repeat::Safe,
+            priority_weight: 1.0,
+            late_weight: 0.0,
+            idempotency: Idempotency::Idempotent,
             streamed: false,
         };
         let mut settings = Settings {
@@ -115,22 +126,22 @@
             classes: vec![class],
             ..Settings::default()
         };
-        settings.rules = Rules {
-            cold_share: 0.35,
-            warm_after: secs(6.0),
+        settings.safety = SafetyRules {
+            slow_start_capacity: 0.35,
+            slow_start_window: secs(6.0),
             overload_factor: play.factor,
-            overload_time: secs(1.5),
+            overload_window: secs(1.5),
             drain_grace: secs(2.0),
-            ..settings.rules
+            ..settings.safety
         };
-        settings.reports = ReportSource::Answers;
-        settings.limits.cancel = true;
-        settings.limits.parallel_attempts = true;
+        settings.reports = ReportSource::Responses;
+        settings.limits.cancel_attempts = true;
+        settings.limits.hedging = true;
         settings.limits.max_attempts = 3;
         if play.probes {
-            settings.reports = ReportSource::Probes;
-            settings.limits.probes = true;
-            settings.prices.probe = 0.002;
+            settings.reports = ReportSource::HealthChecks;
+            settings.limits.health_checks = true;
+            settings.penalties.health_check = 0.002;
         }
         let mut fleet = Fleet {
             play,
@@ -162,8 +173,14 @@
     }
 
     fn fresh(&self, node: u32, seed: u64) -> Balancer {
-        let settings = Settings { node: node / self.play.processes, ..self.settings.clone() };
-        Balancer::new(settings, seed.wrapping_mul(1_000_003).wrapping_add(u64::from(node)))
+        let settings = Settings {
+            node: node / self.play.processes,
+            ..self.settings.clone()
+        };
+        Balancer::new(
+            settings,
+            seed.wrapping_mul(1_000_003).wrapping_add(u64::from(node)),
+        )
     }
 
     fn at(&mut self, when: Duration, due: Due) {
@@ -173,9 +190,16 @@
 
     /// What a node sees a second.
     fn rate(&self, node: u32) -> f64 {
-        let (all, nodes) = (self.play.load * SERVERS as f64 * CAPACITY, f64::from(self.play.nodes));
+        let (all, nodes) = (
+            self.play.load * SERVERS as f64 * CAPACITY,
+            f64::from(self.play.nodes),
+        );
         let busy = all * (self.play.busiest / nodes).min(1.0);
-        if node == 0 { busy } else { (all - busy) / (nodes - 1.0) }
+        if node == 0 {
+            busy
+        } else {
+            (all - busy) / (nodes - 1.0)
+        }
     }
 
     fn arrive(&mut self, node: u32) {
@@ -187,14 +211,17 @@
     }
 
     fn list(&mut self, node: u32) {
-        let entries = (0..SERVERS).map(|id| ServerEntry {
+        let entries = (0..SERVERS).map(|id| Endpoint {
             id: ServerId(id),
             state: ServerState::Ready,
             weight: 1.0,
-            started: self.started.get(&id).copied(),
-            ..ServerEntry::default()
+            started_at: self.started.get(&id).copied(),
+            ..Endpoint::default()
         });
-        let event = Event::List { kind: ListKind::Full, entries: entries.collect() };
+        let event = Event::EndpointList {
+            update: EndpointUpdate::Full,
+            endpoints: entries.collect(),
+        };
         self.tell(node, event);
     }
 
@@ -206,8 +233,10 @@
         for action in actions {
             match action {
                 Action::Send { id, server, .. } => self.send(node, life, id.0, server.0),
-                Action::SetTimer { after, token } => self.at(self.now + after, Due::Timer(node, life, token)),
-                Action::Probe { server } => {
+                Action::SetTimer { after, token } => {
+                    self.at(self.now + after, Due::Timer(node, life, token))
+                }
+                Action::HealthCheck { server } => {
                     // A deep probe is served like a call.
                     self.sent.entry(server.0).or_default().push(self.now);
                     self.at(self.now + secs(0.01), Due::Probed(node, life, server.0));
@@ -224,21 +253,44 @@
         // It works off one call after the other, slower while it is cold. What would come after its time is dropped, and
         // one call in twenty fails; both are sent again.
         let warm = self.started.get(&server).map_or(1.0, |at| {
-            let age = (self.now - *at).as_secs_f64() / self.settings.rules.warm_after.as_secs_f64();
-            (self.settings.rules.cold_share + (1.0 - self.settings.rules.cold_share) * age).min(1.0)
+            let age = (self.now - *at).as_secs_f64()
+                / self.settings.safety.slow_start_window.as_secs_f64();
+            (self.settings.safety.slow_start_capacity
+                + (1.0 - self.settings.safety.slow_start_capacity) * age)
+                .min(1.0)
         });
-        let begins = self.busy.get(&server).copied().unwrap_or_default().max(self.now);
+        let begins = self
+            .busy
+            .get(&server)
+            .copied()
+            .unwrap_or_default()
+            .max(self.now);
         let done = begins + secs(1.0 / (CAPACITY * warm));
         let late = done > self.now + secs(0.9);
         if !late {
             self.busy.insert(server, done);
         }
-        let time = if late { secs(0.9) } else { done - self.now + secs(0.01) };
+        let time = if late {
+            secs(0.9)
+        } else {
+            done - self.now + secs(0.01)
+        };
         let ok = !late && self.dice.fraction() > 0.05;
         let attempt = self.attempts.entry((node, life, id)).or_default();
         let number = std::mem::replace(attempt, *attempt + 1);
         let sent = self.now;
-        self.at(self.now + time, Due::Answer { node, life, id, attempt: number, server, sent, ok });
+        self.at(
+            self.now + time,
+            Due::Answer {
+                node,
+                life,
+                id,
+                attempt: number,
+                server,
+                sent,
+                ok,
+            },
+        );
     }
 
     fn run(mut self) -> Counted {
@@ -252,17 +304,32 @@
                 Due::Arrival(node) => {
                     self.next += 1;
                     let id = RequestId(self.next);
-                    let new = NewRequest { id, remaining: secs(1.0), ..NewRequest::default() };
+                    let new = NewRequest {
+                        id,
+                        remaining: secs(1.0),
+                        ..NewRequest::default()
+                    };
                     self.tell(node, Event::Request(new));
                     self.arrive(node);
                 }
                 Due::Timer(node, life, token) if self.nodes[node as usize].1 == life => {
                     self.tell(node, Event::Timer { token });
                 }
-                Due::Answer { node, life, id, attempt, server, sent, ok } => {
+                Due::Answer {
+                    node,
+                    life,
+                    id,
+                    attempt,
+                    server,
+                    sent,
+                    ok,
+                } => {
                     let out = self.out.entry(server).or_default();
                     *out -= 1;
-                    let load = LoadReport { in_flight: Some(*out as f32), ..LoadReport::default() };
+                    let load = LoadReport {
+                        in_flight: Some(*out as f32),
+                        ..LoadReport::default()
+                    };
                     if self.nodes[node as usize].1 == life {
                         let end = AttemptEnd {
                             id: RequestId(id),
@@ -270,8 +337,8 @@
                             server: ServerId(server),
                             outcome: if ok { Outcome::Served } else { Outcome::Error },
                             elapsed: self.now - sent,
-                            finished: ok,
-                            spent: false,
+                            answered: ok,
+                            body_consumed: false,
                             report: ok.then_some(load),
                         };
                         self.tell(node, Event::AttemptEnded(end));
@@ -279,10 +346,21 @@
                 }
                 Due::Probed(node, life, server) if self.nodes[node as usize].1 == life => {
                     let load = self.out.get(&server).copied().unwrap_or_default() as f32;
-                    let report = Some(LoadReport { in_flight: Some(load), ..LoadReport::default() });
+                    let report = Some(LoadReport {
+                        in_flight: Some(load),
+                        ..LoadReport::default()
+                    });
                     let server = ServerId(server);
                     let (outcome, elapsed) = (Outcome::Served, secs(0.01));
-                    self.tell(node, Event::Probed(ProbeEnd { server, outcome, elapsed, report }));
+                    self.tell(
+                        node,
+                        Event::HealthChecked(HealthCheckEnd {
+                            server,
+                            outcome,
+                            elapsed,
+                            report,
+                        }),
+                    );
                 }
                 Due::Timer(..) | Due::Probed(..) => {}
                 Due::Starts => self.servers_start(),
@@ -310,25 +388,29 @@
     }
 
     fn count(&self) -> Counted {
-        let rules = self.settings.rules;
+        let rules = self.settings.safety;
         let (mut counted, mut ratios) = (Counted::default(), 0.0);
         for (server, starts) in &self.starts {
             let sent = self.sent.get(server).map_or(&[][..], Vec::as_slice);
             for start in starts {
                 let mut from = *start;
-                while from + rules.overload_time < *start + rules.warm_after {
-                    let to = from + rules.overload_time;
-                    let age = (from + rules.overload_time / 2 - *start).as_secs_f64();
-                    let warm =
-                        rules.cold_share + (1.0 - rules.cold_share) * age / rules.warm_after.as_secs_f64();
-                    let allowed = rules.overload_factor * warm * CAPACITY * rules.overload_time.as_secs_f64();
+                while from + rules.overload_window < *start + rules.slow_start_window {
+                    let to = from + rules.overload_window;
+                    let age = (from + rules.overload_window / 2 - *start).as_secs_f64();
+                    let warm = rules.slow_start_capacity
+                        + (1.0 - rules.slow_start_capacity) * age
+                            / rules.slow_start_window.as_secs_f64();
+                    let allowed = rules.overload_factor
+                        * warm
+                        * CAPACITY
+                        * rules.overload_window.as_secs_f64();
                     let calls = sent.iter().filter(|at| (from..to).contains(*at)).count() as f64;
                     let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
                     counted.windows += 1;
                     counted.breaks += usize::from(calls > bound);
                     counted.worst = counted.worst.max(calls / bound);
                     ratios += calls / allowed;
-                    from += rules.overload_time / 4;
+                    from += rules.overload_window / 4;
                 }
             }
         }
@@ -354,17 +436,75 @@
 /// little more than they serve, some or all of them cold at once, probes.
 fn plays(nodes: u32) -> Vec<(&'static str, Play)> {
     let plain = Play { nodes, ..PLAIN };
-    let all = Play { together: SERVERS, ..plain };
+    let all = Play {
+        together: SERVERS,
+        ..plain
+    };
     vec![
-        ("uneven", Play { busiest: 6.0, ..plain }),
-        ("uneven, forgets", Play { busiest: 4.0, forgets: true, ..plain }),
-        ("little to spare", Play { factor: 1.2, load: 1.6, ..plain }),
-        ("half cold, overload", Play { together: SERVERS / 2, load: 3.0, ..plain }),
-        ("half cold, two processes", Play { together: SERVERS / 2, load: 3.0, processes: 2, ..plain }),
-        ("all cold", Play { busiest: 4.0, ..all }),
+        (
+            "uneven",
+            Play {
+                busiest: 6.0,
+                ..plain
+            },
+        ),
+        (
+            "uneven, forgets",
+            Play {
+                busiest: 4.0,
+                forgets: true,
+                ..plain
+            },
+        ),
+        (
+            "little to spare",
+            Play {
+                factor: 1.2,
+                load: 1.6,
+                ..plain
+            },
+        ),
+        (
+            "half cold, overload",
+            Play {
+                together: SERVERS / 2,
+                load: 3.0,
+                ..plain
+            },
+        ),
+        (
+            "half cold, two processes",
+            Play {
+                together: SERVERS / 2,
+                load: 3.0,
+                processes: 2,
+                ..plain
+            },
+        ),
+        (
+            "all cold",
+            Play {
+                busiest: 4.0,
+                ..all
+            },
+        ),
         ("all cold, overload", Play { load: 3.0, ..all }),
-        ("all cold, overload, forgets", Play { load: 3.0, forgets: true, ..all }),
-        ("all cold, probes", Play { load: 1.6, probes: true, ..all }),
+        (
+            "all cold, overload, forgets",
+            Play {
+                load: 3.0,
+                forgets: true,
+                ..all
+            },
+        ),
+        (
+            "all cold, probes",
+            Play {
+                load: 1.6,
+                probes: true,
+                ..all
+            },
+        ),
     ]
 }
 
@@ -393,8 +533,19 @@
 #[test]
 fn few_nodes_use_most_of_what_a_cold_server_may_be_sent() {
     for nodes in [1, 3] {
-        let counted = played(Play { nodes, factor: 1.2, load: 1.6, ..PLAIN }, 2);
-        println!("{nodes:4} nodes: mean {:.3} of N, worst {:.2} of the bound", counted.mean, counted.worst);
+        let counted = played(
+            Play {
+                nodes,
+                factor: 1.2,
+                load: 1.6,
+                ..PLAIN
+            },
+            2,
+        );
+        println!(
+            "{nodes:4} nodes: mean {:.3} of N, worst {:.2} of the bound",
+            counted.mean, counted.worst
+        );
         assert_eq!(counted.breaks, 0, "{nodes} nodes: {counted:?}");
         assert!(counted.mean > 0.62, "{nodes} nodes: {counted:?}");
     }
@@ -404,8 +555,19 @@
 #[test]
 fn a_cold_server_is_used_where_load_is_probed() {
     for nodes in [3, 20] {
-        let counted = played(Play { nodes, probes: true, load: 0.5, ..PLAIN }, 2);
-        println!("{nodes:4} nodes: mean {:.3} of N, worst {:.2} of the bound", counted.mean, counted.worst);
+        let counted = played(
+            Play {
+                nodes,
+                probes: true,
+                load: 0.5,
+                ..PLAIN
+            },
+            2,
+        );
+        println!(
+            "{nodes:4} nodes: mean {:.3} of N, worst {:.2} of the bound",
+            counted.mean, counted.worst
+        );
         assert_eq!(counted.breaks, 0, "{nodes} nodes: {counted:?}");
         assert!(counted.mean > 0.18, "{nodes} nodes: {counted:?}");
     }
--- a/crates/hillpick/tests/memory.rs
+++ b/crates/balancer/tests/memory.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use hillpick::*;
+use sillward_balancer::*;
 use std::time::Duration;
 use world::{entry, ms, probing};
 
@@ -21,7 +21,10 @@
         let now = ms(1000) + Duration::from_micros(number * 1500);
         if number % 10 == 0 {
             let servers = number / 10..number / 10 + 4;
-            let list = Event::List { kind: ListKind::Full, entries: servers.map(entry).collect() };
+            let list = Event::EndpointList {
+                update: EndpointUpdate::Full,
+                endpoints: servers.map(entry).collect(),
+            };
             balancer.handle(now, list, &mut actions);
         }
         let id = RequestId(number);
@@ -31,13 +34,16 @@
             tenant: 0,
             key: number,
             remaining: ms(900),
-            cost: None,
+            expected_work: None,
             client_retry: false,
-            arriving: false,
+            body_pending: false,
         };
         balancer.handle(now, Event::Request(new), &mut actions);
         while let Some(action) = actions.pop() {
-            let report = Some(LoadReport { in_flight: Some(0.0), ..LoadReport::default() });
+            let report = Some(LoadReport {
+                in_flight: Some(0.0),
+                ..LoadReport::default()
+            });
             let (outcome, elapsed) = (Outcome::Served, ms(1));
             let event = match action {
                 Action::Send { id, server, .. } => {
@@ -47,13 +53,18 @@
                         server,
                         outcome,
                         elapsed,
-                        finished: true,
-                        spent: false,
+                        answered: true,
+                        body_consumed: false,
                         report,
                     };
                     Event::AttemptEnded(end)
                 }
-                Action::Probe { server } => Event::Probed(ProbeEnd { server, outcome, elapsed, report }),
+                Action::HealthCheck { server } => Event::HealthChecked(HealthCheckEnd {
+                    server,
+                    outcome,
+                    elapsed,
+                    report,
+                }),
                 _ => continue,
             };
             balancer.handle(now, event, &mut actions);
@@ -65,7 +76,9 @@
 fn memory_does_not_grow_with_what_has_passed() {
     let mut balancer = Balancer::new(probing(), 1);
     play(&mut balancer, 1..20_000);
-    let Some(before) = resident() else { return eprintln!("no /proc here: not checked") };
+    let Some(before) = resident() else {
+        return eprintln!("no /proc here: not checked");
+    };
     play(&mut balancer, 20_000..150_000);
     let grown = resident().unwrap_or(before).saturating_sub(before);
     // One remembered request or server of a hundred bytes each would be 13 MB.
--- a/crates/hillpick/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -2,21 +2,38 @@
 
 mod world;
 
-use hillpick::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
+use sillward_balancer::*;
 use world::*;
 
 /// One step of a history. The numbers choose among what is there at that point.
 #[derive(Clone, Debug)]
 enum Step {
-    Request { class: usize, remaining: u64, cost: Option<u64> },
-    End { which: usize, outcome: usize, load: Option<u8> },
-    Probe { load: Option<u8> },
-    Leave { which: usize },
-    List { full: bool, lines: Vec<(u64, u8, bool)> },
+    Request {
+        class: usize,
+        remaining: u64,
+        cost: Option<u64>,
+    },
+    End {
+        which: usize,
+        outcome: usize,
+        load: Option<u8>,
+    },
+    Probe {
+        load: Option<u8>,
+    },
+    Leave {
+        which: usize,
+    },
+    List {
+        full: bool,
+        lines: Vec<(u64, u8, bool)>,
+    },
     Fail,
-    Pass { time: u64 },
+    Pass {
+        time: u64,
+    },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -47,13 +64,21 @@
 
 fn play(settings: Settings, seed: u64, steps: &[Step]) -> Vec<Action> {
     let mut world = World::seeded(settings, seed);
-    world.list(ListKind::Cached, (0..4).map(entry).collect());
+    world.list(EndpointUpdate::Cached, (0..4).map(entry).collect());
     for step in steps {
         match step {
-            Step::Request { class, remaining, cost } => {
+            Step::Request {
+                class,
+                remaining,
+                cost,
+            } => {
                 world.request_with(*class, 0, ms(*remaining), cost.map(ms));
             }
-            Step::End { which, outcome, load } => {
+            Step::End {
+                which,
+                outcome,
+                load,
+            } => {
                 let out = world.out();
                 if !out.is_empty() {
                     let (id, attempt) = out[which % out.len()];
@@ -71,23 +96,40 @@
                 let now = world.now;
                 let lines = lines.iter().map(|(number, state, restarted)| {
                     let state = match state {
-                        0 => ServerState::Gone,
+                        0 => ServerState::Removed,
                         1 => ServerState::Draining,
                         _ => ServerState::Ready,
                     };
                     let started = restarted.then_some(now);
-                    ServerEntry { state, started, ..entry(*number) }
+                    Endpoint {
+                        state,
+                        started_at: started,
+                        ..entry(*number)
+                    }
                 });
-                let kind = if *full { ListKind::Full } else { ListKind::Changes };
-                let lines = lines.filter(|e| !full || e.state != ServerState::Gone).collect();
+                let kind = if *full {
+                    EndpointUpdate::Full
+                } else {
+                    EndpointUpdate::Incremental
+                };
+                let lines = lines
+                    .filter(|e| !full || e.state != ServerState::Removed)
+                    .collect();
                 world.list(kind, lines);
             }
-            Step::Fail => drop(world.tell(Event::List { kind: ListKind::Failed, entries: Vec::new() })),
+            Step::Fail => drop(world.tell(Event::EndpointList {
+                update: EndpointUpdate::Failed,
+                endpoints: Vec::new(),
+            })),
             Step::Pass { time } => world.pass(ms(*time)),
         }
     }
     world.pass(ms(1600));
-    assert!(world.open().is_empty(), "rule 1: {:?} left without an answer", world.open());
+    assert!(
+        world.open().is_empty(),
+        "rule 1: {:?} left without an answer",
+        world.open()
+    );
     assert!(world.out().is_empty());
     world.log
 }
@@ -108,27 +150,27 @@
     #[test]
     fn the_rules_hold_with_reports_from_probes(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
         let mut settings = probing();
-        settings.rules.cold_share = 0.2;
-        settings.rules.warm_after = ms(5000);
-        settings.rules.drain_grace = ms(0);
+        settings.safety.slow_start_capacity = 0.2;
+        settings.safety.slow_start_window = ms(5000);
+        settings.safety.drain_grace = ms(0);
         prop_assert_eq!(play(settings.clone(), seed, &steps), play(settings, seed, &steps));
     }
 
     #[test]
     fn the_rules_hold_with_reports_from_answers(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
         let mut settings = answering();
-        settings.limits.parallel_attempts = false;
-        settings.rules.drain_grace = ms(0);
-        settings.list_on_request = true;
+        settings.limits.hedging = false;
+        settings.safety.drain_grace = ms(0);
+        settings.poll_endpoint_list = true;
         play(settings, seed, &steps);
     }
 
     #[test]
     fn the_rules_hold_where_little_is_allowed(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
         let mut settings = settings();
-        settings.limits = Limits { max_attempts: 1, cancel: false, ..Settings::default().limits };
+        settings.limits = Limits { max_attempts: 1, cancel_attempts: false, ..Settings::default().limits };
         settings.nodes = 1;
-        settings.rules.drain_grace = ms(0);
+        settings.safety.drain_grace = ms(0);
         play(settings, seed, &steps);
     }
 }
@@ -139,18 +181,24 @@
     const COLD: ServerId = ServerId(9);
     let work = ms(20); // so a warm server's capacity is 50 requests a second
     let mut settings = answering();
-    settings.rules.cold_share = 0.05;
-    settings.rules.warm_after = ms(20_000);
-    settings.rules.overload_factor = 4.0;
-    settings.rules.overload_time = ms(1500);
+    settings.safety.slow_start_capacity = 0.05;
+    settings.safety.slow_start_window = ms(20_000);
+    settings.safety.overload_factor = 4.0;
+    settings.safety.overload_window = ms(1500);
     let mut world = World::seeded(settings, seed);
-    world.list(ListKind::Full, (0..3).map(entry).collect());
+    world.list(EndpointUpdate::Full, (0..3).map(entry).collect());
     let mut free_at = std::collections::BTreeMap::new();
     let (mut seen, mut cold, mut began) = (0, Vec::new(), None);
     for (step, (requests, pause)) in arrivals.iter().enumerate() {
         if step == arrivals.len() / 3 {
             began = Some(world.now);
-            world.list(ListKind::Changes, vec![ServerEntry { started: began, ..entry(COLD.0) }]);
+            world.list(
+                EndpointUpdate::Incremental,
+                vec![Endpoint {
+                    started_at: began,
+                    ..entry(COLD.0)
+                }],
+            );
         }
         (0..*requests).for_each(|_| drop(world.request(0)));
         for _ in 0..*pause {
@@ -171,9 +219,17 @@
         seen = world.log.len();
         if let Some(began) = began {
             let warmth = 0.05 + 0.95 * (world.now - began).as_secs_f64() / 20.0;
-            let span = cold.iter().filter(|at| **at + ms(1500) >= world.now).count() as f64;
+            let span = cold
+                .iter()
+                .filter(|at| **at + ms(1500) >= world.now)
+                .count() as f64;
             let allowed = 4.0 * warmth * 50.0 * 1.5 + 1.0;
-            prop_assert!(span <= allowed, "rule 4: {} sent within a span, {} allowed", span, allowed);
+            prop_assert!(
+                span <= allowed,
+                "rule 4: {} sent within a span, {} allowed",
+                span,
+                allowed
+            );
         }
     }
     Ok(())
@@ -194,16 +250,21 @@
     const NODES: u32 = 200;
     let mut settings = answering();
     settings.nodes = NODES;
-    settings.rules.cold_share = 0.12;
-    settings.rules.warm_after = ms(19_000);
-    settings.rules.overload_factor = 1.5;
-    settings.rules.overload_time = ms(1500);
+    settings.safety.slow_start_capacity = 0.12;
+    settings.safety.slow_start_window = ms(19_000);
+    settings.safety.overload_factor = 1.5;
+    settings.safety.overload_window = ms(1500);
     let nodes = 0..NODES;
     let mut worlds: Vec<_> = nodes
         .map(|node| {
-            let mut world =
-                World::seeded(Settings { node, ..settings.clone() }, seed.wrapping_add(node.into()));
-            world.list(ListKind::Full, (0..10).map(entry).collect());
+            let mut world = World::seeded(
+                Settings {
+                    node,
+                    ..settings.clone()
+                },
+                seed.wrapping_add(node.into()),
+            );
+            world.list(EndpointUpdate::Full, (0..10).map(entry).collect());
             world
         })
         .collect();
@@ -231,21 +292,38 @@
     turn(&mut worlds, 0..200);
     for world in &mut worlds {
         let started = Some(world.now);
-        world.list(ListKind::Changes, vec![ServerEntry { started, ..entry(10) }]);
+        world.list(
+            EndpointUpdate::Incremental,
+            vec![Endpoint {
+                started_at: started,
+                ..entry(10)
+            }],
+        );
     }
     // Four seconds later most of the others drain.
     turn(&mut worlds, 200..280);
     for world in &mut worlds {
-        let drain = |n| ServerEntry { state: ServerState::Draining, ..entry(n) };
-        world.list(ListKind::Changes, (3..10).map(drain).collect());
+        let drain = |n| Endpoint {
+            state: ServerState::Draining,
+            ..entry(n)
+        };
+        world.list(EndpointUpdate::Incremental, (3..10).map(drain).collect());
     }
     let sent = turn(&mut worlds, 280..340);
     let capacity = 40.0 / 0.6; // the servers were in use for six tenths
     for round in 310..340 {
         let warmth = 0.12 + 0.88 * f64::from(round - 200) * 0.05 / 19.0;
-        let span = sent.iter().filter(|at| **at <= round && **at + 30 > round).count() as f64;
+        let span = sent
+            .iter()
+            .filter(|at| **at <= round && **at + 30 > round)
+            .count() as f64;
         let allowed = 1.5 * warmth * capacity * 1.5;
-        prop_assert!(span <= allowed, "rule 4: {} sent within a span, {} allowed", span, allowed);
+        prop_assert!(
+            span <= allowed,
+            "rule 4: {} sent within a span, {} allowed",
+            span,
+            allowed
+        );
     }
     Ok(())
 }
--- a/crates/agreement/src/words.rs
+++ b/crates/consensus/src/words.rs
@@ -1,7 +1,7 @@
 //! What is said between nodes and voters, as it goes over the wire.
 
 use serde::{Deserialize, Serialize};
-use sillward_rules::Version;
+use sillward_fleet_settings::Version;
 
 /// A node asks for the right to act.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
@@ -139,6 +139,8 @@
     /// Reads them.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         let (version, rest) = bytes.split_first()?;
-        (*version == VERSION).then(|| postcard::from_bytes(rest).ok()).flatten()
+        (*version == VERSION)
+            .then(|| postcard::from_bytes(rest).ok())
+            .flatten()
     }
 }
--- a/crates/hub/src/lib.rs
+++ b/crates/endpoint-updates/src/lib.rs
@@ -1,11 +1,11 @@
 //! Carries what sources tell to the membership module, and what that comes to on to the node. Decides nothing.
 #![forbid(unsafe_code)]
 
-use hillpick::{ListKind, ServerId};
-use sillward_core::{Backend, Message, News};
-use sillward_membership::{Line, Membership};
-use sillward_seam::Clock;
-use sillward_seam::time::{Instant, sleep_until};
+use sillward_balancer::{EndpointUpdate, ServerId};
+use sillward_endpoints::{Line, Membership};
+use sillward_forwarding::{Backend, Message, News};
+use sillward_runtime::Clock;
+use sillward_runtime::time::{Instant, sleep_until};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -51,11 +51,20 @@
         node: mpsc::Sender<Message>,
         ready: Rc<Cell<bool>>,
     ) -> Self {
-        Hub { clock, membership, node, ready }
+        Hub {
+            clock,
+            membership,
+            node,
+            ready,
+        }
     }
 
     /// Carries on for as long as the node lives.
-    pub async fn run(self, mut roster: mpsc::Receiver<Message>, mut further: mpsc::Receiver<Telling>) {
+    pub async fn run(
+        self,
+        mut roster: mpsc::Receiver<Message>,
+        mut further: mpsc::Receiver<Telling>,
+    ) {
         let mut look_at = Instant::now() + LOOK;
         loop {
             let changed = tokio::select! {
@@ -76,9 +85,15 @@
             if changed.is_empty() {
                 continue;
             }
-            let backend = |line: Line| Backend { entry: line.entry, address: line.address };
+            let backend = |line: Line| Backend {
+                entry: line.entry,
+                address: line.address,
+            };
             let backends = changed.into_iter().map(backend).collect();
-            let news = News { kind: ListKind::Changes, backends };
+            let news = News {
+                kind: EndpointUpdate::Incremental,
+                backends,
+            };
             if self.node.send(Message::List(news)).await.is_err() {
                 return;
             }
@@ -87,14 +102,14 @@
 
     async fn roster(&self, news: News) -> Vec<Line> {
         let now = self.clock.now();
-        if news.kind == ListKind::Failed {
+        if news.kind == EndpointUpdate::Failed {
             self.membership.borrow_mut().silent(ROSTER);
             let _ = self.node.send(Message::List(news)).await; // or the node has ended
             return Vec::new();
         }
         let lines = lines(&news.backends);
         let mut membership = self.membership.borrow_mut();
-        if news.kind == ListKind::Changes {
+        if news.kind == EndpointUpdate::Incremental {
             return membership.tell(ROSTER, now, &lines);
         }
         membership.begin(ROSTER, now);
@@ -121,5 +136,11 @@
 }
 
 fn lines(backends: &[Backend]) -> Vec<Line> {
-    backends.iter().map(|backend| Line { entry: backend.entry, address: backend.address }).collect()
+    backends
+        .iter()
+        .map(|backend| Line {
+            entry: backend.entry,
+            address: backend.address,
+        })
+        .collect()
 }
--- a/crates/core/src/attempt.rs
+++ b/crates/forwarding/src/attempt.rs
@@ -1,8 +1,8 @@
 //! Attempts and probes, and what a backend protocol is to the node.
 
 use crate::{Call, Content, News, Rest};
-use hillpick::settings::Site;
-use hillpick::{LoadReport, Outcome, RequestId, ServerId};
+use sillward_balancer::settings::PlatformSettings;
+use sillward_balancer::{LoadReport, Outcome, RequestId, ServerId};
 use std::cell::Cell;
 use std::pin::Pin;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
     /// Takes in news of the list: addresses, and when a backend was told to drain or to be gone.
     fn listed(&self, news: &News, now: Duration);
     /// Takes in new settings.
-    fn retuned(&self, site: &Site);
+    fn retuned(&self, site: &PlatformSettings);
     /// Closes idle connections to a backend.
     fn close_idle(&self, server: ServerId);
 }
@@ -99,5 +99,11 @@
         outcome = Outcome::Served;
         answer = Some(answer.unwrap_or(Content::plain(bytes::Bytes::new())));
     }
-    Ended { id: attempt.id, number: attempt.number, outcome, report, answer }
+    Ended {
+        id: attempt.id,
+        number: attempt.number,
+        outcome,
+        report,
+        answer,
+    }
 }
--- a/crates/core/src/report.rs
+++ b/crates/forwarding/src/report.rs
@@ -1,8 +1,8 @@
 //! Load reports as text, whichever protocol carries them.
 
 use crate::Live;
-use hillpick::settings::Column;
-use hillpick::{LoadReport, ReportSource};
+use sillward_balancer::settings::ReportField;
+use sillward_balancer::{LoadReport, ReportSource};
 use std::rc::Rc;
 
 /// Which load reports a site has, and from where.
@@ -24,9 +24,13 @@
         let (mut report, site) = (LoadReport::default(), self.0.get());
         for field in text.trim().split(',') {
             let (name, value) = field.split_once('=')?;
-            let column = Column::on_sockets(name.trim());
-            let value: f32 = value.trim().parse().ok().filter(|v: &f32| v.is_finite() && *v >= 0.0)?;
-            if site.columns.contains(&column) {
+            let column = ReportField::from_report_name(name.trim());
+            let value: f32 = value
+                .trim()
+                .parse()
+                .ok()
+                .filter(|v: &f32| v.is_finite() && *v >= 0.0)?;
+            if site.report_fields.contains(&column) {
                 column.set(&mut report, value);
             }
         }
--- a/crates/http1/src/ahead.rs
+++ b/crates/http1/src/ahead.rs
@@ -5,9 +5,9 @@
 use crate::heads::Heads;
 use crate::socket::{CHUNK, Watch, with_chunk};
 use bytes::{Buf, BytesMut};
-use sillward_core::{Budget, Lease};
+use sillward_forwarding::{Budget, Lease};
 use sillward_listener::Client;
-use sillward_seam::Stream;
+use sillward_runtime::Stream;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::task::{Context, Poll};
@@ -29,7 +29,10 @@
 
 impl Ahead {
     pub fn new(budget: Budget) -> Rc<Self> {
-        Rc::new(Ahead { budget, kept: RefCell::default() })
+        Rc::new(Ahead {
+            budget,
+            kept: RefCell::default(),
+        })
     }
 
     /// Moves what is kept to a reader, as much as it takes.
@@ -55,7 +58,9 @@
         }
         let (mut kept, mut more) = (self.kept.borrow_mut(), false);
         while kept.bytes.len() + CHUNK <= MOST {
-            let Some(room) = self.budget.lease_spare(CHUNK) else { break };
+            let Some(room) = self.budget.lease_spare(CHUNK) else {
+                break;
+            };
             let read = with_chunk(|chunk| {
                 let read = stream.poll_read(cx, chunk);
                 if let Poll::Ready(Ok(count)) = read {
--- a/crates/http1/src/socket.rs
+++ b/crates/http1/src/socket.rs
@@ -1,7 +1,7 @@
 //! The seam's stream, as hyper reads and writes it.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
-use sillward_seam::Stream;
+use sillward_runtime::Stream;
 use std::cell::RefCell;
 use std::io;
 use std::pin::Pin;
@@ -58,7 +58,11 @@
 }
 
 impl<W: Watch> Write for Socket<W> {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        from: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.0.poll_write(cx, &[io::IoSlice::new(from)])
     }
 
--- a/crates/operator/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -14,9 +14,9 @@
 pub use fleet::FleetTerms;
 pub use reader::Fault;
 
-use hillpick::settings::Site;
 use reader::Reader;
-use sillward_membership::Guard;
+use sillward_balancer::settings::PlatformSettings;
+use sillward_endpoints::Guard;
 use sillward_thrift::{BackendTerms, FrontTerms};
 use std::net::SocketAddr;
 
@@ -32,7 +32,7 @@
     /// The fleet that this node is a member of.
     pub fleet: Option<FleetTerms>,
     /// What its nodes tell each other of backends and classes.
-    pub outcomes: Option<sillward_outcomes::Terms>,
+    pub outcomes: Option<sillward_outcome_stats::Terms>,
     /// The settings on which the fleet agrees.
     pub agreement: Option<AgreementTerms>,
     /// A listener for operators' pages.
@@ -44,7 +44,11 @@
 ///
 /// # Errors
 /// Everything that is wrong, in the order of lines.
-pub fn parse(name: &str, text: &str, site: Option<&Site>) -> Result<Operator, Vec<Fault>> {
+pub fn parse(
+    name: &str,
+    text: &str,
+    site: Option<&PlatformSettings>,
+) -> Result<Operator, Vec<Fault>> {
     let reader = Reader::new(name, text);
     let mut operator = Operator::default();
     reader.root(|root| {
@@ -73,7 +77,10 @@
         if let Some(section) = root.table("agreement") {
             operator.agreement = agreement::read(&section);
             if !root.has("fleet") {
-                section.fault("log", "needs [fleet]: nodes that do not know each other agree on nothing");
+                section.fault(
+                    "log",
+                    "needs [fleet]: nodes that do not know each other agree on nothing",
+                );
             }
             section.end();
         }
--- a/crates/benchlink/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -4,8 +4,8 @@
 
 mod wire;
 
-use hillpick::settings::{self, Column};
-use hillpick::{Balancer, Event};
+use sillward_balancer::settings::{self, ReportField};
+use sillward_balancer::{Balancer, Event};
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Read, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -16,13 +16,16 @@
 /// A running instance.
 struct Instance {
     balancer: Balancer,
-    columns: Vec<Column>,
+    columns: Vec<ReportField>,
 }
 
 impl Instance {
     fn start(settings: &[u8], seed: u64) -> Result<Self, String> {
         let site = settings::parse(settings)?;
-        Ok(Instance { balancer: Balancer::new(site.settings, seed), columns: site.columns })
+        Ok(Instance {
+            balancer: Balancer::new(site.settings, seed),
+            columns: site.report_fields,
+        })
     }
 
     /// Lets the module decide. An error is the message of its panic.
@@ -31,11 +34,11 @@
         now: Duration,
         mut event: Event,
         raw: Option<RawReport>,
-    ) -> Result<Vec<hillpick::Action>, String> {
+    ) -> Result<Vec<sillward_balancer::Action>, String> {
         let report = raw.map(|raw| named_report(raw, &self.columns));
         match &mut event {
             Event::AttemptEnded(end) => end.report = report,
-            Event::Probed(end) => end.report = report,
+            Event::HealthChecked(end) => end.report = report,
             _ => {}
         }
         let mut actions = Vec::new();
@@ -47,7 +50,9 @@
 fn guarded(decide: impl FnOnce()) -> Result<(), String> {
     catch_unwind(AssertUnwindSafe(decide)).map_err(|panic| {
         let text = panic.downcast_ref::<String>().map(String::as_str);
-        text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("the decisions panicked").to_string()
+        text.or(panic.downcast_ref::<&str>().copied())
+            .unwrap_or("the decisions panicked")
+            .to_string()
     })
 }
 
@@ -64,7 +69,9 @@
             Input::Stop => drop(instances.remove(&who)),
             Input::Event(event, report) => {
                 // An event for an instance that has stopped is late, and has no effect.
-                let Some(instance) = instances.get_mut(&who) else { continue };
+                let Some(instance) = instances.get_mut(&who) else {
+                    continue;
+                };
                 match instance.handle(batch.clock, event, report) {
                     Ok(actions) => actions.iter().for_each(|action| reply.push(who, action)),
                     Err(text) => {
@@ -89,10 +96,13 @@
 }
 
 fn main() -> ExitCode {
-    match run(&mut BufReader::with_capacity(1 << 16, io::stdin().lock()), &mut io::stdout().lock()) {
+    match run(
+        &mut BufReader::with_capacity(1 << 16, io::stdin().lock()),
+        &mut io::stdout().lock(),
+    ) {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
-            eprintln!("hillpick-benchlink: {what}");
+            eprintln!("sillward-simulator-adapter: {what}");
             ExitCode::FAILURE
         }
     }
--- a/crates/benchlink/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,9 +1,9 @@
 //! The simulator's frames: batches of events in, one reply with actions for each.
 
-use hillpick::settings::{Column, millis};
-use hillpick::{
-    Action, AttemptEnd, Event, ListKind, LoadReport, NewRequest, Outcome, ProbeEnd, RequestId, ServerEntry,
-    ServerId, ServerState,
+use sillward_balancer::settings::{ReportField, millis};
+use sillward_balancer::{
+    Action, AttemptEnd, Endpoint, EndpointUpdate, Event, HealthCheckEnd, LoadReport, NewRequest,
+    Outcome, RequestId, ServerId, ServerState,
 };
 use std::io::{self, Read};
 use std::time::Duration;
@@ -40,12 +40,19 @@
 pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, String> {
     let mut header = Vec::new();
     let failed = |e: io::Error| format!("cannot read: {e}");
-    input.by_ref().take(BATCH_HEADER as u64).read_to_end(&mut header).map_err(failed)?;
+    input
+        .by_ref()
+        .take(BATCH_HEADER as u64)
+        .read_to_end(&mut header)
+        .map_err(failed)?;
     if header.is_empty() {
         return Ok(None);
     }
     if header.len() < BATCH_HEADER {
-        return Err(format!("batch header: {} of {BATCH_HEADER} bytes", header.len()));
+        return Err(format!(
+            "batch header: {} of {BATCH_HEADER} bytes",
+            header.len()
+        ));
     }
     let at = Fields(&header);
     let (number, count, length) = (at.u32(0), at.u32(4) as usize, at.u32(8) as usize);
@@ -55,26 +62,43 @@
     }
     // The length is only a claim: `take` lets memory grow with what has really arrived.
     let mut body = Vec::new();
-    input.by_ref().take(length as u64).read_to_end(&mut body).map_err(failed)?;
+    input
+        .by_ref()
+        .take(length as u64)
+        .read_to_end(&mut body)
+        .map_err(failed)?;
     if body.len() < length {
         return Err(format!("batch {number}: {} of {length} bytes", body.len()));
     }
-    if count.checked_mul(EVENT).is_none_or(|records| records > length) {
-        return Err(format!("batch {number}: {count} records do not fit in {length} bytes"));
-    }
-    Ok(Some(Batch { number, clock: millis(clock), count, body }))
+    if count
+        .checked_mul(EVENT)
+        .is_none_or(|records| records > length)
+    {
+        return Err(format!(
+            "batch {number}: {count} records do not fit in {length} bytes"
+        ));
+    }
+    Ok(Some(Batch {
+        number,
+        clock: millis(clock),
+        count,
+        body,
+    }))
 }
 
 impl Batch {
     /// The records in order, each with its instance.
     pub fn records(&self) -> impl Iterator<Item = Result<(u16, Input), String>> + '_ {
         let (records, tail) = self.body.split_at(self.count * EVENT);
-        records.chunks_exact(EVENT).enumerate().map(move |(i, record)| {
-            let at = Fields(record);
-            input(at, tail)
-                .map(|input| (at.u16(1), input))
-                .map_err(|what| format!("batch {}: record {i}: {what}", self.number))
-        })
+        records
+            .chunks_exact(EVENT)
+            .enumerate()
+            .map(move |(i, record)| {
+                let at = Fields(record);
+                input(at, tail)
+                    .map(|input| (at.u16(1), input))
+                    .map_err(|what| format!("batch {}: record {i}: {what}", self.number))
+            })
     }
 }
 
@@ -82,8 +106,14 @@
     let id = || RequestId(at.u64(3));
     let plain = |event| Ok(Input::Event(event, None));
     match at.u8(0) {
-        1 => Ok(Input::Start { seed: at.u64(3), settings: slice(tail, at, 11, 1)?.to_vec() }),
-        2 => plain(Event::List { kind: list_kind(at.u8(3))?, entries: entries(slice(tail, at, 8, ENTRY)?)? }),
+        1 => Ok(Input::Start {
+            seed: at.u64(3),
+            settings: slice(tail, at, 11, 1)?.to_vec(),
+        }),
+        2 => plain(Event::EndpointList {
+            update: list_kind(at.u8(3))?,
+            endpoints: entries(slice(tail, at, 8, ENTRY)?)?,
+        }),
         3 => {
             let flags = at.u8(39);
             plain(Event::Request(NewRequest {
@@ -92,14 +122,17 @@
                 tenant: at.u16(13).into(),
                 key: at.u64(15),
                 remaining: millis(at.f64(23)),
-                cost: (flags & 1 != 0).then(|| millis(at.f64(31))),
+                expected_work: (flags & 1 != 0).then(|| millis(at.f64(31))),
                 client_retry: flags & 2 != 0,
-                arriving: false,
+                body_pending: false,
             }))
         }
-        4 => {
-            plain(Event::Started { id: id(), attempt: at.u8(19).into(), server: at.server(20), report: None })
-        }
+        4 => plain(Event::ResponseStarted {
+            id: id(),
+            attempt: at.u8(19).into(),
+            server: at.server(20),
+            report: None,
+        }),
         5 => Ok(Input::Event(
             Event::AttemptEnded(AttemptEnd {
                 id: id(),
@@ -107,8 +140,8 @@
                 server: at.server(12),
                 outcome: outcome(at.u8(18))?,
                 elapsed: millis(at.f64(19)),
-                finished: at.u8(27) != 0,
-                spent: false,
+                answered: at.u8(27) != 0,
+                body_consumed: false,
                 report: None,
             }),
             at.report(28)?,
@@ -116,7 +149,7 @@
         6 => plain(Event::ClientGone { id: id() }),
         7 => plain(Event::Timer { token: at.u64(3) }),
         8 => Ok(Input::Event(
-            Event::Probed(ProbeEnd {
+            Event::HealthChecked(HealthCheckEnd {
                 server: at.server(3),
                 outcome: outcome(at.u8(9))?,
                 elapsed: millis(at.f64(10)),
@@ -124,7 +157,10 @@
             }),
             at.report(18)?,
         )),
-        9 => plain(Event::Peer { from: at.u32(3), data: slice(tail, at, 7, 1)?.to_vec() }),
+        9 => plain(Event::PeerMessage {
+            from: at.u32(3),
+            data: slice(tail, at, 7, 1)?.to_vec(),
+        }),
         10 => Ok(Input::Stop),
         code => Err(format!("unknown event code {code}")),
     }
@@ -133,17 +169,23 @@
 /// The part of the tail that the field at `position` points to; its length counts things of `size` bytes.
 fn slice<'a>(tail: &'a [u8], at: Fields, position: usize, size: usize) -> Result<&'a [u8], String> {
     let (start, count) = (at.u32(position) as usize, at.u32(position + 4) as usize);
-    let end = count.checked_mul(size).and_then(|length| start.checked_add(length));
-    end.and_then(|end| tail.get(start..end))
-        .ok_or_else(|| format!("points to {count} x {size} bytes at {start} of a tail of {}", tail.len()))
+    let end = count
+        .checked_mul(size)
+        .and_then(|length| start.checked_add(length));
+    end.and_then(|end| tail.get(start..end)).ok_or_else(|| {
+        format!(
+            "points to {count} x {size} bytes at {start} of a tail of {}",
+            tail.len()
+        )
+    })
 }
 
-fn list_kind(code: u8) -> Result<ListKind, String> {
+fn list_kind(code: u8) -> Result<EndpointUpdate, String> {
     match code {
-        0 => Ok(ListKind::Changes),
-        1 => Ok(ListKind::Full),
-        2 => Ok(ListKind::Cached),
-        3 => Ok(ListKind::Failed),
+        0 => Ok(EndpointUpdate::Incremental),
+        1 => Ok(EndpointUpdate::Full),
+        2 => Ok(EndpointUpdate::Cached),
+        3 => Ok(EndpointUpdate::Failed),
         _ => Err(format!("unknown list form {code}")),
     }
 }
@@ -162,12 +204,15 @@
     }
 }
 
-fn entries(bytes: &[u8]) -> Result<Vec<ServerEntry>, String> {
-    bytes.chunks_exact(ENTRY).map(|entry| Fields(entry).entry()).collect()
+fn entries(bytes: &[u8]) -> Result<Vec<Endpoint>, String> {
+    bytes
+        .chunks_exact(ENTRY)
+        .map(|entry| Fields(entry).entry())
+        .collect()
 }
 
 /// Gives the values of a report their names.
-pub fn named_report((values, count): RawReport, columns: &[Column]) -> LoadReport {
+pub fn named_report((values, count): RawReport, columns: &[ReportField]) -> LoadReport {
     let mut report = LoadReport::default();
     for (column, value) in columns.iter().zip(&values[..count]) {
         column.set(&mut report, *value);
@@ -215,21 +260,21 @@
         let values = [0, 1, 2, 3].map(|i| self.f32(at + 1 + 4 * i));
         Ok((count > 0).then_some((values, count)))
     }
-    fn entry(self) -> Result<ServerEntry, String> {
+    fn entry(self) -> Result<Endpoint, String> {
         let started = self.f64(15);
-        Ok(ServerEntry {
+        Ok(Endpoint {
             id: self.server(0),
             zone: self.u8(6),
-            kind: self.u8(7),
+            machine_type: self.u8(7),
             cell: self.u16(8),
             state: match self.u8(10) {
-                0 => ServerState::Gone,
+                0 => ServerState::Removed,
                 1 => ServerState::Draining,
                 2 => ServerState::Ready,
                 code => return Err(format!("unknown server state {code}")),
             },
             weight: self.f32(11),
-            started: (started > 0.0).then(|| millis(started)),
+            started_at: (started > 0.0).then(|| millis(started)),
         })
     }
 }
@@ -247,25 +292,39 @@
     pub fn push(&mut self, instance: u16, action: &Action) {
         match action {
             Action::Fail { id } => self.record(65, instance).u64(id.0),
-            Action::Probe { server } => self.record(66, instance).server(*server),
+            Action::HealthCheck { server } => self.record(66, instance).server(*server),
             Action::Log { text } => self.text(67, instance, text),
-            Action::SetTimer { after, token } => self.record(68, instance).millis(*after).u64(*token),
-            Action::Cancel { id, attempt } => self.record(69, instance).u64(id.0).u8(*attempt as u8),
-            Action::Subscribe { on } => self.record(70, instance).u8((*on).into()),
-            Action::FetchList => self.record(72, instance),
-            Action::Tell { to, data } => {
+            Action::SetTimer { after, token } => {
+                self.record(68, instance).millis(*after).u64(*token)
+            }
+            Action::CancelAttempt { id, attempt } => {
+                self.record(69, instance).u64(id.0).u8(*attempt as u8)
+            }
+            Action::WatchEndpoints { on } => self.record(70, instance).u8((*on).into()),
+            Action::FetchEndpoints => self.record(72, instance),
+            Action::SendToPeer { to, data } => {
                 let at = self.tail.len() as u32;
                 self.tail.extend(data);
                 let to = to.map_or(u16::MAX, |to| to as u16);
-                self.record(73, instance).u16(to).u32(at).u32(data.len() as u32)
+                self.record(73, instance)
+                    .u16(to)
+                    .u32(at)
+                    .u32(data.len() as u32)
             }
             Action::CloseIdle { server } => self.record(74, instance).server(*server),
-            Action::Refuse { id, retry_after } => {
-                self.record(75, instance).u64(id.0).millis(retry_after.unwrap_or_default())
-            }
-            Action::Send { id, server, timeout } => {
-                self.record(76, instance).u64(id.0).server(*server).millis(*timeout)
-            }
+            Action::Reject { id, retry_after } => self
+                .record(75, instance)
+                .u64(id.0)
+                .millis(retry_after.unwrap_or_default()),
+            Action::Send {
+                id,
+                server,
+                timeout,
+            } => self
+                .record(76, instance)
+                .u64(id.0)
+                .server(*server)
+                .millis(*timeout),
         };
         self.close_record();
     }
--- a/crates/simulation/src/plants.rs
+++ b/testing/simulation/src/plants.rs
@@ -4,10 +4,10 @@
 use crate::dice::Dice;
 use crate::net::Net;
 use crate::script::Script;
-use hillpick::settings::Site;
-use hillpick::{LoadReport, Outcome, ServerId};
-use sillward_assembly::Wrap;
-use sillward_core::{Attempt, Backends, Ended, News, Stop, Task};
+use sillward_app::Wrap;
+use sillward_balancer::settings::PlatformSettings;
+use sillward_balancer::{LoadReport, Outcome, ServerId};
+use sillward_forwarding::{Attempt, Backends, Ended, News, Stop, Task};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -45,7 +45,9 @@
     }
 
     fn under_way(&self, now: Duration) -> bool {
-        self.0.get().is_some_and(|told| now >= told && now < told + DURING_RELOAD)
+        self.0
+            .get()
+            .is_some_and(|told| now >= told && now < told + DURING_RELOAD)
     }
 }
 
@@ -58,7 +60,10 @@
     net: &Net,
     reloads: &Rc<Reloads>,
 ) -> Option<Wrap> {
-    if matches!(plant, Plant::AnswerTwice | Plant::LateBytes | Plant::MissedDrain) {
+    if matches!(
+        plant,
+        Plant::AnswerTwice | Plant::LateBytes | Plant::MissedDrain
+    ) {
         return None;
     }
     let dice = RefCell::new(Dice::of(script.seed, "plant", node as u64));
@@ -66,14 +71,22 @@
     Some(Box::new(move |inner| {
         if plant == Plant::Busy {
             let (net, due) = (net.clone(), Duration::from_millis(900));
-            sillward_seam::task::spawn_local(async move {
-                sillward_seam::time::sleep_until(net.at(due)).await;
+            sillward_runtime::task::spawn_local(async move {
+                sillward_runtime::time::sleep_until(net.at(due)).await;
                 loop {
-                    sillward_seam::task::yield_now().await;
+                    sillward_runtime::task::yield_now().await;
                 }
             });
         }
-        Rc::new(Planted { inner, plant, often, dice, net, reloads, waiting: Cell::new(0) })
+        Rc::new(Planted {
+            inner,
+            plant,
+            often,
+            dice,
+            net,
+            reloads,
+            waiting: Cell::new(0),
+        })
     }))
 }
 
@@ -123,7 +136,7 @@
         self.inner.listed(news, now);
     }
 
-    fn retuned(&self, site: &Site) {
+    fn retuned(&self, site: &PlatformSettings) {
         self.inner.retuned(site);
     }
 
