--- a/crates/app/src/agreement.rs
+++ b/crates/app/src/agreement.rs
@@ -7,7 +7,7 @@
 use sillward_consensus::Terms as Times;
 use sillward_consensus_io::{Council, Terms};
 use sillward_fleet_settings::{Key, Reading, Repeat as Agreed, Rules, Value, Version};
-use sillward_forwarding::{Lapse, Live};
+use sillward_forwarding::{LiveSettings, SettingsLease};
 use sillward_membership::Name;
 use sillward_node_config::Config;
 use sillward_operator_config::AgreementTerms;
@@ -80,14 +80,14 @@
     config: &Config,
     agreement: &AgreementTerms,
     fleet: &Rc<Fleet>,
-    (changed, lapse): (Rc<Notify>, Rc<Lapse>),
+    (changed, lapse): (Rc<Notify>, Rc<SettingsLease>),
     stop: impl Future<Output = ()> + 'static,
 ) -> Result<Rc<Council>, String> {
     // In one step with what is learnt: nobody else's turn lies between.
     let change = move |until, other| {
-        lapse.until(until);
+        lapse.set_expiry(until);
         if other {
-            lapse.renew();
+            lapse.next_generation();
             changed.notify_one();
         }
     };
@@ -177,7 +177,7 @@
 }
 
 /// What is agreed on, for operators.
-pub fn page(council: &Rc<Council>, live: &Rc<Live>) -> Route {
+pub fn page(council: &Rc<Council>, live: &Rc<LiveSettings>) -> Route {
     let (council, live) = (council.clone(), live.clone());
     let text = move || {
         Reply::json(sillward_consensus_io::page::settings(
@@ -205,7 +205,7 @@
 }
 
 /// Takes changes in. What is answered is that one is under way; what came of it is on the page.
-pub fn proposals(council: &Rc<Council>, live: &Rc<Live>) -> Posted {
+pub fn proposals(council: &Rc<Council>, live: &Rc<LiveSettings>) -> Posted {
     let (council, live) = (council.clone(), live.clone());
     let answer = move |body: &[u8]| {
         let bad = |what: String| Reply::no(StatusCode::BAD_REQUEST, what);
--- a/crates/app/src/fronts.rs
+++ b/crates/app/src/fronts.rs
@@ -6,14 +6,14 @@
 use sillward_admin::{Admin, Posted, Reply, Route};
 use sillward_consensus_io::Council;
 use sillward_endpoints::Membership;
-use sillward_forwarding::{Budget, Intake, Live, Message};
+use sillward_forwarding::{LiveSettings, MemoryBudget, Message, NodeHandle};
 use sillward_hot_restart::Holding;
 use sillward_listener::{Door, Hold, Life};
 use sillward_logging::log;
 use sillward_metrics::Counters;
 use sillward_node_config::Config;
 use sillward_peer_transport::Fleet;
-use sillward_pool::Sockets;
+use sillward_pool::ConnectionLimit;
 use sillward_runtime::Clock;
 use sillward_runtime::net::TcpListener;
 use sillward_runtime::task::spawn_local;
@@ -29,15 +29,15 @@
 pub struct Fronts {
     pub clock: Clock,
     pub config: Rc<Config>,
-    pub intake: Intake,
+    pub intake: NodeHandle,
     pub messages: mpsc::Sender<Message>,
     pub life: Rc<Life>,
     pub counters: Rc<Counters>,
-    pub live: Rc<Live>,
+    pub live: Rc<LiveSettings>,
     /// HTTP clients' connections, and those to backends.
     pub door: Rc<Door>,
-    pub sockets: Rc<Sockets>,
-    pub budget: Budget,
+    pub sockets: Rc<ConnectionLimit>,
+    pub budget: MemoryBudget,
     pub stop: watch::Receiver<bool>,
     /// How many of the client connections are Thrift callers'.
     pub thrift_connections: usize,
@@ -193,7 +193,7 @@
 }
 
 /// The longest deadline of any class there is or has been, as it is when it is asked for.
-pub fn longest(live: &Rc<Live>) -> impl Fn() -> Duration + use<> {
+pub fn longest(live: &Rc<LiveSettings>) -> impl Fn() -> Duration + use<> {
     let live = live.clone();
     move || {
         let site = live.get();
--- a/crates/app/src/handover.rs
+++ b/crates/app/src/handover.rs
@@ -1,11 +1,11 @@
 //! Two processes of one node side by side: carries what each holds to the other, and what that comes to to the parts that
 //! hold it. Decides nothing.
 
-use sillward_forwarding::{Budget, Lease};
+use sillward_forwarding::{MemoryBudget, MemoryReservation};
 use sillward_hot_restart::{Event, Holding, LONGEST_LINE, Shares, line, read};
 use sillward_listener::Door;
 use sillward_logging::{log, log_peer};
-use sillward_pool::Sockets;
+use sillward_pool::ConnectionLimit;
 use sillward_runtime::local::{LocalListener, LocalStream};
 use sillward_runtime::time::{sleep, timeout};
 use std::path::Path;
@@ -29,13 +29,13 @@
 /// The parts that hold something.
 pub struct Holders {
     pub door: Rc<Door>,
-    pub sockets: Rc<Sockets>,
-    pub budget: Budget,
+    pub sockets: Rc<ConnectionLimit>,
+    pub budget: MemoryBudget,
 }
 
 impl Holders {
-    fn held(&self, aside: &Lease) -> Holding {
-        let bytes = self.budget.taken().saturating_sub(aside.bytes());
+    fn held(&self, aside: &MemoryReservation) -> Holding {
+        let bytes = self.budget.reserved().saturating_sub(aside.bytes());
         Holding {
             clients: self.door.clients(),
             backends: self.sockets.open(),
@@ -49,7 +49,7 @@
     shares: Shares,
     holders: Holders,
     /// Room that is the other process's.
-    aside: Lease,
+    aside: MemoryReservation,
     alone: Holding,
     older: Option<Talk>,
     newer: Option<Listener>,
@@ -118,7 +118,7 @@
 impl Handover {
     /// Finds the process that was here before, hears what it holds, and takes its place for the next.
     pub async fn start(folder: Option<&Path>, alone: Holding, holders: Holders) -> Option<Self> {
-        let aside = holders.budget.lease(0)?;
+        let aside = holders.budget.try_reserve(0)?;
         let mut this = Handover {
             shares: Shares::new(alone, SECOND),
             holders,
@@ -187,9 +187,9 @@
         let held = self.holders.held(&self.aside);
         let may = self.shares.may_hold(held);
         self.holders.door.hold(may.clients);
-        self.holders.sockets.hold(may.backends);
+        self.holders.sockets.set_max(may.backends);
         self.aside
-            .become_of(self.alone.bytes.saturating_sub(may.bytes));
+            .resize_up_to(self.alone.bytes.saturating_sub(may.bytes));
     }
 
     /// Carries on for as long as the process lives. `stop` is when it is told to end.
--- a/crates/app/src/lib.rs
+++ b/crates/app/src/lib.rs
@@ -15,14 +15,15 @@
 use sillward_balancer::settings::PlatformSettings;
 use sillward_consensus_io::Council;
 use sillward_forwarding::{
-    Backends, Budget, Dispatch, Gauges, Intake, Lapse, Live, Message, Node, Reports,
+    BackendProtocol, Dispatch, LiveSettings, LoadReportParser, MemoryBudget, Message, Node,
+    NodeGauges, NodeHandle, SettingsLease,
 };
 use sillward_listener::{Door, Life};
 use sillward_logging::log;
 use sillward_metrics::Counters;
 use sillward_node_config::Config;
 use sillward_operator_config::Operator;
-use sillward_pool::{Pool, Sockets, Terms};
+use sillward_pool::{ConnectionLimit, Pool, PoolTimeouts};
 use sillward_runtime::Clock;
 use sillward_runtime::task::spawn_local;
 use sillward_thrift::BackendTerms;
@@ -47,11 +48,11 @@
 #[derive(Clone)]
 pub struct Insight {
     /// The request table.
-    pub gauges: Rc<Gauges>,
+    pub gauges: Rc<NodeGauges>,
     /// Room for bodies that is left.
-    pub budget: Budget,
+    pub budget: MemoryBudget,
     /// Connections to backends.
-    pub sockets: Rc<Sockets>,
+    pub sockets: Rc<ConnectionLimit>,
     /// The fleet, where the node is a member of one.
     pub fleet: Option<Rc<sillward_peer_transport::Fleet>>,
     /// The agreement, where the node takes part in one.
@@ -59,7 +60,7 @@
 }
 
 /// Stands between the node and its backends' protocols. The program has none; the simulation plants faults so.
-pub type Wrap = Box<dyn FnOnce(Rc<dyn Backends>) -> Rc<dyn Backends>>;
+pub type Wrap = Box<dyn FnOnce(Rc<dyn BackendProtocol>) -> Rc<dyn BackendProtocol>>;
 
 /// How many of the node's client connections are Thrift callers'.
 ///
@@ -169,9 +170,9 @@
         + operator.agreement.as_ref().map_or(0, |_| agreement::BYTES)
         + operator.outcomes.as_ref().map_or(0, |_| outcomes::BYTES);
     let fleet_connections = fleet_connections(&config, &operator);
-    let budget = Budget::new(config.body_bytes - fleet_bytes.min(config.body_bytes / 2));
-    let sockets = Sockets::new(config.backend_connections);
-    let (counters, live) = (Counters::new(), Live::new(config.site.clone()));
+    let budget = MemoryBudget::new(config.body_bytes - fleet_bytes.min(config.body_bytes / 2));
+    let sockets = ConnectionLimit::new(config.backend_connections);
+    let (counters, live) = (Counters::new(), LiveSettings::new(config.site.clone()));
     counters.name(&config.site.class_names);
     let mut protocols = backends(
         clock,
@@ -202,7 +203,7 @@
         _ => None,
     };
     let changed = Rc::new(Notify::new());
-    let lapse = Rc::new(Lapse::default());
+    let lapse = Rc::new(SettingsLease::default());
     let council = match (&operator.agreement, &fleet) {
         (Some(terms), Some(fleet)) => {
             let stop = stopped(controls.stop.clone());
@@ -221,13 +222,13 @@
         // Nothing is acted on that was not asked for: the careful reading holds from the first call on.
         let readings = council.readings(&agreement::keys(&config.site));
         live.set(Rc::new(agreement::called(&config.site, &readings)));
-        lapse.careful(Rc::new(agreement::laid_over(&config.site, &readings)));
+        lapse.set_fallback(Rc::new(agreement::laid_over(&config.site, &readings)));
     }
     let sources = sources::start(clock, &config, operator.etcd, &messages, &live);
     let node = Node::new(
         clock,
         lapse
-            .instead()
+            .fallback()
             .unwrap_or_else(|| live.get())
             .settings
             .clone(),
@@ -237,10 +238,10 @@
         orders,
         counters.clone(),
     )
-    .lapsing(council.is_some().then(|| lapse.clone()))
-    .witnessed(
+    .with_settings_lease(council.is_some().then(|| lapse.clone()))
+    .with_observer(
         told.clone()
-            .map(|told| told as Rc<dyn sillward_forwarding::Witness>),
+            .map(|told| told as Rc<dyn sillward_forwarding::NodeObserver>),
     );
     let (gauges, budgeted, open) = (node.gauges(), budget.clone(), sockets.clone());
     shown(Insight {
@@ -250,7 +251,7 @@
         fleet: fleet.clone(),
         council: council.clone(),
     });
-    let intake = Intake::new(clock, messages.clone());
+    let intake = NodeHandle::new(clock, messages.clone());
     let mut node = spawn_local(node.run(inbox));
     let life = Life::start(clock, sources.discovery.ready());
     let mut discovery = spawn_local(sources.discovery.run(discovery_orders, moved));
@@ -322,13 +323,13 @@
     clock: Clock,
     config: &Config,
     thrift: Vec<BackendTerms>,
-    budget: &Budget,
-    sockets: &Rc<Sockets>,
+    budget: &MemoryBudget,
+    sockets: &Rc<ConnectionLimit>,
     counters: &Rc<Counters>,
-    live: &Rc<Live>,
-) -> Rc<dyn Backends> {
-    let terms = Terms::of(&config.site);
-    let reports = Reports::new(live.clone());
+    live: &Rc<LiveSettings>,
+) -> Rc<dyn BackendProtocol> {
+    let terms = PoolTimeouts::from_settings(&config.site);
+    let reports = LoadReportParser::new(live.clone());
     let pool = Pool::start(clock, sillward_http1::Http1, terms, sockets.clone());
     let http =
         sillward_http1::Backend::new(pool, budget.clone(), reports.clone(), counters.clone());
@@ -341,7 +342,7 @@
         };
         let pool = Pool::start(clock, protocol, terms, sockets.clone());
         let (place, budget) = (kind.kind, budget.clone());
-        let backends: Rc<dyn Backends> =
+        let backends: Rc<dyn BackendProtocol> =
             sillward_thrift::Backend::new(pool, kind, budget, reports.clone(), counters.clone());
         (place, backends)
     });
@@ -358,8 +359,8 @@
     council: Option<Rc<Council>>,
     /// What is agreed on has changed, or the right to act on it.
     changed: Rc<Notify>,
-    lapse: Rc<Lapse>,
-    live: Rc<Live>,
+    lapse: Rc<SettingsLease>,
+    live: Rc<LiveSettings>,
     counters: Rc<Counters>,
     node: mpsc::Sender<Message>,
     moves: watch::Sender<SocketAddr>,
@@ -401,13 +402,13 @@
     /// The one path by which settings reach the node; whether they were others than before.
     async fn lay_over(&self) -> Result<bool, String> {
         // The number before the reading: what changes in between makes it another's.
-        let generation = self.lapse.renew();
+        let generation = self.lapse.next_generation();
         let (site, called) = match &self.council {
             None => (self.file.clone(), self.file.clone()),
             Some(council) => {
                 let keys = agreement::keys(&self.file);
                 let readings = council.readings(&keys);
-                self.lapse.careful(Rc::new(agreement::laid_over(
+                self.lapse.set_fallback(Rc::new(agreement::laid_over(
                     &self.file,
                     &council.careful(&keys),
                 )));
@@ -421,7 +422,13 @@
         if changed || self.council.is_some() {
             self.counters.name(&site.class_names);
             // The node first: what a front reads by the new settings is behind this news.
-            let told = self.node.send(Message::Settings(site, generation)).await;
+            let told = self
+                .node
+                .send(Message::Settings {
+                    settings: site,
+                    generation,
+                })
+                .await;
             told.map_err(|_| "the node has ended".to_owned())?;
             self.live.set(called);
         }
--- a/crates/app/src/outcomes.rs
+++ b/crates/app/src/outcomes.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use sillward_admin::{Reply, Route};
 use sillward_balancer::{Outcome, ServerId};
-use sillward_forwarding::{Live, Witness};
+use sillward_forwarding::{AttemptTimes, LiveSettings, NodeObserver};
 use sillward_membership::{Life, Name};
 use sillward_outcome_stats::{Action, Backend, Cell, Class, End, Spread, Terms};
 use sillward_peer_transport::Fleet;
@@ -32,7 +32,7 @@
     clock: Clock,
     spread: RefCell<Spread>,
     fleet: Rc<Fleet>,
-    live: Rc<Live>,
+    live: Rc<LiveSettings>,
     /// A message came: something may be due.
     sooner: Notify,
 }
@@ -45,7 +45,7 @@
     clock: Clock,
     terms: &Terms,
     fleet: &Rc<Fleet>,
-    live: &Rc<Live>,
+    live: &Rc<LiveSettings>,
     stop: impl Future<Output = ()> + 'static,
 ) -> Result<Rc<Outcomes>, String> {
     let seed = random::entropy().map_err(|e| format!("no random numbers for the outcomes: {e}"))?;
@@ -192,24 +192,24 @@
     })
 }
 
-impl Witness for Outcomes {
-    fn taken(&self, now: Duration, class: usize, again: bool) {
+impl NodeObserver for Outcomes {
+    fn request_accepted(&self, now: Duration, class: usize, again: bool) {
         let class = self.class(class);
         self.spread.borrow_mut().counts(now).taken(class, again);
     }
 
-    fn refused(&self, now: Duration, class: usize) {
+    fn request_rejected(&self, now: Duration, class: usize) {
         let class = self.class(class);
         self.spread.borrow_mut().counts(now).shed(class);
     }
 
-    fn ended(
+    fn attempt_ended(
         &self,
         now: Duration,
         class: usize,
         at: ServerId,
         outcome: Outcome,
-        [since_it_came, took]: [Duration; 2],
+        times: AttemptTimes,
     ) {
         // What was never sent says nothing, and what its own client or this node called off says little.
         let end = match outcome {
@@ -223,7 +223,7 @@
                     .classes
                     .get(class)
                     .map_or(Duration::ZERO, |class| class.latency_objective);
-                Some(if since_it_came <= aim {
+                Some(if times.since_request <= aim {
                     End::InTime
                 } else {
                     End::Late
@@ -241,11 +241,15 @@
         let counts = spread.counts(now);
         counts.sent(cell, Duration::ZERO);
         if let Some(end) = end {
-            counts.ended(cell, end, (outcome == Outcome::Served).then_some(took));
+            counts.ended(
+                cell,
+                end,
+                (outcome == Outcome::Served).then_some(times.since_sent),
+            );
         }
     }
 
-    fn probed(&self, now: Duration, at: ServerId) {
+    fn health_check_started(&self, now: Duration, at: ServerId) {
         self.spread
             .borrow_mut()
             .counts(now)
--- a/crates/app/src/sources.rs
+++ b/crates/app/src/sources.rs
@@ -4,7 +4,7 @@
 use sillward_endpoint_updates::Hub;
 use sillward_endpoints::{Guard, Membership};
 use sillward_etcd::{Etcd, Terms};
-use sillward_forwarding::{Live, Message};
+use sillward_forwarding::{LiveSettings, Message};
 use sillward_node_config::Config;
 use sillward_runtime::Clock;
 use sillward_runtime::task::spawn_local;
@@ -29,7 +29,7 @@
     config: &Config,
     etcd: Option<(Terms, Guard)>,
     node: &mpsc::Sender<Message>,
-    live: &Rc<Live>,
+    live: &Rc<LiveSettings>,
 ) -> Sources {
     let (roster, told) = match &etcd {
         Some(_) => mpsc::channel(TELLINGS),
--- a/crates/discovery/src/entries.rs
+++ b/crates/discovery/src/entries.rs
@@ -81,7 +81,7 @@
         started_at: (line.since_ms > 0.0).then(|| millis(line.since_ms)),
     };
     Ok(Backend {
-        entry,
+        endpoint: entry,
         address: line.address,
     })
 }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -20,7 +20,7 @@
 use hyper_util::rt::TokioIo;
 use lines::{Item, LIST_LIMIT, Lines};
 use sillward_balancer::EndpointUpdate;
-use sillward_forwarding::{Backend, Live, Message, News, Order};
+use sillward_forwarding::{Backend, BackendUpdate, DiscoveryCommand, LiveSettings, Message};
 use sillward_logging::{log, log_peer};
 use sillward_runtime::net::TcpStream;
 use sillward_runtime::random::Random;
@@ -59,7 +59,7 @@
 
 pub struct Discovery {
     address: SocketAddr,
-    live: Rc<Live>,
+    live: Rc<LiveSettings>,
     messages: mpsc::Sender<Message>,
     known: Option<String>,
     random: Random,
@@ -76,7 +76,7 @@
     /// `known` is discovery's JSON as this node last had it, perhaps old.
     pub fn new(
         address: SocketAddr,
-        live: Rc<Live>,
+        live: Rc<LiveSettings>,
         known: Option<String>,
         seed: u64,
         messages: mpsc::Sender<Message>,
@@ -100,7 +100,11 @@
     }
 
     /// Keeps the list fresh, from `moved`'s address whenever that changes.
-    pub async fn run(mut self, orders: mpsc::Receiver<Order>, moved: watch::Receiver<SocketAddr>) {
+    pub async fn run(
+        mut self,
+        orders: mpsc::Receiver<DiscoveryCommand>,
+        moved: watch::Receiver<SocketAddr>,
+    ) {
         if let Some(known) = self.known.take() {
             let some = match self
                 .take(known.as_bytes(), Some(EndpointUpdate::Cached))
@@ -171,7 +175,7 @@
     /// Lists must be asked for: the module says when. Every call that fails is told to it.
     async fn obey(
         &mut self,
-        mut orders: mpsc::Receiver<Order>,
+        mut orders: mpsc::Receiver<DiscoveryCommand>,
         mut moved: watch::Receiver<SocketAddr>,
     ) {
         // What the module asked for, and whether there is a watch: it learns of a broken one and asks anew.
@@ -191,7 +195,7 @@
                         biased;
                         order = orders.recv() => match order {
                             // A watch that is being opened or open is what was asked for: to begin anew would lose it.
-                            Some(Order::Subscribe(true)) if watching => {}
+                            Some(DiscoveryCommand::Watch(true)) if watching => {}
                             order => break Turn::Ordered(order),
                         },
                         address = next(&mut moved) => break Turn::Moved(address),
@@ -200,8 +204,8 @@
                 }
             };
             match turn {
-                Turn::Ordered(Some(Order::Subscribe(on))) => (wanted, watching) = (on, on),
-                Turn::Ordered(Some(Order::Fetch)) => loop {
+                Turn::Ordered(Some(DiscoveryCommand::Watch(on))) => (wanted, watching) = (on, on),
+                Turn::Ordered(Some(DiscoveryCommand::Fetch)) => loop {
                     let fetched = tokio::select! {
                         biased;
                         fetched = self.fetch() => fetched,
@@ -422,7 +426,7 @@
     async fn tell(&self, kind: EndpointUpdate, backends: Vec<Backend>) {
         let _ = self
             .messages
-            .send(Message::List(News { kind, backends }))
+            .send(Message::EndpointList(BackendUpdate { kind, backends }))
             .await; // or the node has ended
     }
 }
@@ -437,7 +441,7 @@
 
 /// What ended the wait for a watch or for an order.
 enum Turn {
-    Ordered(Option<Order>),
+    Ordered(Option<DiscoveryCommand>),
     Moved(SocketAddr),
     Broken(String),
 }
--- a/crates/endpoint-updates/src/lib.rs
+++ b/crates/endpoint-updates/src/lib.rs
@@ -3,7 +3,7 @@
 
 use sillward_balancer::{EndpointUpdate, ServerId};
 use sillward_endpoints::{Line, Membership};
-use sillward_forwarding::{Backend, Message, News};
+use sillward_forwarding::{Backend, BackendUpdate, Message};
 use sillward_runtime::Clock;
 use sillward_runtime::time::{Instant, sleep_until};
 use std::cell::{Cell, RefCell};
@@ -74,7 +74,7 @@
                     self.membership.borrow_mut().believe(self.clock.now())
                 }
                 Some(message) = roster.recv() => match message {
-                    Message::List(news) => self.roster(news).await,
+                    Message::EndpointList(news) => self.roster(news).await,
                     other => {
                         let _ = self.node.send(other).await; // the roster sends lists alone
                         Vec::new()
@@ -86,25 +86,25 @@
                 continue;
             }
             let backend = |line: Line| Backend {
-                entry: line.entry,
+                endpoint: line.entry,
                 address: line.address,
             };
             let backends = changed.into_iter().map(backend).collect();
-            let news = News {
+            let news = BackendUpdate {
                 kind: EndpointUpdate::Incremental,
                 backends,
             };
-            if self.node.send(Message::List(news)).await.is_err() {
+            if self.node.send(Message::EndpointList(news)).await.is_err() {
                 return;
             }
         }
     }
 
-    async fn roster(&self, news: News) -> Vec<Line> {
+    async fn roster(&self, news: BackendUpdate) -> Vec<Line> {
         let now = self.clock.now();
         if news.kind == EndpointUpdate::Failed {
             self.membership.borrow_mut().silent(ROSTER);
-            let _ = self.node.send(Message::List(news)).await; // or the node has ended
+            let _ = self.node.send(Message::EndpointList(news)).await; // or the node has ended
             return Vec::new();
         }
         let lines = lines(&news.backends);
@@ -139,7 +139,7 @@
     backends
         .iter()
         .map(|backend| Line {
-            entry: backend.entry,
+            entry: backend.endpoint,
             address: backend.address,
         })
         .collect()
--- a/crates/etcd/src/source.rs
+++ b/crates/etcd/src/source.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use sillward_balancer::ServerId;
 use sillward_endpoint_updates::Telling;
-use sillward_forwarding::{Backend, Live};
+use sillward_forwarding::{Backend, LiveSettings};
 use sillward_logging::{log, log_peer};
 use sillward_runtime::time::{Instant, sleep, timeout};
 use std::collections::{BTreeMap, VecDeque};
@@ -43,7 +43,7 @@
 /// Follows etcd.
 pub struct Etcd {
     terms: Terms,
-    live: Rc<Live>,
+    live: Rc<LiveSettings>,
     session: Session,
     tellings: mpsc::Sender<Telling>,
     /// The last good line of each key.
@@ -55,7 +55,12 @@
 }
 
 impl Etcd {
-    pub fn new(terms: Terms, live: Rc<Live>, seed: u64, tellings: mpsc::Sender<Telling>) -> Self {
+    pub fn new(
+        terms: Terms,
+        live: Rc<LiveSettings>,
+        seed: u64,
+        tellings: mpsc::Sender<Telling>,
+    ) -> Self {
         let session = Session::new(terms.endpoints.len(), terms.times, seed.rotate_left(17));
         let (lines, before) = (BTreeMap::new(), BTreeMap::new());
         Etcd {
@@ -225,10 +230,10 @@
                 }
             }
         };
-        let id = backend.entry.id;
+        let id = backend.endpoint.id;
         let old = self.lines.insert(key, backend.clone());
-        if let Some(old) = old.filter(|old| old.entry.id != id) {
-            self.gone(old.entry.id).await;
+        if let Some(old) = old.filter(|old| old.endpoint.id != id) {
+            self.gone(old.endpoint.id).await;
         }
         self.part.push(backend);
         if self.part.len() >= PART {
@@ -241,14 +246,14 @@
 
     async fn delete(&mut self, key: &Bytes) {
         if let Some(old) = self.lines.remove(key) {
-            self.gone(old.entry.id).await;
+            self.gone(old.endpoint.id).await;
         }
     }
 
     /// A key no longer names that backend; perhaps another does.
     async fn gone(&mut self, id: ServerId) {
         self.flush().await;
-        if !self.lines.values().any(|line| line.entry.id == id) {
+        if !self.lines.values().any(|line| line.endpoint.id == id) {
             self.tell(Telling::Gone(id)).await;
         }
     }
--- a/crates/forwarding/src/attempt.rs
+++ b/crates/forwarding/src/attempt.rs
@@ -1,6 +1,6 @@
 //! Attempts and probes, and what a backend protocol is to the node.
 
-use crate::{Call, Content, News, Rest};
+use crate::{BackendUpdate, BodyStream, Call, Payload};
 use sillward_balancer::settings::PlatformSettings;
 use sillward_balancer::{LoadReport, Outcome, RequestId, ServerId};
 use std::cell::Cell;
@@ -10,18 +10,22 @@
 use tokio::sync::oneshot;
 
 /// Work that a backend protocol does for the node.
-pub type Task<T> = Pin<Box<dyn Future<Output = T>>>;
+pub type LocalBoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
 /// A backend protocol.
-pub trait Backends {
+pub trait BackendProtocol {
     /// Makes an attempt, until it ends or is stopped. Says [`Outcome::never_ran`] only of what never can have.
-    fn attempt(self: Rc<Self>, attempt: Attempt, stopped: oneshot::Receiver<Stop>) -> Task<Ended>;
-    /// Asks a backend for its load, or for a sign of life, within [`crate::PROBE_TIMEOUT`].
-    fn probe(self: Rc<Self>, server: ServerId) -> Task<(Outcome, Option<LoadReport>)>;
+    fn attempt(
+        self: Rc<Self>,
+        attempt: Attempt,
+        stopped: oneshot::Receiver<StopReason>,
+    ) -> LocalBoxFuture<AttemptResult>;
+    /// Asks a backend for its load, or for a sign of life, within [`crate::HEALTH_CHECK_TIMEOUT`].
+    fn health_check(self: Rc<Self>, server: ServerId) -> LocalBoxFuture<HealthCheckReply>;
     /// Takes in news of the list: addresses, and when a backend was told to drain or to be gone.
-    fn listed(&self, news: &News, now: Duration);
+    fn update_backends(&self, update: &BackendUpdate, now: Duration);
     /// Takes in new settings.
-    fn retuned(&self, site: &PlatformSettings);
+    fn apply_settings(&self, settings: &PlatformSettings);
     /// Closes idle connections to a backend.
     fn close_idle(&self, server: ServerId);
 }
@@ -32,78 +36,120 @@
     pub number: u32,
     pub server: ServerId,
     /// When the node stops waiting for it.
-    pub until: Duration,
+    pub deadline: Duration,
     pub call: Rc<Call>,
     /// The way for a long answer whose first bytes are there. The attempt goes on until all of it has gone through.
-    pub started: Cell<Option<oneshot::Sender<Started>>>,
+    pub response_started: Cell<Option<oneshot::Sender<ResponseStarted>>>,
 }
 
 /// The first bytes of a long answer.
-pub struct Started {
+pub struct ResponseStarted {
     pub id: RequestId,
     pub number: u32,
     /// What is there, and bytes in all where that is known.
-    pub content: Content,
+    pub payload: Payload,
     pub length: Option<u64>,
     pub report: Option<LoadReport>,
-    pub rest: Box<dyn Rest>,
+    pub rest: Box<dyn BodyStream>,
 }
 
 /// Why an attempt is stopped.
-pub enum Stop {
+pub enum StopReason {
     TimedOut,
     Cancelled,
 }
 
 /// What an exchange with a backend came to; with its answer if it was served.
-pub type Exchanged = (Outcome, Option<LoadReport>, Option<Content>);
+pub struct Exchange {
+    pub outcome: Outcome,
+    pub report: Option<LoadReport>,
+    pub response: Option<Payload>,
+}
+
+impl Exchange {
+    /// Without a response.
+    pub fn failed(outcome: Outcome, report: Option<LoadReport>) -> Self {
+        Exchange {
+            outcome,
+            report,
+            response: None,
+        }
+    }
+}
+
+impl From<Outcome> for Exchange {
+    fn from(outcome: Outcome) -> Self {
+        Exchange::failed(outcome, None)
+    }
+}
 
 /// How an attempt ended.
-pub struct Ended {
+pub struct AttemptResult {
     pub id: RequestId,
     pub number: u32,
     pub outcome: Outcome,
     pub report: Option<LoadReport>,
     /// The answer, if it was served.
-    pub answer: Option<Content>,
+    pub response: Option<Payload>,
 }
 
-/// How a probe ended.
-pub struct ProbeEnded {
+/// What a health check came to.
+pub struct HealthCheckReply {
+    /// How it ended.
+    pub outcome: Outcome,
+    /// The load that the backend reported, if it did.
+    pub report: Option<LoadReport>,
+}
+
+impl From<Outcome> for HealthCheckReply {
+    fn from(outcome: Outcome) -> Self {
+        HealthCheckReply {
+            outcome,
+            report: None,
+        }
+    }
+}
+
+/// How a health check ended.
+pub struct HealthCheckResult {
     pub server: ServerId,
     pub outcome: Outcome,
-    pub sent: Duration,
+    pub sent_at: Duration,
     pub report: Option<LoadReport>,
 }
 
 /// Lets an exchange run until it ends or is stopped. `written` tells whether it may have run by then.
-pub async fn run(
+pub async fn run_attempt(
     attempt: &Attempt,
     written: impl Fn() -> bool,
-    exchange: impl Future<Output = Exchanged>,
-    stopped: oneshot::Receiver<Stop>,
-) -> Ended {
-    let (mut outcome, report, mut answer) = tokio::select! {
+    exchange: impl Future<Output = Exchange>,
+    stopped: oneshot::Receiver<StopReason>,
+) -> AttemptResult {
+    let Exchange {
+        mut outcome,
+        report,
+        mut response,
+    } = tokio::select! {
         biased;
         ended = exchange => ended,
         // The exchange is dropped, and its connection closes.
-        stop = stopped => (match stop {
+        stop = stopped => Exchange::from(match stop {
             _ if !written() => Outcome::NotSent,
             // Its claim on the call stays: it may run, or may yet.
-            Ok(Stop::TimedOut) => Outcome::TimedOut,
-            Ok(Stop::Cancelled) | Err(_) => Outcome::Cancelled,
-        }, None, None),
+            Ok(StopReason::TimedOut) => Outcome::TimedOut,
+            Ok(StopReason::Cancelled) | Err(_) => Outcome::Cancelled,
+        }),
     };
-    if !attempt.call.answered && !outcome.never_ran() {
+    if !attempt.call.expects_response && !outcome.never_ran() {
         // Nobody waits for what it comes to, and it may have run: that is its one attempt.
         outcome = Outcome::Served;
-        answer = Some(answer.unwrap_or(Content::plain(bytes::Bytes::new())));
+        response = Some(response.unwrap_or(Payload::plain(bytes::Bytes::new())));
     }
-    Ended {
+    AttemptResult {
         id: attempt.id,
         number: attempt.number,
         outcome,
         report,
-        answer,
+        response,
     }
 }
--- a/crates/forwarding/src/dispatch.rs
+++ b/crates/forwarding/src/dispatch.rs
@@ -1,17 +1,20 @@
 //! Several backend protocols side by side: each backend speaks the one of its machine kind.
 
-use crate::{Attempt, Backend, Backends, Ended, News, Stop, Task};
+use crate::{
+    Attempt, AttemptResult, Backend, BackendProtocol, BackendUpdate, HealthCheckReply,
+    LocalBoxFuture, StopReason,
+};
 use sillward_balancer::settings::PlatformSettings;
-use sillward_balancer::{EndpointUpdate, LoadReport, Outcome, ServerId, ServerState};
+use sillward_balancer::{EndpointUpdate, ServerId, ServerState};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Passes attempts and news on to the protocol of the backend's machine kind.
+/// Passes attempts and update on to the protocol of the backend's machine kind.
 pub struct Dispatch {
-    protocols: Vec<Rc<dyn Backends>>,
+    protocols: Vec<Rc<dyn BackendProtocol>>,
     /// Which of them each machine kind speaks; the first where a kind is not named.
     by_kind: BTreeMap<u8, usize>,
     servers: RefCell<BTreeMap<ServerId, usize>>,
@@ -19,7 +22,7 @@
 
 impl Dispatch {
     /// `first` is for every kind that `others` don't name.
-    pub fn new(first: Rc<dyn Backends>, others: Vec<(u8, Rc<dyn Backends>)>) -> Self {
+    pub fn new(first: Rc<dyn BackendProtocol>, others: Vec<(u8, Rc<dyn BackendProtocol>)>) -> Self {
         let mut protocols = vec![first];
         let mut by_kind = BTreeMap::new();
         for (kind, protocol) in others {
@@ -33,7 +36,7 @@
         }
     }
 
-    fn of(&self, server: ServerId) -> Rc<dyn Backends> {
+    fn of(&self, server: ServerId) -> Rc<dyn BackendProtocol> {
         let place = self
             .servers
             .borrow()
@@ -44,44 +47,48 @@
     }
 }
 
-impl Backends for Dispatch {
-    fn attempt(self: Rc<Self>, attempt: Attempt, stopped: oneshot::Receiver<Stop>) -> Task<Ended> {
+impl BackendProtocol for Dispatch {
+    fn attempt(
+        self: Rc<Self>,
+        attempt: Attempt,
+        stopped: oneshot::Receiver<StopReason>,
+    ) -> LocalBoxFuture<AttemptResult> {
         self.of(attempt.server).attempt(attempt, stopped)
     }
 
-    fn probe(self: Rc<Self>, server: ServerId) -> Task<(Outcome, Option<LoadReport>)> {
-        self.of(server).probe(server)
+    fn health_check(self: Rc<Self>, server: ServerId) -> LocalBoxFuture<HealthCheckReply> {
+        self.of(server).health_check(server)
     }
 
-    fn listed(&self, news: &News, now: Duration) {
+    fn update_backends(&self, update: &BackendUpdate, now: Duration) {
         let mut parts: Vec<Vec<Backend>> = vec![Vec::new(); self.protocols.len()];
         let mut servers = self.servers.borrow_mut();
-        if matches!(news.kind, EndpointUpdate::Full | EndpointUpdate::Cached) {
+        if matches!(update.kind, EndpointUpdate::Full | EndpointUpdate::Cached) {
             servers.clear();
         }
-        for backend in &news.backends {
+        for backend in &update.backends {
             let place = self
                 .by_kind
-                .get(&backend.entry.machine_type)
+                .get(&backend.endpoint.machine_type)
                 .copied()
                 .unwrap_or_default();
-            let before = servers.insert(backend.entry.id, place);
+            let before = servers.insert(backend.endpoint.id, place);
             // What the other protocol still holds of it leads nowhere from now on.
             if let Some(before) = before.filter(|before| *before != place) {
                 let mut gone = backend.clone();
-                gone.entry.state = ServerState::Removed;
+                gone.endpoint.state = ServerState::Removed;
                 parts[before].push(gone);
             }
-            if backend.entry.state == ServerState::Removed {
-                servers.remove(&backend.entry.id);
+            if backend.endpoint.state == ServerState::Removed {
+                servers.remove(&backend.endpoint.id);
             }
             parts[place].push(backend.clone());
         }
         drop(servers);
         for (protocol, backends) in self.protocols.iter().zip(parts) {
-            protocol.listed(
-                &News {
-                    kind: news.kind,
+            protocol.update_backends(
+                &BackendUpdate {
+                    kind: update.kind,
                     backends,
                 },
                 now,
@@ -89,10 +96,10 @@
         }
     }
 
-    fn retuned(&self, site: &PlatformSettings) {
+    fn apply_settings(&self, settings: &PlatformSettings) {
         self.protocols
             .iter()
-            .for_each(|protocol| protocol.retuned(site));
+            .for_each(|protocol| protocol.apply_settings(settings));
     }
 
     fn close_idle(&self, server: ServerId) {
@@ -112,22 +119,26 @@
     #[derive(Default)]
     struct Told(RefCell<Vec<Listed>>);
 
-    impl Backends for Told {
-        fn attempt(self: Rc<Self>, _: Attempt, _: oneshot::Receiver<Stop>) -> Task<Ended> {
+    impl BackendProtocol for Told {
+        fn attempt(
+            self: Rc<Self>,
+            _: Attempt,
+            _: oneshot::Receiver<StopReason>,
+        ) -> LocalBoxFuture<AttemptResult> {
             unreachable!("no attempt is made")
         }
-        fn probe(self: Rc<Self>, _: ServerId) -> Task<(Outcome, Option<LoadReport>)> {
+        fn health_check(self: Rc<Self>, _: ServerId) -> LocalBoxFuture<HealthCheckReply> {
             unreachable!("no probe is made")
         }
-        fn listed(&self, news: &News, _: Duration) {
-            let backends = news
+        fn update_backends(&self, update: &BackendUpdate, _: Duration) {
+            let backends = update
                 .backends
                 .iter()
-                .map(|b| (b.entry.id.0, b.entry.state))
+                .map(|b| (b.endpoint.id.0, b.endpoint.state))
                 .collect();
-            self.0.borrow_mut().push((news.kind, backends));
+            self.0.borrow_mut().push((update.kind, backends));
         }
-        fn retuned(&self, _: &PlatformSettings) {}
+        fn apply_settings(&self, _: &PlatformSettings) {}
         fn close_idle(&self, server: ServerId) {
             self.0
                 .borrow_mut()
@@ -142,7 +153,7 @@
         let dispatch = Dispatch::new(http.clone(), vec![(3, thrift.clone())]);
         let tell = |kind, lines: &[(u64, u8, ServerState)]| {
             let backends = lines.iter().map(|(id, kind, state)| Backend {
-                entry: Endpoint {
+                endpoint: Endpoint {
                     id: ServerId(*id),
                     machine_type: *kind,
                     state: *state,
@@ -150,8 +161,8 @@
                 },
                 address: ([127, 0, 0, 1], 1).into(),
             });
-            dispatch.listed(
-                &News {
+            dispatch.update_backends(
+                &BackendUpdate {
                     kind,
                     backends: backends.collect(),
                 },
--- a/crates/forwarding/src/intake.rs
+++ b/crates/forwarding/src/intake.rs
@@ -1,6 +1,6 @@
 //! The way from a front to the node, for one request at a time.
 
-use crate::{Answer, Call, Message};
+use crate::{Call, FinalResponse, Message};
 use sillward_balancer::{NewRequest, RequestId};
 use sillward_runtime::Clock;
 use std::cell::Cell;
@@ -9,26 +9,26 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// A request that a front has taken.
-pub struct Taken {
-    pub new: NewRequest,
+pub struct AcceptedRequest {
+    pub request: NewRequest,
     /// When its last byte had come.
-    pub at: Duration,
+    pub received_at: Duration,
     pub call: Call,
-    pub reply: oneshot::Sender<Answer>,
+    pub reply: oneshot::Sender<FinalResponse>,
 }
 
 /// Takes requests in, for every front.
 #[derive(Clone)]
-pub struct Intake {
+pub struct NodeHandle {
     clock: Clock,
     messages: mpsc::Sender<Message>,
     /// The last number that a request was given.
     numbers: Rc<Cell<u64>>,
 }
 
-impl Intake {
+impl NodeHandle {
     pub fn new(clock: Clock, messages: mpsc::Sender<Message>) -> Self {
-        Intake {
+        NodeHandle {
             clock,
             messages,
             numbers: Rc::default(),
@@ -41,19 +41,19 @@
 
     /// Hands a request to the node, under a number of its own, and waits for its one answer. Dropped before
     /// that, it tells the node that the client has left. `None` if the node has ended.
-    pub async fn submit(&self, new: NewRequest, call: Call, at: Duration) -> Option<Answer> {
-        self.submit_arriving(new, call, at, std::future::pending())
+    pub async fn submit(&self, new: NewRequest, call: Call, at: Duration) -> Option<FinalResponse> {
+        self.submit_streaming(new, call, at, std::future::pending())
             .await
     }
 
-    /// As [`Intake::submit`], for a request whose body is still coming: `arrived` tells when its last byte came.
-    pub async fn submit_arriving(
+    /// As [`NodeHandle::submit`], for a request whose body is still coming: `arrived` tells when its last byte came.
+    pub async fn submit_streaming(
         &self,
         mut new: NewRequest,
         call: Call,
         at: Duration,
         arrived: impl Future<Output = Duration>,
-    ) -> Option<Answer> {
+    ) -> Option<FinalResponse> {
         self.numbers.set(self.numbers.get() + 1);
         let id = RequestId(self.numbers.get());
         new.id = id;
@@ -64,9 +64,9 @@
             id,
             place: Some(place),
         };
-        let taken = Box::new(Taken {
-            new,
-            at,
+        let taken = Box::new(AcceptedRequest {
+            request: new,
+            received_at: at,
             call,
             reply,
         });
@@ -76,7 +76,7 @@
             biased;
             answer = answer.as_mut() => Some(answer),
             at = arrived => {
-                self.messages.send(Message::Arrived(id, at)).await.ok()?;
+                self.messages.send(Message::BodyReceived(id, at)).await.ok()?;
                 None
             }
         };
@@ -84,7 +84,7 @@
             Some(answer) => answer,
             None => answer.await,
         };
-        let answer = answer.unwrap_or(Answer::Failed);
+        let answer = answer.unwrap_or(FinalResponse::Failed);
         gone.place = None;
         Some(answer)
     }
--- a/crates/forwarding/src/memory.rs
+++ b/crates/forwarding/src/memory.rs
@@ -6,63 +6,63 @@
 
 /// Bytes that may still be held.
 #[derive(Clone)]
-pub struct Budget {
+pub struct MemoryBudget {
     left: Arc<AtomicUsize>,
     whole: usize,
 }
 
 /// A part of the budget, which goes back when it is dropped.
-pub struct Lease {
-    budget: Budget,
+pub struct MemoryReservation {
+    budget: MemoryBudget,
     bytes: usize,
 }
 
-impl Budget {
+impl MemoryBudget {
     pub fn new(bytes: usize) -> Self {
-        Budget {
+        MemoryBudget {
             left: Arc::new(AtomicUsize::new(bytes)),
             whole: bytes,
         }
     }
 
     /// The bytes that are held.
-    pub fn taken(&self) -> usize {
+    pub fn reserved(&self) -> usize {
         self.whole - self.left.load(Ordering::Relaxed)
     }
 
     /// Room for so many bytes, if there is that much.
-    pub fn lease(&self, bytes: usize) -> Option<Lease> {
+    pub fn try_reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let taken = self
             .left
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| {
                 left.checked_sub(bytes)
             });
-        taken.ok().map(|_| Lease {
+        taken.ok().map(|_| MemoryReservation {
             budget: self.clone(),
             bytes,
         })
     }
 }
 
-impl Budget {
+impl MemoryBudget {
     /// Room for so many bytes of a long body: a quarter of all is left to the short ones.
-    pub fn lease_spare(&self, bytes: usize) -> Option<Lease> {
+    pub fn try_reserve_for_long_body(&self, bytes: usize) -> Option<MemoryReservation> {
         let spare = self
             .left
             .load(Ordering::Relaxed)
             .saturating_sub(self.whole / 4);
-        (bytes <= spare).then(|| self.lease(bytes))?
+        (bytes <= spare).then(|| self.try_reserve(bytes))?
     }
 }
 
-impl Lease {
+impl MemoryReservation {
     /// How many bytes it has.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
     /// Has so many bytes from now on, or as many of them as there is room for.
-    pub fn become_of(&mut self, bytes: usize) {
+    pub fn resize_up_to(&mut self, bytes: usize) {
         if bytes < self.bytes {
             let back = self.bytes - bytes;
             self.bytes = bytes;
@@ -70,16 +70,16 @@
         } else {
             let left = self.budget.left.load(Ordering::Relaxed);
             let more = (bytes - self.bytes).min(left);
-            self.grow(more);
+            self.try_grow(more);
         }
     }
 
     /// Takes so many bytes more for a long body while half of all is left, so that its later fellows find room to begin;
     /// otherwise nothing changes.
-    pub fn grow_spare(&mut self, bytes: usize) -> bool {
+    pub fn try_grow_for_long_body(&mut self, bytes: usize) -> bool {
         let plenty = self.budget.left.load(Ordering::Relaxed) >= self.budget.whole / 2;
         plenty
-            .then(|| self.budget.lease(bytes))
+            .then(|| self.budget.try_reserve(bytes))
             .flatten()
             .is_some_and(|mut more| {
                 self.bytes += std::mem::take(&mut more.bytes);
@@ -88,8 +88,8 @@
     }
 
     /// Takes so many bytes more, if there is that much room; otherwise nothing changes.
-    pub fn grow(&mut self, bytes: usize) -> bool {
-        match self.budget.lease(bytes) {
+    pub fn try_grow(&mut self, bytes: usize) -> bool {
+        match self.budget.try_reserve(bytes) {
             Some(mut more) => {
                 self.bytes += std::mem::take(&mut more.bytes);
                 true
@@ -99,10 +99,10 @@
     }
 
     /// These bytes, which keep their room for as long as a copy of them lives.
-    pub fn keep(self, bytes: Bytes) -> Bytes {
+    pub fn attach(self, bytes: Bytes) -> Bytes {
         struct Kept(
             Bytes,
-            #[expect(dead_code, reason = "its drop gives the room back")] Lease,
+            #[expect(dead_code, reason = "its drop gives the room back")] MemoryReservation,
         );
         impl AsRef<[u8]> for Kept {
             fn as_ref(&self) -> &[u8] {
@@ -113,7 +113,7 @@
     }
 }
 
-impl Drop for Lease {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         self.budget.left.fetch_add(self.bytes, Ordering::Relaxed);
     }
--- a/crates/forwarding/src/news.rs
+++ b/crates/forwarding/src/news.rs
@@ -6,18 +6,18 @@
 /// A line of the list, and where that backend listens.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    pub entry: Endpoint,
+    pub endpoint: Endpoint,
     pub address: SocketAddr,
 }
 
-/// News of the list.
-pub struct News {
+/// A change of the list.
+pub struct BackendUpdate {
     pub kind: EndpointUpdate,
     pub backends: Vec<Backend>,
 }
 
 /// What the module asks of discovery, where the list must be asked for.
-pub enum Order {
-    Subscribe(bool),
+pub enum DiscoveryCommand {
+    Watch(bool),
     Fetch,
 }
--- a/crates/forwarding/src/node.rs
+++ b/crates/forwarding/src/node.rs
@@ -2,9 +2,10 @@
 //! it decides nothing. Its request table alone gives final answers, and gives each exactly once.
 
 use crate::{
-    Answer, Attempt, Backends, Call, Ended, Message, Order, ProbeEnded, Started, Stop, Taken,
+    AcceptedRequest, Attempt, AttemptResult, BackendProtocol, Call, DiscoveryCommand,
+    FinalResponse, HealthCheckResult, Message, ResponseStarted, StopReason,
 };
-use crate::{Lapse, Witness};
+use crate::{NodeObserver, SettingsLease};
 use sillward_balancer::settings::PlatformSettings;
 use sillward_balancer::*;
 use sillward_logging::{log, log_peer};
@@ -23,7 +24,7 @@
     /// When it came.
     came: Duration,
     /// The way to the client, until the final answer has gone there.
-    reply: Option<oneshot::Sender<Answer>>,
+    reply: Option<oneshot::Sender<FinalResponse>>,
     /// In the order of Send; an attempt's number is its place.
     attempts: Vec<Out>,
     /// Its timers, which go with it: a client may say that it waits for as long as it likes.
@@ -40,23 +41,23 @@
     server: ServerId,
     sent: Duration,
     /// The way to stop it, until it has ended.
-    stop: Option<oneshot::Sender<Stop>>,
+    stop: Option<oneshot::Sender<StopReason>>,
     ended: bool,
 }
 
 impl Held {
     /// The one place where a final answer leaves. False if there has been one.
-    fn answer(&mut self, counters: &Counters, answer: Answer) -> bool {
-        self.call.over.set(true);
+    fn answer(&mut self, counters: &Counters, answer: FinalResponse) -> bool {
+        self.call.progress.finished.set(true);
         let Some(reply) = self.reply.take() else {
             return false;
         };
         let end = match answer {
-            Answer::Served(_) => Some(End::Passed),
+            FinalResponse::Complete(_) => Some(End::Passed),
             // Its end is counted: it may break yet.
-            Answer::Streamed(..) => None,
-            Answer::Refused { .. } => Some(End::Dropped),
-            Answer::Failed | Answer::TimedOut => Some(End::BadGateway),
+            FinalResponse::Streamed { .. } => None,
+            FinalResponse::Rejected { .. } => Some(End::Dropped),
+            FinalResponse::Failed | FinalResponse::TimedOut => Some(End::BadGateway),
         };
         if let Some(end) = end {
             self.in_progress = None;
@@ -79,9 +80,9 @@
 pub struct Node {
     clock: Clock,
     balancer: Balancer,
-    backends: Rc<dyn Backends>,
+    backends: Rc<dyn BackendProtocol>,
     messages: mpsc::Sender<Message>,
-    discovery: mpsc::Sender<Order>,
+    discovery: mpsc::Sender<DiscoveryCommand>,
     tick: Duration,
     max_attempts: usize,
     held: BTreeMap<RequestId, Held>,
@@ -89,11 +90,11 @@
     timers_set: u64,
     /// Requests that the module has just given up, not looked at yet.
     given_up: Vec<RequestId>,
-    gauges: Rc<Gauges>,
+    gauges: Rc<NodeGauges>,
     counters: Rc<Counters>,
-    witness: Option<Rc<dyn Witness>>,
+    witness: Option<Rc<dyn NodeObserver>>,
     /// Whether settings may be acted on yet; those of which generation are, and whether the careful ones are instead.
-    lapse: Option<Rc<Lapse>>,
+    lapse: Option<Rc<SettingsLease>>,
     generation: u64,
     careful: bool,
 }
@@ -105,7 +106,7 @@
 
 /// How full the request table is, for whoever started the node.
 #[derive(Default)]
-pub struct Gauges {
+pub struct NodeGauges {
     /// Requests that have no answer yet, or an attempt out.
     pub requests: Cell<usize>,
     /// Timers of theirs and of the module's own.
@@ -119,9 +120,9 @@
         clock: Clock,
         settings: Settings,
         seed: u64,
-        backends: Rc<dyn Backends>,
+        backends: Rc<dyn BackendProtocol>,
         messages: mpsc::Sender<Message>,
-        discovery: mpsc::Sender<Order>,
+        discovery: mpsc::Sender<DiscoveryCommand>,
         counters: Rc<Counters>,
     ) -> Self {
         Node {
@@ -146,7 +147,7 @@
     }
 
     /// Its settings, which are the careful ones until it is told others, may be acted on for as long as that says.
-    pub fn lapsing(self, lapse: Option<Rc<Lapse>>) -> Self {
+    pub fn with_settings_lease(self, lapse: Option<Rc<SettingsLease>>) -> Self {
         Node {
             careful: lapse.is_some(),
             lapse,
@@ -155,12 +156,12 @@
     }
 
     /// With somebody who counts what it does.
-    pub fn witnessed(self, witness: Option<Rc<dyn Witness>>) -> Self {
+    pub fn with_observer(self, witness: Option<Rc<dyn NodeObserver>>) -> Self {
         Node { witness, ..self }
     }
 
     /// How full the request table is, kept up to date for as long as the node runs.
-    pub fn gauges(&self) -> Rc<Gauges> {
+    pub fn gauges(&self) -> Rc<NodeGauges> {
         self.gauges.clone()
     }
 
@@ -189,9 +190,9 @@
     /// Goes over to the careful settings once the others may not be acted on: before anything else is decided.
     fn keep_in_force(&mut self) {
         let Some(lapse) = &self.lapse else { return };
-        if !self.careful && !lapse.holds(self.generation, self.clock.now()) {
+        if !self.careful && !lapse.is_valid(self.generation, self.clock.now()) {
             self.careful = true;
-            if let Some(site) = lapse.instead() {
+            if let Some(site) = lapse.fallback() {
                 self.tune(&site);
             }
         }
@@ -202,7 +203,7 @@
             site.settings.timer_resolution,
             most_attempts(&site.settings),
         );
-        self.backends.retuned(site);
+        self.backends.apply_settings(site);
         self.decide(Event::Settings(Box::new(site.settings.clone())));
     }
 
@@ -228,7 +229,7 @@
         {
             match timer.remove() {
                 Due::Module(token) => self.decide(Event::Timer { token }),
-                Due::Attempt(id, number) => self.stop(id, number, Stop::TimedOut),
+                Due::Attempt(id, number) => self.stop(id, number, StopReason::TimedOut),
                 Due::Deadline(id) => self.overdue(id),
             }
         }
@@ -242,17 +243,17 @@
                     return;
                 };
                 (held.reply, held.in_progress) = (None, None);
-                held.call.over.set(true);
+                held.call.progress.finished.set(true);
                 self.decide(Event::ClientGone { id });
                 self.forget(id);
             }
-            Message::Arrived(id, at) => self.on_arrived(id, at),
-            Message::Started(started) => self.on_started(started),
-            Message::Attempt(ended) => self.on_attempt(ended),
-            Message::Probe(ProbeEnded {
+            Message::BodyReceived(id, at) => self.on_arrived(id, at),
+            Message::ResponseStarted(started) => self.on_started(started),
+            Message::AttemptEnded(ended) => self.on_attempt(ended),
+            Message::HealthChecked(HealthCheckResult {
                 server,
                 outcome,
-                sent,
+                sent_at: sent,
                 report,
             }) => {
                 let elapsed = self.clock.now().saturating_sub(sent);
@@ -263,25 +264,28 @@
                     report,
                 }));
             }
-            Message::List(news) => {
-                self.backends.listed(&news, self.clock.now());
+            Message::EndpointList(news) => {
+                self.backends.update_backends(&news, self.clock.now());
                 let entries = news
                     .backends
                     .into_iter()
-                    .map(|backend| backend.entry)
+                    .map(|backend| backend.endpoint)
                     .collect();
                 self.decide(Event::EndpointList {
                     update: news.kind,
                     endpoints: entries,
                 });
             }
-            Message::Settings(site, generation) => {
+            Message::Settings {
+                settings: site,
+                generation,
+            } => {
                 let now = self.clock.now();
                 // Of an earlier generation, or too late: the next is on its way.
                 if self
                     .lapse
                     .as_ref()
-                    .is_none_or(|lapse| lapse.holds(generation, now))
+                    .is_none_or(|lapse| lapse.is_valid(generation, now))
                 {
                     (self.generation, self.careful) = (generation, false);
                     self.tune(&site);
@@ -294,15 +298,15 @@
         }
     }
 
-    fn on_request(&mut self, taken: Box<Taken>) {
-        let Taken {
-            mut new,
-            at,
+    fn on_request(&mut self, taken: Box<AcceptedRequest>) {
+        let AcceptedRequest {
+            request: mut new,
+            received_at: at,
             call,
             reply,
         } = *taken;
         let (id, deadline) = (new.id, call.deadline.get());
-        new.body_pending = call.coming.is_some();
+        new.body_pending = call.streaming_body.is_some();
         if !new.body_pending {
             let waited = self.clock.now().saturating_sub(at);
             new.remaining = new.remaining.saturating_sub(waited);
@@ -310,7 +314,7 @@
         let (attempts, timers) = (Vec::new(), Vec::new());
         let in_progress = Some(self.counters.taken());
         if let Some(witness) = &self.witness {
-            witness.taken(self.clock.now(), new.class, new.client_retry);
+            witness.request_accepted(self.clock.now(), new.class, new.client_retry);
         }
         let held = Held {
             call: Rc::new(call),
@@ -334,10 +338,10 @@
         let Some(held) = self.held.get_mut(&id).filter(|held| held.reply.is_some()) else {
             return;
         };
-        let Some(coming) = &held.call.coming else {
+        let Some(coming) = &held.call.streaming_body else {
             return;
         };
-        let (deadline, spent) = (at + coming.budget, coming.is_spent());
+        let (deadline, spent) = (at + coming.time_budget, coming.is_consumed());
         held.arrived = Some(at);
         held.call.deadline.set(deadline);
         self.set(deadline.saturating_sub(self.tick), Due::Deadline(id));
@@ -349,11 +353,11 @@
     }
 
     /// The first bytes of a long answer are the client's; the attempt goes on until the last one is.
-    fn on_started(&mut self, started: Started) {
-        let Started {
+    fn on_started(&mut self, started: ResponseStarted) {
+        let ResponseStarted {
             id,
             number,
-            content,
+            payload,
             length,
             report,
             rest,
@@ -363,7 +367,14 @@
             return;
         };
         // An earlier answer has gone out: this one's connection closes with the rest of it.
-        if !held.answer(&self.counters, Answer::Streamed(content, length, rest)) {
+        if !held.answer(
+            &self.counters,
+            FinalResponse::Streamed {
+                first: payload,
+                length,
+                rest,
+            },
+        ) {
             return;
         }
         held.streaming = Some((number, now));
@@ -378,7 +389,7 @@
         });
     }
 
-    fn on_attempt(&mut self, ended: Ended) {
+    fn on_attempt(&mut self, ended: AttemptResult) {
         let Some(held) = self.held.get_mut(&ended.id) else {
             return;
         };
@@ -402,14 +413,17 @@
             }
         }
         // The first served answer is the client's; a later one only informs the module.
-        if let Some(answer) = ended.answer {
-            held.answer(&self.counters, Answer::Served(answer));
+        if let Some(answer) = ended.response {
+            held.answer(&self.counters, FinalResponse::Complete(answer));
         }
         if let Some(witness) = &self.witness {
-            let since = [until.saturating_sub(held.came), until.saturating_sub(from)];
-            witness.ended(until, held.call.class, server, ended.outcome, since);
+            let times = crate::AttemptTimes {
+                since_request: until.saturating_sub(held.came),
+                since_sent: until.saturating_sub(from),
+            };
+            witness.attempt_ended(until, held.call.class, server, ended.outcome, times);
         }
-        let (finished, spent) = (held.reply.is_none(), held.call.is_spent());
+        let (finished, spent) = (held.reply.is_none(), held.call.is_body_consumed());
         self.decide(Event::AttemptEnded(AttemptEnd {
             id: ended.id,
             attempt: ended.number,
@@ -435,7 +449,7 @@
             "request {} was unanswered at its deadline: failed",
             id.0
         ));
-        held.answer(&self.counters, Answer::TimedOut);
+        held.answer(&self.counters, FinalResponse::TimedOut);
         self.decide(Event::ClientGone { id });
         self.forget(id);
     }
@@ -484,29 +498,29 @@
             } => return self.send(id, server, timeout),
             Action::Reject { id, retry_after } => {
                 if let (Some(witness), Some(held)) = (&self.witness, self.held.get(&id)) {
-                    witness.refused(self.clock.now(), held.call.class);
+                    witness.request_rejected(self.clock.now(), held.call.class);
                 }
                 let never_ran = self
                     .held
                     .get(&id)
-                    .is_none_or(|held| held.call.out.get() == 0);
+                    .is_none_or(|held| held.call.progress.claimed_attempts.get() == 0);
                 self.finish(
                     id,
-                    Answer::Refused {
-                        after: retry_after,
+                    FinalResponse::Rejected {
+                        retry_after,
                         never_ran,
                     },
                 );
             }
-            Action::Fail { id } => self.finish(id, Answer::Failed),
-            Action::CancelAttempt { id, attempt } => self.stop(id, attempt, Stop::Cancelled),
+            Action::Fail { id } => self.finish(id, FinalResponse::Failed),
+            Action::CancelAttempt { id, attempt } => self.stop(id, attempt, StopReason::Cancelled),
             Action::SetTimer { after, token } => {
                 self.set(self.clock.now() + after, Due::Module(token))
             }
             Action::HealthCheck { server } => self.probe(server),
             Action::CloseIdle { server } => self.backends.close_idle(server),
-            Action::WatchEndpoints { on } => self.order(Order::Subscribe(on)),
-            Action::FetchEndpoints => self.order(Order::Fetch),
+            Action::WatchEndpoints { on } => self.order(DiscoveryCommand::Watch(on)),
+            Action::FetchEndpoints => self.order(DiscoveryCommand::Fetch),
             // No message between nodes: the module sends none, and the site allows none.
             Action::SendToPeer { .. } => log("a message to another node was dropped"),
             Action::Log { text } => log(text),
@@ -533,7 +547,7 @@
                 outcome: Outcome::NotSent,
                 elapsed: Duration::ZERO,
                 answered: finished,
-                body_consumed: held.call.is_spent(),
+                body_consumed: held.call.is_body_consumed(),
                 report: None,
             }));
         }
@@ -549,9 +563,9 @@
             id,
             number,
             server,
-            until,
+            deadline: until,
             call,
-            started: start,
+            response_started: start,
         };
         held.attempts.push(Out {
             server,
@@ -570,7 +584,7 @@
                 biased;
                 ended = &mut work => Some(ended),
                 Ok(started) = started => {
-                    let _ = messages.send(Message::Started(started)).await;
+                    let _ = messages.send(Message::ResponseStarted(started)).await;
                     None
                 }
             };
@@ -578,7 +592,7 @@
                 Some(ended) => ended,
                 None => work.await,
             };
-            let _ = messages.send(Message::Attempt(ended)).await; // fails only when the node has ended
+            let _ = messages.send(Message::AttemptEnded(ended)).await; // fails only when the node has ended
         });
         None
     }
@@ -586,30 +600,30 @@
     fn probe(&mut self, server: ServerId) {
         let (sent, messages) = (self.clock.now(), self.messages.clone());
         if let Some(witness) = &self.witness {
-            witness.probed(sent, server);
+            witness.health_check_started(sent, server);
         }
-        let work = self.backends.clone().probe(server);
+        let work = self.backends.clone().health_check(server);
         spawn_local(async move {
-            let (outcome, report) = work.await;
+            let crate::HealthCheckReply { outcome, report } = work.await;
             let _ = messages
-                .send(Message::Probe(ProbeEnded {
+                .send(Message::HealthChecked(HealthCheckResult {
                     server,
                     outcome,
-                    sent,
+                    sent_at: sent,
                     report,
                 }))
                 .await;
         });
     }
 
-    fn finish(&mut self, id: RequestId, answer: Answer) {
+    fn finish(&mut self, id: RequestId, answer: FinalResponse) {
         if let Some(held) = self.held.get_mut(&id) {
             held.answer(&self.counters, answer);
             self.given_up.push(id);
         }
     }
 
-    fn stop(&mut self, id: RequestId, number: u32, why: Stop) {
+    fn stop(&mut self, id: RequestId, number: u32, why: StopReason) {
         // What the client is being given is cut by no timer.
         let held = self
             .held
@@ -621,7 +635,7 @@
         }
     }
 
-    fn order(&mut self, order: Order) {
+    fn order(&mut self, order: DiscoveryCommand) {
         if self.discovery.try_send(order).is_err() {
             log("discovery has too much to do: a call was dropped");
         }
--- a/crates/forwarding/src/witness.rs
+++ b/crates/forwarding/src/witness.rs
@@ -3,21 +3,29 @@
 use sillward_balancer::{Outcome, ServerId};
 use std::time::Duration;
 
+/// How long an attempt took.
+pub struct AttemptTimes {
+    /// Since its request was received.
+    pub since_request: Duration,
+    /// Since it was sent, or the request's last byte was received, whichever is later.
+    pub since_sent: Duration,
+}
+
 /// Hears what happens in the node's own loop, so it has to be quick.
-pub trait Witness {
+pub trait NodeObserver {
     /// A call was taken.
-    fn taken(&self, now: Duration, class: usize, again: bool);
+    fn request_accepted(&self, now: Duration, class: usize, again: bool);
     /// A call was turned away by the module.
-    fn refused(&self, now: Duration, class: usize);
+    fn request_rejected(&self, now: Duration, class: usize);
     /// An attempt has ended: so long after its call came, and so long after it was sent.
-    fn ended(
+    fn attempt_ended(
         &self,
         now: Duration,
         class: usize,
         at: ServerId,
         outcome: Outcome,
-        since: [Duration; 2],
+        times: AttemptTimes,
     );
     /// A backend is probed.
-    fn probed(&self, now: Duration, at: ServerId);
+    fn health_check_started(&self, now: Duration, at: ServerId);
 }
--- a/crates/http1/src/ahead.rs
+++ b/crates/http1/src/ahead.rs
@@ -5,7 +5,7 @@
 use crate::heads::Heads;
 use crate::socket::{CHUNK, Watch, with_chunk};
 use bytes::{Buf, BytesMut};
-use sillward_forwarding::{Budget, Lease};
+use sillward_forwarding::{MemoryBudget, MemoryReservation};
 use sillward_listener::Client;
 use sillward_runtime::Stream;
 use std::cell::RefCell;
@@ -17,18 +17,18 @@
 
 /// Bytes that were read before hyper asked for them.
 pub struct Ahead {
-    budget: Budget,
+    budget: MemoryBudget,
     kept: RefCell<Kept>,
 }
 
 #[derive(Default)]
 struct Kept {
     bytes: BytesMut,
-    room: Vec<Lease>,
+    room: Vec<MemoryReservation>,
 }
 
 impl Ahead {
-    pub fn new(budget: Budget) -> Rc<Self> {
+    pub fn new(budget: MemoryBudget) -> Rc<Self> {
         Rc::new(Ahead {
             budget,
             kept: RefCell::default(),
@@ -58,7 +58,7 @@
         }
         let (mut kept, mut more) = (self.kept.borrow_mut(), false);
         while kept.bytes.len() + CHUNK <= MOST {
-            let Some(room) = self.budget.lease_spare(CHUNK) else {
+            let Some(room) = self.budget.try_reserve_for_long_body(CHUNK) else {
                 break;
             };
             let read = with_chunk(|chunk| {
--- a/crates/http1/src/backend.rs
+++ b/crates/http1/src/backend.rs
@@ -12,12 +12,14 @@
 use sillward_balancer::settings::PlatformSettings;
 use sillward_balancer::{LoadReport, Outcome, ServerId};
 use sillward_forwarding::{
-    Attempt, BODY_LIMIT, Backends, Broken, Budget, Content, Ended, Exchanged, Form, News,
-    PROBE_TIMEOUT, READ_BUFFER, Reports, Rest, Started, Stop, Task, WHOLE_ANSWER, run,
+    Attempt, AttemptResult, BackendProtocol, BackendUpdate, BodyStream, Exchange,
+    HEALTH_CHECK_TIMEOUT, HealthCheckReply, IncompleteBody, LoadReportParser, LocalBoxFuture,
+    MAX_BODY_BYTES, MAX_BUFFERED_RESPONSE_BYTES, MemoryBudget, Payload, PayloadFormat,
+    READ_BUFFER_BYTES, ResponseStarted, StopReason, run_attempt,
 };
 use sillward_logging::log_peer;
 use sillward_metrics::Counters;
-use sillward_pool::{Connection, Pool, Protocol, Terms};
+use sillward_pool::{Connection, ConnectionProtocol, Pool, PoolTimeouts};
 use sillward_runtime::Stream;
 use sillward_runtime::task::{AbortHandle, spawn_local};
 use sillward_runtime::time::{Instant, Sleep, sleep, timeout, timeout_at};
@@ -56,14 +58,14 @@
     }
 }
 
-impl Protocol for Http1 {
-    type Carrier = Carrier;
+impl ConnectionProtocol for Http1 {
+    type Session = Carrier;
 
-    async fn open(&self, stream: Stream) -> io::Result<Carrier> {
+    async fn handshake(&self, stream: Stream) -> io::Result<Carrier> {
         let written = Rc::<Written>::default();
         let sending = Socket(stream, written.clone());
         let opened = http1::Builder::new()
-            .max_buf_size(READ_BUFFER)
+            .max_buf_size(READ_BUFFER_BYTES)
             .handshake(sending)
             .await;
         let (sender, connection) = opened.map_err(io::Error::other)?;
@@ -113,16 +115,20 @@
 pub struct Backend {
     pool: Rc<Pool<Http1>>,
     /// Room for bodies, requests' and answers'.
-    budget: Budget,
-    reports: Reports,
+    budget: MemoryBudget,
+    reports: LoadReportParser,
     counters: Rc<Counters>,
 }
 
-impl Backends for Backend {
-    fn attempt(self: Rc<Self>, attempt: Attempt, stopped: oneshot::Receiver<Stop>) -> Task<Ended> {
+impl BackendProtocol for Backend {
+    fn attempt(
+        self: Rc<Self>,
+        attempt: Attempt,
+        stopped: oneshot::Receiver<StopReason>,
+    ) -> LocalBoxFuture<AttemptResult> {
         Box::pin(async move {
             let sent = Sent::default();
-            let ended = run(
+            let ended = run_attempt(
                 &attempt,
                 || sent.may_have_run(),
                 self.exchange(&attempt, &sent),
@@ -130,26 +136,27 @@
             )
             .await;
             if ended.outcome.never_ran() && sent.claimed.get() {
-                attempt.call.unclaim();
+                attempt.call.release_claim();
             }
             ended
         })
     }
 
-    fn probe(self: Rc<Self>, server: ServerId) -> Task<(Outcome, Option<LoadReport>)> {
+    fn health_check(self: Rc<Self>, server: ServerId) -> LocalBoxFuture<HealthCheckReply> {
         Box::pin(async move {
-            timeout(PROBE_TIMEOUT, self.probed(server))
+            timeout(HEALTH_CHECK_TIMEOUT, self.probed(server))
                 .await
-                .unwrap_or((Outcome::TimedOut, None))
+                .unwrap_or(HealthCheckReply::from(Outcome::TimedOut))
         })
     }
 
-    fn listed(&self, news: &News, now: Duration) {
-        self.pool.update(news, now);
+    fn update_backends(&self, update: &BackendUpdate, now: Duration) {
+        self.pool.update_backends(update, now);
     }
 
-    fn retuned(&self, site: &PlatformSettings) {
-        self.pool.retune(Terms::of(site));
+    fn apply_settings(&self, settings: &PlatformSettings) {
+        self.pool
+            .set_timeouts(PoolTimeouts::from_settings(settings));
     }
 
     fn close_idle(&self, server: ServerId) {
@@ -160,8 +167,8 @@
 impl Backend {
     pub fn new(
         pool: Rc<Pool<Http1>>,
-        budget: Budget,
-        reports: Reports,
+        budget: MemoryBudget,
+        reports: LoadReportParser,
         counters: Rc<Counters>,
     ) -> Rc<Self> {
         Rc::new(Backend {
@@ -172,43 +179,43 @@
         })
     }
 
-    async fn exchange(self: &Rc<Self>, attempt: &Attempt, sent: &Sent) -> Exchanged {
+    async fn exchange(self: &Rc<Self>, attempt: &Attempt, sent: &Sent) -> Exchange {
         for _ in 0..BROKEN_IN_A_ROW {
-            let mut connection = match self.pool.take(attempt.server).await {
+            let mut connection = match self.pool.acquire(attempt.server).await {
                 Ok(connection) => connection,
-                Err(outcome) => return (outcome, None, None),
+                Err(outcome) => return Exchange::from(outcome),
             };
-            if connection.carrier.sender.ready().await.is_err() {
+            if connection.session.sender.ready().await.is_err() {
                 continue;
             }
             // Time has passed since the decision: what was permitted then may not be any more.
-            let written = connection.carrier.written.clone();
+            let written = connection.session.written.clone();
             let Some(request) = self.request(attempt, &written) else {
-                self.pool.give_back(connection);
-                return (Outcome::NotSent, None, None);
+                self.pool.release_unused(connection);
+                return Exchange::from(Outcome::NotSent);
             };
             sent.claimed.set(true);
             sent.written.replace(Some(written.clone()));
-            match connection.carrier.sender.try_send_request(request).await {
+            match connection.session.sender.try_send_request(request).await {
                 Ok(response) => return self.taken_in(attempt, connection, response).await,
                 // Given back, or broken before its last byte was written: it never ran, so another connection may have
                 // it. That this one broke says nothing of whether its backend is there.
                 Err(mut e) => match e.take_message() {
                     given_back
                         if (given_back.is_some() || !written.is_whole())
-                            && !attempt.call.is_spent() =>
+                            && !attempt.call.is_body_consumed() =>
                     {
-                        attempt.call.unclaim();
+                        attempt.call.release_claim();
                         sent.claimed.set(false);
                         sent.written.replace(None);
                     }
                     // A long body says little of its backend by that.
-                    _ if !written.is_whole() => return (Outcome::NotSent, None, None),
-                    _ => return (broken(e.error()), None, None),
+                    _ if !written.is_whole() => return Exchange::from(Outcome::NotSent),
+                    _ => return Exchange::from(broken(e.error())),
                 },
             }
         }
-        (Outcome::ConnectFailed, None, None)
+        Exchange::from(Outcome::ConnectFailed)
     }
 
     /// Takes an attempt's answer in: whole, or as it comes.
@@ -217,38 +224,40 @@
         attempt: &Attempt,
         connection: Connection<Http1>,
         response: Response<Incoming>,
-    ) -> Exchanged {
+    ) -> Exchange {
         let (server, call) = (attempt.server, &attempt.call);
-        let form = call.content.form;
+        let format = call.payload.format;
         // Whoever judges an answer has to see all of it.
-        let may_be_long = call.judge.is_none() && form == Form::PLAIN && call.answered;
+        let may_be_long = call.response_validator.is_none()
+            && format == PayloadFormat::PLAIN
+            && call.expects_response;
         let (outcome, report, body) = self.answered(server, may_be_long, response).await;
-        if outcome == Outcome::Served && !connection.carrier.written.is_whole() {
+        if outcome == Outcome::Served && !connection.session.written.is_whole() {
             log_peer(format_args!(
                 "server {:x}: an answer before the end of its request was dropped",
                 server.0
             ));
-            return (Outcome::NotSent, report, None);
+            return Exchange::failed(Outcome::NotSent, report);
         }
         let body = match body {
             Some(Answered::Long(first, length, rest)) => {
                 let started = (first, length, report);
-                return (
-                    self.passed_on(attempt, connection, started, rest).await,
-                    None,
-                    None,
-                );
+                return Exchange::from(self.passed_on(attempt, connection, started, rest).await);
             }
             Some(Answered::Whole(body)) => {
                 // Answered before the end of its request, it is of no further use, and takes no more of the body.
-                if connection.carrier.written.is_whole() {
-                    self.pool.put(connection);
+                if connection.session.written.is_whole() {
+                    self.pool.release(connection);
                 }
                 Some(body)
             }
             None => None,
         };
-        let is_answer = |body: &Bytes| call.judge.as_ref().is_none_or(|judge| judge(body));
+        let is_answer = |body: &Bytes| {
+            call.response_validator
+                .as_ref()
+                .is_none_or(|judge| judge(body))
+        };
         let answer = body
             .filter(is_answer)
             .filter(|_| outcome == Outcome::Served);
@@ -257,9 +266,13 @@
                 "server {:x}: a body that is no answer to its call was dropped",
                 server.0
             ));
-            return (Outcome::Error, report, None);
+            return Exchange::failed(Outcome::Error, report);
+        }
+        Exchange {
+            outcome,
+            report,
+            response: answer.map(|bytes| Payload { format, bytes }),
         }
-        (outcome, report, answer.map(|bytes| Content { form, bytes }))
     }
 
     /// Lets a long answer go through to the client, and returns how that ended.
@@ -281,20 +294,20 @@
             ended: Some(ended),
             silence: Box::pin(sleep(SILENCE)),
         });
-        let content = Content {
-            form: Form::PLAIN,
+        let payload = Payload {
+            format: PayloadFormat::PLAIN,
             bytes: first,
         };
-        let started = Started {
+        let started = ResponseStarted {
             id: attempt.id,
             number: attempt.number,
-            content,
+            payload,
             length,
             report,
             rest,
         };
         if attempt
-            .started
+            .response_started
             .take()
             .is_none_or(|start| start.send(started).is_err())
         {
@@ -308,14 +321,17 @@
     /// window in which backends drop its repeats, and not once it has its answer.
     fn request(&self, attempt: &Attempt, written: &Rc<Written>) -> Option<Request<Outgoing>> {
         let (now, call) = (self.pool.clock.now(), &attempt.call);
-        let address = self.pool.address(attempt.server)?;
+        let address = self.pool.usable_address(attempt.server)?;
         let value = |bytes: &Bytes| HeaderValue::from_maybe_shared(bytes.clone()).ok();
-        let plain = call.content.form == Form::PLAIN;
+        let plain = call.payload.format == PayloadFormat::PLAIN;
         // Backends of two protocols know a repeat only by the very same key: what a header would alter, or a key
         // that is no header, does not go this way.
         let whole =
             |key: &Bytes| !key.is_empty() && key.iter().all(|byte| (b'!'..=b'~').contains(byte));
-        if !plain && call.window.is_some() && !call.idempotency_key.as_ref().is_some_and(whole) {
+        if !plain
+            && call.idempotency_window.is_some()
+            && !call.idempotency_key.as_ref().is_some_and(whole)
+        {
             return None;
         }
         let target = PathAndQuery::from_maybe_shared(call.target.clone()).ok()?;
@@ -324,14 +340,14 @@
             Some(key) => Some(value(key)?),
             None => None,
         };
-        if call.is_spent() || !call.claim(now, attempt.until) {
+        if call.is_body_consumed() || !call.claim(now, attempt.deadline) {
             return None;
         }
         // The time of a request that is still coming begins with its last byte.
         let left = call
-            .coming
+            .streaming_body
             .as_ref()
-            .map_or(attempt.until - now, |coming| coming.budget);
+            .map_or(attempt.deadline - now, |body| body.time_budget);
         let left = left.as_millis().max(1) as u64;
         let mut request = Request::new(Outgoing::of(call, written.clone(), self.counters.clone()));
         *request.method_mut() = if call.safe && plain {
@@ -348,7 +364,10 @@
             headers.insert("idempotency-key", key);
         }
         if !plain {
-            headers.insert(CONTENT_TYPE, HeaderValue::from_static(call.content.form.0));
+            headers.insert(
+                CONTENT_TYPE,
+                HeaderValue::from_static(call.payload.format.0),
+            );
         }
         Some(request)
     }
@@ -374,10 +393,10 @@
         if length.is_none() && !head.headers.contains_key(TRANSFER_ENCODING) && !closes() {
             return dropped("an answer of no length");
         }
-        if length.is_some_and(|length| length > BODY_LIMIT) {
+        if length.is_some_and(|length| length > MAX_BODY_BYTES) {
             return dropped("an answer over 32 MiB");
         }
-        let whole = length.is_some_and(|length| length <= WHOLE_ANSWER as u64);
+        let whole = length.is_some_and(|length| length <= MAX_BUFFERED_RESPONSE_BYTES as u64);
         if length.is_some() && !whole {
             if !served || !may_be_long {
                 return dropped("a long answer where none can go on");
@@ -391,12 +410,12 @@
         // One of unknown length has room as it grows.
         let Some(mut room) = self
             .budget
-            .lease(length.map_or(READ_BUFFER, |length| length as usize))
+            .try_reserve(length.map_or(READ_BUFFER_BYTES, |length| length as usize))
         else {
             return dropped("no room for an answer's body");
         };
         let (mut held, mut first) = (
-            READ_BUFFER,
+            READ_BUFFER_BYTES,
             BytesMut::with_capacity(length.unwrap_or(0) as usize),
         );
         let until = Instant::now() + HOLD;
@@ -407,7 +426,7 @@
                 Ok(body.frame().await)
             };
             let Ok(frame) = frame else {
-                let first = room.keep(first.freeze());
+                let first = room.attach(first.freeze());
                 return (
                     Outcome::Served,
                     report,
@@ -420,16 +439,16 @@
                 Err(e) => return (broken(&e), None, None),
             };
             first.extend_from_slice(&data);
-            let mut fits = first.len() <= WHOLE_ANSWER;
+            let mut fits = first.len() <= MAX_BUFFERED_RESPONSE_BYTES;
             while !whole && fits && first.capacity() > held {
-                fits = room.grow(READ_BUFFER);
-                held += READ_BUFFER;
+                fits = room.try_grow(READ_BUFFER_BYTES);
+                held += READ_BUFFER_BYTES;
             }
             if !fits {
                 if !served || !may_be_long {
                     return dropped("a long answer where none can go on");
                 }
-                let first = room.keep(first.freeze());
+                let first = room.attach(first.freeze());
                 return (
                     Outcome::Served,
                     report,
@@ -437,7 +456,7 @@
                 );
             }
         }
-        let body = Answered::Whole(room.keep(first.freeze()));
+        let body = Answered::Whole(room.attach(first.freeze()));
         let turned_away = head
             .headers
             .get("x-rejected")
@@ -452,44 +471,53 @@
         }
     }
 
-    async fn probed(self: &Rc<Self>, server: ServerId) -> (Outcome, Option<LoadReport>) {
-        let mut connection = match self.pool.take(server).await {
+    async fn probed(self: &Rc<Self>, server: ServerId) -> HealthCheckReply {
+        let mut connection = match self.pool.acquire(server).await {
             Ok(connection) => connection,
-            Err(outcome) => return (outcome, None),
+            Err(outcome) => return HealthCheckReply::from(outcome),
         };
-        let written = connection.carrier.written.clone();
+        let written = connection.session.written.clone();
         let mut request = Request::new(Outgoing::empty(written));
         *request.method_mut() = Method::GET;
-        let reports = self.reports.any();
+        let reports = self.reports.is_enabled();
         *request.uri_mut() =
             hyper::Uri::from_static(if reports { "/stats" } else { "/health/live" });
-        let Some(address) = self.pool.address(server) else {
-            return (Outcome::NotSent, None);
+        let Some(address) = self.pool.usable_address(server) else {
+            return HealthCheckReply::from(Outcome::NotSent);
         };
         request.headers_mut().insert(HOST, host(address));
-        let response = match connection.carrier.sender.send_request(request).await {
+        let response = match connection.session.sender.send_request(request).await {
             Ok(response) => response,
-            Err(e) => return (broken(&e), None),
+            Err(e) => return HealthCheckReply::from(broken(&e)),
         };
         let (outcome, in_head, body) = self.answered(server, false, response).await;
         let Some(Answered::Whole(body)) = body else {
-            return (outcome, in_head);
+            return HealthCheckReply {
+                outcome,
+                report: in_head,
+            };
         };
-        self.pool.put(connection);
+        self.pool.release(connection);
         let in_body = || {
             let text = std::str::from_utf8(&body)
                 .ok()
                 .filter(|_| reports && outcome == Outcome::Served)?;
-            self.reports.read(text)
+            self.reports.parse(text)
         };
-        (outcome, in_body().or(in_head))
+        HealthCheckReply {
+            outcome,
+            report: in_body().or(in_head),
+        }
     }
 
     fn report_in(&self, headers: &HeaderMap) -> Option<LoadReport> {
         let value = headers
             .get("x-load-report")
-            .filter(|_| self.reports.any())?;
-        let report = value.to_str().ok().and_then(|text| self.reports.read(text));
+            .filter(|_| self.reports.is_enabled())?;
+        let report = value
+            .to_str()
+            .ok()
+            .and_then(|text| self.reports.parse(text));
         if report.is_none() {
             log_peer(format_args!(
                 "a malformed load report was dropped: {value:?}"
@@ -524,7 +552,7 @@
     fn end(&mut self, outcome: Outcome) {
         let connection = self.connection.take();
         if let Some(connection) = connection.filter(|_| outcome == Outcome::Served) {
-            self.backend.pool.put(connection);
+            self.backend.pool.release(connection);
         }
         if let Some(ended) = self.ended.take() {
             let _ = ended.send(outcome); // or the node has ended
@@ -532,8 +560,8 @@
     }
 }
 
-impl Rest for Passing {
-    fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+impl BodyStream for Passing {
+    fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, IncompleteBody>>> {
         loop {
             let outcome = match Pin::new(&mut self.body).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
@@ -546,7 +574,7 @@
                     if Some(self.come) == self.length {
                         self.end(Outcome::Served);
                     }
-                    if self.come <= BODY_LIMIT {
+                    if self.come <= MAX_BODY_BYTES {
                         return Poll::Ready(Some(Ok(data)));
                     }
                     Outcome::Error
@@ -566,7 +594,7 @@
                 self.come
             ));
             self.end(outcome);
-            return Poll::Ready(Some(Err(Broken)));
+            return Poll::Ready(Some(Err(IncompleteBody)));
         }
     }
 }
--- a/crates/http1/src/backend/tests.rs
+++ b/crates/http1/src/backend/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use sillward_balancer::{Endpoint, EndpointUpdate, RequestId, ServerState};
-use sillward_forwarding::{Call, Live};
-use sillward_pool::Sockets;
+use sillward_forwarding::{Call, CallProgress, LiveSettings};
+use sillward_pool::ConnectionLimit;
 use sillward_runtime::Clock;
 use sillward_runtime::net::TcpListener;
 use sillward_runtime::task::block_on;
@@ -13,38 +13,43 @@
 
 /// Makes an attempt that something has overtaken since it was decided on; returns how it ended and what
 /// its backend was sent.
-fn overtaken(by: impl FnOnce(&Pool<Http1>, &mut Attempt, News, Duration)) -> (Outcome, String) {
+fn overtaken(
+    by: impl FnOnce(&Pool<Http1>, &mut Attempt, BackendUpdate, Duration),
+) -> (Outcome, String) {
     block_on(async {
         let listener = TcpListener::bind(([127, 0, 0, 1], 0).into())
             .await
             .expect("a port");
-        let terms = Terms {
-            idle_limit: MINUTE,
+        let terms = PoolTimeouts {
+            idle_timeout: MINUTE,
             connect_timeout: MINUTE,
             drain_grace: Duration::ZERO,
         };
-        let pool = Pool::start(Clock::start(), Http1, terms, Sockets::new(10));
+        let pool = Pool::start(Clock::start(), Http1, terms, ConnectionLimit::new(10));
         let entry = Endpoint {
             id: SERVER,
             state: ServerState::Ready,
             ..Endpoint::default()
         };
         let address = listener.local_addr().expect("its address");
-        let news = |kind| News {
+        let news = |kind| BackendUpdate {
             kind,
-            backends: vec![sillward_forwarding::Backend { entry, address }],
+            backends: vec![sillward_forwarding::Backend {
+                endpoint: entry,
+                address,
+            }],
         };
-        pool.update(&news(EndpointUpdate::Full), pool.clock.now());
+        pool.update_backends(&news(EndpointUpdate::Full), pool.clock.now());
         let now = pool.clock.now();
         let call = Rc::into_inner(empty(now)).expect("nobody else's");
-        let (until, call) = (now + MINUTE, Rc::new(call));
+        let (deadline, call) = (now + MINUTE, Rc::new(call));
         let mut attempt = Attempt {
             id: RequestId(1),
             number: 0,
             server: SERVER,
-            until,
+            deadline,
             call,
-            started: Cell::default(),
+            response_started: Cell::default(),
         };
         by(&pool, &mut attempt, news(EndpointUpdate::Incremental), now);
         let (_stop, stopped) = oneshot::channel();
@@ -58,10 +63,15 @@
                 .unwrap_or_default();
             String::from_utf8_lossy(&sent[..read]).into_owned()
         });
-        let reports = Reports::new(Live::new(
+        let reports = LoadReportParser::new(LiveSettings::new(
             sillward_balancer::settings::parse(SITE).expect("settings"),
         ));
-        let backends = Backend::new(pool.clone(), Budget::new(1 << 20), reports, Counters::new());
+        let backends = Backend::new(
+            pool.clone(),
+            MemoryBudget::new(1 << 20),
+            reports,
+            Counters::new(),
+        );
         let ended = backends.attempt(attempt, stopped).await;
         pool.close_idle(SERVER);
         (ended.outcome, served.await.expect("the backend's part"))
@@ -80,11 +90,11 @@
 #[test]
 fn what_was_overtaken_while_it_waited_for_a_connection_is_never_sent() {
     let nothing = || (Outcome::NotSent, String::new());
-    let late = overtaken(|_, attempt, _, now| attempt.until = now);
+    let late = overtaken(|_, attempt, _, now| attempt.deadline = now);
     assert_eq!(late, nothing(), "its time is over");
     let gone = |call: Rc<Call>| {
         let mut call = Rc::into_inner(call).expect("nobody else's");
-        call.here = Some(Rc::new(|| false));
+        call.client_check = Some(Rc::new(|| false));
         Rc::new(call)
     };
     let left = overtaken(|_, attempt, _, now| {
@@ -96,18 +106,23 @@
         nothing(),
         "its client has gone while its connection was dialled"
     );
-    let over = overtaken(|_, attempt, _, _| attempt.call.over.set(true));
+    let over = overtaken(|_, attempt, _, _| attempt.call.progress.finished.set(true));
     assert_eq!(over, nothing(), "the request has its answer");
-    let forgotten =
-        overtaken(|_, attempt, _, now| attempt.call.first_byte.set(Some(now - 2 * MINUTE)));
+    let forgotten = overtaken(|_, attempt, _, now| {
+        attempt
+            .call
+            .progress
+            .first_sent_at
+            .set(Some(now - 2 * MINUTE))
+    });
     assert_eq!(
         forgotten,
         nothing(),
         "backends have forgotten the first attempt of a keyed request"
     );
     let drained = overtaken(|pool, _, mut news, now| {
-        news.backends[0].entry.state = ServerState::Draining;
-        pool.update(&news, now);
+        news.backends[0].endpoint.state = ServerState::Draining;
+        pool.update_backends(&news, now);
     });
     assert_eq!(
         drained,
@@ -124,15 +139,13 @@
         target: Bytes::from_static(b"/submit/1"),
         call_id: Bytes::from_static(b"1"),
         idempotency_key: None,
-        content: Content::plain(Bytes::new()),
-        coming: None,
-        judge: None,
-        answered: true,
-        here: None,
+        payload: Payload::plain(Bytes::new()),
+        streaming_body: None,
+        response_validator: None,
+        expects_response: true,
+        client_check: None,
         deadline: Cell::new(now + MINUTE),
-        window: Some(MINUTE),
-        first_byte: Cell::new(None),
-        over: Cell::new(false),
-        out: Cell::new(0),
+        idempotency_window: Some(MINUTE),
+        progress: CallProgress::default(),
     })
 }
--- a/crates/http1/src/front.rs
+++ b/crates/http1/src/front.rs
@@ -12,7 +12,10 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode, Version};
 use sillward_balancer::{Idempotency, NewRequest};
-use sillward_forwarding::{Answer, Budget, Call, Coming, Content, Feed, Intake, Live, READ_BUFFER};
+use sillward_forwarding::{
+    BodySender, Call, CallProgress, FinalResponse, LiveSettings, MemoryBudget, NodeHandle, Payload,
+    READ_BUFFER_BYTES, StreamingBody,
+};
 use sillward_listener::{Client, Door, LINGER, Life, READ_PAST, Serve};
 use sillward_logging::log_peer;
 use sillward_metrics::{Counters, End};
@@ -30,23 +33,23 @@
 const LONGEST_UPLOAD: Duration = Duration::from_secs(1200);
 
 pub struct Front {
-    live: Rc<Live>,
-    intake: Intake,
+    live: Rc<LiveSettings>,
+    intake: NodeHandle,
     life: Rc<Life>,
     counters: Rc<Counters>,
     door: Rc<Door>,
     /// Room for bodies, requests' and answers'.
-    budget: Budget,
+    budget: MemoryBudget,
     /// The X-Call-Ids of the requests that have no answer yet.
     open: RefCell<HashSet<HeaderValue>>,
 }
 
 impl Front {
     pub fn new(
-        intake: Intake,
-        live: Rc<Live>,
+        intake: NodeHandle,
+        live: Rc<LiveSettings>,
         door: Rc<Door>,
-        budget: Budget,
+        budget: MemoryBudget,
         life: Rc<Life>,
         counters: Rc<Counters>,
     ) -> Rc<Self> {
@@ -73,13 +76,15 @@
         // After what is malformed nobody can tell where the next request begins, nor after what was not read whole.
         let last = self.door.is_closing() || matches!(answer, Err(_) | Ok(Answered::Unread(_)));
         let mut response = match answer {
-            Ok(Answered::Read(Answer::Streamed(content, length, rest)))
-                if length.is_some() || !http_10 =>
-            {
+            Ok(Answered::Read(FinalResponse::Streamed {
+                first,
+                length,
+                rest,
+            })) if length.is_some() || !http_10 => {
                 let door = self.door.clone();
                 // Its client asks for nothing, and is not idle, before that.
                 let over = Box::new(move || door.done(&client, last));
-                Response::new(Reply::long(content.bytes, length, rest, over))
+                Response::new(Reply::long(first.bytes, length, rest, over))
             }
             others => {
                 self.door.done(&client, last);
@@ -145,8 +150,8 @@
                     Instant::now() + LINGER / 2,
                 ));
                 let after = site.settings.limits.max_retry_after;
-                return Ok(Answered::Unread(Answer::Refused {
-                    after,
+                return Ok(Answered::Unread(FinalResponse::Rejected {
+                    retry_after: after,
                     never_ran: true,
                 }));
             }
@@ -169,10 +174,11 @@
             client_retry: request.client_retry,
             ..NewRequest::default()
         };
-        let (coming, feed) = match more.then(|| Coming::new(framing.length(), request.budget)) {
-            Some((coming, feed)) => (Some(coming), Some(feed)),
-            None => (None, None),
-        };
+        let (coming, feed) =
+            match more.then(|| StreamingBody::new(framing.length(), request.budget)) {
+                Some((coming, feed)) => (Some(coming), Some(feed)),
+                None => (None, None),
+            };
         let copied = |value: &HeaderValue| Bytes::copy_from_slice(value.as_bytes());
         let call = Call {
             class,
@@ -180,16 +186,14 @@
             target: Bytes::copy_from_slice(request.path.as_str().as_bytes()),
             call_id: copied(&request.call_id),
             idempotency_key: request.idempotency_key.as_ref().map(copied),
-            content: Content::plain(bytes),
-            coming,
-            judge: None,
-            answered: true,
-            here: Some(client.here()),
+            payload: Payload::plain(bytes),
+            streaming_body: coming,
+            response_validator: None,
+            expects_response: true,
+            client_check: Some(client.here()),
             deadline: Cell::new(at + if more { LONGEST_UPLOAD } else { request.budget }),
-            window: request.window,
-            first_byte: Cell::new(None),
-            over: Cell::new(false),
-            out: Cell::new(0),
+            idempotency_window: request.window,
+            progress: CallProgress::default(),
         };
         let answer = match feed {
             None => self.intake.submit(new, call, at).await,
@@ -201,7 +205,7 @@
                         Err(_) => std::future::pending().await, // the body broke, or nobody takes it
                     }
                 };
-                let submitted = self.intake.submit_arriving(new, call, at, arrived);
+                let submitted = self.intake.submit_streaming(new, call, at, arrived);
                 tokio::select! {
                     biased;
                     answer = submitted => answer,
@@ -209,7 +213,7 @@
                 }
             }
         };
-        let answer = answer.unwrap_or(Answer::Failed);
+        let answer = answer.unwrap_or(FinalResponse::Failed);
         if arriving.is_ended() {
             return Ok(Answered::Read(answer));
         }
@@ -225,13 +229,13 @@
     async fn pass_on(
         &self,
         body: &mut Arriving,
-        feed: Feed,
+        feed: BodySender,
         told: oneshot::Sender<Duration>,
     ) -> Bad {
         loop {
             match body.next().await {
                 Ok(Some(bytes)) => {
-                    if !feed.push(bytes).await {
+                    if !feed.send(bytes).await {
                         break; // the attempt is over; an answer is on its way
                     }
                 }
@@ -251,9 +255,9 @@
 enum Answered {
     Health(StatusCode),
     /// Of a request that was read whole.
-    Read(Answer),
+    Read(FinalResponse),
     /// Of one that was not.
-    Unread(Answer),
+    Unread(FinalResponse),
 }
 
 impl Serve for Front {
@@ -269,7 +273,7 @@
         let connection = http1::Builder::new()
             // Its time-out would run on idle connections too: the door tells them apart.
             .header_read_timeout(None)
-            .max_buf_size(READ_BUFFER)
+            .max_buf_size(READ_BUFFER_BYTES)
             .serve_connection(Socket(stream, inlet), service);
         let mut connection = Box::pin(connection);
         loop {
@@ -308,13 +312,15 @@
     }
 }
 
-fn worded(answer: Answer) -> Response<Reply> {
+fn worded(answer: FinalResponse) -> Response<Reply> {
     match answer {
-        Answer::Served(content) => plain(StatusCode::OK, content.bytes),
-        Answer::Refused { after, .. } => refusal(after),
-        Answer::TimedOut => plain(StatusCode::GATEWAY_TIMEOUT, Bytes::new()),
+        FinalResponse::Complete(content) => plain(StatusCode::OK, content.bytes),
+        FinalResponse::Rejected { retry_after, .. } => refusal(retry_after),
+        FinalResponse::TimedOut => plain(StatusCode::GATEWAY_TIMEOUT, Bytes::new()),
         // An answer of unknown length would look whole to a client of HTTP/1.0 wherever it broke.
-        Answer::Failed | Answer::Streamed(..) => plain(StatusCode::BAD_GATEWAY, Bytes::new()),
+        FinalResponse::Failed | FinalResponse::Streamed { .. } => {
+            plain(StatusCode::BAD_GATEWAY, Bytes::new())
+        }
     }
 }
 
--- a/crates/http1/src/outgoing.rs
+++ b/crates/http1/src/outgoing.rs
@@ -4,7 +4,7 @@
 use crate::socket::Watch;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
-use sillward_forwarding::{Call, Flow, Rest};
+use sillward_forwarding::{BodyReceiver, BodyStream, Call};
 use sillward_metrics::Counters;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -53,7 +53,7 @@
     /// The call whose rest follows.
     call: Option<Rc<Call>>,
     /// That rest, from when it is taken, and whether any of it has gone.
-    flow: Option<Flow>,
+    flow: Option<BodyReceiver>,
     gone: bool,
     /// Bytes that are still to go, where that is known.
     left: Option<u64>,
@@ -78,12 +78,12 @@
     /// A call's, on a connection whose last request is over.
     pub fn of(call: &Rc<Call>, written: Rc<Written>, counters: Rc<Counters>) -> Self {
         written.begin(Some(counters));
-        let bytes = call.content.bytes.clone();
+        let bytes = call.payload.bytes.clone();
         let left = call
-            .coming
+            .streaming_body
             .as_ref()
             .map_or(Some(bytes.len() as u64), |coming| coming.length);
-        let more = call.coming.is_some().then(|| call.clone());
+        let more = call.streaming_body.is_some().then(|| call.clone());
         written.taken.set(left == Some(0));
         Outgoing {
             bytes,
@@ -108,9 +108,12 @@
 
 impl Drop for Outgoing {
     fn drop(&mut self) {
-        let coming = self.call.as_ref().and_then(|call| call.coming.as_ref());
+        let coming = self
+            .call
+            .as_ref()
+            .and_then(|call| call.streaming_body.as_ref());
         if let (Some(coming), Some(flow), false) = (coming, self.flow.take(), self.gone) {
-            coming.give_back(flow);
+            coming.return_rest(flow);
         }
     }
 }
@@ -128,11 +131,15 @@
             let bytes = std::mem::take(&mut this.bytes);
             return Poll::Ready(Some(Ok(this.goes(bytes))));
         }
-        let Some(coming) = this.call.as_ref().and_then(|call| call.coming.as_ref()) else {
+        let Some(coming) = this
+            .call
+            .as_ref()
+            .and_then(|call| call.streaming_body.as_ref())
+        else {
             return Poll::Ready(None);
         };
         if this.flow.is_none() {
-            this.flow = coming.take();
+            this.flow = coming.take_rest();
         }
         let broken = || io::Error::other("the client's body broke");
         let Some(flow) = &mut this.flow else {
--- a/crates/http1/src/reply.rs
+++ b/crates/http1/src/reply.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
-use sillward_forwarding::Rest;
+use sillward_forwarding::BodyStream;
 use std::io;
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -16,7 +16,7 @@
 /// One that comes.
 pub struct Long {
     first: Bytes,
-    rest: Box<dyn Rest>,
+    rest: Box<dyn BodyStream>,
     /// Bytes that are still to come, where that is known.
     left: Option<u64>,
     /// Called when hyper has had all of it, or lets go of it.
@@ -27,7 +27,7 @@
     pub fn long(
         first: Bytes,
         length: Option<u64>,
-        rest: Box<dyn Rest>,
+        rest: Box<dyn BodyStream>,
         over: Box<dyn FnOnce()>,
     ) -> Self {
         Reply::Long(Long {
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -10,7 +10,10 @@
 use hyper::{Method, StatusCode};
 use sillward_balancer::Idempotency;
 use sillward_balancer::settings::PlatformSettings;
-use sillward_forwarding::{BODY_LIMIT, Budget, KEPT_BODY, READ_BUFFER, WHOLE_ANSWER, key_number};
+use sillward_forwarding::{
+    MAX_BODY_BYTES, MAX_BUFFERED_RESPONSE_BYTES, MAX_REPLAYABLE_BODY_BYTES, MemoryBudget,
+    READ_BUFFER_BYTES, key_hash,
+};
 use sillward_logging::log_peer;
 use sillward_runtime::time::{Instant, timeout, timeout_at};
 use std::time::Duration;
@@ -26,7 +29,7 @@
 const BAD: StatusCode = StatusCode::BAD_REQUEST;
 const TOO_LONG: Bad = (StatusCode::PAYLOAD_TOO_LARGE, "body over 32 MiB");
 /// A body of known length up to this is short: as long as an answer that is read whole.
-const SHORT: usize = WHOLE_ANSWER;
+const SHORT: usize = MAX_BUFFERED_RESPONSE_BYTES;
 /// A client that sends nothing of a body for so long is turned down: whoever is bad is rid of in 3 s.
 const SILENCE: Duration = Duration::from_secs(2);
 /// A client may keep this node waiting for so long beside the time that its bytes take at the least rate: half of what
@@ -84,7 +87,7 @@
         return Ok(Framing::Chunked);
     }
     let length = body.size_hint().exact().ok_or((BAD, "no length"))?;
-    if length > BODY_LIMIT {
+    if length > MAX_BODY_BYTES {
         return Err(TOO_LONG);
     }
     Ok(Framing::Length(length))
@@ -105,7 +108,7 @@
     let key = parts
         .next_back()
         .filter(|key| !key.is_empty())
-        .map_or(0, key_number);
+        .map_or(0, key_hash);
     let terms = &site.settings.classes[class];
 
     if ONCE
@@ -141,7 +144,8 @@
     let call_id = call_id.ok_or((BAD, "no X-Call-Id"))?.clone();
     let budget = text(&head.headers, "x-budget-ms").and_then(|text| text.parse::<u64>().ok());
     let budget = budget.filter(|ms| (1..=LONGEST_BUDGET_MS).contains(ms));
-    let budget = Duration::from_millis(budget.ok_or((BAD, "no X-Budget-Ms that makes sense"))?);
+    let budget =
+        Duration::from_millis(budget.ok_or((BAD, "no X-MemoryBudget-Ms that makes sense"))?);
     let caller = text(&head.headers, "x-caller");
     let tenant = caller.and_then(|caller| site.tenant(caller.as_bytes()));
     if tenant.is_none() && !site.tenant_names.is_empty() {
@@ -218,7 +222,7 @@
                 continue;
             };
             self.received += data.len() as u64;
-            if self.received > BODY_LIMIT {
+            if self.received > MAX_BODY_BYTES {
                 return Err(TOO_LONG);
             }
             return Ok(Some(data));
@@ -226,7 +230,7 @@
     }
 
     /// Reads what is kept of it, or all.
-    pub async fn first(&mut self, framing: Framing, budget: &Budget) -> Result<First, Bad> {
+    pub async fn first(&mut self, framing: Framing, budget: &MemoryBudget) -> Result<First, Bad> {
         let length = framing
             .length()
             .and_then(|length| usize::try_from(length).ok());
@@ -237,28 +241,30 @@
         // A short one has its room before it is read; a long one's grows, and is what the short ones leave.
         let short = length.filter(|length| *length <= SHORT);
         let room = match short {
-            Some(length) => budget.lease(length),
-            None => budget.lease_spare(SHORT),
+            Some(length) => budget.try_reserve(length),
+            None => budget.try_reserve_for_long_body(SHORT),
         };
         let Some(mut room) = room else {
             return Ok(First::NoRoom);
         };
         let mut held = short.unwrap_or(SHORT);
-        let mut whole = BytesMut::with_capacity(short.unwrap_or(READ_BUFFER));
+        let mut whole = BytesMut::with_capacity(short.unwrap_or(READ_BUFFER_BYTES));
         while let Some(data) = self.next().await? {
             whole.extend_from_slice(&data);
             // What goes on growing doubles its buffer.
-            while short.is_none() && whole.capacity() > held && room.grow_spare(SHORT) {
+            while short.is_none() && whole.capacity() > held && room.try_grow_for_long_body(SHORT) {
                 held += SHORT;
             }
-            if short.is_none() && (whole.len() >= KEPT_BODY || whole.capacity() > held) {
-                return Ok(First::More(room.keep(whole.freeze())));
+            if short.is_none()
+                && (whole.len() >= MAX_REPLAYABLE_BODY_BYTES || whole.capacity() > held)
+            {
+                return Ok(First::More(room.attach(whole.freeze())));
             }
         }
         if short.is_some_and(|length| whole.len() != length) {
             return Err((BAD, "broken body"));
         }
-        Ok(First::Whole(room.keep(whole.freeze())))
+        Ok(First::Whole(room.attach(whole.freeze())))
     }
 
     /// Whether all of it has been read.
--- a/crates/node-config/src/lib.rs
+++ b/crates/node-config/src/lib.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use serde_json::value::RawValue;
 use sillward_balancer::settings::{self, PlatformSettings};
-use sillward_forwarding::READ_BUFFER;
+use sillward_forwarding::READ_BUFFER_BYTES;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -16,7 +16,7 @@
 /// What the program takes by itself, its code, tables and queues: several times what is measured.
 const OWN_BYTES: usize = 8 << 20;
 /// What a connection may take: hyper's buffers either way, and its tasks.
-const CONNECTION_BYTES: usize = READ_BUFFER + 8 * 1024;
+const CONNECTION_BYTES: usize = READ_BUFFER_BYTES + 8 * 1024;
 /// Room for bodies at the least.
 const LEAST_BODY_BYTES: usize = 1 << 20;
 
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,10 +1,10 @@
 //! The pool of connections to backends: who may be sent to, where they listen, what is open and idle.
-//! Knows no protocol: what carries a request over a connection is a [`Protocol`] of its own.
+//! Knows no protocol: what carries a request over a connection is a [`ConnectionProtocol`] of its own.
 #![forbid(unsafe_code)]
 
 use sillward_balancer::settings::PlatformSettings;
 use sillward_balancer::{EndpointUpdate, Outcome, ServerId, ServerState};
-use sillward_forwarding::{Backend, News};
+use sillward_forwarding::{Backend, BackendUpdate};
 use sillward_logging::log_peer;
 use sillward_runtime::net::TcpStream;
 use sillward_runtime::task::spawn_local;
@@ -22,7 +22,7 @@
 const LATE: u32 = 4;
 /// After an answer a connection rests for so long: a second answer may come some milliseconds late, and would be read as the
 /// next request's.
-pub const REST: Duration = Duration::from_millis(10);
+pub const REUSE_DELAY: Duration = Duration::from_millis(10);
 /// A dial that has taken so many times the usual is slow: a second one is tried beside it.
 const SLOW: u32 = 3;
 const EMFILE: i32 = 24;
@@ -30,31 +30,31 @@
 const EADDRNOTAVAIL: i32 = 99;
 
 /// What a protocol makes of a connection.
-pub trait Protocol: 'static {
+pub trait ConnectionProtocol: 'static {
     /// What carries requests over it. Dropped, it closes the connection.
-    type Carrier: 'static;
+    type Session: 'static;
 
     /// Makes a new connection ready.
-    fn open(&self, stream: Stream) -> impl Future<Output = io::Result<Self::Carrier>>;
+    fn handshake(&self, stream: Stream) -> impl Future<Output = io::Result<Self::Session>>;
 
     /// Whether it is known to carry nothing more.
-    fn is_closed(carrier: &Self::Carrier) -> bool;
+    fn is_closed(session: &Self::Session) -> bool;
 }
 
 /// The connections to backends that may be open at once, of all pools together.
-pub struct Sockets {
+pub struct ConnectionLimit {
     open: Cell<usize>,
     most: Cell<usize>,
 }
 
-impl Sockets {
+impl ConnectionLimit {
     /// From now on so many. Those that are open stay.
-    pub fn hold(&self, most: usize) {
+    pub fn set_max(&self, most: usize) {
         self.most.set(most);
     }
 
     pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(Sockets {
+        Rc::new(ConnectionLimit {
             open: Cell::new(0),
             most: Cell::new(most),
         })
@@ -67,24 +67,24 @@
 }
 
 /// A connection to a backend. Dropped, it closes at once, whatever is under way on it.
-pub struct Connection<P: Protocol> {
+pub struct Connection<P: ConnectionProtocol> {
     server: ServerId,
     /// Which run of the backend, at which address, it leads to.
     epoch: u64,
-    pub carrier: P::Carrier,
+    pub session: P::Session,
     socket: Handle,
     _open: Open,
 }
 
-impl<P: Protocol> Connection<P> {
+impl<P: ConnectionProtocol> Connection<P> {
     /// Whether it may carry a request. What came behind an answer would be read as the next one.
     fn is_usable(&self) -> bool {
-        !P::is_closed(&self.carrier) && self.socket.is_quiet()
+        !P::is_closed(&self.session) && self.socket.is_quiet()
     }
 }
 
 /// Counts a connection, or one that is being dialled.
-struct Open(Rc<Sockets>);
+struct Open(Rc<ConnectionLimit>);
 
 impl Drop for Open {
     fn drop(&mut self) {
@@ -94,38 +94,38 @@
 
 /// The times that a pool keeps.
 #[derive(Clone, Copy)]
-pub struct Terms {
+pub struct PoolTimeouts {
     /// An idle connection is used for so long.
-    pub idle_limit: Duration,
+    pub idle_timeout: Duration,
     /// A connection not up after this time has failed.
     pub connect_timeout: Duration,
     /// Nothing is sent to a backend so long after it was told to drain or to be gone.
     pub drain_grace: Duration,
 }
 
-impl Terms {
+impl PoolTimeouts {
     /// The site's.
-    pub fn of(site: &PlatformSettings) -> Self {
-        Terms {
+    pub fn from_settings(site: &PlatformSettings) -> Self {
+        PoolTimeouts {
             // A request written just when the backend closes the connection would end as a reset.
-            idle_limit: site.server_idle_timeout * 3 / 4,
+            idle_timeout: site.server_idle_timeout * 3 / 4,
             connect_timeout: site.settings.limits.connect_timeout,
             drain_grace: site.settings.safety.drain_grace,
         }
     }
 }
 
-pub type Delivery<P> = Result<Connection<P>, Outcome>;
+pub type Acquired<P> = Result<Connection<P>, Outcome>;
 
 /// A connection that carries nothing.
-struct Idle<P: Protocol> {
+struct Idle<P: ConnectionProtocol> {
     connection: Connection<P>,
     since: Duration,
     /// When it has rested after its last answer.
     rested: Duration,
 }
 
-struct Place<P: Protocol> {
+struct Place<P: ConnectionProtocol> {
     address: Option<SocketAddr>,
     state: ServerState,
     started: Option<Duration>,
@@ -137,11 +137,11 @@
     /// Attempts that wait until one of them has rested: never more than there are.
     patient: usize,
     /// Attempts that wait for a connection, and dials under way: never fewer dials than waiting attempts.
-    waiting: VecDeque<oneshot::Sender<Delivery<P>>>,
+    waiting: VecDeque<oneshot::Sender<Acquired<P>>>,
     dialling: usize,
 }
 
-impl<P: Protocol> Default for Place<P> {
+impl<P: ConnectionProtocol> Default for Place<P> {
     fn default() -> Self {
         Place {
             address: None,
@@ -157,17 +157,17 @@
     }
 }
 
-impl<P: Protocol> Place<P> {
+impl<P: ConnectionProtocol> Place<P> {
     fn drop_idle(&mut self) {
         self.epoch += 1;
         self.idle.clear();
     }
 
     /// Takes the most recently used connection that may carry a request, and drops those before it that never will again.
-    fn rested(&mut self, now: Duration, idle_limit: Duration) -> Option<Connection<P>> {
+    fn rested(&mut self, now: Duration, idle_timeout: Duration) -> Option<Connection<P>> {
         while let Some(place) = self.idle.iter().rposition(|idle| now >= idle.rested) {
             let idle = self.idle.remove(place);
-            if idle.connection.is_usable() && now.saturating_sub(idle.since) < idle_limit {
+            if idle.connection.is_usable() && now.saturating_sub(idle.since) < idle_timeout {
                 return Some(idle.connection);
             }
         }
@@ -182,22 +182,27 @@
 
 /// A day brings ever new backends. Nothing is sent any more to one that is gone, whoever decided to; only a dial
 /// under way still looks for its place.
-fn drop_gone<P: Protocol>(places: &mut BTreeMap<ServerId, Place<P>>) {
+fn drop_gone<P: ConnectionProtocol>(places: &mut BTreeMap<ServerId, Place<P>>) {
     places.retain(|_, place| place.state != ServerState::Removed || place.dialling > 0);
 }
 
-pub struct Pool<P: Protocol> {
+pub struct Pool<P: ConnectionProtocol> {
     pub clock: Clock,
     protocol: P,
-    terms: Cell<Terms>,
+    terms: Cell<PoolTimeouts>,
     places: RefCell<BTreeMap<ServerId, Place<P>>>,
-    sockets: Rc<Sockets>,
+    sockets: Rc<ConnectionLimit>,
     /// How long a dial takes that comes up, smoothed.
     usual_dial: Cell<Duration>,
 }
 
-impl<P: Protocol> Pool<P> {
-    pub fn start(clock: Clock, protocol: P, terms: Terms, sockets: Rc<Sockets>) -> Rc<Self> {
+impl<P: ConnectionProtocol> Pool<P> {
+    pub fn start(
+        clock: Clock,
+        protocol: P,
+        terms: PoolTimeouts,
+        sockets: Rc<ConnectionLimit>,
+    ) -> Rc<Self> {
         let places = RefCell::default();
         let usual_dial = Cell::new(terms.connect_timeout / SLOW);
         let pool = Rc::new(Pool {
@@ -211,7 +216,7 @@
         let sweeper = pool.clone();
         spawn_local(async move {
             loop {
-                sleep((sweeper.terms.get().idle_limit / 8).max(Duration::from_millis(5))).await;
+                sleep((sweeper.terms.get().idle_timeout / 8).max(Duration::from_millis(5))).await;
                 sweeper.sweep();
             }
         });
@@ -219,7 +224,7 @@
     }
 
     /// From now on these.
-    pub fn retune(&self, terms: Terms) {
+    pub fn set_timeouts(&self, terms: PoolTimeouts) {
         self.terms.set(terms);
     }
 
@@ -228,27 +233,31 @@
         let now = self.clock.now();
         for place in self.places.borrow_mut().values_mut() {
             place.idle.retain(|idle| {
-                !P::is_closed(&idle.connection.carrier)
-                    && now.saturating_sub(idle.since) < self.terms.get().idle_limit
+                !P::is_closed(&idle.connection.session)
+                    && now.saturating_sub(idle.since) < self.terms.get().idle_timeout
             });
         }
         drop_gone(&mut self.places.borrow_mut());
     }
 
     /// Takes in news of the list: addresses, and when a backend was told to drain or to be gone.
-    pub fn update(&self, news: &News, now: Duration) {
-        let News { kind, backends } = news;
+    pub fn update_backends(&self, news: &BackendUpdate, now: Duration) {
+        let BackendUpdate { kind, backends } = news;
         let mut places = self.places.borrow_mut();
         if matches!(kind, EndpointUpdate::Full | EndpointUpdate::Cached) {
             let listed: std::collections::BTreeSet<_> =
-                backends.iter().map(|b| b.entry.id).collect();
+                backends.iter().map(|b| b.endpoint.id).collect();
             for (_, place) in places.iter_mut().filter(|(id, _)| !listed.contains(id)) {
                 place.state = ServerState::Removed;
                 place.told.get_or_insert(now);
                 place.drop_idle();
             }
         }
-        for Backend { entry, address } in backends {
+        for Backend {
+            endpoint: entry,
+            address,
+        } in backends
+        {
             let place = places.entry(entry.id).or_default();
             let moved = place.address != Some(*address) || place.started != entry.started_at;
             (place.address, place.started, place.state) =
@@ -274,13 +283,13 @@
 
     /// Takes the most recently used idle connection, or whichever comes first: one that has rested, one that falls free
     /// or a new one.
-    pub async fn take(self: &Rc<Self>, server: ServerId) -> Delivery<P> {
+    pub async fn acquire(self: &Rc<Self>, server: ServerId) -> Acquired<P> {
         loop {
             let rested = {
                 let mut places = self.places.borrow_mut();
                 let place = places.get_mut(&server).ok_or(Outcome::NotSent)?;
                 let now = self.clock.now();
-                if let Some(connection) = place.rested(now, self.terms.get().idle_limit) {
+                if let Some(connection) = place.rested(now, self.terms.get().idle_timeout) {
                     return Ok(connection);
                 }
                 let Some(rested) = place.next_rested() else {
@@ -296,7 +305,7 @@
     }
 
     /// Waits for whichever comes first: a connection that falls free or a new one.
-    async fn take_next(self: &Rc<Self>, server: ServerId) -> Delivery<P> {
+    async fn take_next(self: &Rc<Self>, server: ServerId) -> Acquired<P> {
         let deliver = {
             let mut places = self.places.borrow_mut();
             let place = places.get_mut(&server).ok_or(Outcome::NotSent)?;
@@ -370,7 +379,7 @@
                     self.usual_dial
                         .set(self.usual_dial.get().mul_f64(0.875) + began.elapsed().mul_f64(0.125));
                     self.dialled(server);
-                    self.give_back(connection);
+                    self.release_unused(connection);
                     Outcome::NotSent // it led to where the backend no longer is: no fault of the backend's
                 }
                 Err(outcome) => {
@@ -387,7 +396,7 @@
             return;
         }
         if let Ok(Ok(late)) = timeout(self.terms.get().connect_timeout * LATE, opening).await {
-            self.give_back(late);
+            self.release_unused(late);
         }
     }
 
@@ -421,13 +430,13 @@
         server: ServerId,
         address: SocketAddr,
         epoch: u64,
-    ) -> Delivery<P> {
+    ) -> Acquired<P> {
         // Counted until the connection counts itself, or there is none.
         let place = Open(self.sockets.clone());
         let opened = match TcpStream::connect(address).await {
             Ok(stream) => {
                 let (stream, handle) = Stream::new(stream);
-                let opened = self.protocol.open(stream).await;
+                let opened = self.protocol.handshake(stream).await;
                 opened
                     .map(|opened| (opened, handle))
                     .map_err(|_| Outcome::ConnectFailed)
@@ -440,11 +449,11 @@
             }
             Err(_) => Err(Outcome::ConnectFailed),
         };
-        let (carrier, socket) = opened?;
+        let (session, socket) = opened?;
         Ok(Connection {
             server,
             epoch,
-            carrier,
+            session,
             socket,
             _open: place,
         })
@@ -470,8 +479,8 @@
     }
 
     /// A connection whose answer has come: it rests, and then goes to whoever has waited longest.
-    pub fn put(self: &Rc<Self>, connection: Connection<P>) {
-        let (server, rested) = (connection.server, self.clock.now() + REST);
+    pub fn release(self: &Rc<Self>, connection: Connection<P>) {
+        let (server, rested) = (connection.server, self.clock.now() + REUSE_DELAY);
         self.keep(connection, rested);
         if self
             .places
@@ -488,7 +497,7 @@
     }
 
     /// A connection that has carried nothing since it was taken or opened.
-    pub fn give_back(&self, connection: Connection<P>) {
+    pub fn release_unused(&self, connection: Connection<P>) {
         let server = connection.server;
         self.keep(connection, Duration::ZERO);
         self.hand_out(server);
@@ -517,7 +526,7 @@
         let now = self.clock.now();
         place.waiting.retain(|waiting| !waiting.is_closed());
         while !place.waiting.is_empty() {
-            let Some(connection) = place.rested(now, self.terms.get().idle_limit) else {
+            let Some(connection) = place.rested(now, self.terms.get().idle_timeout) else {
                 return;
             };
             let Some(waiting) = place.waiting.pop_front() else {
@@ -534,7 +543,7 @@
     }
 
     /// Where a backend listens, if what is decided on may still be sent there: not past the grace.
-    pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
+    pub fn usable_address(&self, server: ServerId) -> Option<SocketAddr> {
         let places = self.places.borrow();
         let place = places.get(&server)?;
         let drained = place
@@ -545,12 +554,12 @@
 }
 
 /// An attempt that waits until a connection has rested.
-struct Patient<'a, P: Protocol> {
+struct Patient<'a, P: ConnectionProtocol> {
     pool: &'a Pool<P>,
     server: ServerId,
 }
 
-impl<P: Protocol> Drop for Patient<'_, P> {
+impl<P: ConnectionProtocol> Drop for Patient<'_, P> {
     fn drop(&mut self) {
         if let Some(place) = self.pool.places.borrow_mut().get_mut(&self.server) {
             place.patient = place.patient.saturating_sub(1);
@@ -560,16 +569,16 @@
 
 /// An attempt that waits for a connection. One that was delivered but not fetched goes back to the pool: it
 /// has cost its backend a handshake.
-struct Waiter<'a, P: Protocol> {
+struct Waiter<'a, P: ConnectionProtocol> {
     pool: &'a Pool<P>,
-    deliver: oneshot::Receiver<Delivery<P>>,
+    deliver: oneshot::Receiver<Acquired<P>>,
 }
 
-impl<P: Protocol> Drop for Waiter<'_, P> {
+impl<P: ConnectionProtocol> Drop for Waiter<'_, P> {
     fn drop(&mut self) {
         self.deliver.close();
         if let Ok(Ok(connection)) = self.deliver.try_recv() {
-            self.pool.give_back(connection);
+            self.pool.release_unused(connection);
         }
     }
 }
--- a/crates/thrift/src/backend.rs
+++ b/crates/thrift/src/backend.rs
@@ -15,12 +15,13 @@
 use sillward_balancer::settings::PlatformSettings;
 use sillward_balancer::{LoadReport, Outcome, ServerId};
 use sillward_forwarding::{
-    Attempt, Backends, Budget, Call, Content, Ended, Exchanged, Form, News, PROBE_TIMEOUT,
-    READ_BUFFER, Reports, Stop, Task, run,
+    Attempt, AttemptResult, BackendProtocol, BackendUpdate, Call, Exchange, HEALTH_CHECK_TIMEOUT,
+    HealthCheckReply, LoadReportParser, LocalBoxFuture, MemoryBudget, Payload, PayloadFormat,
+    READ_BUFFER_BYTES, StopReason, run_attempt,
 };
 use sillward_logging::log_peer;
 use sillward_metrics::Counters;
-use sillward_pool::{Pool, Protocol, Terms};
+use sillward_pool::{ConnectionProtocol, Pool, PoolTimeouts};
 use sillward_runtime::Stream;
 use sillward_runtime::time::timeout;
 use std::cell::Cell;
@@ -45,10 +46,10 @@
     seqid: Cell<i32>,
 }
 
-impl Protocol for Thrift {
-    type Carrier = Line;
+impl ConnectionProtocol for Thrift {
+    type Session = Line;
 
-    async fn open(&self, stream: Stream) -> io::Result<Line> {
+    async fn handshake(&self, stream: Stream) -> io::Result<Line> {
         if let Some(bytes) = self.send_buffer {
             stream.bound_unsent(bytes);
         }
@@ -68,8 +69,8 @@
     pool: Rc<Pool<Thrift>>,
     terms: BackendTerms,
     /// Room for messages.
-    budget: Budget,
-    reports: Reports,
+    budget: MemoryBudget,
+    reports: LoadReportParser,
     counters: Rc<Counters>,
 }
 
@@ -81,11 +82,15 @@
     Nonsense(&'static str),
 }
 
-impl Backends for Backend {
-    fn attempt(self: Rc<Self>, attempt: Attempt, stopped: oneshot::Receiver<Stop>) -> Task<Ended> {
+impl BackendProtocol for Backend {
+    fn attempt(
+        self: Rc<Self>,
+        attempt: Attempt,
+        stopped: oneshot::Receiver<StopReason>,
+    ) -> LocalBoxFuture<AttemptResult> {
         Box::pin(async move {
             let written = Cell::new(false);
-            run(
+            run_attempt(
                 &attempt,
                 || written.get(),
                 self.exchange(&attempt, &written),
@@ -95,20 +100,21 @@
         })
     }
 
-    fn probe(self: Rc<Self>, server: ServerId) -> Task<(Outcome, Option<LoadReport>)> {
+    fn health_check(self: Rc<Self>, server: ServerId) -> LocalBoxFuture<HealthCheckReply> {
         Box::pin(async move {
-            timeout(PROBE_TIMEOUT, self.probed(server))
+            timeout(HEALTH_CHECK_TIMEOUT, self.probed(server))
                 .await
-                .unwrap_or((Outcome::TimedOut, None))
+                .unwrap_or(HealthCheckReply::from(Outcome::TimedOut))
         })
     }
 
-    fn listed(&self, news: &News, now: Duration) {
-        self.pool.update(news, now);
+    fn update_backends(&self, update: &BackendUpdate, now: Duration) {
+        self.pool.update_backends(update, now);
     }
 
-    fn retuned(&self, site: &PlatformSettings) {
-        self.pool.retune(Terms::of(site));
+    fn apply_settings(&self, settings: &PlatformSettings) {
+        self.pool
+            .set_timeouts(PoolTimeouts::from_settings(settings));
     }
 
     fn close_idle(&self, server: ServerId) {
@@ -120,8 +126,8 @@
     pub fn new(
         pool: Rc<Pool<Thrift>>,
         terms: BackendTerms,
-        budget: Budget,
-        reports: Reports,
+        budget: MemoryBudget,
+        reports: LoadReportParser,
         counters: Rc<Counters>,
     ) -> Rc<Self> {
         Rc::new(Backend {
@@ -133,14 +139,14 @@
         })
     }
 
-    async fn exchange(self: &Rc<Self>, attempt: &Attempt, written: &Cell<bool>) -> Exchanged {
+    async fn exchange(self: &Rc<Self>, attempt: &Attempt, written: &Cell<bool>) -> Exchange {
         let (call, clock) = (&attempt.call, self.pool.clock);
         for _ in 0..BROKEN_IN_A_ROW {
-            let connection = match self.pool.take(attempt.server).await {
+            let connection = match self.pool.acquire(attempt.server).await {
                 Ok(connection) => connection,
-                Err(outcome) => return (outcome, None, None),
+                Err(outcome) => return Exchange::from(outcome),
             };
-            let line = &connection.carrier;
+            let line = &connection.session;
             line.seqid.set(line.seqid.get().wrapping_add(1));
             let seqid = line.seqid.get();
             // Before the claim: what can't be worded was never begun.
@@ -149,70 +155,69 @@
                     "server {:x}: a call that can't be worded there",
                     attempt.server.0
                 ));
-                self.pool.give_back(connection);
-                return (Outcome::NotSent, None, None);
+                self.pool.release_unused(connection);
+                return Exchange::from(Outcome::NotSent);
             };
-            let Some(_room) = self.budget.lease(frame.capacity()) else {
+            let Some(_room) = self.budget.try_reserve(frame.capacity()) else {
                 log_peer("no room for a call's frame: not sent");
-                self.pool.give_back(connection);
-                return (Outcome::NotSent, None, None);
+                self.pool.release_unused(connection);
+                return Exchange::from(Outcome::NotSent);
             };
-            let drained = self.pool.address(attempt.server).is_none();
-            if drained || !call.claim(clock.now(), attempt.until) {
-                self.pool.give_back(connection);
-                return (Outcome::NotSent, None, None);
+            let drained = self.pool.usable_address(attempt.server).is_none();
+            if drained || !call.claim(clock.now(), attempt.deadline) {
+                self.pool.release_unused(connection);
+                return Exchange::from(Outcome::NotSent);
             }
             if !write_whole(&line.stream, &frame).await {
                 // Its last byte was not taken: it never ran there, and another connection may have it.
-                call.unclaim();
+                call.release_claim();
                 continue;
             }
             written.set(true);
             self.counters.tried();
-            if !call.answered {
-                self.pool.put(connection);
-                return (Outcome::Served, None, None);
+            if !call.expects_response {
+                self.pool.release(connection);
+                return Exchange::from(Outcome::Served);
             }
-            let (outcome, report, answer) = match self.reply(&connection.carrier).await {
+            return match self.reply(&connection.session).await {
                 Ok((body, behind)) => {
                     let read = self.read(&body, self.name(call).unwrap_or_default(), seqid, call);
                     // What is no reply to this call leaves the connection in a state that nobody knows.
                     match read {
-                        Some((outcome, report, answer)) => {
-                            if outcome.never_ran() {
-                                call.unclaim();
+                        Some(exchange) => {
+                            if exchange.outcome.never_ran() {
+                                call.release_claim();
                             }
                             if !behind {
-                                self.pool.put(connection);
+                                self.pool.release(connection);
                             }
-                            (outcome, report, answer)
+                            exchange
                         }
                         None => {
                             log_peer(format_args!(
                                 "server {:x}: no reply to its call",
                                 attempt.server.0
                             ));
-                            (Outcome::Error, None, None)
+                            Exchange::from(Outcome::Error)
                         }
                     }
                 }
-                Err(Broken::Ended) => (Outcome::Reset, None, None),
+                Err(Broken::Ended) => Exchange::from(Outcome::Reset),
                 Err(Broken::Nonsense(what)) => {
                     log_peer(format_args!(
                         "server {:x}: {what}: dropped",
                         attempt.server.0
                     ));
-                    (Outcome::Error, None, None)
+                    Exchange::from(Outcome::Error)
                 }
             };
-            return (outcome, report, answer);
         }
-        (Outcome::ConnectFailed, None, None)
+        Exchange::from(Outcome::ConnectFailed)
     }
 
     /// The method's name as it goes on.
     fn name<'a>(&'a self, call: &'a Call) -> Option<&'a str> {
-        if call.content.form == Form::PLAIN {
+        if call.payload.format == PayloadFormat::PLAIN {
             let terms = self
                 .terms
                 .http_calls
@@ -220,7 +225,7 @@
                 .find(|terms| terms.class == call.class)?;
             return Some(&terms.method);
         }
-        read_head(&call.content.bytes, &self.terms.bounds)
+        read_head(&call.payload.bytes, &self.terms.bounds)
             .ok()
             .map(|message| message.head.name)
     }
@@ -228,11 +233,11 @@
     /// The call's frame in these backends' encoding; `None` if it can't be worded there, or would not carry the
     /// key by which they know a repeat.
     fn worded(&self, call: &Call, seqid: i32) -> Option<Vec<u8>> {
-        if call.coming.is_some() {
+        if call.streaming_body.is_some() {
             return None; // a frame begins with its length and holds a whole message
         }
         let (bounds, encoding) = (&self.terms.bounds, self.terms.encoding);
-        if call.content.form == Form::PLAIN {
+        if call.payload.format == PayloadFormat::PLAIN {
             let terms = self
                 .terms
                 .http_calls
@@ -241,7 +246,7 @@
             let key = match (&call.idempotency_key, terms.key) {
                 (Some(key), Some(field)) => Some((field, &key[..])),
                 // By the key alone would these backends know a repeat of it.
-                (Some(_), None) if call.window.is_some() => return None,
+                (Some(_), None) if call.idempotency_window.is_some() => return None,
                 _ => None,
             };
             let mut out = vec![0; 4];
@@ -256,7 +261,7 @@
             );
             let mut arguments = vec![
                 (terms.target, &call.target[..]),
-                (terms.body, &call.content.bytes[..]),
+                (terms.body, &call.payload.bytes[..]),
             ];
             arguments.extend(key);
             arguments.sort_unstable_by_key(|(field, _)| *field);
@@ -274,7 +279,7 @@
             };
             return (out.len() <= bounds.written() + 4).then(|| frame(out));
         }
-        let message = read_head(&call.content.bytes, bounds).ok()?;
+        let message = read_head(&call.payload.bytes, bounds).ok()?;
         reword(
             &message,
             encoding,
@@ -291,10 +296,10 @@
     async fn reply(&self, line: &Line) -> Result<(Bytes, bool), Broken> {
         let mut lease = self
             .budget
-            .lease(0)
+            .try_reserve(0)
             .ok_or(Broken::Nonsense("no room for a reply"))?;
         let mut reader = FrameReader::new(self.terms.bounds.frame);
-        let mut chunk = [0; READ_BUFFER];
+        let mut chunk = [0; READ_BUFFER_BYTES];
         loop {
             let count = line
                 .stream
@@ -304,10 +309,10 @@
             if count == 0 {
                 return Err(Broken::Ended);
             }
-            let (used, step) = reader.take(&chunk[..count], &mut |bytes| lease.grow(bytes));
+            let (used, step) = reader.take(&chunk[..count], &mut |bytes| lease.try_grow(bytes));
             match step {
                 Step::More => {}
-                Step::Whole(body) => return Ok((lease.keep(body.into()), used < count)),
+                Step::Whole(body) => return Ok((lease.attach(body.into()), used < count)),
                 Step::Discarded(_) => return Err(Broken::Nonsense("no room for a reply")),
                 Step::NotFramed(_) => {
                     return Err(Broken::Nonsense("a reply that is too long, or no frame"));
@@ -317,7 +322,7 @@
     }
 
     /// What a reply says; `None` if it is none to this call.
-    fn read(&self, body: &Bytes, name: &str, seqid: i32, call: &Call) -> Option<Exchanged> {
+    fn read(&self, body: &Bytes, name: &str, seqid: i32, call: &Call) -> Option<Exchange> {
         let message = read_head(body, &self.terms.bounds).ok()?;
         if message.head.seqid != seqid || !names::answers(message.head.name, name) {
             return None;
@@ -335,12 +340,12 @@
                 } else {
                     Outcome::Error
                 };
-                return Some((outcome, None, None));
+                return Some(Exchange::from(outcome));
             }
             Kind::Call | Kind::Oneway => return None,
         }
         let first = Path::field(0);
-        let plain = call.content.form == Form::PLAIN;
+        let plain = call.payload.format == PayloadFormat::PLAIN;
         let paths = [self.terms.load_report.as_ref(), plain.then_some(&first)];
         let (field, found) = match message.encoding {
             Encoding::Binary { .. } => {
@@ -364,13 +369,13 @@
         let turned =
             field.is_some_and(|field| self.terms.turned_away.contains(&TurnedAway::Field(field)));
         if turned {
-            return Some((Outcome::Rejected, report, None));
+            return Some(Exchange::failed(Outcome::Rejected, report));
         }
         if plain {
             // A void result has no field; an exception that the service declares has no place in HTTP.
             let answer = match (field, found[1]) {
-                (Some(0), Some(value)) => Some(Content::plain(value.text().into())),
-                (None, _) => Some(Content::plain(Bytes::new())),
+                (Some(0), Some(value)) => Some(Payload::plain(value.text().into())),
+                (None, _) => Some(Payload::plain(Bytes::new())),
                 _ => None,
             };
             let outcome = if answer.is_some() {
@@ -378,21 +383,25 @@
             } else {
                 Outcome::Error
             };
-            return Some((outcome, report, answer));
+            return Some(Exchange {
+                outcome,
+                report,
+                response: answer,
+            });
         }
         let form = if message.encoding == Encoding::Compact {
             COMPACT
         } else {
             BINARY
         };
-        Some((
-            Outcome::Served,
+        Some(Exchange {
+            outcome: Outcome::Served,
             report,
-            Some(Content {
-                form,
+            response: Some(Payload {
+                format: form,
                 bytes: body.clone(),
             }),
-        ))
+        })
     }
 
     fn report(&self, value: Scalar<'_>) -> Option<LoadReport> {
@@ -401,8 +410,8 @@
         };
         let text = std::str::from_utf8(text)
             .ok()
-            .filter(|_| self.reports.any())?;
-        let report = self.reports.read(text);
+            .filter(|_| self.reports.is_enabled())?;
+        let report = self.reports.parse(text);
         if report.is_none() {
             log_peer(format_args!(
                 "a malformed load report was dropped: {text:?}"
@@ -411,19 +420,19 @@
         report
     }
 
-    async fn probed(self: &Rc<Self>, server: ServerId) -> (Outcome, Option<LoadReport>) {
-        let connection = match self.pool.take(server).await {
+    async fn probed(self: &Rc<Self>, server: ServerId) -> HealthCheckReply {
+        let connection = match self.pool.acquire(server).await {
             Ok(connection) => connection,
-            Err(outcome) => return (outcome, None),
+            Err(outcome) => return HealthCheckReply::from(outcome),
         };
         let Some(name) = self.terms.probe.as_deref() else {
-            self.pool.put(connection); // that it took a connection is its sign of life
-            return (Outcome::Served, None);
+            self.pool.release(connection); // that it took a connection is its sign of life
+            return HealthCheckReply::from(Outcome::Served);
         };
-        if self.pool.address(server).is_none() {
-            return (Outcome::NotSent, None);
+        if self.pool.usable_address(server).is_none() {
+            return HealthCheckReply::from(Outcome::NotSent);
         }
-        let line = &connection.carrier;
+        let line = &connection.session;
         line.seqid.set(line.seqid.get().wrapping_add(1));
         let seqid = line.seqid.get();
         let mut out = vec![0; 4];
@@ -438,20 +447,23 @@
         );
         out.push(0); // no arguments: a stop, in either encoding
         if !write_whole(&line.stream, &frame(out)).await {
-            return (Outcome::Reset, None);
+            return HealthCheckReply::from(Outcome::Reset);
         }
         match self.reply(line).await {
             Ok((body, behind)) => {
                 let Some(report) = self.probe_report(&body, name, seqid) else {
-                    return (Outcome::Error, None);
+                    return HealthCheckReply::from(Outcome::Error);
                 };
                 if !behind {
-                    self.pool.put(connection);
+                    self.pool.release(connection);
+                }
+                HealthCheckReply {
+                    outcome: Outcome::Served,
+                    report,
                 }
-                (Outcome::Served, report)
             }
-            Err(Broken::Ended) => (Outcome::Reset, None),
-            Err(Broken::Nonsense(_)) => (Outcome::Error, None),
+            Err(Broken::Ended) => HealthCheckReply::from(Outcome::Reset),
+            Err(Broken::Nonsense(_)) => HealthCheckReply::from(Outcome::Error),
         }
     }
 
--- a/crates/thrift/src/calls.rs
+++ b/crates/thrift/src/calls.rs
@@ -11,7 +11,9 @@
 use bytes::Bytes;
 use sillward_balancer::settings::PlatformSettings;
 use sillward_balancer::{Idempotency, NewRequest};
-use sillward_forwarding::{Answer, Call, Content, Judge, key_number};
+use sillward_forwarding::{
+    Call, CallProgress, FinalResponse, Payload, ResponseValidator, key_hash,
+};
 use std::cell::Cell;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
@@ -167,7 +169,7 @@
 
     let station_number = match std::str::from_utf8(&station) {
         Ok("") => 0,
-        Ok(text) => key_number(text),
+        Ok(text) => key_hash(text),
         Err(_) => hashed(&station),
     };
     let new = NewRequest {
@@ -189,24 +191,22 @@
         target: target(&site.class_names[method.class], &station),
         call_id: format!("{call_id:032x}").into(),
         idempotency_key: key.filter(|key| !key.is_empty()).map(Bytes::from),
-        judge: Some(judge(&bytes, terms)),
-        answered: message.head.kind != Kind::Oneway,
-        content: Content {
-            form,
+        response_validator: Some(judge(&bytes, terms)),
+        expects_response: message.head.kind != Kind::Oneway,
+        payload: Payload {
+            format: form,
             bytes: bytes.clone(),
         },
-        coming: None,
-        here: None, // the front knows the caller; of a oneway call nobody waits
+        streaming_body: None,
+        client_check: None, // the front knows the caller; of a oneway call nobody waits
         deadline: Cell::new(now + budget),
-        window,
-        first_byte: Cell::new(None),
-        over: Cell::new(false),
-        out: Cell::new(0),
+        idempotency_window: window,
+        progress: CallProgress::default(),
     };
     Ok(Checked { new, call, caller })
 }
 
-fn judge(call: &Bytes, terms: &FrontTerms) -> Judge {
+fn judge(call: &Bytes, terms: &FrontTerms) -> ResponseValidator {
     let (call, bounds) = (call.clone(), terms.bounds);
     Rc::new(move |body| {
         read_head(&call, &bounds).is_ok_and(|message| is_reply(body, &message, &bounds))
@@ -243,7 +243,7 @@
 
 /// The frame of a final answer, in its caller's words. Refused, failed and timed out are told apart by the type
 /// of the `TApplicationException`.
-pub fn worded(terms: &FrontTerms, caller: &Caller, answer: Answer) -> Vec<u8> {
+pub fn worded(terms: &FrontTerms, caller: &Caller, answer: FinalResponse) -> Vec<u8> {
     let Caller {
         encoding,
         name,
@@ -258,7 +258,9 @@
         )
     };
     match answer {
-        Answer::Served(content) if content.form == BINARY || content.form == COMPACT => {
+        FinalResponse::Complete(content)
+            if content.format == BINARY || content.format == COMPACT =>
+        {
             let reworded = read_head(&content.bytes, &terms.bounds).and_then(|message| {
                 let head = Head {
                     kind: message.head.kind,
@@ -271,9 +273,14 @@
             reworded.unwrap_or_else(|_| failed())
         }
         // A caller judges its answers whole, so that none comes in parts.
-        Answer::Served(_) | Answer::Streamed(..) | Answer::Failed => failed(),
-        Answer::Refused { after, never_ran } => {
-            let ms = after.map(|after| i32::try_from(after.as_millis()).unwrap_or(i32::MAX));
+        FinalResponse::Complete(_) | FinalResponse::Streamed { .. } | FinalResponse::Failed => {
+            failed()
+        }
+        FinalResponse::Rejected {
+            retry_after,
+            never_ran,
+        } => {
+            let ms = retry_after.map(|after| i32::try_from(after.as_millis()).unwrap_or(i32::MAX));
             let ran = if never_ran {
                 "it never ran"
             } else {
@@ -285,7 +292,7 @@
             };
             except(ExceptionKind::UnsupportedClientType, &text, ms)
         }
-        Answer::TimedOut => except(
+        FinalResponse::TimedOut => except(
             ExceptionKind::MissingResult,
             "timed out: it may have run",
             None,
--- a/crates/thrift/src/front.rs
+++ b/crates/thrift/src/front.rs
@@ -5,7 +5,9 @@
 use crate::terms::{FrontTerms, Order};
 use crate::wire::{Encoding, ExceptionKind, FrameReader, NotFramed, Step, exception, read_head};
 use bytes::Bytes;
-use sillward_forwarding::{Answer, Budget, Intake, Lease, Live, READ_BUFFER};
+use sillward_forwarding::{
+    FinalResponse, LiveSettings, MemoryBudget, MemoryReservation, NodeHandle, READ_BUFFER_BYTES,
+};
 use sillward_listener::{Client, Door, READ_TIMEOUT, Serve};
 use sillward_logging::log_peer;
 use sillward_runtime::Stream;
@@ -27,23 +29,23 @@
 
 /// The front for callers that speak Thrift.
 pub struct Front {
-    intake: Intake,
-    live: Rc<Live>,
+    intake: NodeHandle,
+    live: Rc<LiveSettings>,
     terms: FrontTerms,
     door: Rc<Door>,
     /// Room for frames.
-    budget: Budget,
+    budget: MemoryBudget,
     random: RefCell<Random>,
     oneway: Cell<u64>,
 }
 
 impl Front {
     pub fn new(
-        intake: Intake,
-        live: Rc<Live>,
+        intake: NodeHandle,
+        live: Rc<LiveSettings>,
         terms: FrontTerms,
         door: Rc<Door>,
-        budget: Budget,
+        budget: MemoryBudget,
         seed: u64,
     ) -> Rc<Self> {
         let random = RefCell::new(Random::seeded(seed.rotate_left(32)));
@@ -72,7 +74,7 @@
 
 impl Serve for Front {
     async fn serve(self: Rc<Self>, stream: Stream, client: Rc<Client>) {
-        let Some(room) = self.budget.lease(0) else {
+        let Some(room) = self.budget.try_reserve(0) else {
             return;
         };
         let reader = FrameReader::new(self.terms.bounds.frame);
@@ -105,18 +107,18 @@
     client: Rc<Client>,
     reader: FrameReader,
     /// The room of the frame that is being read.
-    room: Lease,
+    room: MemoryReservation,
     /// What came behind a frame whose turn has not come; at most a chunk.
     unread: VecDeque<u8>,
     /// When the frame that is being read must be whole.
     until: Option<Instant>,
     /// A frame whose turn has not come.
     waiting: Option<Bytes>,
-    calls: JoinSet<(i32, Vec<u8>, Option<Lease>)>,
+    calls: JoinSet<(i32, Vec<u8>, Option<MemoryReservation>)>,
     /// The sequence numbers of the calls that are open.
     open: BTreeSet<i32>,
     /// Answers' frames that wait to be taken, and how much of the first has been.
-    out: VecDeque<(Vec<u8>, Option<Lease>)>,
+    out: VecDeque<(Vec<u8>, Option<MemoryReservation>)>,
     taken: usize,
     /// When the caller last took something, or had nothing to take.
     progress: Instant,
@@ -130,7 +132,7 @@
 
 impl Session {
     async fn run(&mut self) {
-        let mut chunk = [0; READ_BUFFER];
+        let mut chunk = [0; READ_BUFFER_BYTES];
         loop {
             self.advance();
             if self.is_idle() {
@@ -191,7 +193,7 @@
     }
 
     /// Small frames, which the node makes itself, have no lease.
-    fn push(&mut self, frame: Vec<u8>, lease: Option<Lease>) {
+    fn push(&mut self, frame: Vec<u8>, lease: Option<MemoryReservation>) {
         if self.out.is_empty() {
             self.progress = Instant::now();
         }
@@ -223,7 +225,7 @@
         while self.waiting.is_none() && !self.ended && !self.unread.is_empty() {
             let room = &mut self.room;
             let bytes = self.unread.make_contiguous();
-            let (used, step) = self.reader.take(bytes, &mut |bytes| room.grow(bytes));
+            let (used, step) = self.reader.take(bytes, &mut |bytes| room.try_grow(bytes));
             self.unread.drain(..used);
             let lease = match step {
                 Step::More => {
@@ -233,13 +235,13 @@
                 _ => self
                     .front
                     .budget
-                    .lease(0)
+                    .try_reserve(0)
                     .map(|new| std::mem::replace(&mut self.room, new)),
             };
             self.until = None;
             match (step, lease) {
                 (Step::Whole(frame), Some(lease)) => {
-                    let frame = lease.keep(frame.into());
+                    let frame = lease.attach(frame.into());
                     self.arrived(frame);
                 }
                 (Step::Discarded(begin), _) => self.turn_down(NotWhole::NoRoom(&begin)),
@@ -266,7 +268,7 @@
         let front = self.front.clone();
         let at = front.intake.clock().now();
         match calls::check(terms, &front.live.get(), frame, front.call_id(), at) {
-            Ok(Checked { new, call, .. }) if !call.answered => {
+            Ok(Checked { new, call, .. }) if !call.expects_response => {
                 front.oneway.set(front.oneway.get() + 1);
                 // Whoever called may leave at once: the call stays.
                 spawn_local(async move {
@@ -278,19 +280,19 @@
                 mut call,
                 caller,
             }) => {
-                call.here = Some(self.client.here());
+                call.client_check = Some(self.client.here());
                 self.open.insert(caller.seqid);
                 self.calls.spawn_local(async move {
                     let answer = front.intake.submit(new, call, at).await;
-                    let answer = answer.unwrap_or(Answer::Failed);
+                    let answer = answer.unwrap_or(FinalResponse::Failed);
                     let frame = calls::worded(&front.terms, &caller, answer);
-                    match front.budget.lease(frame.capacity()) {
+                    match front.budget.try_reserve(frame.capacity()) {
                         Some(lease) => (caller.seqid, frame, Some(lease)),
                         None => {
                             log_peer("no room for an answer's frame: dropped");
                             (
                                 caller.seqid,
-                                calls::worded(&front.terms, &caller, Answer::Failed),
+                                calls::worded(&front.terms, &caller, FinalResponse::Failed),
                                 None,
                             )
                         }
@@ -321,8 +323,8 @@
                     log_peer("no room for a call's frame: refused");
                     let caller = Caller::of(&message);
                     let after = self.front.live.get().settings.limits.max_retry_after;
-                    let refused = Answer::Refused {
-                        after,
+                    let refused = FinalResponse::Rejected {
+                        retry_after: after,
                         never_ran: true,
                     };
                     (calls::worded(&self.front.terms, &caller, refused), false)
--- a/crates/thrift/src/lib.rs
+++ b/crates/thrift/src/lib.rs
@@ -12,9 +12,9 @@
 pub use front::Front;
 pub use terms::{BackendTerms, FrontTerms, HttpCall, Method, Order, TurnedAway};
 
-use sillward_forwarding::Form;
+use sillward_forwarding::PayloadFormat;
 
 /// A message in the binary encoding. Its name is the media type of Thrift over HTTP.
-pub const BINARY: Form = Form("application/vnd.apache.thrift.binary");
+pub const BINARY: PayloadFormat = PayloadFormat("application/vnd.apache.thrift.binary");
 /// A message in the compact encoding.
-pub const COMPACT: Form = Form("application/vnd.apache.thrift.compact");
+pub const COMPACT: PayloadFormat = PayloadFormat("application/vnd.apache.thrift.compact");
--- a/testing/simulation/src/plants.rs
+++ b/testing/simulation/src/plants.rs
@@ -6,8 +6,11 @@
 use crate::script::Script;
 use sillward_app::Wrap;
 use sillward_balancer::settings::PlatformSettings;
-use sillward_balancer::{LoadReport, Outcome, ServerId};
-use sillward_forwarding::{Attempt, Backends, Ended, News, Stop, Task};
+use sillward_balancer::{Outcome, ServerId};
+use sillward_forwarding::{
+    Attempt, AttemptResult, BackendProtocol, BackendUpdate, HealthCheckReply, LocalBoxFuture,
+    StopReason,
+};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -91,7 +94,7 @@
 }
 
 struct Planted {
-    inner: Rc<dyn Backends>,
+    inner: Rc<dyn BackendProtocol>,
     plant: Plant,
     often: bool,
     dice: RefCell<Dice>,
@@ -101,10 +104,14 @@
     waiting: Cell<usize>,
 }
 
-impl Backends for Planted {
-    fn attempt(self: Rc<Self>, attempt: Attempt, stopped: oneshot::Receiver<Stop>) -> Task<Ended> {
+impl BackendProtocol for Planted {
+    fn attempt(
+        self: Rc<Self>,
+        attempt: Attempt,
+        stopped: oneshot::Receiver<StopReason>,
+    ) -> LocalBoxFuture<AttemptResult> {
         let never = self.plant == Plant::Leak && self.dice.borrow_mut().permille(1);
-        let keyed = attempt.call.window.is_some();
+        let keyed = attempt.call.idempotency_window.is_some();
         let unsafe_ = !attempt.call.safe && !keyed;
         let again = keyed && attempt.number > 0;
         let call = attempt.call.clone();
@@ -122,22 +129,22 @@
                 && (self.often || self.waiting.get() > 0 && self.reloads.under_way(self.net.now()));
             if wrong {
                 ended.outcome = Outcome::ConnectFailed;
-                call.unclaim();
+                call.release_claim();
             }
             ended
         })
     }
 
-    fn probe(self: Rc<Self>, server: ServerId) -> Task<(Outcome, Option<LoadReport>)> {
-        self.inner.clone().probe(server)
+    fn health_check(self: Rc<Self>, server: ServerId) -> LocalBoxFuture<HealthCheckReply> {
+        self.inner.clone().health_check(server)
     }
 
-    fn listed(&self, news: &News, now: Duration) {
-        self.inner.listed(news, now);
+    fn update_backends(&self, update: &BackendUpdate, now: Duration) {
+        self.inner.update_backends(update, now);
     }
 
-    fn retuned(&self, site: &PlatformSettings) {
-        self.inner.retuned(site);
+    fn apply_settings(&self, settings: &PlatformSettings) {
+        self.inner.apply_settings(settings);
     }
 
     fn close_idle(&self, server: ServerId) {
--- a/testing/simulation/src/run.rs
+++ b/testing/simulation/src/run.rs
@@ -310,7 +310,7 @@
         ("requests", gauges.requests.get(), 0),
         ("attempts", gauges.attempts.get(), 0),
         ("timers", gauges.timers.get().saturating_sub(OWN_TIMERS), 0),
-        ("bytes of bodies", insight.budget.taken(), 0),
+        ("bytes of bodies", insight.budget.reserved(), 0),
         ("connections to backends", insight.sockets.open(), shown),
     ];
     for (what, has, should) in left {
