--- a/crates/app/src/agreement.rs
+++ b/crates/app/src/agreement.rs
@@ -11,7 +11,7 @@
 use sillward_membership::Name;
 use sillward_node_config::Config;
 use sillward_operator_config::AgreementTerms;
-use sillward_peer_transport::Fleet;
+use sillward_peer_transport::PeerTransport;
 use sillward_runtime::Clock;
 use sillward_runtime::task::spawn_local;
 use std::rc::Rc;
@@ -36,7 +36,7 @@
     if voters.iter().any(Option::is_none) {
         faults.push(format!(
             "agreement.voters: a name has 1 to {} bytes and no control characters",
-            Name::MOST
+            Name::MAX_BYTES
         ));
     }
     if agreement.voters.contains(&config.name) && agreement.folder.is_none() {
@@ -79,7 +79,7 @@
     clock: Clock,
     config: &Config,
     agreement: &AgreementTerms,
-    fleet: &Rc<Fleet>,
+    fleet: &Rc<PeerTransport>,
     (changed, lapse): (Rc<Notify>, Rc<Lapse>),
     stop: impl Future<Output = ()> + 'static,
 ) -> Result<Rc<Council>, String> {
--- a/crates/app/src/fleet.rs
+++ b/crates/app/src/fleet.rs
@@ -1,11 +1,11 @@
 //! The fleet that the node is a member of, where the operator file names one.
 
 use sillward_logging::log;
-use sillward_membership::{About, Name};
+use sillward_membership::{Name, NodeMetadata};
 use sillward_node_config::Config;
 use sillward_operator_config::FleetTerms;
 use sillward_peer_transport::envelope::Keys;
-use sillward_peer_transport::{Fleet, Terms};
+use sillward_peer_transport::{PeerTransport, TransportSettings};
 use sillward_runtime::task::spawn_local;
 use sillward_runtime::{Clock, files};
 use std::rc::Rc;
@@ -34,21 +34,21 @@
 
 /// The memory that the fleet takes at the worst, from what bodies may have.
 pub fn bytes(config: &Config, fleet: &FleetTerms) -> usize {
-    links(config) * 2 * LINK_BYTES + fleet.peers.most * MEMBER_BYTES
+    links(config) * 2 * LINK_BYTES + fleet.peers.max_members * MEMBER_BYTES
 }
 
 /// What the fleet's member is to be: the operator file's words with the key that they name.
 ///
 /// # Errors
 /// All that is wrong, with the operator file's keys.
-pub fn terms(config: &Config, fleet: &FleetTerms) -> Result<Terms, String> {
+pub fn terms(config: &Config, fleet: &FleetTerms) -> Result<TransportSettings, String> {
     let mut faults = Vec::new();
     let name = Name::new(&config.name);
     if name.is_none() {
         faults.push(format!(
             "fleet: the node's name {:?} must have 1 to {} bytes and no control characters to be a member's",
             config.name,
-            Name::MOST
+            Name::MAX_BYTES
         ));
     }
     let file = fleet.key_file.display();
@@ -70,24 +70,24 @@
     let (Some(name), Some(secret), true) = (name, secret, faults.is_empty()) else {
         return Err(faults.join("\n"));
     };
-    let about = About {
+    let metadata = NodeMetadata {
         zone: fleet.zone.clone(),
         region: fleet.region.clone(),
         build: build(),
-        speaks: SPEAKS.iter().map(|word| (*word).to_owned()).collect(),
+        capabilities: SPEAKS.iter().map(|word| (*word).to_owned()).collect(),
     };
-    Ok(Terms {
+    Ok(TransportSettings {
         fleet: fleet.name.clone(),
-        keys: Keys::of(&secret),
+        keys: Keys::derive(&secret),
         name,
         listen: fleet.listen,
         advertise: fleet.advertise,
         seeds: fleet.seeds.clone(),
-        about,
-        frame_bytes: fleet.frame_bytes,
-        links: links(config),
-        folder: fleet.folder.clone(),
-        peers: planted(fleet.peers.clone()),
+        metadata,
+        max_frame_bytes: fleet.frame_bytes,
+        max_connections: links(config),
+        state_dir: fleet.folder.clone(),
+        membership: planted(fleet.peers.clone()),
     })
 }
 
@@ -97,7 +97,9 @@
 }
 
 #[cfg(not(feature = "faults"))]
-fn planted(peers: sillward_membership::Terms) -> sillward_membership::Terms {
+fn planted(
+    peers: sillward_membership::MembershipSettings,
+) -> sillward_membership::MembershipSettings {
     peers
 }
 
@@ -109,15 +111,20 @@
 }
 
 #[cfg(feature = "faults")]
-fn planted(peers: sillward_membership::Terms) -> sillward_membership::Terms {
-    use sillward_membership::Plant;
-    let plant = match sillward_runtime::told("SILLWARD_FAULT_PLANT").as_deref() {
-        Some("no-incarnation") => Some(Plant::NoIncarnation),
-        Some("one-way-blind") => Some(Plant::OneWayBlind),
-        Some("never-forget") => Some(Plant::NeverForget),
+fn planted(
+    peers: sillward_membership::MembershipSettings,
+) -> sillward_membership::MembershipSettings {
+    use sillward_membership::InjectedBug;
+    let injected_bug = match sillward_runtime::told("SILLWARD_FAULT_PLANT").as_deref() {
+        Some("no-incarnation") => Some(InjectedBug::ReusedIncarnation),
+        Some("one-way-blind") => Some(InjectedBug::NoIndirectProbes),
+        Some("never-forget") => Some(InjectedBug::DeadKeptForever),
         _ => None,
     };
-    sillward_membership::Terms { plant, ..peers }
+    sillward_membership::MembershipSettings {
+        injected_bug,
+        ..peers
+    }
 }
 
 /// Starts the member; it says goodbye when `stop` is over.
@@ -129,8 +136,8 @@
     config: &Config,
     fleet: &FleetTerms,
     stop: impl Future<Output = ()> + 'static,
-) -> Result<Rc<Fleet>, String> {
-    let (fleet, listening) = Fleet::start(terms(config, fleet)?, clock).await?;
+) -> Result<Rc<PeerTransport>, String> {
+    let (fleet, listening) = PeerTransport::start(terms(config, fleet)?, clock).await?;
     log(format_args!(
         "{} listens for its fleet on {}",
         config.name, listening.address
--- a/crates/app/src/fronts.rs
+++ b/crates/app/src/fronts.rs
@@ -12,7 +12,7 @@
 use sillward_logging::log;
 use sillward_metrics::Counters;
 use sillward_node_config::Config;
-use sillward_peer_transport::Fleet;
+use sillward_peer_transport::PeerTransport;
 use sillward_pool::Sockets;
 use sillward_runtime::Clock;
 use sillward_runtime::net::TcpListener;
@@ -134,7 +134,7 @@
         platform: Option<SocketAddr>,
         operator: Option<SocketAddr>,
         sources: Option<Rc<RefCell<Membership>>>,
-        fleet: Option<Rc<Fleet>>,
+        fleet: Option<Rc<PeerTransport>>,
         council: Option<Rc<Council>>,
         told: Option<Rc<outcomes::Outcomes>>,
     ) -> Result<(), String> {
@@ -154,7 +154,8 @@
                 page("/admin/membership/sources", pages::sources),
             ];
             all.extend(fleet.clone().map(|fleet| {
-                let page = move || Reply::json(sillward_peer_transport::page::fleet(&fleet));
+                let page =
+                    move || Reply::json(sillward_peer_transport::status_page::render(&fleet));
                 Route::new(Method::GET, "/admin/fleet", page)
             }));
             all.extend(
--- a/crates/app/src/lib.rs
+++ b/crates/app/src/lib.rs
@@ -53,7 +53,7 @@
     /// Connections to backends.
     pub sockets: Rc<Sockets>,
     /// The fleet, where the node is a member of one.
-    pub fleet: Option<Rc<sillward_peer_transport::Fleet>>,
+    pub fleet: Option<Rc<sillward_peer_transport::PeerTransport>>,
     /// The agreement, where the node takes part in one.
     pub council: Option<Rc<sillward_consensus_io::Council>>,
 }
--- a/crates/app/src/outcomes.rs
+++ b/crates/app/src/outcomes.rs
@@ -6,10 +6,10 @@
 use sillward_admin::{Reply, Route};
 use sillward_balancer::{Outcome, ServerId};
 use sillward_forwarding::{Live, Witness};
-use sillward_membership::{Life, Name};
+use sillward_membership::{Incarnation, Name};
 use sillward_outcome_stats::{Action, Backend, Cell, Class, End, Spread, Terms};
-use sillward_peer_transport::Fleet;
-use sillward_peer_transport::outbox::Posted;
+use sillward_peer_transport::PeerTransport;
+use sillward_peer_transport::send_queue::OutboundMessage;
 use sillward_runtime::task::spawn_local;
 use sillward_runtime::time::{sleep_until, timeout_at};
 use sillward_runtime::{Clock, random};
@@ -31,7 +31,7 @@
 pub struct Outcomes {
     clock: Clock,
     spread: RefCell<Spread>,
-    fleet: Rc<Fleet>,
+    fleet: Rc<PeerTransport>,
     live: Rc<Live>,
     /// A message came: something may be due.
     sooner: Notify,
@@ -44,12 +44,13 @@
 pub fn start(
     clock: Clock,
     terms: &Terms,
-    fleet: &Rc<Fleet>,
+    fleet: &Rc<PeerTransport>,
     live: &Rc<Live>,
     stop: impl Future<Output = ()> + 'static,
 ) -> Result<Rc<Outcomes>, String> {
     let seed = random::entropy().map_err(|e| format!("no random numbers for the outcomes: {e}"))?;
-    let (me, life) = fleet.with(|peers| (peers.me().name.clone(), peers.life()));
+    let (me, life) =
+        fleet.with_membership(|peers| (peers.local().name.clone(), peers.incarnation()));
     let spread = Spread::new(terms.clone(), me, life, seed, clock.now()).into();
     let (fleet, live) = (fleet.clone(), live.clone());
     let outcomes = Rc::new(Outcomes {
@@ -62,13 +63,13 @@
     let own = outcomes.clone();
     outcomes
         .fleet
-        .hear(TOPIC, move |name, life, bytes| own.heard(name, life, bytes));
+        .on_message(TOPIC, move |name, life, bytes| own.heard(name, life, bytes));
     spawn_local(outcomes.clone().run(stop));
     Ok(outcomes)
 }
 
 impl Outcomes {
-    fn heard(&self, name: &Name, life: Life, bytes: &[u8]) {
+    fn heard(&self, name: &Name, life: Incarnation, bytes: &[u8]) {
         let actions = self
             .spread
             .borrow_mut()
@@ -81,12 +82,12 @@
         for Action::Send { to, slot, bytes } in actions {
             let address = self
                 .fleet
-                .with(|peers| peers.member(&to).map(|member| member.address));
+                .with_membership(|peers| peers.member(&to).map(|member| member.address));
             if let Some(address) = address {
-                self.fleet.post(
+                self.fleet.send_message(
                     &to,
                     address,
-                    Posted {
+                    OutboundMessage {
                         topic: TOPIC,
                         slot,
                         bytes,
@@ -113,11 +114,11 @@
                 () = self.sooner.notified() => {}
             }
             let now = self.clock.now();
-            let life = self.fleet.life();
-            let living: Vec<(Name, Life)> = self.fleet.with(|peers| {
-                let living = peers.members().filter(|member| member.state.is_living());
+            let life = self.fleet.incarnation();
+            let living: Vec<(Name, Incarnation)> = self.fleet.with_membership(|peers| {
+                let living = peers.members().filter(|member| member.state.is_active());
                 living
-                    .map(|member| (member.name.clone(), member.life))
+                    .map(|member| (member.name.clone(), member.incarnation))
                     .collect()
             });
             let living = living.iter().map(|(name, life)| (name, *life));
--- a/crates/consensus-io/src/lib.rs
+++ b/crates/consensus-io/src/lib.rs
@@ -13,9 +13,9 @@
 use sillward_consensus::words::{Answer, Ask, Fetch, Long, Proposal, Sealed, Word};
 use sillward_fleet_settings::{History, Key, Reading, Rules, Standing, Version};
 use sillward_logging::log;
-use sillward_membership::{Name, State};
-use sillward_peer_transport::Fleet;
-use sillward_peer_transport::outbox::Posted;
+use sillward_membership::{MemberState, Name};
+use sillward_peer_transport::PeerTransport;
+use sillward_peer_transport::send_queue::OutboundMessage;
 use sillward_runtime::task::spawn_local;
 use sillward_runtime::time::sleep_until;
 use sillward_runtime::{Clock, files, random};
@@ -129,7 +129,7 @@
 /// This node's part in the agreement.
 pub struct Council {
     clock: Clock,
-    fleet: Rc<Fleet>,
+    fleet: Rc<PeerTransport>,
     terms: Terms,
     number: u64,
     own: Option<usize>,
@@ -159,13 +159,13 @@
     /// # Errors
     /// The folder can't be read, or the system has no random numbers.
     pub fn start(
-        fleet: Rc<Fleet>,
+        fleet: Rc<PeerTransport>,
         clock: Clock,
         terms: Terms,
         change: impl Fn(Duration, bool) + 'static,
     ) -> Result<(Rc<Self>, Kepts), String> {
         let now = clock.now();
-        let name = fleet.with(|peers| peers.me().name.clone());
+        let name = fleet.with_membership(|peers| peers.local().name.clone());
         let (number, own) = (terms.number(), terms.place(&name));
         let draw =
             || random::entropy().map_err(|e| format!("no random numbers for the agreement: {e}"));
@@ -211,7 +211,7 @@
 
     fn hear(self: &Rc<Self>) {
         let own = Rc::downgrade(self);
-        self.fleet.hear_words(WORDS, move |name, address, bytes| {
+        self.fleet.on_datagram(WORDS, move |name, address, bytes| {
             let (Some(own), Ok(word)) = (own.upgrade(), Word::decode(bytes)) else {
                 return;
             };
@@ -230,7 +230,7 @@
             }
         });
         let own = Rc::downgrade(self);
-        self.fleet.hear(BETWEEN, move |name, _, bytes| {
+        self.fleet.on_message(BETWEEN, move |name, _, bytes| {
             let Some(own) = own.upgrade() else { return };
             let place = own.terms.place(name);
             if let (Some(place), Some(sealed)) = (place, Sealed::read(bytes)) {
@@ -238,7 +238,7 @@
             }
         });
         let own = Rc::downgrade(self);
-        self.fleet.hear(LONGS, move |_, _, bytes| {
+        self.fleet.on_message(LONGS, move |_, _, bytes| {
             if let Some(own) = own.upgrade() {
                 own.long(bytes);
             }
@@ -346,19 +346,20 @@
     }
 
     fn word(&self, to: SocketAddr, word: &Word) {
-        self.fleet.word(to, WORDS, word.encode_to_vec());
+        self.fleet.send_datagram(to, WORDS, word.encode_to_vec());
     }
 
     fn post(&self, to: &Name, address: SocketAddr, topic: u32, bytes: Vec<u8>) {
         // Each has a slot of its own: none takes another's place.
         let slot = self.slot.get().wrapping_add(1);
         self.slot.set(slot);
-        self.fleet.post(to, address, Posted { topic, slot, bytes });
+        self.fleet
+            .send_message(to, address, OutboundMessage { topic, slot, bytes });
     }
 
     fn address(&self, name: &Name) -> Option<SocketAddr> {
         self.fleet
-            .with(|peers| peers.member(name).map(|member| member.address))
+            .with_membership(|peers| peers.member(name).map(|member| member.address))
     }
 
     fn vote(self: &Rc<Self>, event: voter::Event) {
@@ -442,7 +443,9 @@
     }
 
     fn ask(self: &Rc<Self>, ask: &Ask) {
-        let me = self.fleet.with(|peers| peers.me().name.clone());
+        let me = self
+            .fleet
+            .with_membership(|peers| peers.local().name.clone());
         for (at, name) in self.terms.voters.iter().enumerate() {
             if Some(at + 1) == self.own {
                 self.later(Todo::Ask(me.clone(), ask.clone()));
@@ -458,7 +461,7 @@
             }
         }
         // What voters have told the fleet reaches also whom their own words miss.
-        let heard = self.fleet.with(|peers| {
+        let heard = self.fleet.with_membership(|peers| {
             let voters = self
                 .terms
                 .voters
@@ -484,17 +487,17 @@
         let newest = self.node.borrow().history().newest();
         if self.own.is_some() && self.told.replace(newest) != newest {
             let value: Vec<u8> = [self.number.to_le_bytes(), newest.to_le_bytes()].concat();
-            let _ = self.fleet.tell(TOLD, &value); // two numbers are within all bounds
+            let _ = self.fleet.publish(TOLD, &value); // two numbers are within all bounds
         }
     }
 
     fn fetch(&self, after: u64, voter: bool) {
         let mut dice = self.dice.borrow_mut();
-        let to = self.fleet.with(|peers| {
+        let to = self.fleet.with_membership(|peers| {
             let living = |name: &&Name| {
                 peers
                     .member(name)
-                    .is_some_and(|member| member.state == State::Alive)
+                    .is_some_and(|member| member.state == MemberState::Alive)
             };
             let voters: Vec<&Name> = self.terms.voters.iter().filter(living).collect();
             if voter && !voters.is_empty() {
@@ -503,7 +506,7 @@
             }
             let all: Vec<SocketAddr> = peers
                 .members()
-                .filter(|m| m.state == State::Alive)
+                .filter(|m| m.state == MemberState::Alive)
                 .map(|m| m.address)
                 .collect();
             (!all.is_empty()).then(|| all[dice.number() as usize % all.len()])
@@ -538,20 +541,20 @@
             ));
         }
         Rules::read(&version.rules)?;
-        let blind: Vec<String> = self.fleet.with(|peers| {
-            let living = peers
-                .members()
-                .filter(|member| member.state != State::Gone && member.state != State::Left);
+        let blind: Vec<String> = self.fleet.with_membership(|peers| {
+            let living = peers.members().filter(|member| {
+                member.state != MemberState::Dead && member.state != MemberState::Left
+            });
             // Of whom nothing is known yet, nothing is held against it: it goes by the careful reading if it must.
             let blind = living.filter(|member| {
-                let speaks = &member.about.speaks;
+                let speaks = &member.metadata.capabilities;
                 !speaks.is_empty()
                     && !speaks
                         .iter()
                         .any(|word| word == sillward_fleet_settings::SPEAKS)
             });
             blind
-                .map(|member| format!("{} (build {})", member.name.as_str(), member.about.build))
+                .map(|member| format!("{} (build {})", member.name.as_str(), member.metadata.build))
                 .collect()
         });
         if !blind.is_empty() && !despite {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,4 +1,4 @@
-//! Who else is in the fleet: alive, suspected, gone, in which life; and the small values that each tells of itself.
+//! Who else is in the fleet: alive, suspected, gone, in which incarnation; and the small values that each tells of itself.
 //! No I/O, no clock and no dice of its own: events with times in, frames and news out, the same for the same seed.
 //!
 //! The ways are SWIM's (random probes, helpers, rumours on frames that go out anyway) with Lifeguard's three lessons: who
@@ -7,19 +7,22 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod health;
-mod life;
+mod incarnation;
+mod local_health;
 mod machine;
 mod members;
 mod probes;
 mod rumours;
 mod sync;
 mod values;
-pub mod words;
+pub mod wire;
 
-pub use health::Health;
-pub use life::{About, Claim, Life, Name, State};
-pub use machine::{Action, Event, Figures, Me, Peers, Plant, Standing, Terms};
-pub use members::Member;
+pub use incarnation::{Incarnation, MemberState, MemberUpdate, Name, NodeMetadata};
+pub use local_health::LocalHealth;
+pub use machine::{
+    Action, Counters, Event, InjectedBug, LocalNode, Membership, MembershipSettings,
+    MembershipStatus,
+};
+pub use members::{Member, ProbeCounts};
 pub use sync::SyncStep;
-pub use values::{MOST_BYTES, MOST_KEY, MOST_VALUES, Value};
+pub use values::{MAX_KEY_BYTES, MAX_VALUE_BYTES, MAX_VALUES, Value};
--- a/crates/membership/src/health.rs
+++ b/crates/membership/src/local_health.rs
@@ -7,32 +7,32 @@
 
 /// Lifeguard's local health, and the time of round trips as TCP estimates it (RFC 6298).
 #[derive(Clone, Debug)]
-pub struct Health {
+pub struct LocalHealth {
     score: u32,
     smoothed: Option<Duration>,
     variation: Duration,
-    least: Duration,
+    min_timeout: Duration,
 }
 
-impl Health {
-    /// `least` is the shortest time that an answer is waited for.
-    pub fn new(least: Duration) -> Self {
-        Health {
+impl LocalHealth {
+    /// `min_timeout` is the shortest time that an answer is waited for.
+    pub fn new(min_timeout: Duration) -> Self {
+        LocalHealth {
             score: 0,
             smoothed: None,
             variation: Duration::ZERO,
-            least,
+            min_timeout,
         }
     }
 
     /// Something shows that this node may be slow, or not hear: an answer missing that others had, a suspicion of itself, a
     /// turn that came late.
-    pub fn worse(&mut self, by: u32) {
+    pub fn degrade(&mut self, by: u32) {
         self.score = (self.score + by).min(WORST);
     }
 
     /// A probe was answered in time.
-    pub fn better(&mut self) {
+    pub fn recover(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
@@ -42,7 +42,7 @@
     }
 
     /// An answer took so long.
-    pub fn took(&mut self, trip: Duration) {
+    pub fn record_round_trip(&mut self, trip: Duration) {
         match self.smoothed {
             None => {
                 self.smoothed = Some(trip);
@@ -56,20 +56,20 @@
     }
 
     /// The smoothed round trip; `None` before the first answer.
-    pub fn trip(&self) -> Option<Duration> {
+    pub fn round_trip(&self) -> Option<Duration> {
         self.smoothed
     }
 
-    /// How long an answer may take for a node in good health: never over ten times the least.
-    pub fn usual_wait(&self) -> Duration {
+    /// How long an answer may take for a node in good health: never over ten times the min_timeout.
+    pub fn base_ack_timeout(&self) -> Duration {
         let estimated = self
             .smoothed
-            .map_or(self.least, |smoothed| smoothed + self.variation * 4);
-        estimated.clamp(self.least, self.least * 10)
+            .map_or(self.min_timeout, |smoothed| smoothed + self.variation * 4);
+        estimated.clamp(self.min_timeout, self.min_timeout * 10)
     }
 
     /// How long an answer is waited for by this node as it is.
-    pub fn wait(&self) -> Duration {
-        self.usual_wait() * (self.score + 1)
+    pub fn ack_timeout(&self) -> Duration {
+        self.base_ack_timeout() * (self.score + 1)
     }
 }
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -1,17 +1,17 @@
 //! The machine: events in, actions out.
 //!
-//! What a message proves: a frame that names this life's salt was written after this life began, since nobody knew the salt
-//! before. So what is older than a life (a replay, a frame held up on its way, words meant for the process that was here
-//! before) is told apart without any clock, and "asked" means: somebody answered this life.
+//! What a message proves: a frame that names this incarnation's salt was written after this incarnation began, since nobody knew the salt
+//! before. So what is older than a incarnation (a replay, a frame held up on its way, words meant for the process that was here
+//! before) is told apart without any clock, and "asked" means: somebody answered this incarnation.
 
-use crate::health::Health;
-use crate::life::{About, Claim, Life, Name, State};
+use crate::incarnation::{Incarnation, MemberState, MemberUpdate, Name, NodeMetadata};
+use crate::local_health::LocalHealth;
 use crate::members::{Change, Member, Members};
 use crate::probes::{Favour, Probe, Probes};
 use crate::rumours::{Rumours, Subject};
 use crate::sync::{self, Own, SyncStep};
-use crate::values::{self, MOST_BYTES, MOST_KEY, Value, Values};
-use crate::words::{AboutWords, Frame, Kind, Sync, Told, Update};
+use crate::values::{self, MAX_KEY_BYTES, MAX_VALUE_BYTES, Value, Values};
+use crate::wire::{Frame, FrameKind, MemberValue, MetadataMessage, SyncMessage, Update};
 use prost::Message;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -34,7 +34,7 @@
 const FEWEST: u32 = 3;
 /// Suspicions by so many others shorten the wait to its least.
 const CONFIRMED: usize = 3;
-/// About so many of those who hear of a suspicion look for themselves at once.
+/// NodeMetadata so many of those who hear of a suspicion look for themselves at once.
 const VOLUNTEERS: u32 = 6;
 /// Probes beyond the usual one that are begun in a turn.
 const EXTRA: usize = 4;
@@ -51,103 +51,103 @@
 /// Bytes a second that comparisons may cost a node, as the one that asks and as the one that answers: after a large one the
 /// next waits. One that is asked too soon stays silent, and the asker tries another.
 const SYNC_BYTES: f64 = 4_000.0;
-/// Answers to strangers, and to those who speak to or from an earlier life, a second.
+/// Answers to strangers, and to those who speak to or from an earlier incarnation, a second.
 const COURTESY: u32 = 100;
 /// So many lives within that time, because another claims this name, are a conflict: this node is silent for that time.
 const NAMESAKES: usize = 4;
 const CONFLICT: Duration = Duration::from_secs(30);
 
-/// A mistake, planted by the build that has them; in the shipped one none of these can be.
+/// A mistake, has_bug by the build that has them; in the shipped one none of these can be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
-    /// A process that was paused or called gone goes on in its old life, and a restarted one takes the epoch it had.
-    NoIncarnation,
+pub enum InjectedBug {
+    /// A process that was paused or called gone goes on in its old incarnation, and a restarted one takes the epoch it had.
+    ReusedIncarnation,
     /// A missing answer counts as a death: no helper is asked, nobody is heard first.
-    OneWayBlind,
+    NoIndirectProbes,
     /// Those that are gone are kept for good.
-    NeverForget,
+    DeadKeptForever,
 }
 
 /// Times and bounds.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct MembershipSettings {
     /// Between two probes of a node in good health.
-    pub probe: Duration,
+    pub probe_interval: Duration,
     /// The shortest time that an answer is waited for.
-    pub least_wait: Duration,
-    /// The shortest time between a suspicion and its end; a pause that is longer ends a life.
-    pub suspicion: Duration,
+    pub min_ack_timeout: Duration,
+    /// The shortest time between a suspicion and its end; a pause that is longer ends a incarnation.
+    pub min_suspicion_timeout: Duration,
     /// Between two turns of telling rumours on.
-    pub gossip: Duration,
+    pub gossip_interval: Duration,
     /// One that is gone is remembered for so long.
-    pub forget: Duration,
+    pub dead_retention: Duration,
     /// The most members, the gone among them.
-    pub most: usize,
+    pub max_members: usize,
     /// The most bytes of a frame without its envelope.
-    pub frame: usize,
+    pub max_frame_bytes: usize,
     /// Helpers that are asked for one that does not answer.
-    pub helpers: usize,
-    /// A planted mistake; without the feature `faults` it is not looked at.
-    pub plant: Option<Plant>,
+    pub indirect_probes: usize,
+    /// A has_bug mistake; without the feature `faults` it is not looked at.
+    pub injected_bug: Option<InjectedBug>,
 }
 
-impl Default for Terms {
+impl Default for MembershipSettings {
     fn default() -> Self {
-        Terms {
-            probe: Duration::from_millis(500),
-            least_wait: Duration::from_millis(100),
-            suspicion: Duration::from_secs(1),
-            gossip: Duration::from_millis(100),
-            forget: Duration::from_secs(600),
-            most: 2048,
-            frame: 160,
-            helpers: 3,
-            plant: None,
+        MembershipSettings {
+            probe_interval: Duration::from_millis(500),
+            min_ack_timeout: Duration::from_millis(100),
+            min_suspicion_timeout: Duration::from_secs(1),
+            gossip_interval: Duration::from_millis(100),
+            dead_retention: Duration::from_secs(600),
+            max_members: 2048,
+            max_frame_bytes: 160,
+            indirect_probes: 3,
+            injected_bug: None,
         }
     }
 }
 
 /// This node, as the others are to know it.
 #[derive(Clone, Debug)]
-pub struct Me {
+pub struct LocalNode {
     /// Its name.
     pub name: Name,
     /// Where the others reach it.
     pub address: SocketAddr,
     /// What it tells of itself.
-    pub about: About,
+    pub metadata: NodeMetadata,
     /// Whom it asks first; its own address may be among them.
     pub seeds: Vec<SocketAddr>,
 }
 
 /// How this node stands to the fleet. Whatever acts for the fleet asks this first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// It has asked, in this life, and nobody has answered yet: it must not act on what it knew before.
-    Asking,
-    /// Somebody has answered this life, and somebody is heard now.
-    Settled,
+pub enum MembershipStatus {
+    /// It has asked, in this incarnation, and nobody has answered yet: it must not act on what it knew before.
+    Joining,
+    /// Somebody has answered this incarnation, and somebody is heard now.
+    Joined,
     /// It hears nobody: what it holds of the others is what it last knew, and it calls nobody gone.
-    Alone,
+    Isolated,
     /// Another process claims its name.
-    Conflict,
+    NameConflict,
 }
 
 /// What comes in.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time has come.
-    Turn,
+    Tick,
     /// A frame whose envelope was good: keyed, of this fleet, with a number not seen before.
     Frame {
         /// Who sent it.
         name: Name,
         /// Where that one says that it is reached.
         address: SocketAddr,
-        /// In which life it is.
-        life: Life,
-        /// The salt of the life that it speaks to; 0 if it knows none.
-        to: u32,
+        /// In which incarnation it is.
+        incarnation: Incarnation,
+        /// The salt of the incarnation that it capabilities to; 0 if it knows none.
+        to_salt: u32,
         /// What it says.
         frame: Frame,
     },
@@ -160,11 +160,11 @@
 /// What goes out.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// A frame, to the life with that salt; 0 if none is known.
+    /// A frame, to the incarnation with that salt; 0 if none is known.
     Send {
         /// Where to.
         to: SocketAddr,
-        /// To which life.
+        /// To which incarnation.
         salt: u32,
         /// What.
         frame: Frame,
@@ -176,67 +176,67 @@
         /// Where that one is reached.
         address: SocketAddr,
         /// What.
-        words: Sync,
+        message: SyncMessage,
     },
-    /// A life begins with this epoch, which the folder is to remember.
-    Keep(Life),
+    /// A incarnation begins with this epoch, which the folder is to remember.
+    StoreIncarnation(Incarnation),
     /// Worth a line of the log.
-    News(String),
+    Log(String),
 }
 
 /// What the machine counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Counters {
     /// Lives begun since the process started.
-    pub lives: u64,
+    pub incarnations: u64,
     /// Members that this node itself found not to answer.
     pub suspected: u64,
     /// Members that it called gone when its own wait was over.
-    pub called_gone: u64,
+    pub declared_dead: u64,
     /// Times that it spoke against a suspicion of itself.
-    pub refuted: u64,
-    /// Frames meant for an earlier life.
-    pub to_earlier: u64,
-    /// Frames from a life that has ended.
-    pub from_ended: u64,
+    pub refutations: u64,
+    /// Frames meant for an earlier incarnation.
+    pub to_earlier_incarnation: u64,
+    /// Frames from a incarnation that has ended.
+    pub from_ended_incarnation: u64,
     /// Strangers' frames.
-    pub strangers: u64,
+    pub from_strangers: u64,
     /// Frames of another process under this name, or this one's own.
-    pub namesakes: u64,
+    pub name_conflicts: u64,
     /// Claims and values that made no sense.
-    pub nonsense: u64,
+    pub invalid: u64,
     /// Claims for which there was no room.
-    pub no_room: u64,
+    pub capacity_rejections: u64,
     /// Answers that were not given, as too many were.
-    pub discourteous: u64,
+    pub rate_limited_replies: u64,
     /// Comparisons begun, and those that brought something.
     pub syncs: u64,
     /// Those that brought something.
-    pub fruitful_syncs: u64,
-    /// Pauses that ended a life.
+    pub productive_syncs: u64,
+    /// Pauses that ended a incarnation.
     pub pauses: u64,
 }
 
 /// The machine.
-pub struct Peers {
-    terms: Terms,
-    me: Me,
-    life: Life,
-    word: u32,
+pub struct Membership {
+    settings: MembershipSettings,
+    me: LocalNode,
+    incarnation: Incarnation,
+    refutation: u32,
     values: Values,
     members: Members,
     suspected: Vec<Name>,
     rumours: Rumours,
     probes: Probes,
-    health: Health,
+    health: LocalHealth,
     dice: Pcg32,
-    figures: Figures,
+    counters: Counters,
     /// The order of probes, taken from its end.
     ring: Vec<Name>,
     /// Those to look at soon, beside the usual order.
     soon: VecDeque<Name>,
     settled: bool,
-    /// When the last event came, any life's.
+    /// When the last event came, any incarnation's.
     last: Duration,
     /// When a fresh frame last came.
     heard: Option<Duration>,
@@ -259,23 +259,29 @@
     out: Vec<Action>,
 }
 
-impl Peers {
-    /// A node's first life. `epoch` is the last that its folder remembers, 0 if it remembers none; `seed` must differ from
+impl Membership {
+    /// A node's first incarnation. `epoch` is the last that its folder remembers, 0 if it remembers none; `seed` must differ from
     /// start to start, since lives are told apart by what is drawn from it.
-    pub fn new(terms: Terms, me: Me, epoch: u32, seed: u64, now: Duration) -> Self {
-        let mut peers = Peers {
-            members: Members::new(terms.most),
-            rumours: Rumours::new(terms.most * 2),
-            health: Health::new(terms.least_wait),
-            terms,
+    pub fn new(
+        settings: MembershipSettings,
+        me: LocalNode,
+        epoch: u32,
+        seed: u64,
+        now: Duration,
+    ) -> Self {
+        let mut peers = Membership {
+            members: Members::new(settings.max_members),
+            rumours: Rumours::new(settings.max_members * 2),
+            health: LocalHealth::new(settings.min_ack_timeout),
+            settings,
             me,
-            life: Life { epoch, salt: 0 },
-            word: 0,
+            incarnation: Incarnation { epoch, salt: 0 },
+            refutation: 0,
             values: Values::default(),
             suspected: Vec::new(),
             probes: Probes::default(),
             dice: Pcg32::seed_from_u64(seed),
-            figures: Figures::default(),
+            counters: Counters::default(),
             ring: Vec::new(),
             soon: VecDeque::new(),
             settled: false,
@@ -297,15 +303,15 @@
             leaving: false,
             out: Vec::new(),
         };
-        let epoch = if peers.planted(Plant::NoIncarnation) {
+        let epoch = if peers.has_bug(InjectedBug::ReusedIncarnation) {
             epoch.max(1)
         } else {
             epoch.saturating_add(1)
         };
         peers.live(epoch, now);
-        let about = AboutWords::from(&peers.me.about).encode_to_vec();
-        // Bounded by whoever made the terms; one that is too long is not told, and the zone is empty to others.
-        let _ = peers.tell("about", &about, now);
+        let about = MetadataMessage::from(&peers.me.metadata).encode_to_vec();
+        // Bounded by whoever made the settings; one that is too long is not told, and the zone is empty to others.
+        let _ = peers.publish("about", &about, now);
         peers
     }
 
@@ -313,14 +319,14 @@
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
         self.wake(now);
         match event {
-            Event::Turn => self.turn(now),
+            Event::Tick => self.turn(now),
             Event::Frame {
                 name,
                 address,
-                life,
-                to,
+                incarnation,
+                to_salt,
                 frame,
-            } => self.frame(now, name, address, life, to, &frame),
+            } => self.frame(now, name, address, incarnation, to_salt, &frame),
             Event::Sync(step) => self.sync(now, &step),
             Event::Leave => self.leave(),
         }
@@ -344,25 +350,25 @@
     }
 
     /// How this node stands.
-    pub fn standing(&self, now: Duration) -> Standing {
+    pub fn status(&self, now: Duration) -> MembershipStatus {
         if self.silent_until > now {
-            Standing::Conflict
+            MembershipStatus::NameConflict
         } else if !self.settled {
-            Standing::Asking
+            MembershipStatus::Joining
         } else if self.is_deaf(now) {
-            Standing::Alone
+            MembershipStatus::Isolated
         } else {
-            Standing::Settled
+            MembershipStatus::Joined
         }
     }
 
-    /// This life.
-    pub fn life(&self) -> Life {
-        self.life
+    /// This incarnation.
+    pub fn incarnation(&self) -> Incarnation {
+        self.incarnation
     }
 
     /// This node.
-    pub fn me(&self) -> &Me {
+    pub fn local(&self) -> &LocalNode {
         &self.me
     }
 
@@ -377,39 +383,39 @@
     }
 
     /// How many others live, as far as is known.
-    pub fn living(&self) -> usize {
+    pub fn active_count(&self) -> usize {
         self.members.living().len()
     }
 
     /// What was counted.
-    pub fn figures(&self) -> Figures {
-        self.figures
+    pub fn counters(&self) -> Counters {
+        self.counters
     }
 
     /// This node's own health and the time of round trips.
-    pub fn health(&self) -> &Health {
+    pub fn health(&self) -> &LocalHealth {
         &self.health
     }
 
     /// Rumours that are being told.
-    pub fn rumours(&self) -> usize {
+    pub fn pending_updates(&self) -> usize {
         self.rumours.len()
     }
 
-    /// One print of all that is known of the living; equal where two nodes know the same.
-    pub fn print(&self) -> u32 {
-        sync::print(&self.members, &self.own(&self.claim()))
+    /// One digest of all that is known of the living; equal where two nodes know the same.
+    pub fn digest(&self) -> u32 {
+        sync::digest(&self.members, &self.own(&self.claim()))
     }
 
     /// Tells the fleet a value of this node's own.
     ///
     /// # Errors
     /// It is over the bounds of keys, values or their number.
-    pub fn tell(&mut self, key: &str, bytes: &[u8], now: Duration) -> Result<(), &'static str> {
-        if key.is_empty() || key.len() > MOST_KEY {
+    pub fn publish(&mut self, key: &str, bytes: &[u8], now: Duration) -> Result<(), &'static str> {
+        if key.is_empty() || key.len() > MAX_KEY_BYTES {
             return Err("the key's length is not within bounds");
         }
-        if bytes.len() > MOST_BYTES {
+        if bytes.len() > MAX_VALUE_BYTES {
             return Err("the value is too long");
         }
         if self
@@ -438,22 +444,22 @@
         Ok(())
     }
 
-    fn planted(&self, plant: Plant) -> bool {
-        cfg!(feature = "faults") && self.terms.plant == Some(plant)
+    fn has_bug(&self, injected_bug: InjectedBug) -> bool {
+        cfg!(feature = "faults") && self.settings.injected_bug == Some(injected_bug)
     }
 
-    fn claim(&self) -> Claim {
-        Claim {
+    fn claim(&self) -> MemberUpdate {
+        MemberUpdate {
             name: self.me.name.clone(),
             address: self.me.address,
-            life: self.life,
-            word: self.word,
-            state: State::Alive,
-            by: 0,
+            incarnation: self.incarnation,
+            refutation: self.refutation,
+            state: MemberState::Alive,
+            suspected_by: 0,
         }
     }
 
-    fn own<'a>(&'a self, claim: &'a Claim) -> Own<'a> {
+    fn own<'a>(&'a self, claim: &'a MemberUpdate) -> Own<'a> {
         Own {
             claim,
             values: &self.values,
@@ -475,49 +481,53 @@
 
     /// Nobody has been heard for long enough that the fault may be this node's own.
     fn is_deaf(&self, now: Duration) -> bool {
-        let patience = self.least_suspicion().max(self.terms.probe * 2);
+        let patience = self.least_suspicion().max(self.settings.probe_interval * 2);
         self.heard
             .is_none_or(|heard| now.saturating_sub(heard) > patience)
     }
 
     fn least_suspicion(&self) -> Duration {
-        self.terms.suspicion.max(self.health.usual_wait() * 4)
+        self.settings
+            .min_suspicion_timeout
+            .max(self.health.base_ack_timeout() * 4)
     }
 
     // ---- Lives --------------------------------------------------------------------------------
 
-    /// Sees a pause: if no event came for so long, others may have called this life gone.
+    /// Sees a pause: if no event came for so long, others may have called this incarnation gone.
     fn wake(&mut self, now: Duration) {
         let slept = now.saturating_sub(self.last);
         self.last = self.last.max(now);
-        if slept <= self.terms.suspicion.max(TURN * 2) || self.planted(Plant::NoIncarnation) {
+        if slept <= self.settings.min_suspicion_timeout.max(TURN * 2)
+            || self.has_bug(InjectedBug::ReusedIncarnation)
+        {
             return;
         }
-        self.figures.pauses += 1;
-        self.out.push(Action::News(format!(
+        self.counters.pauses += 1;
+        self.out.push(Action::Log(format!(
             "was not running for {} ms",
             slept.as_millis()
         )));
-        self.live(self.life.epoch.saturating_add(1), now);
+        self.live(self.incarnation.epoch.saturating_add(1), now);
     }
 
-    /// Begins a life. What this node knows of others stays as what it last knew; it asks before it counts on it.
+    /// Begins a incarnation. What this node knows of others stays as what it last knew; it asks before it counts on it.
     fn live(&mut self, epoch: u32, now: Duration) {
-        let salt = if self.planted(Plant::NoIncarnation) {
+        let salt = if self.has_bug(InjectedBug::ReusedIncarnation) {
             values::hash(&[self.me.name.as_str().as_bytes()]) // the same in each process of the name
         } else {
             self.dice.next_u32()
         };
-        self.life = Life {
+        self.incarnation = Incarnation {
             epoch: epoch.max(1),
             salt: salt.max(1),
         };
-        self.figures.lives += 1;
-        self.word = 0;
+        self.counters.incarnations += 1;
+        self.refutation = 0;
         self.settled = false;
         self.heard = None;
         (self.next_ask, self.ask_pause) = (now, FIRST_ASK);
-        self.next_probe = now + self.terms.probe;
+        self.next_probe = now + self.settings.probe_interval;
         self.probes.clear();
         self.soon.clear();
         // Waits that ran while nobody looked are begun anew.
@@ -530,22 +540,22 @@
                 suspicion.since = now;
             }
         }
-        // Versions go on rising, so that a value is never told twice under one version of a life.
+        // Versions go on rising, so that a value is never told twice under one version of a incarnation.
         let keys: Vec<_> = self.values.iter().map(|value| value.key.clone()).collect();
         self.rumours.add(Subject::Member(self.me.name.clone()));
         for key in keys {
             self.rumours.add(Subject::Value(self.me.name.clone(), key));
         }
-        self.out.push(Action::Keep(self.life));
+        self.out.push(Action::StoreIncarnation(self.incarnation));
     }
 
     /// Something is claimed of this node itself.
-    fn claimed_of_me(&mut self, claim: &Claim, now: Duration) {
-        if claim.life < self.life {
+    fn claimed_of_me(&mut self, claim: &MemberUpdate, now: Duration) {
+        if claim.incarnation < self.incarnation {
             return;
         }
-        if claim.life > self.life {
-            // A life of this name that is not this process's: an earlier one that the folder forgot, or another process.
+        if claim.incarnation > self.incarnation {
+            // A incarnation of this name that is not this process's: an earlier one that the folder forgot, or another process.
             self.lives.retain(|at| now.saturating_sub(*at) < CONFLICT);
             self.lives.push_back(now);
             if self.lives.len() > NAMESAKES {
@@ -555,44 +565,44 @@
                     "another process claims the name {} at {}",
                     self.me.name, claim.address
                 );
-                self.out.push(Action::News(what));
+                self.out.push(Action::Log(what));
             }
-            self.live(claim.life.epoch.saturating_add(1), now);
+            self.live(claim.incarnation.epoch.saturating_add(1), now);
             return;
         }
-        if self.planted(Plant::NoIncarnation) && !claim.state.is_living() {
+        if self.has_bug(InjectedBug::ReusedIncarnation) && !claim.state.is_active() {
             return;
         }
-        if !claim.state.is_living() {
-            self.out.push(Action::News(format!(
+        if !claim.state.is_active() {
+            self.out.push(Action::Log(format!(
                 "was called gone in life {}",
-                self.life
+                self.incarnation
             )));
-            self.live(self.life.epoch.saturating_add(1), now);
-        } else if claim.word > self.word
-            || (claim.word == self.word && claim.state == State::Suspected)
+            self.live(self.incarnation.epoch.saturating_add(1), now);
+        } else if claim.refutation > self.refutation
+            || (claim.refutation == self.refutation && claim.state == MemberState::Suspect)
         {
-            self.word = claim.word.saturating_add(1);
-            self.figures.refuted += 1;
-            self.health.worse(1);
+            self.refutation = claim.refutation.saturating_add(1);
+            self.counters.refutations += 1;
+            self.health.degrade(1);
             self.rumours.add(Subject::Member(self.me.name.clone()));
-        } else if claim.state == State::Suspected {
-            // Its word against that has not got to whoever says so: the next frame has it.
+        } else if claim.state == MemberState::Suspect {
+            // Its refutation against that has not got to whoever says so: the next frame has it.
             self.rumours.add(Subject::Member(self.me.name.clone()));
         }
     }
 
     fn leave(&mut self) {
         self.leaving = true;
-        let claim = Claim {
-            state: State::Left,
+        let claim = MemberUpdate {
+            state: MemberState::Left,
             ..self.claim()
         };
         let update = Update::from(&claim);
         for name in self.some_living(FAN_OUT * 2, None) {
             let frame = Frame {
                 updates: vec![update.clone()],
-                print: 0,
+                digest: 0,
                 ..Frame::default()
             };
             self.send(&name, frame);
@@ -606,37 +616,37 @@
         now: Duration,
         name: Name,
         address: SocketAddr,
-        life: Life,
-        to: u32,
+        incarnation: Incarnation,
+        to_salt: u32,
         frame: &Frame,
     ) {
         if self.silent_until > now || self.leaving {
             return;
         }
-        let kind = Kind::try_from(frame.kind).unwrap_or(Kind::Gossip); // a newer build's: its rumours are read
-        let header = Claim {
+        let kind = FrameKind::try_from(frame.kind).unwrap_or(FrameKind::Gossip); // a newer build's: its rumours are read
+        let header = MemberUpdate {
             name,
             address,
-            life,
-            word: 0,
-            state: State::Alive,
-            by: 0,
+            incarnation,
+            refutation: 0,
+            state: MemberState::Alive,
+            suspected_by: 0,
         };
         if self.is_me(&header.name) {
-            self.figures.namesakes += 1;
-            if life != self.life {
+            self.counters.name_conflicts += 1;
+            if incarnation != self.incarnation {
                 self.claimed_of_me(&header, now);
             }
             return;
         }
-        if to != self.life.salt {
-            if to == 0 {
-                self.figures.strangers += 1;
+        if to_salt != self.incarnation.salt {
+            if to_salt == 0 {
+                self.counters.from_strangers += 1;
             } else {
-                self.figures.to_earlier += 1;
+                self.counters.to_earlier_incarnation += 1;
             }
-            // Nothing that it says is believed: it may have been on its way since before this life. It is told who is here.
-            if (to != 0 || kind == Kind::Join) && kind != Kind::Welcome {
+            // Nothing that it says is believed: it may have been on its way since before this incarnation. It is told who is here.
+            if (to_salt != 0 || kind == FrameKind::Join) && kind != FrameKind::Welcome {
                 self.welcome(now, &header);
             }
             return;
@@ -645,79 +655,81 @@
         let (updates, nonsense): (Vec<_>, Vec<_>) = frame
             .updates
             .iter()
-            .map(Update::claim)
+            .map(Update::to_member_update)
             .partition(Option::is_some);
-        self.figures.nonsense += nonsense.len() as u64;
-        let claims: Vec<Claim> = updates.into_iter().flatten().collect();
-        let (of_me, of_others): (Vec<Claim>, Vec<Claim>) = claims
+        self.counters.invalid += nonsense.len() as u64;
+        let claims: Vec<MemberUpdate> = updates.into_iter().flatten().collect();
+        let (of_me, of_others): (Vec<MemberUpdate>, Vec<MemberUpdate>) = claims
             .into_iter()
             .partition(|claim| self.is_me(&claim.name));
         for claim in &of_me {
             self.claimed_of_me(claim, now);
         }
-        if !self.settled && to == self.life.salt {
+        if !self.settled && to_salt == self.incarnation.salt {
             self.settled = true;
-            self.out.push(Action::News(format!(
+            self.out.push(Action::Log(format!(
                 "was answered by {} in life {}",
-                header.name, self.life
+                header.name, self.incarnation
             )));
             self.ask_to_sync(now, &header.name, header.address, true);
         }
-        // Who has ended is not believed until it comes in a new life; it is told so.
+        // Who has ended is not believed until it comes in a new incarnation; it is told so.
         if let Some(known) = self.members.get(&header.name) {
-            if known.life > life || (known.life == life && !known.state.is_living()) {
-                self.figures.from_ended += 1;
+            if known.incarnation > incarnation
+                || (known.incarnation == incarnation && !known.state.is_active())
+            {
+                self.counters.from_ended_incarnation += 1;
                 let update = Update::from(&known.claim());
-                self.notice(now, address, life.salt, update);
+                self.notice(now, address, incarnation.salt, update);
                 return;
             }
         }
         self.take(&header, now, true);
         if let Some(member) = self.members.get_mut(&header.name) {
-            member.heard = Some(now);
+            member.last_heard = Some(now);
         }
         for claim in &of_others {
             self.take(claim, now, true);
         }
         self.take_values(&frame.values, true);
         match kind {
-            Kind::Ping => {
+            FrameKind::Ping => {
                 let ack = Frame {
-                    kind: Kind::Ack as i32,
-                    number: frame.number,
+                    kind: FrameKind::Ack as i32,
+                    sequence: frame.sequence,
                     ..Frame::default()
                 };
                 self.send(&header.name, ack);
             }
-            Kind::Ack => self.acked(now, &header.name, frame.number),
-            Kind::Nack => self.probes.nack(frame.number),
-            Kind::Favour => self.favour(now, &header.name, frame),
-            Kind::Join | Kind::Welcome | Kind::Gossip => {}
+            FrameKind::Ack => self.acked(now, &header.name, frame.sequence),
+            FrameKind::Nack => self.probes.nack(frame.sequence),
+            FrameKind::IndirectPing => self.favour(now, &header.name, frame),
+            FrameKind::Join | FrameKind::Welcome | FrameKind::Gossip => {}
         }
-        self.compare(now, &header.name, header.address, frame.print);
+        self.compare(now, &header.name, header.address, frame.digest);
     }
 
     /// A claim about another member, from a frame or a link.
-    fn take(&mut self, claim: &Claim, now: Duration, tell_on: bool) {
+    fn take(&mut self, claim: &MemberUpdate, now: Duration, tell_on: bool) {
         let before = self.members.get(&claim.name).map(|member| member.state);
         let change = self.members.take(claim, now);
         let after = self.members.get(&claim.name).map(|member| member.state);
         match change {
             Change::Nothing => return,
             Change::NoRoom => {
-                self.figures.no_room += 1;
+                self.counters.capacity_rejections += 1;
                 return;
             }
-            Change::Born | Change::Reborn | Change::State => {}
+            Change::Born | Change::Reborn | Change::Updated => {}
         }
         self.suspected.retain(|name| *name != claim.name);
-        if after == Some(State::Suspected) {
+        if after == Some(MemberState::Suspect) {
             self.suspected.push(claim.name.clone());
         }
         if tell_on {
             self.rumours.add(Subject::Member(claim.name.clone()));
         }
-        let living = after.is_some_and(State::is_living);
+        let living = after.is_some_and(MemberState::is_active);
         if change == Change::Born || change == Change::Reborn {
             let what = if change == Change::Born {
                 "is there"
@@ -725,27 +737,27 @@
                 "is back"
             };
             if living {
-                self.out.push(Action::News(format!(
+                self.out.push(Action::Log(format!(
                     "{} {what} in life {}",
-                    claim.name, claim.life
+                    claim.name, claim.incarnation
                 )));
                 let place = self.below(self.ring.len() + 1);
                 self.ring.insert(place, claim.name.clone());
             }
         }
         if before != after && !living {
-            let what = if after == Some(State::Left) {
+            let what = if after == Some(MemberState::Left) {
                 "has left"
             } else {
                 "is gone"
             };
-            self.out.push(Action::News(format!(
+            self.out.push(Action::Log(format!(
                 "{} {what} in life {}",
-                claim.name, claim.life
+                claim.name, claim.incarnation
             )));
         }
         // Volunteers: the sooner several have looked, the sooner it is known one way or the other.
-        if tell_on && before != after && after == Some(State::Suspected) {
+        if tell_on && before != after && after == Some(MemberState::Suspect) {
             let living = self.members.living().len() as u32;
             if self.dice.next_u32() % living.max(1) < VOLUNTEERS && self.soon.len() < 64 {
                 self.soon.push_back(claim.name.clone());
@@ -753,18 +765,18 @@
         }
     }
 
-    fn take_values(&mut self, told: &[Told], tell_on: bool) -> bool {
+    fn take_values(&mut self, told: &[MemberValue], tell_on: bool) -> bool {
         let mut news = false;
         for told in told {
-            let Some((name, life, value)) = told.value() else {
-                self.figures.nonsense += 1;
+            let Some((name, incarnation, value)) = told.to_value() else {
+                self.counters.invalid += 1;
                 continue;
             };
             if self.is_me(&name) {
                 continue; // this node alone knows what it tells
             }
             let key = value.key.clone();
-            if self.members.take_value(&name, life, value) {
+            if self.members.take_value(&name, incarnation, value) {
                 news = true;
                 if tell_on {
                     self.rumours.add(Subject::Value(name, key));
@@ -777,15 +789,15 @@
     fn acked(&mut self, now: Duration, from: &Name, number: u64) {
         if let Some(favour) = self.probes.favoured(number) {
             let ack = Frame {
-                kind: Kind::Ack as i32,
-                number: favour.number,
+                kind: FrameKind::Ack as i32,
+                sequence: favour.number,
                 ..Frame::default()
             };
             self.send(&favour.whose, ack);
             return;
         }
         let Some(probe) = self.probes.answered(number) else {
-            // Too late for its probe, and still the best word on how long the way is.
+            // Too late for its probe, and still the best refutation on how long the way is.
             if let Some((target, asked)) = self
                 .probes
                 .late(number)
@@ -795,38 +807,38 @@
             }
             return;
         };
-        self.health.better();
+        self.health.recover();
         if probe.target == *from {
             self.tripped(&probe.target, now.saturating_sub(probe.asked));
         } else if let Some(member) = self.members.get_mut(&probe.target) {
-            member.probes.1 += 1; // a helper's word: the straight way is broken
+            member.probes.unanswered += 1; // a helper's refutation: the straight way is broken
         }
     }
 
     fn tripped(&mut self, name: &Name, trip: Duration) {
-        self.health.took(trip);
+        self.health.record_round_trip(trip);
         if let Some(member) = self.members.get_mut(name) {
-            member.trip = Some(
+            member.round_trip = Some(
                 member
-                    .trip
+                    .round_trip
                     .map_or(trip, |smoothed| (smoothed * 7 + trip) / 8),
             );
         }
     }
 
     fn favour(&mut self, now: Duration, whose: &Name, frame: &Frame) {
-        let Some(claim) = frame.about.as_ref().and_then(Update::claim) else {
-            self.figures.nonsense += 1;
+        let Some(claim) = frame.target.as_ref().and_then(Update::to_member_update) else {
+            self.counters.invalid += 1;
             return;
         };
         if self.is_me(&claim.name) {
             return;
         }
         self.take(&claim, now, true);
-        let ends = now + self.health.wait();
+        let ends = now + self.health.ack_timeout();
         let favour = Favour {
             whose: whose.clone(),
-            number: frame.number,
+            number: frame.sequence,
             ends,
         };
         if let Some(number) = self.probes.favour(favour) {
@@ -835,11 +847,11 @@
     }
 
     /// Prints that go on differing are worth a comparison.
-    fn compare(&mut self, now: Duration, name: &Name, address: SocketAddr, print: u32) {
-        if print == 0 {
+    fn compare(&mut self, now: Duration, name: &Name, address: SocketAddr, digest: u32) {
+        if digest == 0 {
             return;
         }
-        if print == self.print() {
+        if digest == self.digest() {
             self.differs = None;
             self.sync_pause = SYNC;
             return;
@@ -857,13 +869,13 @@
         self.next_sync = now + self.about(self.sync_pause);
         self.sync_pause = (self.sync_pause * 2).min(LONGEST_SYNC);
         self.differs = None;
-        self.figures.syncs += 1;
+        self.counters.syncs += 1;
         let claim = self.claim();
         let words = sync::ask(&self.members, &self.own(&claim));
         self.out.push(Action::Sync {
             to: name.clone(),
             address,
-            words,
+            message: words,
         });
     }
 
@@ -872,18 +884,20 @@
             return;
         }
         if let Some(known) = self.members.get(&step.name) {
-            if known.life > step.life || (known.life == step.life && !known.state.is_living()) {
-                self.figures.from_ended += 1;
+            if known.incarnation > step.incarnation
+                || (known.incarnation == step.incarnation && !known.state.is_active())
+            {
+                self.counters.from_ended_incarnation += 1;
                 return;
             }
         }
-        if step.words.step == 1 && now < self.sync_answered {
-            self.figures.discourteous += 1;
+        if step.message.step == 1 && now < self.sync_answered {
+            self.counters.rate_limited_replies += 1;
             return;
         }
-        let (claims, nonsense) = sync::claims(&step.words);
-        self.figures.nonsense += nonsense as u64;
-        let before = self.print();
+        let (claims, nonsense) = sync::claims(&step.message);
+        self.counters.invalid += nonsense as u64;
+        let before = self.digest();
         for claim in &claims {
             if self.is_me(&claim.name) {
                 self.claimed_of_me(claim, now);
@@ -892,18 +906,18 @@
                 self.take(claim, now, false);
             }
         }
-        self.take_values(&step.words.values, false);
-        if self.print() != before {
-            self.figures.fruitful_syncs += 1;
+        self.take_values(&step.message.values, false);
+        if self.digest() != before {
+            self.counters.productive_syncs += 1;
         }
-        if step.words.step == 2 {
+        if step.message.step == 2 {
             self.sync_pause = SYNC; // something did differ
         }
         let claim = self.claim();
-        let answer = sync::answer(&self.members, &self.own(&claim), &step.words);
-        let cost = answer.as_ref().map_or(0, Message::encoded_len) + step.words.encoded_len();
+        let answer = sync::answer(&self.members, &self.own(&claim), &step.message);
+        let cost = answer.as_ref().map_or(0, Message::encoded_len) + step.message.encoded_len();
         let rest = now + Duration::from_secs_f64(cost as f64 / SYNC_BYTES);
-        match step.words.step {
+        match step.message.step {
             1 | 3 => self.sync_answered = self.sync_answered.max(rest),
             _ => self.next_sync = self.next_sync.max(rest),
         }
@@ -915,26 +929,26 @@
             self.out.push(Action::Sync {
                 to: step.name.clone(),
                 address,
-                words,
+                message: words,
             });
         }
     }
 
     // ---- What goes out ------------------------------------------------------------------------
 
-    /// To a member in the life that is known of it, with as many rumours as fit.
+    /// To a member in the incarnation that is known of it, with as many rumours as fit.
     fn send(&mut self, name: &Name, frame: Frame) {
         let Some(member) = self.members.get(name) else {
             return;
         };
-        let (to, salt) = (member.address, member.life.salt);
+        let (to, salt) = (member.address, member.incarnation.salt);
         let frame = self.filled(frame);
         self.out.push(Action::Send { to, salt, frame });
     }
 
-    /// With rumours in what room there is, and the print.
+    /// With rumours in what room there is, and the digest.
     fn filled(&mut self, mut frame: Frame) -> Frame {
-        frame.print = self.print().max(1);
+        frame.digest = self.digest().max(1);
         let mut size = frame.encoded_len();
         let limit = 4 * (self.members.living().len() as f64 + 2.0).log10().ceil() as u32;
         let limit = (limit * MANY as u32 / self.rumours.len().max(MANY) as u32).max(FEWEST);
@@ -954,7 +968,7 @@
                         continue;
                     };
                     let more = length(update.encoded_len());
-                    if size + more <= self.terms.frame {
+                    if size + more <= self.settings.max_frame_bytes {
                         size += more;
                         frame.updates.push(update);
                         told.push(subject);
@@ -964,10 +978,12 @@
                     let value = if self.is_me(name) {
                         self.values
                             .get(key)
-                            .map(|value| Told::of(name, self.life, value))
+                            .map(|value| MemberValue::new(name, self.incarnation, value))
                     } else {
                         let member = self.members.get(name);
-                        member.and_then(|m| Some(Told::of(name, m.life, m.values.get(key)?)))
+                        member.and_then(|m| {
+                            Some(MemberValue::new(name, m.incarnation, m.values.get(key)?))
+                        })
                     };
                     let Some(value) = value else {
                         self.rumours.drop(&subject);
@@ -975,7 +991,7 @@
                     };
                     let encoded = value.encoded_len();
                     let more = length(encoded) + usize::from(encoded >= 128);
-                    if size + more <= self.terms.frame {
+                    if size + more <= self.settings.max_frame_bytes {
                         size += more;
                         frame.values.push(value);
                         told.push(subject);
@@ -996,17 +1012,17 @@
         }
         self.courtesy.1 += 1;
         let courteous = self.courtesy.1 <= COURTESY;
-        self.figures.discourteous += u64::from(!courteous);
+        self.counters.rate_limited_replies += u64::from(!courteous);
         courteous
     }
 
-    /// Tells a stranger, or one that knows an earlier life, who is here: what is known of itself first, then some others.
-    fn welcome(&mut self, now: Duration, whom: &Claim) {
+    /// Tells a stranger, or one that knows an earlier incarnation, who is here: what is known of itself first, then some others.
+    fn welcome(&mut self, now: Duration, whom: &MemberUpdate) {
         if !self.is_courteous(now) {
             return;
         }
         let mut frame = Frame {
-            kind: Kind::Welcome as i32,
+            kind: FrameKind::Welcome as i32,
             ..Frame::default()
         };
         frame.updates.extend(
@@ -1020,14 +1036,14 @@
                 .get(&name)
                 .map(|member| Update::from(&member.claim()));
             frame.updates.extend(update);
-            if frame.encoded_len() > self.terms.frame {
+            if frame.encoded_len() > self.settings.max_frame_bytes {
                 frame.updates.pop();
                 break;
             }
         }
         self.out.push(Action::Send {
             to: whom.address,
-            salt: whom.life.salt,
+            salt: whom.incarnation.salt,
             frame,
         });
     }
@@ -1074,12 +1090,13 @@
         self.ask_helpers(now);
         self.give_up(now);
         self.settle_suspicions(now);
-        if !self.planted(Plant::NeverForget) {
-            self.members.forget(now.saturating_sub(self.terms.forget));
+        if !self.has_bug(InjectedBug::DeadKeptForever) {
+            self.members
+                .forget(now.saturating_sub(self.settings.dead_retention));
         }
     }
 
-    /// Where a life that nobody has answered yet asks: a seed, and one that was known before.
+    /// Where a incarnation that nobody has answered yet asks: a seed, and one that was known before.
     fn ask(&mut self, now: Duration) {
         if self.settled || now < self.next_ask {
             return;
@@ -1107,7 +1124,7 @@
         whom.dedup();
         for to in whom {
             let frame = Frame {
-                kind: Kind::Join as i32,
+                kind: FrameKind::Join as i32,
                 ..Frame::default()
             };
             self.out.push(Action::Send { to, salt: 0, frame });
@@ -1124,7 +1141,7 @@
         let living = |at: SocketAddr| {
             self.members
                 .iter()
-                .any(|m| m.state.is_living() && m.address == at)
+                .any(|m| m.state.is_active() && m.address == at)
         };
         let mut lost: Vec<SocketAddr> = self
             .me
@@ -1136,12 +1153,12 @@
         let gone = self
             .members
             .iter()
-            .filter(|member| member.state == State::Gone);
+            .filter(|member| member.state == MemberState::Dead);
         lost.extend(gone.map(|member| member.address));
         if !lost.is_empty() {
             let to = lost[self.below(lost.len())];
             let frame = Frame {
-                kind: Kind::Join as i32,
+                kind: FrameKind::Join as i32,
                 ..Frame::default()
             };
             self.out.push(Action::Send { to, salt: 0, frame });
@@ -1152,7 +1169,7 @@
         if now < self.next_gossip || self.rumours.is_empty() {
             return;
         }
-        self.next_gossip = now + self.terms.gossip;
+        self.next_gossip = now + self.settings.gossip_interval;
         let (left, at) = self.gossip_left;
         let left = (left + now.saturating_sub(at).as_secs_f64() * GOSSIP_RATE).min(GOSSIP_BURST);
         let count = FAN_OUT.min(left as usize);
@@ -1169,16 +1186,16 @@
             return;
         }
         if now.saturating_sub(self.next_probe) > LATE {
-            self.health.worse(1);
+            self.health.degrade(1);
         }
-        self.next_probe = now + self.terms.probe * (self.health.score() + 1);
+        self.next_probe = now + self.settings.probe_interval * (self.health.score() + 1);
         // Through all of them in one order, then in another: nobody is left out for long.
         for _ in 0..2 {
             while let Some(name) = self.ring.pop() {
                 if self
                     .members
                     .get(&name)
-                    .is_some_and(|member| member.state.is_living())
+                    .is_some_and(|member| member.state.is_active())
                 {
                     self.probe(&name, now);
                     return;
@@ -1201,7 +1218,7 @@
             if self
                 .members
                 .get(&name)
-                .is_some_and(|member| member.state == State::Suspected)
+                .is_some_and(|member| member.state == MemberState::Suspect)
             {
                 self.probe(&name, now);
             }
@@ -1209,14 +1226,14 @@
     }
 
     fn probe(&mut self, name: &Name, now: Duration) {
-        let wait = self.health.wait();
+        let wait = self.health.ack_timeout();
         let Some(member) = self.members.get_mut(name) else {
             return;
         };
-        member.probes.0 += 1;
+        member.probes.sent += 1;
         let probe = Probe {
             target: name.clone(),
-            life: member.life,
+            incarnation: member.incarnation,
             asked: now,
             direct_until: now + wait,
             ends: now + wait * 3,
@@ -1231,14 +1248,14 @@
     /// Pings, and tells one that is suspected so before all else.
     fn ping(&mut self, name: &Name, number: u64) {
         let mut frame = Frame {
-            kind: Kind::Ping as i32,
-            number,
+            kind: FrameKind::Ping as i32,
+            sequence: number,
             ..Frame::default()
         };
         let suspected = self
             .members
             .get(name)
-            .filter(|member| member.state == State::Suspected);
+            .filter(|member| member.state == MemberState::Suspect);
         frame
             .updates
             .extend(suspected.map(|member| Update::from(&member.claim())));
@@ -1247,20 +1264,20 @@
 
     fn ask_helpers(&mut self, now: Duration) {
         for (number, target) in self.probes.due_for_help(now) {
-            if self.planted(Plant::OneWayBlind) {
+            if self.has_bug(InjectedBug::NoIndirectProbes) {
                 continue;
             }
             let Some(claim) = self.members.get(&target).map(Member::claim) else {
                 continue;
             };
-            let helpers = self.some_living(self.terms.helpers, Some(&target));
+            let helpers = self.some_living(self.settings.indirect_probes, Some(&target));
             self.probes.helped_by(number, helpers.len());
             for helper in &helpers {
                 let about = Some(Update::from(&claim));
                 let favour = Frame {
-                    kind: Kind::Favour as i32,
-                    number,
-                    about,
+                    kind: FrameKind::IndirectPing as i32,
+                    sequence: number,
+                    target: about,
                     ..Frame::default()
                 };
                 self.send(helper, favour);
@@ -1273,8 +1290,8 @@
     fn give_up(&mut self, now: Duration) {
         for favour in self.probes.in_vain(now) {
             let nack = Frame {
-                kind: Kind::Nack as i32,
-                number: favour.number,
+                kind: FrameKind::Nack as i32,
+                sequence: favour.number,
                 ..Frame::default()
             };
             self.send(&favour.whose, nack);
@@ -1282,32 +1299,32 @@
         for probe in self.probes.failed(now) {
             // Nobody answered, not even those who should have said that they had no answer.
             if probe.nacks == 0 && probe.helpers > 0 {
-                self.health.worse(1);
+                self.health.degrade(1);
             }
             let Some(member) = self.members.get_mut(&probe.target) else {
                 continue;
             };
-            member.probes.1 += 1;
-            if member.life != probe.life || !member.state.is_living() {
+            member.probes.unanswered += 1;
+            if member.incarnation != probe.incarnation || !member.state.is_active() {
                 continue;
             }
             let mut claim = member.claim();
-            claim.by = values::hash(&[self.me.name.as_str().as_bytes()]);
-            if self.planted(Plant::OneWayBlind) {
-                claim.state = State::Gone;
+            claim.suspected_by = values::hash(&[self.me.name.as_str().as_bytes()]);
+            if self.has_bug(InjectedBug::NoIndirectProbes) {
+                claim.state = MemberState::Dead;
                 self.take(&claim, now, true);
                 continue;
             }
             if self.is_deaf(now) {
                 continue; // the fault is more likely here
             }
-            claim.state = State::Suspected;
+            claim.state = MemberState::Suspect;
             if self
                 .members
                 .get(&probe.target)
-                .is_some_and(|member| member.state == State::Alive)
+                .is_some_and(|member| member.state == MemberState::Alive)
             {
-                self.figures.suspected += 1;
+                self.counters.suspected += 1;
             }
             self.take(&claim, now, true);
         }
@@ -1355,9 +1372,9 @@
             if now.saturating_sub(suspicion.since) < self.patience(confirmed) {
                 continue;
             }
-            // It spoke here since, and only its word against the suspicion was lost. One that is dead says nothing more.
-            let settled = suspicion.since + self.health.usual_wait() * 2;
-            if member.heard.is_some_and(|heard| heard > settled) {
+            // It spoke here since, and only its refutation against the suspicion was lost. One that is dead says nothing more.
+            let settled = suspicion.since + self.health.base_ack_timeout() * 2;
+            if member.last_heard.is_some_and(|heard| heard > settled) {
                 again.push(name.clone());
             } else {
                 over.push(member.claim());
@@ -1375,10 +1392,10 @@
             self.soon.truncate(64);
         }
         for claim in over {
-            self.figures.called_gone += 1;
+            self.counters.declared_dead += 1;
             self.take(
-                &Claim {
-                    state: State::Gone,
+                &MemberUpdate {
+                    state: MemberState::Dead,
                     ..claim
                 },
                 now,
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,14 +1,14 @@
 //! The members that are known, and what of them is known in common.
 
-use crate::life::{About, Claim, Life, Name, State};
+use crate::incarnation::{Incarnation, MemberState, MemberUpdate, Name, NodeMetadata};
 use crate::values::{self, Value, Values};
-use crate::words::AboutWords;
+use crate::wire::MetadataMessage;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Parts of the fleet by the hash of a name, so that two members find what differs without telling all they know.
-pub const PARTS: usize = 64;
+pub const BUCKETS: usize = 64;
 
 /// A suspicion that is not settled.
 #[derive(Clone, Debug)]
@@ -19,6 +19,15 @@
     pub by: Vec<u32>,
 }
 
+/// Probes of a member.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ProbeCounts {
+    /// Probes sent to it.
+    pub sent: u32,
+    /// Probes that it did not answer itself.
+    pub unanswered: u32,
+}
+
 /// A member.
 #[derive(Clone, Debug)]
 pub struct Member {
@@ -26,36 +35,36 @@
     pub name: Name,
     /// Where it is reached.
     pub address: SocketAddr,
-    /// Its life.
-    pub life: Life,
-    /// Its newest word against a suspicion.
-    pub word: u32,
+    /// Its incarnation.
+    pub incarnation: Incarnation,
+    /// Its newest refutation against a suspicion.
+    pub refutation: u32,
     /// What it is held to be.
-    pub state: State,
+    pub state: MemberState,
     /// Since when it is.
-    pub since: Duration,
+    pub state_since: Duration,
     /// When a frame of its own last came, and was fresh.
-    pub heard: Option<Duration>,
+    pub last_heard: Option<Duration>,
     /// The smoothed round trip to it.
-    pub trip: Option<Duration>,
+    pub round_trip: Option<Duration>,
     /// Probes of it, and how many of them it did not answer itself.
-    pub probes: (u32, u32),
+    pub probes: ProbeCounts,
     /// What it tells of itself.
-    pub about: About,
+    pub metadata: NodeMetadata,
     pub(crate) values: Values,
     pub(crate) suspicion: Option<Suspicion>,
-    pub(crate) print: u32,
+    pub(crate) digest: u32,
 }
 
 impl Member {
-    pub(crate) fn claim(&self) -> Claim {
-        Claim {
+    pub(crate) fn claim(&self) -> MemberUpdate {
+        MemberUpdate {
             name: self.name.clone(),
             address: self.address,
-            life: self.life,
-            word: self.word,
+            incarnation: self.incarnation,
+            refutation: self.refutation,
             state: self.state,
-            by: self
+            suspected_by: self
                 .suspicion
                 .as_ref()
                 .and_then(|s| s.by.last().copied())
@@ -76,10 +85,10 @@
     Nothing,
     /// A member that was not there is.
     Born,
-    /// A member is in a new life.
+    /// A member is in a new incarnation.
     Reborn,
-    /// Its word or its state is another.
-    State,
+    /// Its refutation or its state is another.
+    Updated,
     /// There is no room for one more member.
     NoRoom,
 }
@@ -90,7 +99,7 @@
     all: BTreeMap<Name, Member>,
     /// Names of the living, in no order, to draw from.
     living: Vec<Name>,
-    prints: Vec<u32>,
+    digests: Vec<u32>,
     most: usize,
 }
 
@@ -99,7 +108,7 @@
     pub fn new(most: usize) -> Self {
         Members {
             most,
-            prints: vec![0; PARTS],
+            digests: vec![0; BUCKETS],
             ..Members::default()
         }
     }
@@ -121,18 +130,18 @@
         &self.living
     }
 
-    /// The prints of all parts, of the living.
-    pub fn prints(&self) -> &[u32] {
-        &self.prints
+    /// The digests of all parts, of the living.
+    pub fn digests(&self) -> &[u32] {
+        &self.digests
     }
 
     /// Which part a name stands in.
-    pub fn part(name: &Name) -> usize {
-        values::hash(&[name.as_str().as_bytes()]) as usize % PARTS
+    pub fn bucket(name: &Name) -> usize {
+        values::hash(&[name.as_str().as_bytes()]) as usize % BUCKETS
     }
 
     /// Takes a claim about another member in.
-    pub fn take(&mut self, claim: &Claim, now: Duration) -> Change {
+    pub fn take(&mut self, claim: &MemberUpdate, now: Duration) -> Change {
         let Some(member) = self.all.get_mut(&claim.name) else {
             if self.all.len() >= self.most && !self.make_room() {
                 return Change::NoRoom;
@@ -141,53 +150,56 @@
             let member = Member {
                 name: claim.name.clone(),
                 address: claim.address,
-                life: claim.life,
-                word: claim.word,
+                incarnation: claim.incarnation,
+                refutation: claim.refutation,
                 state: claim.state,
-                since: now,
-                heard: None,
-                trip: None,
-                probes: (0, 0),
-                about: About::default(),
+                state_since: now,
+                last_heard: None,
+                round_trip: None,
+                probes: ProbeCounts::default(),
+                metadata: NodeMetadata::default(),
                 values: Values::default(),
                 suspicion: None,
-                print: 0,
+                digest: 0,
             };
             self.all.insert(claim.name.clone(), member);
             self.placed(&claim.name, claim, now);
-            return if claim.state.is_living() {
+            return if claim.state.is_active() {
                 Change::Born
             } else {
-                Change::State
+                Change::Updated
             };
         };
-        if !claim.outdoes(member.life, member.word, member.state) {
+        if !claim.supersedes(member.incarnation, member.refutation, member.state) {
             // One more who suspects what is suspected: told on, as it shortens the wait.
-            let same = (claim.life, claim.word, claim.state)
-                == (member.life, member.word, State::Suspected);
+            let same = (claim.incarnation, claim.refutation, claim.state)
+                == (member.incarnation, member.refutation, MemberState::Suspect);
             if let (true, Some(suspicion)) = (
-                same && member.state == State::Suspected,
+                same && member.state == MemberState::Suspect,
                 &mut member.suspicion,
             ) {
-                if suspicion.by.len() < 8 && claim.by != 0 && !suspicion.by.contains(&claim.by) {
-                    suspicion.by.push(claim.by);
-                    return Change::State;
+                if suspicion.by.len() < 8
+                    && claim.suspected_by != 0
+                    && !suspicion.by.contains(&claim.suspected_by)
+                {
+                    suspicion.by.push(claim.suspected_by);
+                    return Change::Updated;
                 }
             }
             return Change::Nothing;
         }
-        let reborn = claim.life != member.life;
+        let reborn = claim.incarnation != member.incarnation;
         if reborn {
             member.values = Values::default();
-            member.about = About::default();
-            member.heard = None;
+            member.metadata = NodeMetadata::default();
+            member.last_heard = None;
         }
         if member.state != claim.state || reborn {
-            member.since = now;
+            member.state_since = now;
         }
-        (member.address, member.life) = (claim.address, claim.life);
-        (member.word, member.state) = (claim.word, claim.state);
-        if !claim.state.is_living() {
+        (member.address, member.incarnation) = (claim.address, claim.incarnation);
+        (member.refutation, member.state) = (claim.refutation, claim.state);
+        if !claim.state.is_active() {
             member.values = Values::default(); // dropped with the member
         }
         let name = claim.name.clone();
@@ -195,27 +207,27 @@
         if reborn {
             Change::Reborn
         } else {
-            Change::State
+            Change::Updated
         }
     }
 
     /// Brings what is derived from a member in line with it.
-    fn placed(&mut self, name: &Name, claim: &Claim, now: Duration) {
+    fn placed(&mut self, name: &Name, claim: &MemberUpdate, now: Duration) {
         let Some(member) = self.all.get_mut(name) else {
             return;
         };
-        member.suspicion = (member.state == State::Suspected).then(|| Suspicion {
+        member.suspicion = (member.state == MemberState::Suspect).then(|| Suspicion {
             since: now,
-            by: vec![claim.by],
+            by: vec![claim.suspected_by],
         });
-        let print = if member.state.is_living() {
-            values::print(name, member.life, &member.values)
+        let digest = if member.state.is_active() {
+            values::digest(name, member.incarnation, &member.values)
         } else {
             0
         };
-        self.prints[Self::part(name)] ^= member.print ^ print;
-        member.print = print;
-        let living = member.state.is_living();
+        self.digests[Self::bucket(name)] ^= member.digest ^ digest;
+        member.digest = digest;
+        let living = member.state.is_active();
         let place = self.living.iter().position(|other| other == name);
         match (living, place) {
             (true, None) => self.living.push(name.clone()),
@@ -224,24 +236,27 @@
         }
     }
 
-    /// Takes a value in, if it is of the life that is known and newer. True if it was news.
-    pub fn take_value(&mut self, name: &Name, life: Life, value: Value) -> bool {
+    /// Takes a value in, if it is of the incarnation that is known and newer. True if it was news.
+    pub fn take_value(&mut self, name: &Name, incarnation: Incarnation, value: Value) -> bool {
         let Some(member) = self.all.get_mut(name) else {
             return false;
         };
-        if member.life != life || !member.state.is_living() || !member.values.take(value) {
+        if member.incarnation != incarnation
+            || !member.state.is_active()
+            || !member.values.take(value)
+        {
             return false;
         }
         if let Some(about) = member
             .values
             .get("about")
-            .and_then(|value| AboutWords::read(&value.bytes))
+            .and_then(|value| MetadataMessage::parse(&value.bytes))
         {
-            member.about = about;
+            member.metadata = about;
         }
-        let print = values::print(name, life, &member.values);
-        self.prints[Self::part(name)] ^= member.print ^ print;
-        member.print = print;
+        let digest = values::digest(name, incarnation, &member.values);
+        self.digests[Self::bucket(name)] ^= member.digest ^ digest;
+        member.digest = digest;
         true
     }
 
@@ -249,15 +264,15 @@
     pub fn forget(&mut self, before: Duration) -> usize {
         let count = self.all.len();
         self.all
-            .retain(|_, member| member.state.is_living() || member.since >= before);
+            .retain(|_, member| member.state.is_active() || member.state_since >= before);
         count - self.all.len()
     }
 
     /// Forgets the one that ended first, if any did.
     fn make_room(&mut self) -> bool {
-        let ended = self.all.values().filter(|member| !member.state.is_living());
+        let ended = self.all.values().filter(|member| !member.state.is_active());
         let first = ended
-            .min_by_key(|member| member.since)
+            .min_by_key(|member| member.state_since)
             .map(|member| member.name.clone());
         first.is_some_and(|name| self.all.remove(&name).is_some())
     }
--- a/crates/membership/src/probes.rs
+++ b/crates/membership/src/probes.rs
@@ -1,6 +1,6 @@
 //! Probes that are out, and favours that are owed to others. Both are bounded; above the bound nothing new is begun.
 
-use crate::life::{Life, Name};
+use crate::incarnation::{Incarnation, Name};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub struct Probe {
     pub target: Name,
-    pub life: Life,
+    pub incarnation: Incarnation,
     pub asked: Duration,
     /// From then on helpers are asked.
     pub direct_until: Duration,
@@ -155,7 +155,7 @@
             .min()
     }
 
-    /// All are given up: what they would have said is about another life.
+    /// All are given up: what they would have said is about another incarnation.
     pub fn clear(&mut self) {
         self.probes.clear();
         self.favours.clear();
--- a/crates/membership/src/rumours.rs
+++ b/crates/membership/src/rumours.rs
@@ -1,7 +1,7 @@
 //! What is told on: members and values that have changed, each so often, what was told least first. Only their names are
 //! kept here; what is told of them is what is known when the frame goes out, so that nothing superseded ever does.
 
-use crate::life::Name;
+use crate::incarnation::Name;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -1,17 +1,17 @@
-//! Two members bring each other up to date over a link: prints of all parts, then those of the members in the parts that
+//! Two members bring each other up to date over a link: digests of all parts, then those of the members in the parts that
 //! differ, then the members that differ.
 //!
-//! The cost goes with what differs, not with what is known: 256 bytes of prints, then 8 bytes for each member of the parts
+//! The cost goes with what differs, not with what is known: 256 bytes of digests, then 8 bytes for each member of the parts
 //! that differ, about a sixty-fourth of the fleet for each, then the members themselves.
 
-use crate::life::{Claim, Life, Name};
-use crate::members::{Members, PARTS};
+use crate::incarnation::{Incarnation, MemberUpdate, Name};
+use crate::members::{BUCKETS, Members};
 use crate::values::{self, Values};
-use crate::words::{Sync, Told, Update};
+use crate::wire::{MemberValue, SyncMessage, Update};
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bytes of members and values in one step; what does not fit waits for the next time that prints differ.
+/// Bytes of members and values in one step; what does not fit waits for the next time that digests differ.
 const MOST: usize = 48 * 1024;
 
 /// A step that another member took.
@@ -19,96 +19,96 @@
 pub struct SyncStep {
     /// Who.
     pub name: Name,
-    /// In which life.
-    pub life: Life,
+    /// In which incarnation.
+    pub incarnation: Incarnation,
     /// What it says.
-    pub words: Sync,
+    pub message: SyncMessage,
 }
 
 /// This node, as it stands in its own part.
 pub struct Own<'a> {
-    pub claim: &'a Claim,
+    pub claim: &'a MemberUpdate,
     pub values: &'a Values,
 }
 
-/// The prints of all parts, this node's own among them.
-pub fn prints(members: &Members, own: &Own<'_>) -> Vec<u32> {
-    let mut prints = members.prints().to_vec();
-    prints[Members::part(&own.claim.name)] ^=
-        values::print(&own.claim.name, own.claim.life, own.values);
-    prints
+/// The digests of all parts, this node's own among them.
+pub fn digests(members: &Members, own: &Own<'_>) -> Vec<u32> {
+    let mut digests = members.digests().to_vec();
+    digests[Members::bucket(&own.claim.name)] ^=
+        values::digest(&own.claim.name, own.claim.incarnation, own.values);
+    digests
 }
 
-/// All prints in one, for a frame.
-pub fn print(members: &Members, own: &Own<'_>) -> u32 {
-    let all = members.prints().iter().fold(0, |all, print| all ^ print);
-    all ^ values::print(&own.claim.name, own.claim.life, own.values)
+/// All digests in one, for a frame.
+pub fn digest(members: &Members, own: &Own<'_>) -> u32 {
+    let all = members.digests().iter().fold(0, |all, digest| all ^ digest);
+    all ^ values::digest(&own.claim.name, own.claim.incarnation, own.values)
 }
 
 /// The first step.
-pub fn ask(members: &Members, own: &Own<'_>) -> Sync {
-    Sync {
+pub fn ask(members: &Members, own: &Own<'_>) -> SyncMessage {
+    SyncMessage {
         step: 1,
-        prints: prints(members, own),
-        ..Sync::default()
+        digests: digests(members, own),
+        ..SyncMessage::default()
     }
 }
 
 /// What is answered to a step; `None` if nothing is. What the step claims has been taken in before.
-pub fn answer(members: &Members, own: &Own<'_>, asked: &Sync) -> Option<Sync> {
+pub fn answer(members: &Members, own: &Own<'_>, asked: &SyncMessage) -> Option<SyncMessage> {
     match asked.step {
-        1 if asked.prints.len() == PARTS => {
-            let here = prints(members, own);
+        1 if asked.digests.len() == BUCKETS => {
+            let here = digests(members, own);
             let differ = here
                 .iter()
-                .zip(&asked.prints)
+                .zip(&asked.digests)
                 .enumerate()
                 .filter(|(_, (a, b))| a != b);
             let parts = differ.fold(0u64, |parts, (part, _)| parts | 1 << part);
-            let stand = standing(members, own, parts);
+            let stand = member_digests(members, own, parts);
             let stand = stand
                 .into_iter()
-                .flat_map(|(name, print)| [name, print])
+                .flat_map(|(name, digest)| [name, digest])
                 .collect();
-            (parts != 0).then(|| Sync {
+            (parts != 0).then(|| SyncMessage {
                 step: 2,
-                parts,
-                stand,
-                ..Sync::default()
+                buckets: parts,
+                member_digests: stand,
+                ..SyncMessage::default()
             })
         }
         2 => {
             let there: BTreeMap<u32, u32> = asked
-                .stand
+                .member_digests
                 .chunks_exact(2)
                 .map(|pair| (pair[0], pair[1]))
                 .collect();
-            let here = standing(members, own, asked.parts);
+            let here = member_digests(members, own, asked.buckets);
             let gives = here
                 .iter()
-                .filter(|(name, print)| there.get(name) != Some(print));
+                .filter(|(name, digest)| there.get(name) != Some(digest));
             let gives: BTreeSet<u32> = gives.map(|(name, _)| *name).collect();
             let wants = there
                 .iter()
-                .filter(|(name, print)| here.get(name) != Some(print));
+                .filter(|(name, digest)| here.get(name) != Some(digest));
             let wants: Vec<u32> = wants.map(|(name, _)| *name).collect();
-            let said = Sync {
+            let said = SyncMessage {
                 step: 3,
-                parts: asked.parts,
-                wants,
-                ..Sync::default()
+                buckets: asked.buckets,
+                wanted: wants,
+                ..SyncMessage::default()
             };
             Some(given(members, own, said, |name, _| gives.contains(&name)))
         }
         3 => {
-            let wants: BTreeSet<u32> = asked.wants.iter().copied().collect();
-            // And what is known better of what was given: an end, say, that no print shows.
+            let wants: BTreeSet<u32> = asked.wanted.iter().copied().collect();
+            // And what is known better of what was given: an end, say, that no digest shows.
             let given_there: BTreeMap<&str, &Update> =
                 asked.updates.iter().map(|u| (u.name.as_str(), u)).collect();
-            let said = Sync {
+            let said = SyncMessage {
                 step: 4,
-                parts: asked.parts,
-                ..Sync::default()
+                buckets: asked.buckets,
+                ..SyncMessage::default()
             };
             let said = given(members, own, said, |hash, claim| {
                 wants.contains(&hash)
@@ -126,18 +126,18 @@
     values::hash(&[name.as_str().as_bytes()])
 }
 
-/// Hashes of names, and prints, of the living in these parts.
-fn standing(members: &Members, own: &Own<'_>, parts: u64) -> BTreeMap<u32, u32> {
-    let within = |name: &Name| parts & 1 << Members::part(name) != 0;
+/// Hashes of names, and digests, of the living in these parts.
+fn member_digests(members: &Members, own: &Own<'_>, parts: u64) -> BTreeMap<u32, u32> {
+    let within = |name: &Name| parts & 1 << Members::bucket(name) != 0;
     let living = members
         .iter()
-        .filter(|member| member.state.is_living() && within(&member.name));
+        .filter(|member| member.state.is_active() && within(&member.name));
     let mut standing: BTreeMap<u32, u32> = living
-        .map(|member| (hash(&member.name), member.print))
+        .map(|member| (hash(&member.name), member.digest))
         .collect();
     if within(&own.claim.name) {
-        let print = values::print(&own.claim.name, own.claim.life, own.values);
-        standing.insert(hash(&own.claim.name), print);
+        let digest = values::digest(&own.claim.name, own.claim.incarnation, own.values);
+        standing.insert(hash(&own.claim.name), digest);
     }
     standing
 }
@@ -146,9 +146,9 @@
 fn given(
     members: &Members,
     own: &Own<'_>,
-    mut said: Sync,
-    is_wanted: impl Fn(u32, &Claim) -> bool,
-) -> Sync {
+    mut said: SyncMessage,
+    is_wanted: impl Fn(u32, &MemberUpdate) -> bool,
+) -> SyncMessage {
     let mut room = MOST;
     let all = members
         .iter()
@@ -158,9 +158,9 @@
             continue;
         }
         let update = Update::from(&claim);
-        let told: Vec<Told> = values
+        let told: Vec<MemberValue> = values
             .iter()
-            .map(|value| Told::of(&claim.name, claim.life, value))
+            .map(|value| MemberValue::new(&claim.name, claim.incarnation, value))
             .collect();
         let size = update.encoded_len()
             + told
@@ -179,8 +179,12 @@
 }
 
 /// What a step claims of members, and how many claims made no sense.
-pub fn claims(words: &Sync) -> (Vec<Claim>, usize) {
-    let claims: Vec<Claim> = words.updates.iter().filter_map(Update::claim).collect();
+pub fn claims(words: &SyncMessage) -> (Vec<MemberUpdate>, usize) {
+    let claims: Vec<MemberUpdate> = words
+        .updates
+        .iter()
+        .filter_map(Update::to_member_update)
+        .collect();
     let nonsense = words.updates.len() - claims.len();
     (claims, nonsense)
 }
--- a/crates/membership/src/values.rs
+++ b/crates/membership/src/values.rs
@@ -1,29 +1,29 @@
-//! What members tell of themselves: small values by key, each with a version that only rises within a life.
+//! What members tell of themselves: small values by key, each with a version that only rises within a incarnation.
 
-use crate::life::{Life, Name};
+use crate::incarnation::{Incarnation, Name};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Values that a member may have.
-pub const MOST_VALUES: usize = 24;
+pub const MAX_VALUES: usize = 24;
 /// The longest key, in bytes.
-pub const MOST_KEY: usize = 24;
+pub const MAX_KEY_BYTES: usize = 24;
 /// The longest value, in bytes: it must fit a frame of 256 with its key and its member's name.
-pub const MOST_BYTES: usize = 112;
+pub const MAX_VALUE_BYTES: usize = 112;
 
 /// A value with its key and version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Value {
-    /// 1 to [`MOST_KEY`] bytes.
+    /// 1 to [`MAX_KEY_BYTES`] bytes.
     pub key: Rc<str>,
     /// Of all values of a member the one that was changed last has the highest.
     pub version: u32,
-    /// At most [`MOST_BYTES`].
+    /// At most [`MAX_VALUE_BYTES`].
     pub bytes: Rc<[u8]>,
 }
 
-/// The values of one life.
+/// The values of one incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct Values(BTreeMap<Rc<str>, Value>);
 
@@ -32,7 +32,7 @@
     pub fn take(&mut self, value: Value) -> bool {
         let known = self.0.get(&value.key).map(|known| known.version);
         let newer = known.is_none_or(|known| value.version > known);
-        let room = known.is_some() || self.0.len() < MOST_VALUES;
+        let room = known.is_some() || self.0.len() < MAX_VALUES;
         if newer && room {
             self.0.insert(value.key.clone(), value);
         }
@@ -68,13 +68,16 @@
     (hash ^ (hash >> 32)) as u32
 }
 
-/// What a life and its values add to a print. Prints are combined by exclusive or, so that each change costs no more than
+/// What a incarnation and its values add to a digest. Prints are combined by exclusive or, so that each change costs no more than
 /// what has changed.
-pub fn print(name: &Name, life: Life, values: &Values) -> u32 {
-    let (epoch, salt) = (life.epoch.to_be_bytes(), life.salt.to_be_bytes());
+pub fn digest(name: &Name, incarnation: Incarnation, values: &Values) -> u32 {
+    let (epoch, salt) = (
+        incarnation.epoch.to_be_bytes(),
+        incarnation.salt.to_be_bytes(),
+    );
     let own = hash(&[name.as_str().as_bytes(), &epoch, &salt]);
-    values.iter().fold(own, |print, value| {
-        print
+    values.iter().fold(own, |digest, value| {
+        digest
             ^ hash(&[
                 name.as_str().as_bytes(),
                 &salt,
--- a/crates/membership/src/words.rs
+++ b/crates/membership/src/wire.rs
@@ -1,28 +1,28 @@
 //! What goes over the wire, as protobuf messages: a reader skips fields that it does not know and takes those that are
 //! missing as 0 or empty, so that an older and a newer build understand each other. Numbers of fields are never reused.
 
-use crate::life::{About, Claim, Life, Name, State};
-use crate::values::{MOST_BYTES, MOST_KEY, Value};
+use crate::incarnation::{Incarnation, MemberState, MemberUpdate, Name, NodeMetadata};
+use crate::values::{MAX_KEY_BYTES, MAX_VALUE_BYTES, Value};
 use prost::Message;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
 /// What a frame is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
-pub enum Kind {
+pub enum FrameKind {
     /// Rumours alone.
     Gossip = 0,
-    /// Asks for an [`Kind::Ack`] of the same number.
+    /// Asks for an [`FrameKind::Ack`] of the same number.
     Ping = 1,
     /// Answers a ping.
     Ack = 2,
     /// Asks a helper to ping the one that it names.
-    Favour = 3,
+    IndirectPing = 3,
     /// The helper had no answer: it is up itself, the target may not be.
     Nack = 4,
     /// Asks, as a stranger, who is there.
     Join = 5,
-    /// Answers a stranger, or one that was addressed in an earlier life.
+    /// Answers a stranger, or one that was addressed in an earlier incarnation.
     Welcome = 6,
 }
 
@@ -35,33 +35,33 @@
     /// Its address: 6 or 18 bytes, the port last, most significant byte first.
     #[prost(bytes = "vec", tag = "2")]
     pub address: Vec<u8>,
-    /// Its life's epoch.
+    /// Its incarnation's epoch.
     #[prost(uint32, tag = "3")]
     pub epoch: u32,
-    /// Its life's salt.
+    /// Its incarnation's salt.
     #[prost(fixed32, tag = "4")]
     pub salt: u32,
-    /// Its own word against suspicions.
+    /// Its own refutation against suspicions.
     #[prost(uint32, tag = "5")]
-    pub word: u32,
+    pub refutation: u32,
     /// 0 alive, 1 suspected, 2 left, 3 gone.
     #[prost(uint32, tag = "6")]
     pub state: u32,
     /// Who suspects.
     #[prost(fixed32, tag = "7")]
-    pub by: u32,
+    pub suspected_by: u32,
 }
 
 /// A value that a member tells of itself.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Told {
+pub struct MemberValue {
     /// Whose.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Its life's epoch.
+    /// Its incarnation's epoch.
     #[prost(uint32, tag = "2")]
     pub epoch: u32,
-    /// Its life's salt.
+    /// Its incarnation's salt.
     #[prost(fixed32, tag = "3")]
     pub salt: u32,
     /// The key.
@@ -79,55 +79,55 @@
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Frame {
     /// What it is for.
-    #[prost(enumeration = "Kind", tag = "1")]
+    #[prost(enumeration = "FrameKind", tag = "1")]
     pub kind: i32,
     /// A ping's own number, given back by its ack or nack.
     #[prost(uint64, tag = "2")]
-    pub number: u64,
+    pub sequence: u64,
     /// Whom a favour is about.
     #[prost(message, optional, tag = "3")]
-    pub about: Option<Update>,
+    pub target: Option<Update>,
     /// Rumours of members.
     #[prost(message, repeated, tag = "4")]
     pub updates: Vec<Update>,
     /// Rumours of values.
     #[prost(message, repeated, tag = "5")]
-    pub values: Vec<Told>,
-    /// A print of all that the sender knows of the living.
+    pub values: Vec<MemberValue>,
+    /// A digest of all that the sender knows of the living.
     #[prost(fixed32, tag = "6")]
-    pub print: u32,
+    pub digest: u32,
 }
 
 /// A step of two members' bringing each other up to date.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Sync {
+pub struct SyncMessage {
     /// 1 asks, 2 says what stands in the parts that differ, 3 gives and wants, 4 gives. A higher one is of a newer build and
     /// is skipped.
     #[prost(uint32, tag = "1")]
     pub step: u32,
     /// Prints of the sender's parts.
     #[prost(fixed32, repeated, tag = "2")]
-    pub prints: Vec<u32>,
+    pub digests: Vec<u32>,
     /// Which parts this is about: a bit each.
     #[prost(fixed64, tag = "3")]
-    pub parts: u64,
+    pub buckets: u64,
     /// Members of those parts.
     #[prost(message, repeated, tag = "4")]
     pub updates: Vec<Update>,
     /// Their values.
     #[prost(message, repeated, tag = "5")]
-    pub values: Vec<Told>,
-    /// Of each member of those parts the hash of its name, and its print.
+    pub values: Vec<MemberValue>,
+    /// Of each member of those parts the hash of its name, and its digest.
     #[prost(fixed32, repeated, tag = "6")]
-    pub stand: Vec<u32>,
+    pub member_digests: Vec<u32>,
     /// Hashes of names of members that the sender lacks, or knows otherwise.
     #[prost(fixed32, repeated, tag = "7")]
-    pub wants: Vec<u32>,
+    pub wanted: Vec<u32>,
 }
 
-/// What a member tells of itself at the start of a life: the value under the key `about`.
+/// What a member tells of itself at the start of a incarnation: the value under the key `about`.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct AboutWords {
+pub struct MetadataMessage {
     /// Its zone.
     #[prost(string, tag = "1")]
     pub zone: String,
@@ -137,13 +137,13 @@
     /// Its build.
     #[prost(string, tag = "3")]
     pub build: String,
-    /// What it speaks.
+    /// What it capabilities.
     #[prost(string, repeated, tag = "4")]
-    pub speaks: Vec<String>,
+    pub capabilities: Vec<String>,
 }
 
-impl From<&Claim> for Update {
-    fn from(claim: &Claim) -> Self {
+impl From<&MemberUpdate> for Update {
+    fn from(claim: &MemberUpdate) -> Self {
         let mut address = match claim.address.ip() {
             IpAddr::V4(ip) => ip.octets().to_vec(),
             IpAddr::V6(ip) => ip.octets().to_vec(),
@@ -152,17 +152,17 @@
         Update {
             name: claim.name.as_str().to_owned(),
             address,
-            epoch: claim.life.epoch,
-            salt: claim.life.salt,
-            word: claim.word,
+            epoch: claim.incarnation.epoch,
+            salt: claim.incarnation.salt,
+            refutation: claim.refutation,
             state: claim.state as u32,
-            by: claim.by,
+            suspected_by: claim.suspected_by,
         }
     }
 }
 
 /// An address from its bytes; `None` if it is none that anybody could be reached at.
-pub fn address(bytes: &[u8]) -> Option<SocketAddr> {
+pub fn decode_address(bytes: &[u8]) -> Option<SocketAddr> {
     let ip: IpAddr = match bytes.len() {
         6 => Ipv4Addr::from(<[u8; 4]>::try_from(&bytes[..4]).ok()?).into(),
         18 => Ipv6Addr::from(<[u8; 16]>::try_from(&bytes[..16]).ok()?).into(),
@@ -174,47 +174,48 @@
 
 impl Update {
     /// The claim that it makes; `None` if it makes no sense, as of a state that a newer build has.
-    pub fn claim(&self) -> Option<Claim> {
+    pub fn to_member_update(&self) -> Option<MemberUpdate> {
         let state = match self.state {
-            0 => State::Alive,
-            1 => State::Suspected,
-            2 => State::Left,
-            3 => State::Gone,
+            0 => MemberState::Alive,
+            1 => MemberState::Suspect,
+            2 => MemberState::Left,
+            3 => MemberState::Dead,
             _ => return None,
         };
-        let life = Life {
+        let incarnation = Incarnation {
             epoch: self.epoch,
             salt: self.salt,
         };
-        (life.epoch > 0 && life.salt > 0).then_some(())?;
-        Some(Claim {
+        (incarnation.epoch > 0 && incarnation.salt > 0).then_some(())?;
+        Some(MemberUpdate {
             name: Name::new(&self.name)?,
-            address: address(&self.address)?,
-            life,
-            word: self.word,
+            address: decode_address(&self.address)?,
+            incarnation,
+            refutation: self.refutation,
             state,
-            by: self.by,
+            suspected_by: self.suspected_by,
         })
     }
 }
 
-impl Told {
+impl MemberValue {
     /// A member's value, to be told.
-    pub fn of(name: &Name, life: Life, value: &Value) -> Self {
-        Told {
+    pub fn new(name: &Name, incarnation: Incarnation, value: &Value) -> Self {
+        MemberValue {
             name: name.as_str().to_owned(),
-            epoch: life.epoch,
-            salt: life.salt,
+            epoch: incarnation.epoch,
+            salt: incarnation.salt,
             key: value.key.to_string(),
             version: value.version,
             value: value.bytes.to_vec(),
         }
     }
 
-    /// Whose value it is, of which life; `None` if it is over the bounds.
-    pub fn value(&self) -> Option<(Name, Life, Value)> {
-        let fits =
-            !self.key.is_empty() && self.key.len() <= MOST_KEY && self.value.len() <= MOST_BYTES;
+    /// Whose value it is, of which incarnation; `None` if it is over the bounds.
+    pub fn to_value(&self) -> Option<(Name, Incarnation, Value)> {
+        let fits = !self.key.is_empty()
+            && self.key.len() <= MAX_KEY_BYTES
+            && self.value.len() <= MAX_VALUE_BYTES;
         let value = fits.then(|| Value {
             key: self.key.as_str().into(),
             version: self.version,
@@ -222,7 +223,7 @@
         })?;
         Some((
             Name::new(&self.name)?,
-            Life {
+            Incarnation {
                 epoch: self.epoch,
                 salt: self.salt,
             },
@@ -231,32 +232,32 @@
     }
 }
 
-impl From<&About> for AboutWords {
-    fn from(about: &About) -> Self {
-        AboutWords {
+impl From<&NodeMetadata> for MetadataMessage {
+    fn from(about: &NodeMetadata) -> Self {
+        MetadataMessage {
             zone: about.zone.clone(),
             region: about.region.clone(),
             build: about.build.clone(),
-            speaks: about.speaks.clone(),
+            capabilities: about.capabilities.clone(),
         }
     }
 }
 
-impl AboutWords {
+impl MetadataMessage {
     /// Reads a value under the key `about`.
-    pub fn read(bytes: &[u8]) -> Option<About> {
-        let words = AboutWords::decode(bytes).ok()?;
-        let AboutWords {
+    pub fn parse(bytes: &[u8]) -> Option<NodeMetadata> {
+        let words = MetadataMessage::decode(bytes).ok()?;
+        let MetadataMessage {
             zone,
             region,
             build,
-            speaks,
+            capabilities,
         } = words;
-        Some(About {
+        Some(NodeMetadata {
             zone,
             region,
             build,
-            speaks,
+            capabilities,
         })
     }
 }
--- a/crates/membership/tests/fleets.rs
+++ b/crates/membership/tests/fleets.rs
@@ -3,9 +3,10 @@
 
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
-use sillward_membership::words::{Frame, Kind, Sync, Told, Update};
+use sillward_membership::wire::{Frame, FrameKind, MemberValue, SyncMessage, Update};
 use sillward_membership::{
-    About, Action, Event, Life, Me, Name, Peers, Standing, State, SyncStep, Terms,
+    Action, Event, Incarnation, LocalNode, MemberState, Membership, MembershipSettings,
+    MembershipStatus, Name, NodeMetadata, SyncStep,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -19,20 +20,20 @@
     Frame {
         name: Name,
         from: SocketAddr,
-        life: Life,
+        incarnation: Incarnation,
         to: u32,
         frame: Frame,
     },
     Sync {
         name: Name,
-        life: Life,
-        to_life: Life,
-        words: Sync,
+        incarnation: Incarnation,
+        to_life: Incarnation,
+        message: SyncMessage,
     },
 }
 
 struct Node {
-    peers: Option<Peers>,
+    peers: Option<Membership>,
     name: Name,
     at: SocketAddr,
     /// The last epoch that its folder has.
@@ -49,7 +50,7 @@
     mail: BTreeMap<(Duration, u64), (usize, Mail)>,
     made: u64,
     dice: Pcg32,
-    terms: Terms,
+    settings: MembershipSettings,
     seeds: Vec<SocketAddr>,
     /// In a hundred.
     loss: u32,
@@ -58,7 +59,7 @@
     cuts: BTreeSet<(usize, usize)>,
     /// One that hears everything so much later, in milliseconds.
     slow: Option<(usize, u32)>,
-    lives: BTreeMap<Name, BTreeMap<Life, u64>>,
+    lives: BTreeMap<Name, BTreeMap<Incarnation, u64>>,
     /// How long each one that lived was called gone by some node that could hear it.
     wronged: BTreeMap<(usize, usize), Duration>,
     worst_wrong: Duration,
@@ -91,7 +92,7 @@
             mail: BTreeMap::new(),
             made: 0,
             dice: Pcg32::seed_from_u64(seed),
-            terms: Terms::default(),
+            settings: MembershipSettings::default(),
             seeds: vec![at(0), at(1)],
             loss: 0,
             doubles: 0,
@@ -111,19 +112,19 @@
         let node = &mut self.nodes[i];
         node.starts += 1;
         node.held.clear();
-        let about = About {
+        let about = NodeMetadata {
             zone: format!("z{}", i % 3),
-            ..About::default()
+            ..NodeMetadata::default()
         };
-        let me = Me {
+        let me = LocalNode {
             name: node.name.clone(),
             address: node.at,
-            about,
+            metadata: about,
             seeds: self.seeds.clone(),
         };
         let seed = u64::from(self.dice.next_u32()) << 32 | u64::from(self.dice.next_u32());
-        self.nodes[i].peers = Some(Peers::new(
-            self.terms.clone(),
+        self.nodes[i].peers = Some(Membership::new(
+            self.settings.clone(),
             me,
             self.nodes[i].folder,
             seed,
@@ -143,7 +144,7 @@
         let actions = self.nodes[i]
             .peers
             .as_mut()
-            .map(|peers| peers.handle(now, Event::Turn));
+            .map(|peers| peers.handle(now, Event::Tick));
         self.act(i, actions.unwrap_or_default());
     }
 
@@ -177,54 +178,62 @@
 
     fn act(&mut self, i: usize, actions: Vec<Action>) {
         for action in actions {
-            let (name, life) = (
+            let (name, incarnation) = (
                 self.nodes[i].name.clone(),
-                self.nodes[i].peers.as_ref().expect("it acts").life(),
+                self.nodes[i].peers.as_ref().expect("it acts").incarnation(),
             );
             match action {
                 Action::Send { to, salt, frame } => {
                     self.nodes[i].sent += 1;
-                    let fits = frame.updates.len() <= 1 || encoded(&frame) <= self.terms.frame;
+                    let fits = frame.updates.len() <= 1
+                        || encoded(&frame) <= self.settings.max_frame_bytes;
                     assert!(fits, "a frame of {} bytes", encoded(&frame));
                     let mail = Mail::Frame {
                         name,
                         from: self.nodes[i].at,
-                        life,
+                        incarnation,
                         to: salt,
                         frame,
                     };
                     self.post(i, to, mail, false);
                 }
-                Action::Sync { to, address, words } => {
+                Action::Sync {
+                    to,
+                    address,
+                    message,
+                } => {
                     let to_life = self.nodes.iter().find(|node| node.name == to);
                     let to_life = to_life
                         .and_then(|node| node.peers.as_ref())
-                        .map(Peers::life);
+                        .map(Membership::incarnation);
                     if let Some(to_life) = to_life {
                         self.post(
                             i,
                             address,
                             Mail::Sync {
                                 name,
-                                life,
+                                incarnation,
                                 to_life,
-                                words,
+                                message,
                             },
                             true,
                         );
                     }
                 }
-                Action::Keep(life) => {
-                    self.nodes[i].folder = life.epoch;
+                Action::StoreIncarnation(incarnation) => {
+                    self.nodes[i].folder = incarnation.epoch;
                     let run = self.nodes[i].starts;
                     let before = self
                         .lives
                         .entry(name.clone())
                         .or_default()
-                        .insert(life, run);
-                    assert!(before.is_none(), "{name} has been in life {life} before");
+                        .insert(incarnation, run);
+                    assert!(
+                        before.is_none(),
+                        "{name} has been in incarnation {incarnation} before"
+                    );
                 }
-                Action::News(_) => {}
+                Action::Log(_) => {}
             }
         }
     }
@@ -242,22 +251,26 @@
             Mail::Frame {
                 name,
                 from,
-                life,
+                incarnation,
                 to,
                 frame,
             } => Event::Frame {
                 name,
                 address: from,
-                life,
-                to,
+                incarnation,
+                to_salt: to,
                 frame,
             },
             Mail::Sync {
                 name,
-                life,
+                incarnation,
                 to_life,
-                words,
-            } if to_life == peers.life() => Event::Sync(SyncStep { name, life, words }),
+                message,
+            } if to_life == peers.incarnation() => Event::Sync(SyncStep {
+                name,
+                incarnation,
+                message,
+            }),
             Mail::Sync { .. } => return,
         };
         let actions = peers.handle(now, event);
@@ -313,20 +326,25 @@
         let lives: Vec<_> = self
             .nodes
             .iter()
-            .map(|n| n.peers.as_ref().filter(|_| !n.paused).map(Peers::life))
+            .map(|n| {
+                n.peers
+                    .as_ref()
+                    .filter(|_| !n.paused)
+                    .map(Membership::incarnation)
+            })
             .collect();
         for (by, node) in self.nodes.iter().enumerate() {
             let Some(peers) = node.peers.as_ref().filter(|_| !node.paused) else {
                 continue;
             };
-            for (of, life) in lives
+            for (of, incarnation) in lives
                 .iter()
                 .enumerate()
-                .filter(|(of, life)| *of != by && life.is_some())
+                .filter(|(of, incarnation)| *of != by && incarnation.is_some())
             {
-                let gone = peers
-                    .member(&name(of))
-                    .is_some_and(|m| m.state == State::Gone && Some(m.life) == *life);
+                let gone = peers.member(&name(of)).is_some_and(|m| {
+                    m.state == MemberState::Dead && Some(m.incarnation) == *incarnation
+                });
                 if !gone {
                     self.wronged.remove(&(by, of));
                 } else if let Some(since) = self.wronged.get(&(by, of)) {
@@ -339,7 +357,7 @@
         }
     }
 
-    fn says(&self, by: usize, of: usize) -> Option<State> {
+    fn says(&self, by: usize, of: usize) -> Option<MemberState> {
         self.nodes[by]
             .peers
             .as_ref()?
@@ -347,20 +365,20 @@
             .map(|member| member.state)
     }
 
-    /// Who lives is called alive by all who live, in its present life, and nobody else is.
+    /// Who lives is called alive by all who live, in its present incarnation, and nobody else is.
     fn agreed(&self) -> Result<(), String> {
         for (by, node) in self.nodes.iter().enumerate() {
             let Some(peers) = &node.peers else { continue };
-            if peers.standing(self.now) != Standing::Settled && self.nodes.len() > 1 {
-                return Err(format!("n{by} is {:?}", peers.standing(self.now)));
+            if peers.status(self.now) != MembershipStatus::Joined && self.nodes.len() > 1 {
+                return Err(format!("n{by} is {:?}", peers.status(self.now)));
             }
             for (of, other) in self.nodes.iter().enumerate().filter(|(of, _)| *of != by) {
                 let said = peers
                     .member(&name(of))
-                    .map(|member| (member.state, member.life));
+                    .map(|member| (member.state, member.incarnation));
                 let good = match &other.peers {
-                    Some(other) => said == Some((State::Alive, other.life())),
-                    None => said.is_none_or(|(state, _)| !state.is_living()),
+                    Some(other) => said == Some((MemberState::Alive, other.incarnation())),
+                    None => said.is_none_or(|(state, _)| !state.is_active()),
                 };
                 if !good {
                     return Err(format!("n{by} says {said:?} of n{of}"));
@@ -399,7 +417,9 @@
         for node in &fleet.nodes {
             let peers = node.peers.as_ref().expect("it runs");
             assert!(
-                peers.members().all(|member| !member.about.zone.is_empty()),
+                peers
+                    .members()
+                    .all(|member| !member.metadata.zone.is_empty()),
                 "{}: all zones",
                 node.name
             );
@@ -438,11 +458,11 @@
         peers.member(&name(of)).expect("known").probes
     };
     assert!(
-        broken(2, 5).1 * 2 > broken(2, 5).0,
+        broken(2, 5).unanswered * 2 > broken(2, 5).sent,
         "the page shows the way that is broken: {:?}",
         broken(2, 5)
     );
-    assert_eq!(broken(2, 4).1, 0);
+    assert_eq!(broken(2, 4).unanswered, 0);
 }
 
 /// Hard case 2.
@@ -457,9 +477,13 @@
         }
     }
     fleet.run(SECOND * 20);
-    assert_eq!(fleet.says(0, 5), Some(State::Gone));
-    assert_eq!(fleet.says(5, 0), Some(State::Gone));
-    assert_eq!(fleet.says(5, 6), Some(State::Alive), "both halves went on");
+    assert_eq!(fleet.says(0, 5), Some(MemberState::Dead));
+    assert_eq!(fleet.says(5, 0), Some(MemberState::Dead));
+    assert_eq!(
+        fleet.says(5, 6),
+        Some(MemberState::Alive),
+        "both halves went on"
+    );
     fleet.cuts.clear();
     let before: usize = fleet.nodes.iter().map(|node| node.sent).sum();
     let took = fleet.until_agreed(SECOND * 15);
@@ -483,10 +507,14 @@
 fn one_that_was_paused_asks_in_a_new_life_before_it_counts_as_settled() {
     let mut fleet = Fleet::new(8, 4);
     fleet.until_agreed(SECOND * 10);
-    let life = fleet.nodes[3].peers.as_ref().expect("it runs").life();
+    let incarnation = fleet.nodes[3]
+        .peers
+        .as_ref()
+        .expect("it runs")
+        .incarnation();
     fleet.nodes[3].paused = true;
     fleet.run(SECOND * 15);
-    assert_eq!(fleet.says(0, 3), Some(State::Gone));
+    assert_eq!(fleet.says(0, 3), Some(MemberState::Dead));
     // Nothing of what came in the meantime settles it, nor its own old words: it must be answered.
     for other in 0..8 {
         fleet.cuts.insert((other, 3));
@@ -495,23 +523,23 @@
     fleet.resume(3);
     fleet.run(MS * 200);
     let peers = fleet.nodes[3].peers.as_ref().expect("it runs");
-    assert!(peers.life() > life);
-    assert_eq!(peers.standing(fleet.now), Standing::Asking);
-    assert_eq!(peers.figures().pauses, 1);
+    assert!(peers.incarnation() > incarnation);
+    assert_eq!(peers.status(fleet.now), MembershipStatus::Joining);
+    assert_eq!(peers.counters().pauses, 1);
     fleet.cuts.clear();
     fleet.until_agreed(SECOND * 8);
     let peers = fleet.nodes[3].peers.as_ref().expect("it runs");
-    assert!(peers.life() > life);
+    assert!(peers.incarnation() > incarnation);
     assert!(
         fleet
             .nodes
             .iter()
             .flat_map(|n| n.peers.as_ref())
-            .all(|p| p.figures().called_gone <= 7)
+            .all(|p| p.counters().declared_dead <= 7)
     );
 }
 
-/// Hard case 4: [`Fleet::act`] fails when a life comes twice.
+/// Hard case 4: [`Fleet::act`] fails when a incarnation comes twice.
 #[test]
 fn a_folder_that_is_lost_or_old_never_brings_a_life_back() {
     for seed in 0..10 {
@@ -519,7 +547,11 @@
         fleet.until_agreed(SECOND * 10);
         for round in 0..6 {
             let one = 1 + fleet.draw(5) as usize;
-            let before = fleet.nodes[one].peers.as_ref().expect("it runs").life();
+            let before = fleet.nodes[one]
+                .peers
+                .as_ref()
+                .expect("it runs")
+                .incarnation();
             fleet.kill(one);
             // Before and after the others have seen it.
             fleet.run(if round % 2 == 0 { MS * 50 } else { SECOND * 5 });
@@ -533,7 +565,7 @@
             fleet.until_agreed(SECOND * 10);
             let peers = fleet.nodes[one].peers.as_ref().expect("it runs");
             assert!(
-                peers.life() > before,
+                peers.incarnation() > before,
                 "lives rise as long as anybody remembers"
             );
         }
@@ -548,8 +580,12 @@
     (1..8).for_each(|i| fleet.kill(i));
     fleet.run(SECOND * 30);
     let peers = fleet.nodes[0].peers.as_ref().expect("it runs");
-    assert_eq!(peers.standing(fleet.now), Standing::Alone);
-    assert!(peers.members().all(|member| member.state != State::Gone));
+    assert_eq!(peers.status(fleet.now), MembershipStatus::Isolated);
+    assert!(
+        peers
+            .members()
+            .all(|member| member.state != MemberState::Dead)
+    );
     // The seeds are gone for good; the others come back and are known all the same.
     (2..8).for_each(|i| fleet.start(i));
     fleet.run(SECOND * 10);
@@ -557,7 +593,7 @@
         let peers = fleet.nodes[by].peers.as_ref().expect("it runs");
         peers
             .members()
-            .filter(|member| member.state == State::Alive)
+            .filter(|member| member.state == MemberState::Alive)
             .count()
     };
     assert!(
@@ -578,7 +614,7 @@
     fleet.run(SECOND * 10);
     assert_eq!(
         (fleet.says(2, 0), fleet.says(2, 5)),
-        (Some(State::Gone), Some(State::Gone))
+        (Some(MemberState::Dead), Some(MemberState::Dead))
     );
     fleet.start(5);
     let took = fleet.until_agreed(SECOND * 20);
@@ -590,7 +626,7 @@
     let mut fleet = Fleet::new(1, 6);
     fleet.run(SECOND * 10);
     let peers = fleet.nodes[0].peers.as_ref().expect("it runs");
-    assert_eq!(peers.standing(fleet.now), Standing::Asking);
+    assert_eq!(peers.status(fleet.now), MembershipStatus::Joining);
     assert!(
         fleet.nodes[0].sent < 20,
         "{} frames to nobody",
@@ -653,7 +689,7 @@
         fleet
             .nodes
             .iter()
-            .map(|n| n.peers.as_ref().expect("it runs").figures().lives)
+            .map(|n| n.peers.as_ref().expect("it runs").counters().incarnations)
             .sum::<u64>()
     };
     assert_eq!(
@@ -662,8 +698,8 @@
                 .peers
                 .as_ref()
                 .expect("it runs")
-                .figures()
-                .lives,
+                .counters()
+                .incarnations,
         7
     );
     assert_eq!(
@@ -671,12 +707,12 @@
             .peers
             .as_ref()
             .expect("it runs")
-            .standing(fleet.now),
-        Standing::Alone
+            .status(fleet.now),
+        MembershipStatus::Isolated
     );
     for by in (0..8).filter(|i| *i != 6) {
         for of in (0..8).filter(|i| *i != 6 && *i != by) {
-            assert_eq!(fleet.says(by, of), Some(State::Alive));
+            assert_eq!(fleet.says(by, of), Some(MemberState::Alive));
         }
     }
 }
@@ -690,17 +726,17 @@
     fleet.slow = Some((4, 3_500));
     fleet.run(SECOND * 60);
     let peers = |i: usize| fleet.nodes[i].peers.as_ref().expect("it runs");
-    let (figures, score) = (peers(4).figures(), peers(4).health().score());
+    let (counters, score) = (peers(4).counters(), peers(4).health().score());
     println!(
         "a slow node: score {score}, suspected {} and ended {} in 60 s",
-        figures.suspected, figures.called_gone
+        counters.suspected, counters.declared_dead
     );
     assert!(score >= 2, "{score}");
-    assert!(figures.suspected <= 20, "{figures:?}");
+    assert!(counters.suspected <= 20, "{counters:?}");
     assert!(
         (0..10)
             .filter(|i| *i != 4)
-            .all(|i| peers(i).figures().lives == 1),
+            .all(|i| peers(i).counters().incarnations == 1),
         "it ended others"
     );
 }
@@ -762,10 +798,10 @@
         .flat_map(|i| [(i, 5), (5, i)])
         .collect();
     fleet.cuts.extend(apart.iter().copied());
-    while fleet.says(3, 5) == Some(State::Alive) {
+    while fleet.says(3, 5) == Some(MemberState::Alive) {
         fleet.run(MS * 10);
     }
-    assert_eq!(fleet.says(3, 5), Some(State::Suspected));
+    assert_eq!(fleet.says(3, 5), Some(MemberState::Suspect));
     fleet.cuts.clear();
     fleet.nodes[3].paused = true;
     fleet.run(SECOND * 8);
@@ -774,10 +810,13 @@
             .peers
             .as_ref()
             .expect("it runs")
-            .figures()
-            .called_gone
+            .counters()
+            .declared_dead
     };
-    assert_eq!((fleet.says(0, 5), ended(&fleet)), (Some(State::Alive), 0));
+    assert_eq!(
+        (fleet.says(0, 5), ended(&fleet)),
+        (Some(MemberState::Alive), 0)
+    );
     fleet.resume(3);
     fleet.run(SECOND * 8);
     assert_eq!(
@@ -788,16 +827,20 @@
     assert_eq!(fleet.agreed(), Ok(()));
 }
 
-/// A value belongs to a life: what was told in an earlier one, and comes late, is nobody's.
+/// A value belongs to a incarnation: what was told in an earlier one, and comes late, is nobody's.
 #[test]
 fn a_value_of_an_earlier_life_is_not_taken_for_a_newer_ones() {
     let mut fleet = Fleet::new(5, 33);
     fleet.until_agreed(SECOND * 10);
-    let old = fleet.nodes[3].peers.as_ref().expect("it runs").life();
+    let old = fleet.nodes[3]
+        .peers
+        .as_ref()
+        .expect("it runs")
+        .incarnation();
     fleet.kill(3);
     fleet.start(3);
     fleet.until_agreed(SECOND * 10);
-    let told = Told {
+    let told = MemberValue {
         name: "n3".to_owned(),
         epoch: old.epoch,
         salt: old.salt,
@@ -809,16 +852,25 @@
         values: vec![told],
         ..Frame::default()
     };
-    let (life, to) = (
-        fleet.nodes[0].peers.as_ref().expect("it runs").life(),
-        fleet.nodes[1].peers.as_ref().expect("it runs").life().salt,
+    let (incarnation, to) = (
+        fleet.nodes[0]
+            .peers
+            .as_ref()
+            .expect("it runs")
+            .incarnation(),
+        fleet.nodes[1]
+            .peers
+            .as_ref()
+            .expect("it runs")
+            .incarnation()
+            .salt,
     );
     fleet.deliver(
         1,
         Mail::Frame {
             name: name(0),
             from: at(0),
-            life,
+            incarnation,
             to,
             frame,
         },
@@ -848,10 +900,13 @@
                 .peers
                 .as_ref()
                 .expect("it runs")
-                .standing(fleet.now)
+                .status(fleet.now)
         })
         .collect();
-    assert!(standings.contains(&Standing::Conflict), "{standings:?}");
+    assert!(
+        standings.contains(&MembershipStatus::NameConflict),
+        "{standings:?}"
+    );
     let lives: u64 = [4, 5]
         .iter()
         .map(|i| {
@@ -859,8 +914,8 @@
                 .peers
                 .as_ref()
                 .expect("it runs")
-                .figures()
-                .lives
+                .counters()
+                .incarnations
         })
         .sum();
     assert!(lives <= 14, "{lives}");
@@ -870,10 +925,14 @@
 #[test]
 fn a_liar_fills_nothing_beyond_the_bounds() {
     let mut fleet = Fleet::new(4, 10);
-    fleet.terms.most = 64;
+    fleet.settings.max_members = 64;
     (0..4).for_each(|i| fleet.start(i));
     fleet.until_agreed(SECOND * 10);
-    let life = fleet.nodes[0].peers.as_ref().expect("it runs").life();
+    let incarnation = fleet.nodes[0]
+        .peers
+        .as_ref()
+        .expect("it runs")
+        .incarnation();
     for round in 0..2_000u32 {
         let update = |k: u32| Update {
             name: format!("x{round}-{k}"),
@@ -883,15 +942,20 @@
             ..Update::default()
         };
         let frame = Frame {
-            kind: Kind::Gossip as i32,
+            kind: FrameKind::Gossip as i32,
             updates: (0..4).map(update).collect(),
             ..Frame::default()
         };
-        let to = fleet.nodes[1].peers.as_ref().expect("it runs").life().salt;
+        let to = fleet.nodes[1]
+            .peers
+            .as_ref()
+            .expect("it runs")
+            .incarnation()
+            .salt;
         let mail = Mail::Frame {
             name: name(0),
             from: at(0),
-            life,
+            incarnation,
             to,
             frame,
         };
@@ -899,25 +963,33 @@
     }
     let peers = fleet.nodes[1].peers.as_ref().expect("it runs");
     assert!(peers.members().count() <= 64);
-    assert!(peers.rumours() <= 128);
-    assert!(peers.figures().no_room > 0);
+    assert!(peers.pending_updates() <= 128);
+    assert!(peers.counters().capacity_rejections > 0);
     // Those that are real are still told apart from those that never answer, and the invented are forgotten in the end.
     for i in 0..4 {
-        assert_ne!(fleet.says(1, i), Some(State::Gone));
+        assert_ne!(fleet.says(1, i), Some(MemberState::Dead));
     }
 }
 
-/// What was on its way since before a life is not believed in it.
+/// What was on its way since before a incarnation is not believed in it.
 #[test]
 fn words_to_an_earlier_life_are_not_believed() {
     let mut fleet = Fleet::new(4, 11);
     fleet.until_agreed(SECOND * 10);
-    let old = fleet.nodes[2].peers.as_ref().expect("it runs").life();
+    let old = fleet.nodes[2]
+        .peers
+        .as_ref()
+        .expect("it runs")
+        .incarnation();
     fleet.kill(2);
     fleet.start(2);
     fleet.until_agreed(SECOND * 10);
-    let (life, at_1) = (
-        fleet.nodes[1].peers.as_ref().expect("it runs").life(),
+    let (incarnation, at_1) = (
+        fleet.nodes[1]
+            .peers
+            .as_ref()
+            .expect("it runs")
+            .incarnation(),
         fleet.nodes[1].at,
     );
     let lie = Update {
@@ -935,20 +1007,20 @@
         .peers
         .as_ref()
         .expect("it runs")
-        .figures()
-        .to_earlier;
+        .counters()
+        .to_earlier_incarnation;
     fleet.deliver(
         2,
         Mail::Frame {
             name: name(1),
             from: at_1,
-            life,
+            incarnation,
             to: old.salt,
             frame,
         },
     );
     let peers = fleet.nodes[2].peers.as_ref().expect("it runs");
-    assert_eq!(peers.figures().to_earlier, before + 1);
+    assert_eq!(peers.counters().to_earlier_incarnation, before + 1);
     assert!(
         peers
             .members()
@@ -966,7 +1038,7 @@
             .peers
             .as_mut()
             .expect("it runs")
-            .tell("load", &[version], now)
+            .publish("load", &[version], now)
             .expect("it fits");
     }
     fleet.run(SECOND * 2);
@@ -991,10 +1063,10 @@
     );
     // What is over the bounds is turned down and changes nothing.
     let peers = fleet.nodes[4].peers.as_mut().expect("it runs");
-    assert!(peers.tell("", b"x", now).is_err());
-    assert!(peers.tell("long", &[0; 113], now).is_err());
+    assert!(peers.publish("", b"x", now).is_err());
+    assert!(peers.publish("long", &[0; 113], now).is_err());
     let taken = (0..40)
-        .filter(|i| peers.tell(&format!("k{i}"), b"x", now).is_ok())
+        .filter(|i| peers.publish(&format!("k{i}"), b"x", now).is_ok())
         .count();
     assert_eq!(taken, 23, "with the one under \"about\"");
 }
@@ -1015,19 +1087,19 @@
     assert!(
         (0..8)
             .filter(|by| *by != 6)
-            .all(|by| fleet.says(by, 6) == Some(State::Left))
+            .all(|by| fleet.says(by, 6) == Some(MemberState::Left))
     );
 }
 
 #[test]
 fn the_ended_are_forgotten_after_their_time() {
     let mut fleet = Fleet::new(5, 14);
-    fleet.terms.forget = SECOND * 20;
+    fleet.settings.dead_retention = SECOND * 20;
     (0..5).for_each(|i| fleet.start(i));
     fleet.until_agreed(SECOND * 10);
     fleet.kill(4);
     fleet.run(SECOND * 10);
-    assert_eq!(fleet.says(0, 4), Some(State::Gone));
+    assert_eq!(fleet.says(0, 4), Some(MemberState::Dead));
     fleet.run(SECOND * 25);
     assert_eq!(fleet.says(0, 4), None);
 }
@@ -1044,7 +1116,7 @@
         fleet
             .nodes
             .iter()
-            .map(|node| (node.sent, node.peers.as_ref().map(Peers::life)))
+            .map(|node| (node.sent, node.peers.as_ref().map(Membership::incarnation)))
             .collect::<Vec<_>>()
     };
     assert_eq!(played(), played());
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,7 +1,9 @@
 //! Golden bytes of the messages between members: what goes over the wire keeps its form whatever the code calls it.
 
 use prost::Message;
-use sillward_membership::words::{AboutWords, Frame, Kind, Sync, Told, Update};
+use sillward_membership::wire::{
+    Frame, FrameKind, MemberValue, MetadataMessage, SyncMessage, Update,
+};
 
 /// Fails where a message's bytes are not those of the fixture, or do not read as what they were written from.
 fn holds<M: Message + Default + PartialEq>(message: &M, fixture: &str) {
@@ -17,14 +19,14 @@
         address: vec![127, 0, 0, 1, 0x1f, 0x0a],
         epoch: 3,
         salt: 0xfeed_beef,
-        word: 2,
+        refutation: 2,
         state,
-        by: 0x1234,
+        suspected_by: 0x1234,
     }
 }
 
-fn told() -> Told {
-    Told {
+fn told() -> MemberValue {
+    MemberValue {
         name: "n7".to_owned(),
         epoch: 3,
         salt: 0xfeed_beef,
@@ -37,24 +39,24 @@
 #[test]
 fn frames_of_every_kind_keep_their_bytes() {
     let kinds = [
-        Kind::Gossip,
-        Kind::Ping,
-        Kind::Ack,
-        Kind::Favour,
-        Kind::Nack,
-        Kind::Join,
-        Kind::Welcome,
+        FrameKind::Gossip,
+        FrameKind::Ping,
+        FrameKind::Ack,
+        FrameKind::IndirectPing,
+        FrameKind::Nack,
+        FrameKind::Join,
+        FrameKind::Welcome,
     ];
     let fixtures = include_str!("golden/frames.hex").lines();
     assert_eq!(fixtures.clone().count(), kinds.len());
     for (kind, fixture) in kinds.into_iter().zip(fixtures) {
         let frame = Frame {
             kind: kind as i32,
-            number: 77,
-            about: Some(update(1)),
+            sequence: 77,
+            target: Some(update(1)),
             updates: (0..4).map(update).collect(),
             values: vec![told()],
-            print: 0x0bad_cafe,
+            digest: 0x0bad_cafe,
         };
         holds(&frame, fixture);
     }
@@ -62,25 +64,25 @@
 
 #[test]
 fn the_steps_of_anti_entropy_keep_their_bytes() {
-    let sync = Sync {
+    let sync = SyncMessage {
         step: 3,
-        prints: vec![1, 0xffff_ffff],
-        parts: 0x8000_0000_0000_0001,
+        digests: vec![1, 0xffff_ffff],
+        buckets: 0x8000_0000_0000_0001,
         updates: vec![update(0)],
         values: vec![told()],
-        stand: vec![5, 6],
-        wants: vec![7],
+        member_digests: vec![5, 6],
+        wanted: vec![7],
     };
     holds(&sync, include_str!("golden/sync.hex"));
 }
 
 #[test]
 fn what_a_member_tells_of_itself_keeps_its_bytes() {
-    let about = AboutWords {
+    let about = MetadataMessage {
         zone: "tembalang".to_owned(),
         region: "java".to_owned(),
         build: "0.1.0".to_owned(),
-        speaks: vec!["rules1".to_owned(), "outcomes1".to_owned()],
+        capabilities: vec!["rules1".to_owned(), "outcomes1".to_owned()],
     };
     holds(&about, include_str!("golden/about.hex"));
 }
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -27,7 +27,7 @@
     /// The most bytes of a frame with its envelope.
     pub frame_bytes: usize,
     /// Times and bounds.
-    pub peers: sillward_membership::Terms,
+    pub peers: sillward_membership::MembershipSettings,
 }
 
 /// The longest zone and region, in bytes: both must fit one value with the build and what the node speaks.
@@ -89,30 +89,30 @@
         text.to_owned()
     };
     let (zone, region) = (place("zone"), place("region"));
-    let usual = sillward_membership::Terms::default();
+    let usual = sillward_membership::MembershipSettings::default();
     let ms = |name, least, most, usual: Duration| {
         section
             .number(name, least, most)
             .map_or(usual, |ms| Duration::from_millis(ms as u64))
     };
-    let peers = sillward_membership::Terms {
-        probe: ms("probe_ms", 50, 60_000, usual.probe),
-        least_wait: ms("wait_ms", 5, 10_000, usual.least_wait),
-        suspicion: ms("suspicion_ms", 200, 600_000, usual.suspicion),
-        gossip: ms("gossip_ms", 20, 10_000, usual.gossip),
-        forget: ms("forget_ms", 1_000, 86_400_000, usual.forget),
-        most: section
+    let peers = sillward_membership::MembershipSettings {
+        probe_interval: ms("probe_ms", 50, 60_000, usual.probe_interval),
+        min_ack_timeout: ms("wait_ms", 5, 10_000, usual.min_ack_timeout),
+        min_suspicion_timeout: ms("suspicion_ms", 200, 600_000, usual.min_suspicion_timeout),
+        gossip_interval: ms("gossip_ms", 20, 10_000, usual.gossip_interval),
+        dead_retention: ms("forget_ms", 1_000, 86_400_000, usual.dead_retention),
+        max_members: section
             .number("members", 2, 4096)
-            .map_or(usual.most, |n| n as usize),
+            .map_or(usual.max_members, |n| n as usize),
         ..usual
     };
-    if peers.least_wait >= peers.probe {
+    if peers.min_ack_timeout >= peers.probe_interval {
         section.fault(
             "wait_ms",
             "must be shorter than probe_ms: a probe is over before the next one",
         );
     }
-    if peers.suspicion < peers.least_wait * 4 {
+    if peers.min_suspicion_timeout < peers.min_ack_timeout * 4 {
         section.fault(
             "suspicion_ms",
             "must be four times wait_ms at least: who is suspected has to hear of it",
--- a/crates/outcome-stats/src/spread.rs
+++ b/crates/outcome-stats/src/spread.rs
@@ -14,7 +14,7 @@
 use prost::Message;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
-use sillward_membership::{Life, Name};
+use sillward_membership::{Incarnation, Name};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -133,23 +133,23 @@
 pub struct Spread {
     terms: Terms,
     me: Name,
-    life: Life,
+    life: Incarnation,
     book: Book,
     /// Words of the nodes of this one's group.
-    board: Board<(Name, Life)>,
+    board: Board<(Name, Incarnation)>,
     /// Sums of groups, by group and speaker; those of this one's own group go on to others, and are not read here.
     sums: Board<Sum>,
     /// How many groups there are, and this node's.
     groups: u32,
     group: u32,
     /// The members of its group, this node among them.
-    mates: BTreeMap<Name, Life>,
+    mates: BTreeMap<Name, Incarnation>,
     /// Who speaks for each group; whether this node does, when next, and how often it has.
     speakers: BTreeSet<Name>,
     speaks: bool,
     next_sum: Duration,
     spoken: u64,
-    living: BTreeMap<Name, Life>,
+    living: BTreeMap<Name, Incarnation>,
     /// Whom it asks in turn, the next in front; and a speaker's mates, each of whom it asks for its own word.
     ring: VecDeque<Name>,
     round: VecDeque<Name>,
@@ -173,7 +173,7 @@
 
 impl Spread {
     /// A node's part from `now` on, in that life.
-    pub fn new(terms: Terms, me: Name, life: Life, seed: u64, now: Duration) -> Self {
+    pub fn new(terms: Terms, me: Name, life: Incarnation, seed: u64, now: Duration) -> Self {
         Spread {
             book: Book::new(terms.window, terms.keep, now),
             board: Board::new(terms.most.saturating_mul(2)),
@@ -217,8 +217,8 @@
     pub fn turn<'a>(
         &mut self,
         now: Duration,
-        life: Life,
-        living: impl Iterator<Item = (&'a Name, Life)>,
+        life: Incarnation,
+        living: impl Iterator<Item = (&'a Name, Incarnation)>,
     ) -> Vec<Action> {
         if life != self.life {
             self.life = life;
@@ -226,7 +226,7 @@
             self.asked.clear();
             self.next_word = now;
         }
-        let mut known: BTreeMap<Name, Life> = living
+        let mut known: BTreeMap<Name, Incarnation> = living
             .take(self.terms.most)
             .map(|(name, life)| (name.clone(), life))
             .collect();
@@ -278,7 +278,13 @@
     }
 
     /// A message came over a link from that member in that life.
-    pub fn heard(&mut self, now: Duration, from: &Name, life: Life, bytes: &[u8]) -> Vec<Action> {
+    pub fn heard(
+        &mut self,
+        now: Duration,
+        from: &Name,
+        life: Incarnation,
+        bytes: &[u8],
+    ) -> Vec<Action> {
         let Ok(said) = Said::decode(bytes) else {
             self.figures.nonsense += 1;
             return Vec::new();
@@ -319,7 +325,7 @@
     }
 
     /// The words of nodes that are known.
-    pub fn board(&self) -> &Board<(Name, Life)> {
+    pub fn board(&self) -> &Board<(Name, Incarnation)> {
         &self.board
     }
 
@@ -723,7 +729,14 @@
         ))
     }
 
-    fn take_in(&mut self, now: Duration, from: &Name, life: Life, answer: &Answer, bytes: usize) {
+    fn take_in(
+        &mut self,
+        now: Duration,
+        from: &Name,
+        life: Incarnation,
+        answer: &Answer,
+        bytes: usize,
+    ) {
         let into = if answer.own {
             &mut self.from_mates
         } else {
@@ -783,10 +796,10 @@
     }
 
     /// A word as it was told, asked for at that time; `None` if it makes no sense.
-    fn word(&self, told: &Told, asked_at: Duration) -> Option<(Name, Life, Word)> {
+    fn word(&self, told: &Told, asked_at: Duration) -> Option<(Name, Incarnation, Word)> {
         let (name, life) = (
             Name::new(&told.name)?,
-            Life {
+            Incarnation {
                 epoch: told.epoch,
                 salt: told.salt,
             },
--- a/crates/outcome-stats/src/terms.rs
+++ b/crates/outcome-stats/src/terms.rs
@@ -1,6 +1,6 @@
 //! Times and bounds, and what several parts name.
 
-use sillward_membership::{Life, Name};
+use sillward_membership::{Incarnation, Name};
 use std::time::Duration;
 
 /// A mistake, planted by the build that has them.
@@ -51,4 +51,4 @@
 }
 
 /// Whose a sum is: of how many groups, which one, by whom.
-pub(crate) type Sum = (u32, u32, Name, Life);
+pub(crate) type Sum = (u32, u32, Name, Incarnation);
--- a/crates/outcome-stats/src/view.rs
+++ b/crates/outcome-stats/src/view.rs
@@ -7,7 +7,7 @@
 use crate::counts::{Backend, Cell, Class, Counts, Tally};
 use crate::sketch::Sketch;
 use crate::terms::{Plant, Sum};
-use sillward_membership::{Life, Name};
+use sillward_membership::{Incarnation, Name};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -80,8 +80,8 @@
 
 /// What is known at one node: the words of its group's nodes, if it goes by those, and the sums of groups.
 pub(crate) struct Known<'a> {
-    pub board: &'a Board<(Name, Life)>,
-    pub mates: &'a BTreeMap<Name, Life>,
+    pub board: &'a Board<(Name, Incarnation)>,
+    pub mates: &'a BTreeMap<Name, Incarnation>,
     pub sums: &'a Board<Sum>,
     pub group: Option<u32>,
 }
@@ -134,8 +134,8 @@
 
 /// What the nodes of a group told, one part a node.
 fn parts(
-    board: &Board<(Name, Life)>,
-    mates: &BTreeMap<Name, Life>,
+    board: &Board<(Name, Incarnation)>,
+    mates: &BTreeMap<Name, Incarnation>,
     now: Duration,
     (fresh, oldest): (f64, f64),
     plant: Option<Plant>,
@@ -223,8 +223,8 @@
 
 /// Sums up what the nodes of a group told, over that span; `None` if there is nothing.
 pub(crate) fn sum(
-    board: &Board<(Name, Life)>,
-    mates: &BTreeMap<Name, Life>,
+    board: &Board<(Name, Incarnation)>,
+    mates: &BTreeMap<Name, Incarnation>,
     now: Duration,
     span: Duration,
     fresh: Duration,
@@ -259,7 +259,7 @@
 /// changes in a second.
 pub(crate) fn read(
     known: &Known<'_>,
-    living: &BTreeMap<Name, Life>,
+    living: &BTreeMap<Name, Incarnation>,
     now: Duration,
     (fresh, oldest): (Duration, Duration),
     drift: f64,
--- a/crates/outcome-stats/tests/parts.rs
+++ b/crates/outcome-stats/tests/parts.rs
@@ -1,7 +1,7 @@
 //! Counts, sketches and boards add up in any order; whatever is read from others is read or dropped, and never more.
 
 use proptest::prelude::*;
-use sillward_membership::{Life, Name};
+use sillward_membership::{Incarnation, Name};
 use sillward_outcome_stats::words::{MOST, pack, unpack};
 use sillward_outcome_stats::{Asked, Backend, Cell, Class, Counts, Sketch, Spread, Tally, Terms};
 use std::time::Duration;
@@ -131,7 +131,7 @@
         Name::new("a").expect("a name"),
         Name::new("b").expect("a name"),
     );
-    let (life, now) = (Life { epoch: 1, salt: 7 }, Duration::from_secs(5));
+    let (life, now) = (Incarnation { epoch: 1, salt: 7 }, Duration::from_secs(5));
     let mut spread = Spread::new(Terms::default(), me, life, 1, now);
     let _ = spread.turn(now, life, [(&other, life)].into_iter());
     let _ = spread.heard(now, &other, life, bytes);
@@ -181,7 +181,7 @@
         Name::new("a").expect("a name"),
         Name::new("b").expect("a name"),
     );
-    let (life, now) = (Life { epoch: 1, salt: 7 }, Duration::from_secs(5));
+    let (life, now) = (Incarnation { epoch: 1, salt: 7 }, Duration::from_secs(5));
     let window = Duration::from_secs(10);
     let mut spread = Spread::new(
         Terms {
@@ -211,7 +211,10 @@
 
 #[test]
 fn a_node_alone_asks_nobody_and_reads_what_it_sees_itself() {
-    let (me, life) = (Name::new("a").expect("a name"), Life { epoch: 1, salt: 7 });
+    let (me, life) = (
+        Name::new("a").expect("a name"),
+        Incarnation { epoch: 1, salt: 7 },
+    );
     let mut now = Duration::from_secs(5);
     let mut spread = Spread::new(Terms::default(), me, life, 1, now);
     for _ in 0..100 {
@@ -235,7 +238,7 @@
         Name::new("a").expect("a name"),
         Name::new("b").expect("a name"),
     );
-    let (life, now) = (Life { epoch: 1, salt: 7 }, Duration::from_secs(5));
+    let (life, now) = (Incarnation { epoch: 1, salt: 7 }, Duration::from_secs(5));
     let mut spread = Spread::new(Terms::default(), me, life, 1, now);
     let asked = spread.turn(now, life, [(&other, life)].into_iter());
     assert_eq!(asked.len(), 1, "{asked:?}");
--- a/crates/outcome-stats/tests/world/mod.rs
+++ b/crates/outcome-stats/tests/world/mod.rs
@@ -4,7 +4,7 @@
 
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
-use sillward_membership::{Life, Name};
+use sillward_membership::{Incarnation, Name};
 use sillward_outcome_stats::{Action, Backend, Cell, Class, End, Plant, Spread, Terms, View};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -35,7 +35,7 @@
 
 pub struct Node {
     pub spread: Spread,
-    pub life: Life,
+    pub life: Incarnation,
     /// Calls a second that its callers ask, and by how much of that it swings, once in so many seconds.
     pub rate: f64,
     pub swing: (f64, f64),
@@ -46,7 +46,7 @@
     gap: f64,
 }
 
-type Due = Reverse<(Duration, u64, usize, usize, Life, Vec<u8>)>;
+type Due = Reverse<(Duration, u64, usize, usize, Incarnation, Vec<u8>)>;
 
 pub struct World {
     pub now: Duration,
@@ -94,7 +94,7 @@
     }
 
     fn fresh(&self, number: usize, epoch: u32, rate: f64) -> Node {
-        let life = Life {
+        let life = Incarnation {
             epoch,
             salt: 1 + number as u32 + 10_000 * epoch,
         };
@@ -210,7 +210,7 @@
                 let actions = self.nodes[to].spread.heard(at, &name(from), life, &bytes);
                 self.post(to, actions);
             }
-            let living: Vec<(Name, Life)> = self
+            let living: Vec<(Name, Incarnation)> = self
                 .nodes
                 .iter()
                 .enumerate()
--- a/crates/peer-transport/src/envelope.rs
+++ b/crates/peer-transport/src/envelope.rs
@@ -1,12 +1,12 @@
-//! A frame's envelope: the fleet's name, who sends it in which life, to which life, a number, and a keyed hash of it all.
+//! A frame's envelope: the fleet's name, who sends it in which incarnation, to which incarnation, a number, and a keyed hash of it all.
 //! No I/O.
 //!
-//! Wire: the version (1 byte), the hash (16 bytes), then the protobuf message `Words`. The hash is BLAKE3's keyed one under
+//! Wire: the version (1 byte), the hash (16 bytes), then the protobuf message `EnvelopeMessage`. The hash is BLAKE3's keyed one under
 //! a key derived from the fleet's, cut to 16 bytes: who does not have the key guesses one in 2^128.
 
 use prost::Message;
-use sillward_membership::words::{self, Frame};
-use sillward_membership::{Life, Name};
+use sillward_membership::wire::{self, Frame};
+use sillward_membership::{Incarnation, Name};
 use std::net::{IpAddr, SocketAddr};
 
 /// The version of the envelope. Another one is counted and dropped; what is added within one is skipped by who does not
@@ -14,23 +14,23 @@
 const VERSION: u8 = 1;
 const MAC: usize = 16;
 /// The longest datagram that carries another part's word, in bytes, with all that is around it: what passes any way whole.
-pub const MOST_WORD: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// The longest name of a fleet, in bytes.
-pub const MOST_FLEET: usize = 16;
+pub const MAX_FLEET_NAME_BYTES: usize = 16;
 
 /// The fleet's key, by what it is used for.
 #[derive(Clone)]
 pub struct Keys {
     frames: [u8; 32],
-    pub(crate) links: [u8; 32],
+    pub(crate) connections: [u8; 32],
 }
 
 impl Keys {
     /// Keys from the secret that the key file holds.
-    pub fn of(secret: &[u8]) -> Self {
+    pub fn derive(secret: &[u8]) -> Self {
         Keys {
             frames: blake3::derive_key("sillward 2026-12-01 fleet frames", secret),
-            links: blake3::derive_key("sillward 2026-12-01 fleet links", secret),
+            connections: blake3::derive_key("sillward 2026-12-01 fleet links", secret),
         }
     }
 }
@@ -43,7 +43,7 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct Words {
+struct EnvelopeMessage {
     #[prost(string, tag = "1")]
     fleet: String,
     #[prost(string, tag = "2")]
@@ -68,70 +68,70 @@
 
 /// A frame with what its envelope says.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sealed {
+pub struct Envelope {
     /// The sender.
     pub name: Name,
     /// Where the sender says that it is reached.
     pub address: SocketAddr,
-    /// The sender's life.
-    pub life: Life,
-    /// Rises from frame to frame of a life.
-    pub number: u64,
-    /// The salt of the life that it is for; 0 for a stranger's.
-    pub to: u32,
+    /// The sender's incarnation.
+    pub incarnation: Incarnation,
+    /// Rises from frame to frame of a incarnation.
+    pub sequence: u64,
+    /// The salt of the incarnation that it is for; 0 for a stranger's.
+    pub to_salt: u32,
     /// The frame; nothing in it where there is a topic.
     pub frame: Frame,
     /// Another part's word, of that topic; 0 for a frame.
     pub topic: u32,
     /// See there.
-    pub word: Vec<u8>,
+    pub payload: Vec<u8>,
 }
 
 /// Why something that came is not read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Dropped {
+pub enum RejectReason {
     /// Shorter or longer than any frame.
     Length,
     /// Another version of the envelope.
     Version,
     /// The hash is not the one under this key: another key, a forgery, or spoilt on the way.
-    Key,
+    Authentication,
     /// Another fleet's, under the same key.
     Fleet,
-    /// No message, or one without a name, address or life.
-    Nonsense,
+    /// No message, or one without a name, address or incarnation.
+    Malformed,
     /// The number has been seen, or is too old to tell.
     Replayed,
     /// Too many of one member's.
-    Rate,
+    RateLimited,
     /// More than this node reads of all.
-    Flood,
+    Overload,
 }
 
-impl Dropped {
+impl RejectReason {
     /// All there are.
-    pub const ALL: [Dropped; 8] = [
-        Dropped::Length,
-        Dropped::Version,
-        Dropped::Key,
-        Dropped::Fleet,
-        Dropped::Nonsense,
-        Dropped::Replayed,
-        Dropped::Rate,
-        Dropped::Flood,
+    pub const ALL: [RejectReason; 8] = [
+        RejectReason::Length,
+        RejectReason::Version,
+        RejectReason::Authentication,
+        RejectReason::Fleet,
+        RejectReason::Malformed,
+        RejectReason::Replayed,
+        RejectReason::RateLimited,
+        RejectReason::Overload,
     ];
 
     /// As operators read it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Dropped::Length => "length",
-            Dropped::Version => "version",
-            Dropped::Key => "key",
-            Dropped::Fleet => "fleet",
-            Dropped::Nonsense => "nonsense",
-            Dropped::Replayed => "replayed",
-            Dropped::Rate => "rate",
-            Dropped::Flood => "flood",
+            RejectReason::Length => "length",
+            RejectReason::Version => "version",
+            RejectReason::Authentication => "key",
+            RejectReason::Fleet => "fleet",
+            RejectReason::Malformed => "nonsense",
+            RejectReason::Replayed => "replayed",
+            RejectReason::RateLimited => "rate",
+            RejectReason::Overload => "flood",
         }
     }
 }
@@ -150,16 +150,16 @@
 }
 
 /// Makes envelopes, and opens them.
-pub struct Envelopes {
+pub struct EnvelopeCodec {
     keys: Keys,
     fleet: String,
     most: usize,
 }
 
-impl Envelopes {
+impl EnvelopeCodec {
     /// For a fleet; `most` is the most bytes of an envelope with its frame.
     pub fn new(keys: Keys, fleet: &str, most: usize) -> Self {
-        Envelopes {
+        EnvelopeCodec {
             keys,
             fleet: fleet.to_owned(),
             most,
@@ -167,7 +167,7 @@
     }
 
     /// What is left for a frame of that sender's, in bytes, at the worst.
-    pub fn room(&self, name: &Name, address: SocketAddr) -> usize {
+    pub fn frame_capacity(&self, name: &Name, address: SocketAddr) -> usize {
         let address = if address.is_ipv4() { 6 } else { 18 };
         let words =
             2 + self.fleet.len() + 2 + name.as_str().len() + 2 + address + 6 + 5 + 11 + 5 + 3;
@@ -175,27 +175,27 @@
     }
 
     /// The bytes of a frame in its envelope.
-    pub fn seal(&self, sealed: &Sealed) -> Vec<u8> {
+    pub fn seal(&self, sealed: &Envelope) -> Vec<u8> {
         let mut address = match sealed.address.ip() {
             IpAddr::V4(ip) => ip.octets().to_vec(),
             IpAddr::V6(ip) => ip.octets().to_vec(),
         };
         address.extend(sealed.address.port().to_be_bytes());
-        let words = Words {
+        let message = EnvelopeMessage {
             fleet: self.fleet.clone(),
             name: sealed.name.as_str().to_owned(),
             address,
-            epoch: sealed.life.epoch,
-            salt: sealed.life.salt,
-            number: sealed.number,
-            to: sealed.to,
+            epoch: sealed.incarnation.epoch,
+            salt: sealed.incarnation.salt,
+            number: sealed.sequence,
+            to: sealed.to_salt,
             frame: (sealed.topic == 0).then(|| sealed.frame.clone()),
             topic: sealed.topic,
-            word: sealed.word.clone(),
+            word: sealed.payload.clone(),
         };
         let mut bytes = vec![VERSION];
         bytes.resize(1 + MAC, 0);
-        words.encode_raw(&mut bytes);
+        message.encode_raw(&mut bytes);
         newer(&mut bytes);
         let mac = self.mac(&bytes);
         bytes[1..=MAC].copy_from_slice(&mac);
@@ -215,12 +215,12 @@
     ///
     /// # Errors
     /// Why it is not read.
-    pub fn open(&self, bytes: &[u8]) -> Result<Sealed, Dropped> {
-        if bytes.len() <= 1 + MAC || bytes.len() > self.most.max(MOST_WORD) {
-            return Err(Dropped::Length);
+    pub fn open(&self, bytes: &[u8]) -> Result<Envelope, RejectReason> {
+        if bytes.len() <= 1 + MAC || bytes.len() > self.most.max(MAX_DATAGRAM_BYTES) {
+            return Err(RejectReason::Length);
         }
         if bytes[0] != VERSION {
-            return Err(Dropped::Version);
+            return Err(RejectReason::Version);
         }
         // In constant time: how long a comparison takes must not tell how much of a guess was right.
         let differs = self
@@ -229,36 +229,37 @@
             .zip(&bytes[1..=MAC])
             .fold(0, |all, (a, b)| all | (a ^ b));
         if differs != 0 {
-            return Err(Dropped::Key);
+            return Err(RejectReason::Authentication);
         }
-        let words = Words::decode(&bytes[1 + MAC..]).map_err(|_| Dropped::Nonsense)?;
-        if words.topic == 0 && bytes.len() > self.most {
-            return Err(Dropped::Length);
+        let message =
+            EnvelopeMessage::decode(&bytes[1 + MAC..]).map_err(|_| RejectReason::Malformed)?;
+        if message.topic == 0 && bytes.len() > self.most {
+            return Err(RejectReason::Length);
         }
-        if words.fleet != self.fleet {
-            return Err(Dropped::Fleet);
+        if message.fleet != self.fleet {
+            return Err(RejectReason::Fleet);
         }
-        let life = Life {
-            epoch: words.epoch,
-            salt: words.salt,
+        let incarnation = Incarnation {
+            epoch: message.epoch,
+            salt: message.salt,
         };
-        let good = life.epoch > 0 && life.salt > 0;
+        let good = incarnation.epoch > 0 && incarnation.salt > 0;
         let read = || {
-            Some(Sealed {
-                name: Name::new(&words.name)?,
-                address: words::address(&words.address)?,
-                life,
-                number: words.number,
-                to: words.to,
-                frame: if words.topic == 0 {
-                    words.frame?
+            Some(Envelope {
+                name: Name::new(&message.name)?,
+                address: wire::decode_address(&message.address)?,
+                incarnation,
+                sequence: message.number,
+                to_salt: message.to,
+                frame: if message.topic == 0 {
+                    message.frame?
                 } else {
                     Frame::default()
                 },
-                topic: words.topic,
-                word: words.word,
+                topic: message.topic,
+                payload: message.word,
             })
         };
-        good.then(read).flatten().ok_or(Dropped::Nonsense)
+        good.then(read).flatten().ok_or(RejectReason::Malformed)
     }
 }
--- a/crates/peer-transport/src/guard.rs
+++ b/crates/peer-transport/src/inbound_filter.rs
@@ -1,7 +1,7 @@
-//! What a node lets in: each number of a life once, so much of each member, so much of all. No I/O, bounded memory.
+//! What a node lets in: each number of a incarnation once, so much of each member, so much of all. No I/O, bounded memory.
 
-use crate::envelope::Dropped;
-use sillward_membership::{Life, Name};
+use crate::envelope::RejectReason;
+use sillward_membership::{Incarnation, Name};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -15,17 +15,17 @@
 
 /// So much a second, and so much at once.
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     left: f64,
     at: Duration,
     rate: f64,
     burst: f64,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full one.
     pub fn new(rate: f64, burst: f64, now: Duration) -> Self {
-        Bucket {
+        TokenBucket {
             left: burst,
             at: now,
             rate,
@@ -44,55 +44,55 @@
     }
 }
 
-/// The numbers of a life that were seen: the highest, and which of the 127 before it.
+/// The numbers of a incarnation that were seen: the highest, and which of the 127 before it.
 struct Window {
-    life: Life,
+    incarnation: Incarnation,
     highest: u64,
     seen: u128,
-    bucket: Bucket,
+    bucket: TokenBucket,
     used: Duration,
 }
 
 /// The guard.
-pub struct Guard {
+pub struct InboundFilter {
     windows: BTreeMap<Name, Window>,
     most: usize,
-    reads: Bucket,
-    dropped: BTreeMap<Dropped, u64>,
-    taken: u64,
+    reads: TokenBucket,
+    rejected: BTreeMap<RejectReason, u64>,
+    accepted: u64,
 }
 
-impl Guard {
+impl InboundFilter {
     /// For at most so many members.
     pub fn new(most: usize, now: Duration) -> Self {
-        let reads = Bucket::new(READS, READ_BURST, now);
-        Guard {
+        let reads = TokenBucket::new(READS, READ_BURST, now);
+        InboundFilter {
             windows: BTreeMap::new(),
             most,
             reads,
-            dropped: BTreeMap::new(),
-            taken: 0,
+            rejected: BTreeMap::new(),
+            accepted: 0,
         }
     }
 
     /// Whether one more datagram is looked at.
-    pub fn may_read(&mut self, now: Duration) -> bool {
+    pub fn allow_read(&mut self, now: Duration) -> bool {
         self.reads.take(now)
     }
 
     /// Counts what was dropped.
-    pub fn note(&mut self, why: Dropped) {
-        *self.dropped.entry(why).or_default() += 1;
+    pub fn record_rejection(&mut self, why: RejectReason) {
+        *self.rejected.entry(why).or_default() += 1;
     }
 
     /// How often something was dropped for that reason.
-    pub fn dropped(&self, why: Dropped) -> u64 {
-        self.dropped.get(&why).copied().unwrap_or_default()
+    pub fn rejected(&self, why: RejectReason) -> u64 {
+        self.rejected.get(&why).copied().unwrap_or_default()
     }
 
     /// How many frames were let in.
-    pub fn taken(&self) -> u64 {
-        self.taken
+    pub fn accepted(&self) -> u64 {
+        self.accepted
     }
 
     /// Lets a frame in, whose hash was good, or says why not.
@@ -103,9 +103,9 @@
         &mut self,
         now: Duration,
         name: &Name,
-        life: Life,
+        incarnation: Incarnation,
         number: u64,
-    ) -> Result<(), Dropped> {
+    ) -> Result<(), RejectReason> {
         if !self.windows.contains_key(name) {
             if self.windows.len() >= self.most {
                 let oldest = self.windows.iter().min_by_key(|(_, window)| window.used);
@@ -113,11 +113,11 @@
                     self.windows.remove(&name);
                 }
             }
-            let bucket = Bucket::new(RATE, BURST, now);
+            let bucket = TokenBucket::new(RATE, BURST, now);
             self.windows.insert(
                 name.clone(),
                 Window {
-                    life,
+                    incarnation,
                     highest: 0,
                     seen: 0,
                     bucket,
@@ -126,19 +126,19 @@
             );
         }
         let Some(window) = self.windows.get_mut(name) else {
-            return Err(Dropped::Rate);
+            return Err(RejectReason::RateLimited);
         };
         window.used = now;
         if !window.bucket.take(now) {
-            return Err(Dropped::Rate);
+            return Err(RejectReason::RateLimited);
         }
-        if life < window.life {
-            // Of an ended life: its sender is told so at most, and nothing that it says is believed.
-            self.taken += 1;
+        if incarnation < window.incarnation {
+            // Of an ended incarnation: its sender is told so at most, and nothing that it says is believed.
+            self.accepted += 1;
             return Ok(());
         }
-        if life > window.life {
-            (window.life, window.highest, window.seen) = (life, 0, 0);
+        if incarnation > window.incarnation {
+            (window.incarnation, window.highest, window.seen) = (incarnation, 0, 0);
         }
         if number > window.highest {
             let by = number - window.highest;
@@ -147,23 +147,23 @@
         } else {
             let back = window.highest - number;
             if back >= 128 || window.seen & 1 << back != 0 {
-                return Err(Dropped::Replayed);
+                return Err(RejectReason::Replayed);
             }
             window.seen |= 1 << back;
         }
-        self.taken += 1;
+        self.accepted += 1;
         Ok(())
     }
 
-    /// Whether that is the newest life which was seen of a member.
-    pub fn lives(&self, name: &Name, life: Life) -> bool {
+    /// Whether that is the newest incarnation which was seen of a member.
+    pub fn is_current_incarnation(&self, name: &Name, incarnation: Incarnation) -> bool {
         self.windows
             .get(name)
-            .is_some_and(|window| window.life == life)
+            .is_some_and(|window| window.incarnation == incarnation)
     }
 
     /// Members whose numbers are remembered.
-    pub fn known(&self) -> usize {
+    pub fn tracked_members(&self) -> usize {
         self.windows.len()
     }
 }
--- a/crates/peer-transport/src/lib.rs
+++ b/crates/peer-transport/src/lib.rs
@@ -1,27 +1,30 @@
 //! What carries the fleet's frames and longer state: datagrams for frames, a connection a pair at need for the rest. What
-//! they say is decided by [`sillward_membership`]; what is let in, by [`guard`] and [`envelope`].
+//! they say is decided by [`sillward_membership`]; what is let in, by [`inbound_filter`] and [`envelope`].
 //!
 //! Other parts of the node write values and post messages here, and open no sockets of their own.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod envelope;
-pub mod guard;
+pub mod inbound_filter;
+pub mod incarnation_file;
 mod link;
-pub mod memory;
-pub mod outbox;
-pub mod page;
+pub mod send_queue;
 pub mod session;
+pub mod status_page;
 
-use envelope::{Dropped, Envelopes, Keys, Sealed};
-use guard::Guard;
+use envelope::{Envelope, EnvelopeCodec, Keys, RejectReason};
+use inbound_filter::InboundFilter;
 use link::Link;
-use outbox::Posted;
 use prost::Message;
-use session::Long;
+use send_queue::OutboundMessage;
+use session::TopicMessage;
 use sillward_logging::{log, log_peer};
-use sillward_membership::words::Sync;
-use sillward_membership::{About, Action, Event, Life, Me, Name, Peers, Standing, SyncStep};
+use sillward_membership::wire::SyncMessage;
+use sillward_membership::{
+    Action, Event, Incarnation, LocalNode, Membership, MembershipStatus, Name, NodeMetadata,
+    SyncStep,
+};
 use sillward_runtime::net::{TcpListener, UdpSocket};
 use sillward_runtime::task::{JoinSet, spawn_local};
 use sillward_runtime::time::{Instant, sleep_until};
@@ -48,8 +51,8 @@
 
 /// What a fleet's member needs to know.
 #[derive(Clone, Debug)]
-pub struct Terms {
-    /// The fleet's name: at most [`envelope::MOST_FLEET`] bytes.
+pub struct TransportSettings {
+    /// The fleet's name: at most [`envelope::MAX_FLEET_NAME_BYTES`] bytes.
     pub fleet: String,
     /// Its keys.
     pub keys: Keys,
@@ -62,34 +65,34 @@
     /// Whom it asks first.
     pub seeds: Vec<SocketAddr>,
     /// What it tells of itself.
-    pub about: About,
+    pub metadata: NodeMetadata,
     /// The most bytes of a frame with its envelope.
-    pub frame_bytes: usize,
+    pub max_frame_bytes: usize,
     /// The most links at once, and as many connections that were taken.
-    pub links: usize,
-    /// Where it remembers its last life.
-    pub folder: Option<PathBuf>,
+    pub max_connections: usize,
+    /// Where it remembers its last incarnation.
+    pub state_dir: Option<PathBuf>,
     /// Times and bounds of membership; how long a frame may be is filled in.
-    pub peers: sillward_membership::Terms,
+    pub membership: sillward_membership::MembershipSettings,
 }
 
-type Hearer = Rc<dyn Fn(&Name, Life, &[u8])>;
+type Hearer = Rc<dyn Fn(&Name, Incarnation, &[u8])>;
 type WordHearer = Rc<dyn Fn(&Name, SocketAddr, &[u8])>;
 /// Words that wait for the loop to send them: an answer for every member, and some.
 const MOST_WORDS: usize = 8192;
 
 /// This member of the fleet.
-pub struct Fleet {
+pub struct PeerTransport {
     clock: Clock,
     fleet: String,
     name: Name,
     own_ip: IpAddr,
     keys: Keys,
-    envelopes: Envelopes,
-    peers: RefCell<Peers>,
-    guard: RefCell<Guard>,
-    /// The number of the last frame, in the life that it was of.
-    number: Cell<(Life, u64)>,
+    envelopes: EnvelopeCodec,
+    peers: RefCell<Membership>,
+    inbound_filter: RefCell<InboundFilter>,
+    /// The number of the last frame, in the incarnation that it was of.
+    number: Cell<(Incarnation, u64)>,
     links: RefCell<BTreeMap<Name, Rc<Link>>>,
     most_links: usize,
     hearers: RefCell<BTreeMap<u32, Hearer>>,
@@ -99,8 +102,8 @@
     sooner: Notify,
     /// What follows from words over links, for the loop to carry out: bounded by what one link can say before it runs.
     later: RefCell<Vec<Action>>,
-    keep: Option<mpsc::UnboundedSender<Life>>,
-    /// Whether the folder has the present life.
+    keep: Option<mpsc::UnboundedSender<Incarnation>>,
+    /// Whether the folder has the present incarnation.
     kept: Rc<Cell<Option<bool>>>,
     sent: Cell<(u64, u64)>,
     sent_long: Cell<(u64, u64)>,
@@ -134,29 +137,36 @@
     Err("unreachable".to_owned())
 }
 
-impl Fleet {
-    /// Opens the sockets and begins a life.
+impl PeerTransport {
+    /// Opens the sockets and begins a incarnation.
     ///
     /// # Errors
     /// It can't listen, its folder can't be made, or the system has no random numbers.
-    pub async fn start(terms: Terms, clock: Clock) -> Result<(Rc<Self>, Listening), String> {
-        let listening = listen(terms.listen).await?;
-        let address = terms.advertise.unwrap_or(listening.address);
+    pub async fn start(
+        settings: TransportSettings,
+        clock: Clock,
+    ) -> Result<(Rc<Self>, Listening), String> {
+        let listening = listen(settings.listen).await?;
+        let address = settings.advertise.unwrap_or(listening.address);
         let now = clock.now();
-        let epoch = match &terms.folder {
+        let epoch = match &settings.state_dir {
             None => 0,
             Some(folder) => {
                 let wrong = |e: std::io::Error| {
                     format!("cannot use the fleet's folder {}: {e}", folder.display())
                 };
                 files::folder(folder).map_err(wrong)?;
-                let bytes = files::read(&folder.join(memory::FILE), memory::MOST).map_err(wrong)?;
-                match bytes.map(|bytes| memory::epoch(&terms.name, &bytes)) {
+                let bytes = files::read(
+                    &folder.join(incarnation_file::FILE_NAME),
+                    incarnation_file::MAX_BYTES,
+                )
+                .map_err(wrong)?;
+                match bytes.map(|bytes| incarnation_file::decode(&settings.name, &bytes)) {
                     Some(Some(epoch)) => epoch,
                     Some(None) => {
                         log(format_args!(
                             "the file {} in {} is spoilt or another node's: it counts as lost",
-                            memory::FILE,
+                            incarnation_file::FILE_NAME,
                             folder.display()
                         ));
                         0
@@ -167,20 +177,24 @@
         };
         let seed =
             random::entropy().map_err(|e| format!("no random numbers for the fleet: {e}"))?;
-        let envelopes = Envelopes::new(terms.keys.clone(), &terms.fleet, terms.frame_bytes);
-        let room = envelopes.room(&terms.name, address);
-        let (about, seeds) = (terms.about, terms.seeds);
-        let me = Me {
-            name: terms.name.clone(),
+        let envelopes = EnvelopeCodec::new(
+            settings.keys.clone(),
+            &settings.fleet,
+            settings.max_frame_bytes,
+        );
+        let room = envelopes.frame_capacity(&settings.name, address);
+        let (about, seeds) = (settings.metadata, settings.seeds);
+        let me = LocalNode {
+            name: settings.name.clone(),
             address,
-            about,
+            metadata: about,
             seeds,
         };
-        let most = terms.peers.most;
-        let peers = Peers::new(
-            sillward_membership::Terms {
-                frame: room,
-                ..terms.peers
+        let most = settings.membership.max_members;
+        let peers = Membership::new(
+            sillward_membership::MembershipSettings {
+                max_frame_bytes: room,
+                ..settings.membership
             },
             me,
             epoch,
@@ -188,23 +202,28 @@
             now,
         );
         let kept = Rc::new(Cell::new(None));
-        let keep = terms.folder.map(|folder| {
+        let keep = settings.state_dir.map(|folder| {
             let (keep, lives) = mpsc::unbounded_channel();
-            spawn_local(keep_lives(folder, terms.name.clone(), lives, kept.clone()));
+            spawn_local(keep_lives(
+                folder,
+                settings.name.clone(),
+                lives,
+                kept.clone(),
+            ));
             keep
         });
-        let fleet = Rc::new(Fleet {
+        let fleet = Rc::new(PeerTransport {
             clock,
-            fleet: terms.fleet,
-            name: terms.name,
+            fleet: settings.fleet,
+            name: settings.name,
             own_ip: listening.address.ip(),
-            keys: terms.keys,
+            keys: settings.keys,
             envelopes,
-            number: Cell::new((peers.life(), 0)),
+            number: Cell::new((peers.incarnation(), 0)),
             peers: RefCell::new(peers),
-            guard: RefCell::new(Guard::new(most, now)),
+            inbound_filter: RefCell::new(InboundFilter::new(most, now)),
             links: RefCell::default(),
-            most_links: terms.links,
+            most_links: settings.max_connections,
             hearers: RefCell::default(),
             word_hearers: RefCell::default(),
             words: RefCell::default(),
@@ -238,9 +257,9 @@
                 () = &mut stop => break,
                 () = sleep_until(due) => {
                     reads_from = reads_from.filter(|from| *from > Instant::now());
-                    self.event(&udp, Event::Turn);
+                    self.event(&udp, Event::Tick);
                 }
-                () = self.sooner.notified() => self.event(&udp, Event::Turn),
+                () = self.sooner.notified() => self.event(&udp, Event::Tick),
                 received = udp.receive(&mut buffer), if reads_from.is_none() => {
                     // An error is about an earlier send that nobody was there for.
                     if let Ok((count, _)) = received {
@@ -269,16 +288,16 @@
             let Some((to, topic, word)) = self.words.borrow_mut().pop_front() else {
                 break;
             };
-            let sealed = Sealed {
+            let sealed = Envelope {
                 topic,
-                word,
+                payload: word,
                 ..self.numbered(0, Default::default())
             };
             self.send(udp, &sealed, to);
         }
     }
 
-    fn send(&self, udp: &UdpSocket, sealed: &Sealed, to: SocketAddr) {
+    fn send(&self, udp: &UdpSocket, sealed: &Envelope, to: SocketAddr) {
         let bytes = self.envelopes.seal(sealed);
         self.note_sent(bytes.len(), false);
         if udp.send(&bytes, to).is_err() {
@@ -293,52 +312,60 @@
                     let sealed = self.numbered(salt, frame);
                     self.send(udp, &sealed, to);
                 }
-                Action::Sync { to, address, words } => {
-                    let slot = words.step;
-                    self.post(
+                Action::Sync {
+                    to,
+                    address,
+                    message,
+                } => {
+                    let slot = message.step;
+                    self.send_message(
                         &to,
                         address,
-                        Posted {
+                        OutboundMessage {
                             topic: SYNC,
                             slot,
-                            bytes: words.encode_to_vec(),
+                            bytes: message.encode_to_vec(),
                         },
                     );
                 }
-                Action::Keep(life) => {
+                Action::StoreIncarnation(incarnation) => {
                     self.kept.set(None);
                     // One that can't be kept is told on the page; lives are told apart by their salts all the same.
-                    let _ = self.keep.as_ref().map(|keep| keep.send(life));
+                    let _ = self.keep.as_ref().map(|keep| keep.send(incarnation));
                 }
-                Action::News(what) => log_peer(format_args!("fleet {}: {what}", self.fleet)),
+                Action::Log(what) => log_peer(format_args!("fleet {}: {what}", self.fleet)),
             }
         }
     }
 
-    fn numbered(&self, to: u32, frame: sillward_membership::words::Frame) -> Sealed {
+    fn numbered(&self, to: u32, frame: sillward_membership::wire::Frame) -> Envelope {
         let peers = self.peers.borrow();
-        let (life, number) = self.number.get();
-        let number = if life == peers.life() { number + 1 } else { 1 };
-        self.number.set((peers.life(), number));
-        let me = peers.me();
-        Sealed {
+        let (incarnation, number) = self.number.get();
+        let number = if incarnation == peers.incarnation() {
+            number + 1
+        } else {
+            1
+        };
+        self.number.set((peers.incarnation(), number));
+        let me = peers.local();
+        Envelope {
             name: me.name.clone(),
             address: me.address,
-            life: peers.life(),
-            number,
-            to,
+            incarnation: peers.incarnation(),
+            sequence: number,
+            to_salt: to,
             frame,
             topic: 0,
-            word: Vec::new(),
+            payload: Vec::new(),
         }
     }
 
     /// Takes a datagram; false once more come than are read.
     fn datagram(self: &Rc<Self>, udp: &UdpSocket, bytes: &[u8]) -> bool {
         let now = self.clock.now();
-        let mut guard = self.guard.borrow_mut();
-        if !guard.may_read(now) {
-            guard.note(Dropped::Flood);
+        let mut guard = self.inbound_filter.borrow_mut();
+        if !guard.allow_read(now) {
+            guard.record_rejection(RejectReason::Overload);
             return false;
         }
         let (frames, all) = self.received.get();
@@ -346,31 +373,31 @@
         let opened = self.envelopes.open(bytes);
         let admitted = opened.and_then(|sealed| {
             guard
-                .admit(now, &sealed.name, sealed.life, sealed.number)
+                .admit(now, &sealed.name, sealed.incarnation, sealed.sequence)
                 .map(|()| sealed)
         });
         match admitted {
-            Err(why) => guard.note(why),
-            Ok(Sealed {
+            Err(why) => guard.record_rejection(why),
+            Ok(Envelope {
                 name,
                 address,
-                life,
+                incarnation,
                 topic: topic @ 1..,
-                word,
+                payload: word,
                 ..
             }) => {
-                let lives = guard.lives(&name, life);
+                let lives = guard.is_current_incarnation(&name, incarnation);
                 drop(guard);
                 let hearer = self.word_hearers.borrow().get(&topic).cloned();
                 if let (Some(hearer), true) = (hearer, lives) {
                     hearer(&name, address, &word); // another topic is a newer build's
                 }
             }
-            Ok(Sealed {
+            Ok(Envelope {
                 name,
                 address,
-                life,
-                to,
+                incarnation,
+                to_salt,
                 frame,
                 ..
             }) => {
@@ -380,8 +407,8 @@
                     Event::Frame {
                         name,
                         address,
-                        life,
-                        to,
+                        incarnation,
+                        to_salt,
                         frame,
                     },
                 );
@@ -390,27 +417,33 @@
         true
     }
 
-    /// A message over a link; false if the link is of a life that has ended.
-    fn heard(self: &Rc<Self>, name: &Name, life: Life, own: Life, long: &Long) -> bool {
+    /// A message over a link; false if the link is of a incarnation that has ended.
+    fn heard(
+        self: &Rc<Self>,
+        name: &Name,
+        incarnation: Incarnation,
+        own: Incarnation,
+        long: &TopicMessage,
+    ) -> bool {
         let (frames, all) = self.received.get();
         self.received.set((frames, all + long.bytes.len() as u64));
         // A pause is seen before anything is believed that came before it was over.
         let actions = self
             .peers
             .borrow_mut()
-            .handle(self.clock.now(), Event::Turn);
+            .handle(self.clock.now(), Event::Tick);
         self.act_later(actions);
-        if self.life() != own {
+        if self.incarnation() != own {
             return false;
         }
         if long.topic == SYNC {
-            let Ok(words) = Sync::decode(&*long.bytes) else {
+            let Ok(words) = SyncMessage::decode(&*long.bytes) else {
                 return false;
             };
             let step = SyncStep {
                 name: name.clone(),
-                life,
-                words,
+                incarnation,
+                message: words,
             };
             let actions = self
                 .peers
@@ -421,7 +454,7 @@
         }
         let hearer = self.hearers.borrow().get(&long.topic).cloned();
         if let Some(hearer) = hearer {
-            hearer(name, life, &long.bytes); // another topic is a newer build's
+            hearer(name, incarnation, &long.bytes); // another topic is a newer build's
         }
         true
     }
@@ -449,43 +482,46 @@
 
     // ---- For other parts ----------------------------------------------------------------------
 
-    /// This life.
-    pub fn life(&self) -> Life {
-        self.peers.borrow().life()
+    /// This incarnation.
+    pub fn incarnation(&self) -> Incarnation {
+        self.peers.borrow().incarnation()
     }
 
     /// How this node stands to the fleet, seen now: a pause that nobody has noticed is noticed here.
-    pub fn standing(self: &Rc<Self>) -> Standing {
+    pub fn status(self: &Rc<Self>) -> MembershipStatus {
         let now = self.clock.now();
-        let actions = self.peers.borrow_mut().handle(now, Event::Turn);
+        let actions = self.peers.borrow_mut().handle(now, Event::Tick);
         self.act_later(actions);
-        self.peers.borrow().standing(now)
+        self.peers.borrow().status(now)
     }
 
     /// Tells the fleet a value of this node's own.
     ///
     /// # Errors
     /// It is over the bounds.
-    pub fn tell(&self, key: &str, bytes: &[u8]) -> Result<(), &'static str> {
-        let told = self.peers.borrow_mut().tell(key, bytes, self.clock.now());
+    pub fn publish(&self, key: &str, bytes: &[u8]) -> Result<(), &'static str> {
+        let told = self
+            .peers
+            .borrow_mut()
+            .publish(key, bytes, self.clock.now());
         self.sooner.notify_one();
         told
     }
 
     /// Looks at what is known of the others.
-    pub fn with<T>(&self, look: impl FnOnce(&Peers) -> T) -> T {
+    pub fn with_membership<T>(&self, look: impl FnOnce(&Membership) -> T) -> T {
         look(&self.peers.borrow())
     }
 
     /// Hears words of a topic, 2 or higher, from now on; with each the address at which its sender says that it is reached.
-    pub fn hear_words(&self, topic: u32, hearer: impl Fn(&Name, SocketAddr, &[u8]) + 'static) {
+    pub fn on_datagram(&self, topic: u32, hearer: impl Fn(&Name, SocketAddr, &[u8]) + 'static) {
         self.word_hearers
             .borrow_mut()
             .insert(topic, Rc::new(hearer));
     }
 
-    /// Sends a word in a datagram: it may be lost, come late or twice over a restart, and must fit [`envelope::MOST_WORD`].
-    pub fn word(&self, to: SocketAddr, topic: u32, bytes: Vec<u8>) {
+    /// Sends a word in a datagram: it may be lost, come late or twice over a restart, and must fit [`envelope::MAX_DATAGRAM_BYTES`].
+    pub fn send_datagram(&self, to: SocketAddr, topic: u32, bytes: Vec<u8>) {
         let mut words = self.words.borrow_mut();
         if words.len() < MOST_WORDS {
             words.push_back((to, topic, bytes));
@@ -494,7 +530,7 @@
     }
 
     /// Hears messages of a topic, 2 or higher, from now on.
-    pub fn hear(&self, topic: u32, hearer: impl Fn(&Name, Life, &[u8]) + 'static) {
+    pub fn on_message(&self, topic: u32, hearer: impl Fn(&Name, Incarnation, &[u8]) + 'static) {
         self.hearers.borrow_mut().insert(topic, Rc::new(hearer));
     }
 }
@@ -503,18 +539,19 @@
 async fn keep_lives(
     folder: PathBuf,
     name: Name,
-    mut lives: mpsc::UnboundedReceiver<Life>,
+    mut lives: mpsc::UnboundedReceiver<Incarnation>,
     kept: Rc<Cell<Option<bool>>>,
 ) {
-    while let Some(mut life) = lives.recv().await {
+    while let Some(mut incarnation) = lives.recv().await {
         while let Ok(newer) = lives.try_recv() {
-            life = newer;
+            incarnation = newer;
         }
-        let text = memory::text(&name, life.epoch);
-        let done = files::keep_aside(&folder.join(memory::FILE), text.into_bytes()).await;
+        let text = incarnation_file::encode(&name, incarnation.epoch);
+        let done =
+            files::keep_aside(&folder.join(incarnation_file::FILE_NAME), text.into_bytes()).await;
         if let Err(e) = &done {
             log(format_args!(
-                "cannot keep life {life} in {}: {e}",
+                "cannot keep incarnation {incarnation} in {}: {e}",
                 folder.display()
             ));
         }
