--- a/crates/peer-transport/src/link.rs
+++ b/crates/peer-transport/src/link.rs
@@ -1,10 +1,10 @@
 //! Links: one connection a pair where something longer is to be said, made at need and closed when idle.
 
-use crate::outbox::{Outbox, Posted};
-use crate::session::{Channel, Hello, Long, MOST, Way};
-use crate::{Fleet, IDLE, PATIENCE};
+use crate::send_queue::{OutboundMessage, SendQueue};
+use crate::session::{Channel, Direction, Hello, MAX_MESSAGE_BYTES, TopicMessage};
+use crate::{IDLE, PATIENCE, PeerTransport};
 use prost::Message;
-use sillward_membership::{Life, Name};
+use sillward_membership::{Incarnation, Name};
 use sillward_runtime::net::TcpStream;
 use sillward_runtime::random::entropy;
 use sillward_runtime::time::{sleep, timeout};
@@ -16,7 +16,7 @@
 
 /// A link, or one that is being made.
 pub struct Link {
-    outbox: RefCell<Outbox>,
+    outbox: RefCell<SendQueue>,
     posted: Notify,
     /// Whether this end dialled.
     dialled: bool,
@@ -35,8 +35,8 @@
         })
     }
 
-    fn post(&self, posted: Posted) {
-        self.outbox.borrow_mut().post(posted);
+    fn post(&self, posted: OutboundMessage) {
+        self.outbox.borrow_mut().push(posted);
         self.posted.notify_one();
     }
 }
@@ -44,16 +44,16 @@
 /// The channels of a link, once both ends have said who they are.
 struct Ends {
     name: Name,
-    /// The peer's life, and this node's own when the link was made: after either has ended nothing here counts.
-    life: Life,
-    own: Life,
+    /// The peer's incarnation, and this node's own when the link was made: after either has ended nothing here counts.
+    incarnation: Incarnation,
+    own: Incarnation,
     out: Channel,
     into: Channel,
 }
 
-impl Fleet {
+impl PeerTransport {
     /// Posts a message to a member, over the link that there is or a new one. It may be lost with the link.
-    pub fn post(self: &Rc<Self>, to: &Name, address: SocketAddr, posted: Posted) {
+    pub fn send_message(self: &Rc<Self>, to: &Name, address: SocketAddr, posted: OutboundMessage) {
         if let Some(link) = self.links.borrow().get(to) {
             return link.post(posted);
         }
@@ -92,21 +92,21 @@
     }
 
     async fn greet(&self, stream: &Stream) -> Option<Ends> {
-        let (own, nonce) = (self.life(), entropy().ok()?.max(1));
-        let mut out = Channel::new(&self.keys, Way::There);
-        let mut into = Channel::new(&self.keys, Way::Back);
-        let hello = Hello::of(&self.fleet, &self.name, own, nonce, 0);
+        let (own, nonce) = (self.incarnation(), entropy().ok()?.max(1));
+        let mut out = Channel::new(&self.keys, Direction::DialerToAcceptor);
+        let mut into = Channel::new(&self.keys, Direction::AcceptorToDialer);
+        let hello = Hello::new(&self.fleet, &self.name, own, nonce, 0);
         write(stream, &out.seal(&hello.encode_to_vec())).await?;
         let bytes = read(stream).await?;
-        let (name, life, hello) = Hello::read(into.open(&bytes)?, &self.fleet)?;
-        if hello.heard != nonce {
+        let (name, incarnation, hello) = Hello::parse(into.open(&bytes)?, &self.fleet)?;
+        if hello.echoed_nonce != nonce {
             return None;
         }
         out.bind(nonce, hello.nonce);
         into.bind(nonce, hello.nonce);
         Some(Ends {
             name,
-            life,
+            incarnation,
             own,
             out,
             into,
@@ -130,7 +130,7 @@
             if !ours && (links.len() < self.most_links || links.contains_key(&name)) {
                 if let Some(old) = links.insert(name.clone(), link.clone()) {
                     // What waited for the other goes by this one.
-                    while let Some(posted) = { old.outbox.borrow_mut().take() } {
+                    while let Some(posted) = { old.outbox.borrow_mut().pop() } {
                         link.post(posted);
                     }
                 }
@@ -141,21 +141,21 @@
     }
 
     async fn answer(&self, stream: &Stream) -> Option<Ends> {
-        let (own, nonce) = (self.life(), entropy().ok()?.max(1));
-        let mut out = Channel::new(&self.keys, Way::Back);
-        let mut into = Channel::new(&self.keys, Way::There);
+        let (own, nonce) = (self.incarnation(), entropy().ok()?.max(1));
+        let mut out = Channel::new(&self.keys, Direction::AcceptorToDialer);
+        let mut into = Channel::new(&self.keys, Direction::DialerToAcceptor);
         let bytes = read(stream).await?;
-        let (name, life, hello) = Hello::read(into.open(&bytes)?, &self.fleet)?;
+        let (name, incarnation, hello) = Hello::parse(into.open(&bytes)?, &self.fleet)?;
         if name == self.name {
             return None;
         }
-        let answer = Hello::of(&self.fleet, &self.name, own, nonce, hello.nonce);
+        let answer = Hello::new(&self.fleet, &self.name, own, nonce, hello.nonce);
         write(stream, &out.seal(&answer.encode_to_vec())).await?;
         out.bind(hello.nonce, nonce);
         into.bind(hello.nonce, nonce);
         Some(Ends {
             name,
-            life,
+            incarnation,
             own,
             out,
             into,
@@ -166,32 +166,34 @@
     async fn carry(self: &Rc<Self>, stream: &Stream, ends: Ends, link: &Rc<Link>) {
         let Ends {
             name,
-            life,
+            incarnation,
             own,
             mut out,
             mut into,
         } = ends;
         let reading = async {
             while let Some(bytes) = read(stream).await {
-                let long = into.open(&bytes).and_then(|body| Long::decode(body).ok());
+                let long = into
+                    .open(&bytes)
+                    .and_then(|body| TopicMessage::decode(body).ok());
                 let Some(long) = long else {
                     return self.bad_links.set(self.bad_links.get() + 1);
                 };
                 link.used.set(true);
-                if !self.heard(&name, life, own, &long) {
+                if !self.heard(&name, incarnation, own, &long) {
                     return;
                 }
             }
         };
         let writing = async {
             loop {
-                let next = link.outbox.borrow_mut().take();
+                let next = link.outbox.borrow_mut().pop();
                 let Some(posted) = next else {
                     link.posted.notified().await;
                     continue;
                 };
                 link.used.set(true);
-                let long = Long {
+                let long = TopicMessage {
                     topic: posted.topic,
                     bytes: posted.bytes,
                 };
@@ -221,7 +223,7 @@
 async fn read(stream: &Stream) -> Option<Vec<u8>> {
     let mut head = [0; 4];
     fill(stream, &mut head).await?;
-    let length = Channel::length(head)?;
+    let length = Channel::frame_length(head)?;
     let mut bytes = Vec::new();
     while bytes.len() < length {
         // No more is kept ready than has come, but for a piece.
@@ -229,7 +231,7 @@
         bytes.resize(from + piece, 0);
         fill(stream, &mut bytes[from..]).await?;
     }
-    debug_assert!(bytes.len() <= MOST + 16);
+    debug_assert!(bytes.len() <= MAX_MESSAGE_BYTES + 16);
     Some(bytes)
 }
 
--- a/crates/peer-transport/src/outbox.rs
+++ b/crates/peer-transport/src/send_queue.rs
@@ -3,11 +3,11 @@
 use std::collections::VecDeque;
 
 /// Bytes that may wait for one peer.
-pub const MOST: usize = 128 * 1024;
+pub const MAX_BYTES: usize = 128 * 1024;
 
 /// A message: its topic, and what it supersedes within that.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Posted {
+pub struct OutboundMessage {
     /// Whose it is.
     pub topic: u32,
     /// A later message of the same topic and slot takes the place of an earlier one that still waits.
@@ -18,8 +18,8 @@
 
 /// The queue.
 #[derive(Debug, Default)]
-pub struct Outbox {
-    waiting: VecDeque<Posted>,
+pub struct SendQueue {
+    waiting: VecDeque<OutboundMessage>,
     bytes: usize,
     /// Messages that were superseded while they waited, and those that there was no room for.
     pub superseded: u64,
@@ -27,12 +27,13 @@
     pub dropped: u64,
 }
 
-impl Outbox {
+impl SendQueue {
     /// Takes a message, in the place of the one that it supersedes.
-    pub fn post(&mut self, posted: Posted) {
-        let same = |other: &Posted| (other.topic, other.slot) == (posted.topic, posted.slot);
+    pub fn push(&mut self, posted: OutboundMessage) {
+        let same =
+            |other: &OutboundMessage| (other.topic, other.slot) == (posted.topic, posted.slot);
         if let Some(old) = self.waiting.iter_mut().find(|other| same(other)) {
-            let room = self.bytes - old.bytes.len() + posted.bytes.len() <= MOST;
+            let room = self.bytes - old.bytes.len() + posted.bytes.len() <= MAX_BYTES;
             self.superseded += 1;
             if room {
                 self.bytes = self.bytes - old.bytes.len() + posted.bytes.len();
@@ -45,7 +46,7 @@
             }
             return;
         }
-        if self.bytes + posted.bytes.len() > MOST {
+        if self.bytes + posted.bytes.len() > MAX_BYTES {
             self.dropped += 1;
             return;
         }
@@ -54,7 +55,7 @@
     }
 
     /// The next that goes out.
-    pub fn take(&mut self) -> Option<Posted> {
+    pub fn pop(&mut self) -> Option<OutboundMessage> {
         let posted = self.waiting.pop_front()?;
         self.bytes -= posted.bytes.len();
         Some(posted)
--- a/crates/peer-transport/src/session.rs
+++ b/crates/peer-transport/src/session.rs
@@ -2,15 +2,15 @@
 //! order has. No I/O.
 //!
 //! The dialler says who it is with a nonce, the acceptor answers with its own and gives the first back, the dialler gives the
-//! second back: each end knows that the other is there now, in the life that it names. What was recorded on one link opens
+//! second back: each end knows that the other is there now, in the incarnation that it names. What was recorded on one link opens
 //! none. Wire: length (4 bytes), hash (16), message.
 
 use crate::envelope::Keys;
 use prost::Message;
-use sillward_membership::{Life, Name};
+use sillward_membership::{Incarnation, Name};
 
 /// The longest message, in bytes.
-pub const MOST: usize = 64 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 const MAC: usize = 16;
 
 /// Who is at an end.
@@ -22,10 +22,10 @@
     /// The name.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// The life's epoch.
+    /// The incarnation's epoch.
     #[prost(uint32, tag = "3")]
     pub epoch: u32,
-    /// The life's salt.
+    /// The incarnation's salt.
     #[prost(fixed32, tag = "4")]
     pub salt: u32,
     /// Drawn for this link alone.
@@ -33,12 +33,12 @@
     pub nonce: u64,
     /// The other end's nonce, given back.
     #[prost(fixed64, tag = "6")]
-    pub heard: u64,
+    pub echoed_nonce: u64,
 }
 
 /// A message with its topic.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Long {
+pub struct TopicMessage {
     /// Whose it is.
     #[prost(uint32, tag = "1")]
     pub topic: u32,
@@ -55,21 +55,21 @@
     count: u64,
 }
 
-/// Which way a message goes.
+/// Which direction a message goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// From the one who dialled.
-    There = 1,
+    DialerToAcceptor = 1,
     /// From the one who was dialled.
-    Back = 2,
+    AcceptorToDialer = 2,
 }
 
 impl Channel {
     /// Before both nonces are known, they count as 0.
-    pub fn new(keys: &Keys, way: Way) -> Self {
+    pub fn new(keys: &Keys, direction: Direction) -> Self {
         Channel {
-            key: keys.links,
-            label: way as u8,
+            key: keys.connections,
+            label: direction as u8,
             nonces: (0, 0),
             count: 0,
         }
@@ -104,9 +104,11 @@
     }
 
     /// The length that follows the first four bytes; `None` if it is none that there may be.
-    pub fn length(head: [u8; 4]) -> Option<usize> {
+    pub fn frame_length(head: [u8; 4]) -> Option<usize> {
         let length = u32::from_be_bytes(head) as usize;
-        (MAC..=MAC + MOST).contains(&length).then_some(length)
+        (MAC..=MAC + MAX_MESSAGE_BYTES)
+            .contains(&length)
+            .then_some(length)
     }
 
     /// The message in what came behind the length; `None` if it is not this link's, at this place.
@@ -124,28 +126,34 @@
 
 impl Hello {
     /// What an end says of itself.
-    pub fn of(fleet: &str, name: &Name, life: Life, nonce: u64, heard: u64) -> Self {
+    pub fn new(
+        fleet: &str,
+        name: &Name,
+        incarnation: Incarnation,
+        nonce: u64,
+        echoed_nonce: u64,
+    ) -> Self {
         let (fleet, name) = (fleet.to_owned(), name.as_str().to_owned());
         Hello {
             fleet,
             name,
-            epoch: life.epoch,
-            salt: life.salt,
+            epoch: incarnation.epoch,
+            salt: incarnation.salt,
             nonce,
-            heard,
+            echoed_nonce,
         }
     }
 
     /// Reads it; `None` if it is of another fleet or makes no sense.
-    pub fn read(body: &[u8], fleet: &str) -> Option<(Name, Life, Self)> {
+    pub fn parse(body: &[u8], fleet: &str) -> Option<(Name, Incarnation, Self)> {
         let hello = Hello::decode(body)
             .ok()
             .filter(|hello| hello.fleet == fleet && hello.nonce != 0)?;
-        let life = Life {
+        let incarnation = Incarnation {
             epoch: hello.epoch,
             salt: hello.salt,
         };
-        (life.epoch > 0 && life.salt > 0).then_some(())?;
-        Some((Name::new(&hello.name)?, life, hello))
+        (incarnation.epoch > 0 && incarnation.salt > 0).then_some(())?;
+        Some((Name::new(&hello.name)?, incarnation, hello))
     }
 }
--- a/crates/peer-transport/tests/golden.rs
+++ b/crates/peer-transport/tests/golden.rs
@@ -1,11 +1,11 @@
 //! Golden bytes of envelopes, of a link's messages and of the file that keeps the last incarnation.
 
 use prost::Message;
-use sillward_membership::words::{Frame, Kind};
-use sillward_membership::{Life, Name};
-use sillward_peer_transport::envelope::{Envelopes, Keys, Sealed};
-use sillward_peer_transport::memory;
-use sillward_peer_transport::session::{Channel, Hello, Long, Way};
+use sillward_membership::wire::{Frame, FrameKind};
+use sillward_membership::{Incarnation, Name};
+use sillward_peer_transport::envelope::{Envelope, EnvelopeCodec, Keys};
+use sillward_peer_transport::incarnation_file;
+use sillward_peer_transport::session::{Channel, Direction, Hello, TopicMessage};
 
 const SECRET: &[u8] = b"a key that both ends of the test have";
 
@@ -17,22 +17,22 @@
     Name::new("n3").expect("a name")
 }
 
-fn sealed(topic: u32) -> Sealed {
+fn sealed(topic: u32) -> Envelope {
     let frame = Frame {
-        kind: Kind::Ack as i32,
-        number: 77,
-        print: 0x0bad_cafe,
+        kind: FrameKind::Ack as i32,
+        sequence: 77,
+        digest: 0x0bad_cafe,
         ..Frame::default()
     };
-    Sealed {
+    Envelope {
         name: name(),
         address: "127.0.0.1:7946".parse().expect("an address"),
-        life: Life { epoch: 5, salt: 99 },
-        number: 12,
-        to: 1234,
+        incarnation: Incarnation { epoch: 5, salt: 99 },
+        sequence: 12,
+        to_salt: 1234,
         frame: if topic == 0 { frame } else { Frame::default() },
         topic,
-        word: if topic == 0 {
+        payload: if topic == 0 {
             Vec::new()
         } else {
             vec![9, 8, 7]
@@ -42,7 +42,7 @@
 
 #[test]
 fn envelopes_keep_their_bytes() {
-    let envelopes = Envelopes::new(Keys::of(SECRET), "jateng", 256);
+    let envelopes = EnvelopeCodec::new(Keys::derive(SECRET), "jateng", 256);
     let written: Vec<_> = [0, 2]
         .map(|topic| hex(&envelopes.seal(&sealed(topic))))
         .into();
@@ -60,23 +60,23 @@
 
 #[test]
 fn a_links_messages_keep_their_bytes() {
-    let keys = Keys::of(SECRET);
-    let hello = Hello::of(
+    let keys = Keys::derive(SECRET);
+    let hello = Hello::new(
         "jateng",
         &name(),
-        Life { epoch: 5, salt: 99 },
+        Incarnation { epoch: 5, salt: 99 },
         0x1122,
         0x3344,
     )
     .encode_to_vec();
-    let long = Long {
+    let long = TopicMessage {
         topic: 3,
         bytes: vec![1, 2, 3],
     }
     .encode_to_vec();
     let mut written = Vec::new();
-    for way in [Way::There, Way::Back] {
-        let mut channel = Channel::new(&keys, way);
+    for direction in [Direction::DialerToAcceptor, Direction::AcceptorToDialer] {
+        let mut channel = Channel::new(&keys, direction);
         written.push(hex(&channel.seal(&hello)));
         channel.bind(0x1122, 0x3344);
         written.push(hex(&channel.seal(&long)));
@@ -90,8 +90,8 @@
 
 #[test]
 fn the_file_of_the_last_incarnation_keeps_its_text() {
-    let text = memory::text(&name(), 41);
+    let text = incarnation_file::encode(&name(), 41);
     assert_eq!(text, include_str!("golden/incarnation.txt"));
-    assert_eq!(memory::epoch(&name(), text.as_bytes()), Some(41));
-    assert_eq!(memory::FILE, "life");
+    assert_eq!(incarnation_file::decode(&name(), text.as_bytes()), Some(41));
+    assert_eq!(incarnation_file::FILE_NAME, "life");
 }
--- a/crates/peer-transport/tests/wire.rs
+++ b/crates/peer-transport/tests/wire.rs
@@ -3,34 +3,34 @@
 
 use proptest::prelude::*;
 use prost::Message;
-use sillward_membership::words::{Frame, Kind, Told, Update};
-use sillward_membership::{Life, Name};
-use sillward_peer_transport::envelope::{Dropped, Envelopes, Keys, Sealed};
-use sillward_peer_transport::guard::Guard;
-use sillward_peer_transport::memory;
-use sillward_peer_transport::outbox::{self, Outbox, Posted};
-use sillward_peer_transport::session::{Channel, Hello, Way};
+use sillward_membership::wire::{Frame, FrameKind, MemberValue, Update};
+use sillward_membership::{Incarnation, Name};
+use sillward_peer_transport::envelope::{Envelope, EnvelopeCodec, Keys, RejectReason};
+use sillward_peer_transport::inbound_filter::InboundFilter;
+use sillward_peer_transport::incarnation_file;
+use sillward_peer_transport::send_queue::{self, OutboundMessage, SendQueue};
+use sillward_peer_transport::session::{Channel, Direction, Hello};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 const SECRET: &[u8] = b"a key that both ends of the test have";
 const SECOND: Duration = Duration::from_secs(1);
 
-fn envelopes() -> Envelopes {
-    Envelopes::new(Keys::of(SECRET), "jateng", 256)
+fn envelopes() -> EnvelopeCodec {
+    EnvelopeCodec::new(Keys::derive(SECRET), "jateng", 256)
 }
 
-fn sealed(number: u64) -> Sealed {
+fn sealed(number: u64) -> Envelope {
     let update = Update {
         name: "n7".to_owned(),
         address: vec![127, 0, 0, 1, 0x1f, 0x0a],
         epoch: 3,
         salt: 0xfeed_beef,
-        word: 2,
+        refutation: 2,
         state: 1,
-        by: 0x1234,
+        suspected_by: 0x1234,
     };
-    let told = Told {
+    let told = MemberValue {
         name: "n7".to_owned(),
         epoch: 3,
         salt: 0xfeed_beef,
@@ -39,22 +39,22 @@
         value: vec![1, 2, 3],
     };
     let frame = Frame {
-        kind: Kind::Ping as i32,
-        number: 77,
-        about: None,
+        kind: FrameKind::Ping as i32,
+        sequence: 77,
+        target: None,
         updates: vec![update],
         values: vec![told],
-        print: 0x0bad_cafe,
+        digest: 0x0bad_cafe,
     };
-    Sealed {
+    Envelope {
         name: Name::new("n3").expect("a name"),
         address: "127.0.0.1:7946".parse().expect("an address"),
-        life: Life { epoch: 5, salt: 99 },
-        number,
-        to: 1234,
+        incarnation: Incarnation { epoch: 5, salt: 99 },
+        sequence: number,
+        to_salt: 1234,
         frame,
         topic: 0,
-        word: Vec::new(),
+        payload: Vec::new(),
     }
 }
 
@@ -67,13 +67,13 @@
 #[test]
 fn what_is_not_this_fleets_is_told_apart_by_why() {
     let bytes = envelopes().seal(&sealed(1));
-    assert_eq!(envelopes().open(&[]), Err(Dropped::Length));
-    assert_eq!(envelopes().open(&[1; 1401]), Err(Dropped::Length));
+    assert_eq!(envelopes().open(&[]), Err(RejectReason::Length));
+    assert_eq!(envelopes().open(&[1; 1401]), Err(RejectReason::Length));
     // Another part's word may be longer than a frame may.
-    let word = |long| Sealed {
+    let word = |long| Envelope {
         frame: Frame::default(),
         topic: 2,
-        word: vec![7; long],
+        payload: vec![7; long],
         ..sealed(1)
     };
     assert_eq!(
@@ -82,32 +82,32 @@
     );
     assert_eq!(
         envelopes().open(&envelopes().seal(&word(1400))),
-        Err(Dropped::Length)
+        Err(RejectReason::Length)
     );
     let mut long = sealed(1);
     long.frame.values[0].value = vec![7; 300];
     assert_eq!(
         envelopes().open(&envelopes().seal(&long)),
-        Err(Dropped::Length)
+        Err(RejectReason::Length)
     );
     let mut other = bytes.clone();
     other[0] = 2;
-    assert_eq!(envelopes().open(&other), Err(Dropped::Version));
-    let key = Envelopes::new(
-        Keys::of(b"another key, as long as the first one is"),
+    assert_eq!(envelopes().open(&other), Err(RejectReason::Version));
+    let key = EnvelopeCodec::new(
+        Keys::derive(b"another key, as long as the first one is"),
         "jateng",
         256,
     );
-    assert_eq!(key.open(&bytes), Err(Dropped::Key));
-    let fleet = Envelopes::new(Keys::of(SECRET), "diy", 256);
-    assert_eq!(fleet.open(&bytes), Err(Dropped::Fleet));
-    let nobody = Sealed {
-        life: Life { epoch: 0, salt: 0 },
+    assert_eq!(key.open(&bytes), Err(RejectReason::Authentication));
+    let fleet = EnvelopeCodec::new(Keys::derive(SECRET), "diy", 256);
+    assert_eq!(fleet.open(&bytes), Err(RejectReason::Fleet));
+    let nobody = Envelope {
+        incarnation: Incarnation { epoch: 0, salt: 0 },
         ..sealed(1)
     };
     assert_eq!(
         envelopes().open(&envelopes().seal(&nobody)),
-        Err(Dropped::Nonsense)
+        Err(RejectReason::Malformed)
     );
 }
 
@@ -127,15 +127,15 @@
         prop_assert!(envelopes().open(&noise).is_err());
     }
 
-    /// Each number of a life is let in once, whatever their order, as long as they are not too old to tell.
+    /// Each number of a incarnation is let in once, whatever their order, as long as they are not too old to tell.
     #[test]
     fn each_number_comes_in_once(numbers in proptest::collection::vec(1u64..300, 1..200)) {
-        let (name, life) = (Name::new("n3").expect("a name"), Life { epoch: 1, salt: 7 });
-        let mut guard = Guard::new(8, SECOND);
+        let (name, incarnation) = (Name::new("n3").expect("a name"), Incarnation { epoch: 1, salt: 7 });
+        let mut guard = InboundFilter::new(8, SECOND);
         let (mut seen, mut highest) = (BTreeSet::new(), 0);
         for (place, number) in numbers.iter().enumerate() {
             let now = SECOND + Duration::from_millis(place as u64 * 10);
-            let taken = guard.admit(now, &name, life, *number).is_ok();
+            let taken = guard.admit(now, &name, incarnation, *number).is_ok();
             highest = highest.max(*number);
             let due = !seen.contains(number) && highest - number < 128;
             prop_assert_eq!(taken, due, "number {}", number);
@@ -147,36 +147,42 @@
 #[test]
 fn a_newer_life_begins_its_numbers_anew_and_an_older_one_does_not_disturb_it() {
     let name = Name::new("n3").expect("a name");
-    let (old, new) = (Life { epoch: 1, salt: 7 }, Life { epoch: 2, salt: 3 });
-    let mut guard = Guard::new(8, SECOND);
+    let (old, new) = (
+        Incarnation { epoch: 1, salt: 7 },
+        Incarnation { epoch: 2, salt: 3 },
+    );
+    let mut guard = InboundFilter::new(8, SECOND);
     assert!(guard.admit(SECOND, &name, old, 500).is_ok());
     assert!(guard.admit(SECOND, &name, new, 1).is_ok());
     assert!(
         guard.admit(SECOND, &name, old, 501).is_ok(),
         "the machine tells it that it has ended"
     );
-    assert_eq!(guard.admit(SECOND, &name, new, 1), Err(Dropped::Replayed));
+    assert_eq!(
+        guard.admit(SECOND, &name, new, 1),
+        Err(RejectReason::Replayed)
+    );
     assert!(guard.admit(SECOND, &name, new, 2).is_ok());
 }
 
 /// Hard case 7: who floods with a good key is held to a rate, and names without end take no more room than there is.
 #[test]
 fn a_flood_is_bounded_by_member_and_in_all() {
-    let life = Life { epoch: 1, salt: 7 };
-    let mut guard = Guard::new(8, SECOND);
+    let incarnation = Incarnation { epoch: 1, salt: 7 };
+    let mut guard = InboundFilter::new(8, SECOND);
     let name = Name::new("n3").expect("a name");
     let taken = (1..100_000u64).filter(|number| {
         let now = SECOND + Duration::from_micros(number * 10);
-        guard.admit(now, &name, life, *number).is_ok()
+        guard.admit(now, &name, incarnation, *number).is_ok()
     });
     assert!(taken.count() <= 800 + 400 + 1, "in one second");
     for number in 0..1_000 {
         let name = Name::new(&format!("x{number}")).expect("a name");
-        let _ = guard.admit(SECOND * 3, &name, life, 1);
-        assert!(guard.known() <= 8);
+        let _ = guard.admit(SECOND * 3, &name, incarnation, 1);
+        assert!(guard.tracked_members() <= 8);
     }
     let read = (0..100_000u64)
-        .filter(|n| guard.may_read(SECOND * 4 + Duration::from_micros(n * 10)))
+        .filter(|n| guard.allow_read(SECOND * 4 + Duration::from_micros(n * 10)))
         .count();
     assert!(read <= 2_000 + 10_000 + 1, "{read} in one second");
 }
@@ -201,30 +207,35 @@
     // know, a kind of frame that it does not know, and a state of a member that makes no sense to it.
     let newer = envelopes().open(&kept("newer.hex")).expect("it is read");
     assert_eq!(
-        (newer.name.as_str(), newer.number, newer.to),
+        (newer.name.as_str(), newer.sequence, newer.to_salt),
         ("n3", 9, 1234)
     );
     assert_eq!(
-        newer.frame.updates[0].claim().map(|claim| claim.word),
+        newer.frame.updates[0]
+            .to_member_update()
+            .map(|claim| claim.refutation),
         Some(2)
     );
-    assert!(newer.frame.updates[1].claim().is_none());
+    assert!(newer.frame.updates[1].to_member_update().is_none());
     assert_eq!(newer.frame.values, sealed(9).frame.values);
-    assert!(Kind::try_from(newer.frame.kind).is_err());
+    assert!(FrameKind::try_from(newer.frame.kind).is_err());
     // What an older build may send: without values, print and the words against suspicion.
     let older = envelopes().open(&kept("older.hex")).expect("it is read");
-    assert_eq!((older.frame.print, older.frame.updates[0].word), (0, 0));
+    assert_eq!(
+        (older.frame.digest, older.frame.updates[0].refutation),
+        (0, 0)
+    );
     // And what this build sends is what the first one reads, byte by byte.
     assert_eq!(envelopes().seal(&sealed(9)), kept("build-1.hex"));
 }
 
 #[test]
 fn a_link_opens_only_what_was_sealed_for_it_and_at_its_place() {
-    let keys = Keys::of(SECRET);
+    let keys = Keys::derive(SECRET);
     let pair = |nonces: (u64, u64)| {
         let (mut out, mut into) = (
-            Channel::new(&keys, Way::There),
-            Channel::new(&keys, Way::There),
+            Channel::new(&keys, Direction::DialerToAcceptor),
+            Channel::new(&keys, Direction::DialerToAcceptor),
         );
         out.bind(nonces.0, nonces.1);
         into.bind(nonces.0, nonces.1);
@@ -238,46 +249,46 @@
     assert_eq!(other.open(&first[4..]), None, "on another link");
     let (_, mut late) = pair((1, 2));
     assert_eq!(late.open(&second[4..]), None, "out of its place");
-    let mut back = Channel::new(&keys, Way::Back);
+    let mut back = Channel::new(&keys, Direction::AcceptorToDialer);
     back.bind(1, 2);
     assert_eq!(back.open(&first[4..]), None, "the other way");
-    assert_eq!(Channel::length([0xff; 4]), None);
-    assert_eq!(Channel::length([0, 0, 0, 3]), None);
-    let hello = Hello::of(
+    assert_eq!(Channel::frame_length([0xff; 4]), None);
+    assert_eq!(Channel::frame_length([0, 0, 0, 3]), None);
+    let hello = Hello::new(
         "jateng",
         &Name::new("n1").expect("a name"),
-        Life { epoch: 1, salt: 1 },
+        Incarnation { epoch: 1, salt: 1 },
         5,
         0,
     );
-    assert!(Hello::read(&hello.encode_to_vec(), "diy").is_none());
+    assert!(Hello::parse(&hello.encode_to_vec(), "diy").is_none());
 }
 
 #[test]
 fn who_is_slow_gets_the_newest_of_each_kind_within_a_bound() {
-    let mut outbox = Outbox::default();
-    let post = |slot, byte, length| Posted {
+    let mut outbox = SendQueue::default();
+    let post = |slot, byte, length| OutboundMessage {
         topic: 9,
         slot,
         bytes: vec![byte; length],
     };
     for version in 0..200 {
-        outbox.post(post(1, version, 1_000));
-        outbox.post(post(2, version, 1_000));
+        outbox.push(post(1, version, 1_000));
+        outbox.push(post(2, version, 1_000));
     }
     assert_eq!(outbox.superseded, 398);
-    assert_eq!(outbox.take(), Some(post(1, 199, 1_000)));
-    assert_eq!(outbox.take(), Some(post(2, 199, 1_000)));
+    assert_eq!(outbox.pop(), Some(post(1, 199, 1_000)));
+    assert_eq!(outbox.pop(), Some(post(2, 199, 1_000)));
     assert!(outbox.is_empty());
     for slot in 0..1_000 {
-        outbox.post(post(slot, 0, 1_000));
+        outbox.push(post(slot, 0, 1_000));
     }
     let mut bytes = 0;
-    while let Some(posted) = outbox.take() {
+    while let Some(posted) = outbox.pop() {
         bytes += posted.bytes.len();
     }
     assert!(
-        bytes <= outbox::MOST && bytes > outbox::MOST - 2_000,
+        bytes <= send_queue::MAX_BYTES && bytes > send_queue::MAX_BYTES - 2_000,
         "{bytes}"
     );
     assert!(outbox.dropped > 700);
@@ -287,20 +298,24 @@
 #[test]
 fn a_file_that_is_not_whole_remembers_nothing() {
     let name = Name::new("n1").expect("a name");
-    let text = memory::text(&name, 41);
-    assert_eq!(memory::epoch(&name, text.as_bytes()), Some(41));
+    let text = incarnation_file::encode(&name, 41);
+    assert_eq!(incarnation_file::decode(&name, text.as_bytes()), Some(41));
     for cut in 0..text.len() {
         assert_eq!(
-            memory::epoch(&name, &text.as_bytes()[..cut]),
+            incarnation_file::decode(&name, &text.as_bytes()[..cut]),
             None,
             "cut at {cut}"
         );
         let mut spoilt = text.clone().into_bytes();
         spoilt[cut] ^= 1;
-        assert_eq!(memory::epoch(&name, &spoilt), None, "spoilt at {cut}");
+        assert_eq!(
+            incarnation_file::decode(&name, &spoilt),
+            None,
+            "spoilt at {cut}"
+        );
     }
     assert_eq!(
-        memory::epoch(&Name::new("n2").expect("a name"), text.as_bytes()),
+        incarnation_file::decode(&Name::new("n2").expect("a name"), text.as_bytes()),
         None
     );
 }
@@ -346,7 +361,7 @@
     let told = [frame.values[0].encode_to_vec(), unknown.clone()].concat();
     let bare = Frame {
         kind: 42,
-        number: 77,
+        sequence: 77,
         ..Frame::default()
     }
     .encode_to_vec();
@@ -361,13 +376,13 @@
     let newer = [head, &unknown, &field(8, &newer)].concat();
     std::fs::write(path("newer.hex"), hex(&enveloped(&newer))).expect("a file");
     let older = Update {
-        word: 0,
-        by: 0,
+        refutation: 0,
+        suspected_by: 0,
         ..frame.updates[0].clone()
     };
     let older = Frame {
         values: Vec::new(),
-        print: 0,
+        digest: 0,
         updates: vec![older],
         ..frame
     };
--- a/testing/cluster/src/fleet.rs
+++ b/testing/cluster/src/fleet.rs
@@ -5,9 +5,9 @@
 use crate::relays::Relays;
 use crate::script::{Fault, Folder, Places, What};
 use serde_json::{Value, json};
-use sillward_membership::words::{Frame, Update};
-use sillward_membership::{Life, Name};
-use sillward_peer_transport::envelope::{Envelopes, Keys, Sealed};
+use sillward_membership::wire::{Frame, Update};
+use sillward_membership::{Incarnation, Name};
+use sillward_peer_transport::envelope::{Envelope, EnvelopeCodec, Keys};
 use sillward_test_servers::peers::{
     Backend, Client, Discovery, Reply, config, entry_in, list, ok, settings,
 };
@@ -157,7 +157,7 @@
                 Ipv4Addr::new(127, 64 + (id >> 8 & 63) as u8, id as u8, node as u8 + 1).into()
             })
             .collect();
-        let envelopes = Envelopes::new(Keys::of(SECRET.as_bytes()), FLEET, FRAME);
+        let envelopes = EnvelopeCodec::new(Keys::derive(SECRET.as_bytes()), FLEET, FRAME);
         let relays =
             Relays::start(own.clone(), options.seed, envelopes, history.clone()).map_err(wrong)?;
         let folder = folder_of(id);
@@ -567,7 +567,7 @@
         let mut random = Random::new(self.options.seed ^ node as u64);
         let begun = Instant::now();
         let mut sent = 0u64;
-        let envelopes = Envelopes::new(Keys::of(SECRET.as_bytes()), FLEET, FRAME);
+        let envelopes = EnvelopeCodec::new(Keys::derive(SECRET.as_bytes()), FLEET, FRAME);
         while begun.elapsed() < time && !self.is_over() {
             let due = (begun.elapsed().as_secs_f64() * f64::from(a_second)) as u64;
             while sent < due {
@@ -773,7 +773,7 @@
 
 /// A frame under the fleet's key of a member that is none, with a number that jumps, to a life that is nobody's, and with
 /// words of members that there are not.
-fn lie(envelopes: &Envelopes, random: &mut Random) -> Vec<u8> {
+fn lie(envelopes: &EnvelopeCodec, random: &mut Random) -> Vec<u8> {
     let name = format!("liar{}", random.below(3));
     let update = Update {
         name: format!("x{}", random.below(100_000)),
@@ -787,22 +787,22 @@
         updates: vec![update],
         ..Frame::default()
     };
-    envelopes.seal(&Sealed {
+    envelopes.seal(&Envelope {
         name: Name::new(&name).expect("a name"),
         address: "127.0.0.1:9".parse().expect("an address"),
-        life: Life {
+        incarnation: Incarnation {
             epoch: 1 + random.below(3) as u32,
             salt: 1 + random.below(3) as u32,
         },
-        number: random.number() >> random.below(60),
-        to: if random.percent(50) {
+        sequence: random.number() >> random.below(60),
+        to_salt: if random.percent(50) {
             0
         } else {
             random.number() as u32
         },
         frame,
         topic: 0,
-        word: Vec::new(),
+        payload: Vec::new(),
     })
 }
 
--- a/testing/cluster/src/relays.rs
+++ b/testing/cluster/src/relays.rs
@@ -3,8 +3,8 @@
 
 use crate::history::History;
 use serde_json::json;
-use sillward_membership::Life;
-use sillward_peer_transport::envelope::{Envelopes, Sealed};
+use sillward_membership::Incarnation;
+use sillward_peer_transport::envelope::{Envelope, EnvelopeCodec};
 use sillward_test_servers::random::Random;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -68,7 +68,7 @@
     targets: Vec<Option<SocketAddr>>,
     runs: Vec<u64>,
     random: Random,
-    lives: BTreeMap<(String, Life), SeenLife>,
+    lives: BTreeMap<(String, Incarnation), SeenLife>,
     unopened: u64,
     waiting: BinaryHeap<Reverse<Held>>,
     made: u64,
@@ -83,7 +83,7 @@
     pub addresses: Vec<SocketAddr>,
     sockets: Vec<UdpSocket>,
     own: Vec<IpAddr>,
-    envelopes: Envelopes,
+    envelopes: EnvelopeCodec,
     history: History,
 }
 
@@ -95,7 +95,7 @@
     pub fn start(
         own: Vec<IpAddr>,
         seed: u64,
-        envelopes: Envelopes,
+        envelopes: EnvelopeCodec,
         history: History,
     ) -> std::io::Result<Arc<Self>> {
         let count = own.len();
@@ -199,7 +199,7 @@
     }
 
     /// Every life that was seen on a way.
-    pub fn lives(&self) -> BTreeMap<(String, Life), SeenLife> {
+    pub fn lives(&self) -> BTreeMap<(String, Incarnation), SeenLife> {
         self.state.lock().expect("the relays").lives.clone()
     }
 
@@ -221,14 +221,14 @@
         }
     }
 
-    fn pass(&self, from: usize, to: usize, bytes: &[u8], opened: Option<&Sealed>) {
+    fn pass(&self, from: usize, to: usize, bytes: &[u8], opened: Option<&Envelope>) {
         let now_us = self.history.now_us();
         let mut state = self.state.lock().expect("the relays");
         let run = state.runs[from];
         match opened {
             None => state.unopened += 1,
             Some(sealed) => {
-                let key = (sealed.name.as_str().to_owned(), sealed.life);
+                let key = (sealed.name.as_str().to_owned(), sealed.incarnation);
                 let new = !state.lives.contains_key(&key);
                 let seen = SeenLife {
                     run,
@@ -237,7 +237,7 @@
                 };
                 state.lives.entry(key).or_insert(seen).last_us = now_us;
                 if new {
-                    let life = sealed.life.to_string();
+                    let life = sealed.incarnation.to_string();
                     self.history
                         .note(Some(from), "life", json!({ "life": life, "run": run }));
                 }
--- a/testing/simulation/src/fleet.rs
+++ b/testing/simulation/src/fleet.rs
@@ -6,9 +6,9 @@
 use crate::parties::nodes::UNIX;
 use crate::scoped::Scoped;
 use crate::trace::Trace;
-use sillward_membership::{About, Life, Name, Standing, State};
+use sillward_membership::{Incarnation, MemberState, MembershipStatus, Name, NodeMetadata};
 use sillward_peer_transport::envelope::Keys;
-use sillward_peer_transport::{Fleet, Terms};
+use sillward_peer_transport::{PeerTransport, TransportSettings};
 use sillward_runtime::time::sleep;
 use sillward_runtime::{Clock, task};
 use std::cell::RefCell;
@@ -62,7 +62,7 @@
 
 struct Member {
     host: Host,
-    fleet: Rc<RefCell<Option<Rc<Fleet>>>>,
+    fleet: Rc<RefCell<Option<Rc<PeerTransport>>>>,
     process: RefCell<Option<JoinHandle<()>>>,
 }
 
@@ -89,28 +89,28 @@
         let member = &self.members[number];
         let Some(name) = name(number) else { return };
         let zone = number % 3;
-        let terms = Terms {
+        let terms = TransportSettings {
             fleet: "size".to_owned(),
-            keys: Keys::of(b"a key of a simulated fleet, 32 bytes or more"),
+            keys: Keys::derive(b"a key of a simulated fleet, 32 bytes or more"),
             name,
             listen: address(number),
             advertise: None,
             seeds: (0..SEEDS.min(self.size.nodes)).map(address).collect(),
-            about: About {
+            metadata: NodeMetadata {
                 zone: format!("z{zone}"),
                 region: "jateng".to_owned(),
                 build: "0.1.0".to_owned(),
-                speaks: vec!["fleet1".to_owned()],
+                capabilities: vec!["fleet1".to_owned()],
             },
-            frame_bytes: self.size.frame_bytes,
-            links: 128,
-            folder: Some("fleet".into()),
-            peers: sillward_membership::Terms::default(),
+            max_frame_bytes: self.size.frame_bytes,
+            max_connections: 128,
+            state_dir: Some("fleet".into()),
+            membership: sillward_membership::MembershipSettings::default(),
         };
         self.net.with(member.host, |machine| machine.dying = false);
         let (slot, net) = (member.fleet.clone(), self.net.clone());
         let program = async move {
-            let (fleet, listening) = Fleet::start(terms, Clock::start()).await?;
+            let (fleet, listening) = PeerTransport::start(terms, Clock::start()).await?;
             *slot.borrow_mut() = Some(fleet.clone());
             fleet.run(listening, std::future::pending()).await;
             Ok(())
@@ -130,16 +130,16 @@
         task::yield_now().await;
     }
 
-    fn fleet(&self, number: usize) -> Option<Rc<Fleet>> {
+    fn fleet(&self, number: usize) -> Option<Rc<PeerTransport>> {
         self.members[number].fleet.borrow().clone()
     }
 
-    fn life(&self, number: usize) -> Option<Life> {
-        self.fleet(number).map(|fleet| fleet.life())
+    fn life(&self, number: usize) -> Option<Incarnation> {
+        self.fleet(number).map(|fleet| fleet.incarnation())
     }
 
     /// The share of the living but `of` that hold it to be what `is` says.
-    fn share(&self, of: usize, is: impl Fn(Option<(State, Life)>) -> bool) -> f64 {
+    fn share(&self, of: usize, is: impl Fn(Option<(MemberState, Incarnation)>) -> bool) -> f64 {
         let Some(of_name) = name(of) else { return 0.0 };
         let (mut yes, mut all) = (0, 0);
         for (number, member) in self
@@ -151,7 +151,8 @@
             let Some(fleet) = &*member.fleet.borrow() else {
                 continue;
             };
-            let said = fleet.with(|peers| peers.member(&of_name).map(|m| (m.state, m.life)));
+            let said = fleet
+                .with_membership(|peers| peers.member(&of_name).map(|m| (m.state, m.incarnation)));
             all += 1;
             yes += usize::from(is(said));
             debug_assert!(number < self.members.len());
@@ -172,18 +173,18 @@
 
     /// All that live know all that live, in the lives that they are in, and hold nobody else to live.
     fn agreed(&self) -> bool {
-        let living: Vec<(usize, Rc<Fleet>)> = (0..self.members.len())
+        let living: Vec<(usize, Rc<PeerTransport>)> = (0..self.members.len())
             .filter_map(|number| Some((number, self.fleet(number)?)))
             .collect();
         let Some((_, first)) = living.first() else {
             return true;
         };
-        let print = first.with(|peers| peers.print());
+        let print = first.with_membership(|peers| peers.digest());
         living.iter().all(|(_, fleet)| {
-            fleet.with(|peers| {
-                peers.living() + 1 == living.len()
-                    && peers.print() == print
-                    && peers.standing(UNIX + self.net.now()) == Standing::Settled
+            fleet.with_membership(|peers| {
+                peers.active_count() + 1 == living.len()
+                    && peers.digest() == print
+                    && peers.status(UNIX + self.net.now()) == MembershipStatus::Joined
             })
         })
     }
@@ -215,7 +216,9 @@
     fn alarms(&self) -> u64 {
         let living = (0..self.members.len()).filter_map(|number| self.fleet(number));
         living
-            .map(|fleet| fleet.with(|peers| peers.figures().lives.saturating_sub(1)))
+            .map(|fleet| {
+                fleet.with_membership(|peers| peers.counters().incarnations.saturating_sub(1))
+            })
             .sum()
     }
 }
@@ -269,8 +272,8 @@
             continue;
         };
         world.kill(one).await;
-        let ended = |said: Option<(State, Life)>| {
-            said.is_none_or(|(state, known)| known == life && !state.is_living())
+        let ended = |said: Option<(MemberState, Incarnation)>| {
+            said.is_none_or(|(state, known)| known == life && !state.is_active())
         };
         measured
             .deaths
@@ -278,8 +281,8 @@
         sleep(Duration::from_secs(2)).await;
         world.start(one);
         sleep(Duration::from_millis(1)).await;
-        let born = |said: Option<(State, Life)>| {
-            said.is_some_and(|(state, known)| state.is_living() && Some(known) == world.life(one))
+        let born = |said: Option<(MemberState, Incarnation)>| {
+            said.is_some_and(|(state, known)| state.is_active() && Some(known) == world.life(one))
         };
         measured
             .births
--- a/testing/simulation/src/run.rs
+++ b/testing/simulation/src/run.rs
@@ -279,16 +279,18 @@
     let fleets = || (0..nodes.count()).filter_map(|node| nodes.insight(node)?.fleet);
     let agreed = || {
         let prints: BTreeSet<u32> = fleets()
-            .map(|fleet| fleet.with(|peers| peers.print()))
+            .map(|fleet| fleet.with_membership(|peers| peers.digest()))
             .collect();
-        let known = fleets().all(|fleet| fleet.with(|peers| peers.living() + 1) == nodes.count());
+        let known = fleets()
+            .all(|fleet| fleet.with_membership(|peers| peers.active_count() + 1) == nodes.count());
         prints.len() <= 1 && known
     };
     let begun = net.now();
     while !agreed() {
         if net.now() - begun > FLEET_AGREES {
-            let said = fleets()
-                .map(|fleet| fleet.with(|p| (p.living() + 1, p.standing(UNIX + net.now()))));
+            let said = fleets().map(|fleet| {
+                fleet.with_membership(|p| (p.active_count() + 1, p.status(UNIX + net.now())))
+            });
             let what = format!(
                 "the fleet does not agree at rest: {:?}",
                 said.collect::<Vec<_>>()
