--- a/crates/app/src/outcomes.rs
+++ b/crates/app/src/outcomes.rs
@@ -7,7 +7,9 @@
 use sillward_balancer::{Outcome, ServerId};
 use sillward_forwarding::{AttemptTimes, LiveSettings, NodeObserver};
 use sillward_membership::{Incarnation, Name};
-use sillward_outcome_stats::{Action, Backend, Cell, Class, End, Spread, Terms};
+use sillward_outcome_stats::{
+    Action, AttemptOutcome, BackendClass, BackendId, ClassId, StatsConfig, StatsExchange,
+};
 use sillward_peer_transport::PeerTransport;
 use sillward_peer_transport::send_queue::OutboundMessage;
 use sillward_runtime::task::spawn_local;
@@ -30,7 +32,7 @@
 /// This node's part.
 pub struct Outcomes {
     clock: Clock,
-    spread: RefCell<Spread>,
+    spread: RefCell<StatsExchange>,
     fleet: Rc<PeerTransport>,
     live: Rc<LiveSettings>,
     /// A message came: something may be due.
@@ -43,7 +45,7 @@
 /// The system has no random numbers.
 pub fn start(
     clock: Clock,
-    terms: &Terms,
+    config: &StatsConfig,
     fleet: &Rc<PeerTransport>,
     live: &Rc<LiveSettings>,
     stop: impl Future<Output = ()> + 'static,
@@ -51,7 +53,7 @@
     let seed = random::entropy().map_err(|e| format!("no random numbers for the outcomes: {e}"))?;
     let (me, life) =
         fleet.with_membership(|peers| (peers.local().name.clone(), peers.incarnation()));
-    let spread = Spread::new(terms.clone(), me, life, seed, clock.now()).into();
+    let spread = StatsExchange::new(config.clone(), me, life, seed, clock.now()).into();
     let (fleet, live) = (fleet.clone(), live.clone());
     let outcomes = Rc::new(Outcomes {
         clock,
@@ -73,7 +75,7 @@
         let actions = self
             .spread
             .borrow_mut()
-            .heard(self.clock.now(), name, life, bytes);
+            .handle_message(self.clock.now(), name, life, bytes);
         self.act(actions);
         self.sooner.notify_one();
     }
@@ -102,7 +104,11 @@
         loop {
             // Not less often than this: who lives may change without a message. Nor more often, whatever is due.
             let now = self.clock.now();
-            let due = self.spread.borrow().next().clamp(now + LEAST, now + TURN);
+            let due = self
+                .spread
+                .borrow()
+                .next_wakeup()
+                .clamp(now + LEAST, now + TURN);
             let wait = timeout_at(self.clock.instant(now + LEAST), stop.as_mut()).await;
             if wait.is_ok() {
                 return;
@@ -122,30 +128,30 @@
                     .collect()
             });
             let living = living.iter().map(|(name, life)| (name, *life));
-            let actions = self.spread.borrow_mut().turn(now, life, living);
+            let actions = self.spread.borrow_mut().tick(now, life, living);
             self.act(actions);
         }
     }
 
-    fn class(&self, class: usize) -> Class {
+    fn class(&self, class: usize) -> ClassId {
         self.live
             .get()
             .class_names
             .get(class)
-            .map_or(Class(0), |name| Class::of(name))
+            .map_or(ClassId(0), |name| ClassId::of(name))
     }
 
     /// What all nodes see, for operators. Rates are a second, times in milliseconds.
     fn page(&self) -> String {
         let now = self.clock.now();
         let spread = self.spread.borrow();
-        let (view, figures) = (spread.view(now), spread.figures());
+        let (view, figures) = (spread.estimate(now), spread.counters());
         let site = self.live.get();
-        let named = |class: &Class| {
+        let named = |class: &ClassId| {
             let known = site
                 .class_names
                 .iter()
-                .find(|name| Class::of(name) == *class);
+                .find(|name| ClassId::of(name) == *class);
             known.cloned().unwrap_or_else(|| format!("{:08x}", class.0))
         };
         let ms = |time: Duration| time.as_secs_f64() * 1e3;
@@ -155,31 +161,31 @@
             .iter()
             .map(|(class, demand)| {
                 let told = json!({
-                    "first": rate(demand.first), "again": rate(demand.again), "turned_away": rate(demand.shed),
+                    "first": rate(demand.first), "again": rate(demand.retries), "turned_away": rate(demand.rejected),
                     "sent": rate(demand.sent), "in_time": rate(demand.in_time), "error": rate(demand.error),
                 });
                 (named(class), told)
             })
             .collect();
         let judged: Vec<serde_json::Value> = view
-            .judged
+            .backends
             .iter()
             .map(|(cell, judged)| {
                 json!({
                     "backend": format!("{:08x}", cell.backend.0), "class": named(&cell.class),
                     "sent": rate(judged.sent), "in_time": rate(judged.in_time), "failed": rate(judged.failed),
-                    "rests_on": rate(judged.rests_on), "judges": judged.judges,
-                    "median_ms": judged.times.quantile(0.5).map(ms),
+                    "rests_on": rate(judged.evidence), "judges": judged.observers,
+                    "median_ms": judged.latencies.quantile(0.5).map(ms),
                 })
             })
             .collect();
-        let share = view.share;
+        let share = view.coverage;
         json!({
-            "living": share.living, "heard": share.heard, "weight": rate(share.weight),
+            "living": share.living, "heard": share.reporting, "weight": rate(share.weight),
             "age_ms": ms(share.age).round(), "oldest_ms": ms(share.oldest).round(),
             "demand": demand, "judged": judged,
-            "asks": figures.asks, "answered": figures.answered, "words": figures.words, "fresh": figures.fresh,
-            "nonsense": figures.nonsense, "unanswered": figures.unanswered, "bytes": figures.bytes,
+            "asks": figures.requests, "answered": figures.responses, "words": figures.reports, "fresh": figures.new_reports,
+            "nonsense": figures.invalid, "unanswered": figures.unanswered, "bytes": figures.bytes,
         })
         .to_string()
     }
@@ -196,12 +202,15 @@
 impl NodeObserver for Outcomes {
     fn request_accepted(&self, now: Duration, class: usize, again: bool) {
         let class = self.class(class);
-        self.spread.borrow_mut().counts(now).taken(class, again);
+        self.spread
+            .borrow_mut()
+            .counts(now)
+            .record_call(class, again);
     }
 
     fn request_rejected(&self, now: Duration, class: usize) {
         let class = self.class(class);
-        self.spread.borrow_mut().counts(now).shed(class);
+        self.spread.borrow_mut().counts(now).record_rejection(class);
     }
 
     fn attempt_ended(
@@ -225,24 +234,26 @@
                     .get(class)
                     .map_or(Duration::ZERO, |class| class.latency_objective);
                 Some(if times.since_request <= aim {
-                    End::InTime
+                    AttemptOutcome::InTime
                 } else {
-                    End::Late
+                    AttemptOutcome::Late
                 })
             }
-            Outcome::TimedOut => Some(End::Late),
-            Outcome::Rejected => Some(End::Refused),
-            Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => Some(End::Failed),
+            Outcome::TimedOut => Some(AttemptOutcome::Late),
+            Outcome::Rejected => Some(AttemptOutcome::Rejected),
+            Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => {
+                Some(AttemptOutcome::Failed)
+            }
         };
-        let cell = Cell {
-            backend: Backend::of(at.0),
+        let cell = BackendClass {
+            backend: BackendId::of(at.0),
             class: self.class(class),
         };
         let mut spread = self.spread.borrow_mut();
         let counts = spread.counts(now);
-        counts.sent(cell, Duration::ZERO);
+        counts.record_attempt(cell, Duration::ZERO);
         if let Some(end) = end {
-            counts.ended(
+            counts.record_outcome(
                 cell,
                 end,
                 (outcome == Outcome::Served).then_some(times.since_sent),
@@ -254,6 +265,6 @@
         self.spread
             .borrow_mut()
             .counts(now)
-            .probed(Backend::of(at.0));
+            .record_health_check(BackendId::of(at.0));
     }
 }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -32,7 +32,7 @@
     /// The fleet that this node is a member of.
     pub fleet: Option<FleetTerms>,
     /// What its nodes tell each other of backends and classes.
-    pub outcomes: Option<sillward_outcome_stats::Terms>,
+    pub outcomes: Option<sillward_outcome_stats::StatsConfig>,
     /// The settings on which the fleet agrees.
     pub agreement: Option<AgreementTerms>,
     /// A listener for operators' pages.
--- /dev/null
+++ b/crates/outcome-stats/src/exchange/byte_budget.rs
@@ -0,0 +1,34 @@
+//! Byte rates.
+
+use std::time::Duration;
+
+/// A rate with a burst of one second's bytes.
+#[derive(Debug)]
+pub(super) struct ByteBudget {
+    bytes_per_second: f64,
+    available: f64,
+    updated_at: Duration,
+}
+
+impl ByteBudget {
+    pub(super) fn new(bytes_per_second: f64, now: Duration) -> Self {
+        ByteBudget {
+            bytes_per_second,
+            available: bytes_per_second,
+            updated_at: now,
+        }
+    }
+
+    /// The bytes that may be spent now; less than 0 after more was spent than there was.
+    pub(super) fn available(&mut self, now: Duration) -> f64 {
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.available =
+            (self.available + self.bytes_per_second * elapsed).min(self.bytes_per_second);
+        self.updated_at = now;
+        self.available
+    }
+
+    pub(super) fn spend(&mut self, bytes: usize) {
+        self.available -= bytes as f64;
+    }
+}
--- a/crates/outcome-stats/src/lib.rs
+++ b/crates/outcome-stats/src/lib.rs
@@ -1,29 +1,33 @@
-//! What each node of a fleet saw of each backend and class, told to all others, and what a node may read from it. No I/O, no
-//! clock and no dice of its own: events with times in, messages out, the same for the same seed.
+//! Outcome statistics of a fleet: what each node has counted of backends and classes, exchanged between all nodes, and the
+//! estimates that a node makes from it. No I/O and no clock: events with times go in, messages come out, the same for the same
+//! seed.
 //!
-//! A node counts what it sees in windows ([`Book`]). Its *word* is the sum of its last closed windows, under its name, its life
-//! and a version; a word takes the place of an older one of the same life, so that to hear one twice, late or by several ways
-//! adds nothing ([`Board`]). Words are never pushed: a node asks another for what that one has learnt since it asked the last
-//! time, and so knows of each word it gets that it was no older than what was claimed when it *asked* ([`Spread`]). What is
-//! read is an estimate with its age, its weight and how wrong it may be ([`View`]).
+//! A node counts in windows ([`WindowedCounts`]). Its *report* is the sum of its last closed windows, under its name, its
+//! incarnation and a version. A newer report of an incarnation replaces an older one, so that receiving a report twice, late or
+//! by several ways adds nothing ([`ReportStore`]). Reports are never pushed: a node pulls from another what that one has
+//! received since the last pull, and so knows that no report in a response is older than it claimed to be when the request was
+//! sent ([`StatsExchange`]). The estimates come with their age, their weight and their error ([`FleetEstimate`]).
 //!
-//! The ways weighed, the promises and their figures stand in `docs/design/outcomes.md`.
+//! The design and its measurements are in `docs/design/outcomes.md`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod board;
-mod book;
+pub mod codec;
+mod config;
 mod counts;
-mod sketch;
-mod spread;
-mod terms;
-mod view;
-pub mod words;
+mod estimate;
+mod exchange;
+mod histogram;
+mod report_store;
+mod windowed_counts;
+pub mod wire;
 
-pub use board::{Board, Word};
-pub use book::Book;
-pub use counts::{Asked, Backend, Cell, Class, Counts, End, Tally};
-pub use sketch::Sketch;
-pub use spread::{Action, Figures, Spread};
-pub use terms::{Plant, Terms};
-pub use view::{Demand, Judged, Share, View};
+pub use config::{InjectedBug, StatsConfig};
+pub use counts::{
+    AttemptCounts, AttemptOutcome, BackendClass, BackendId, CallCounts, ClassId, Counts,
+};
+pub use estimate::{BackendEstimate, Coverage, DemandEstimate, FleetEstimate};
+pub use exchange::{Action, ExchangeCounters, StatsExchange};
+pub use histogram::LatencyHistogram;
+pub use report_store::{Report, ReportStore};
+pub use windowed_counts::WindowedCounts;
--- a/crates/outcome-stats/tests/fleet.rs
+++ b/crates/outcome-stats/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use sillward_outcome_stats::{Backend, Cell, Plant, Terms};
+use sillward_outcome_stats::{BackendClass, BackendId, InjectedBug, StatsConfig};
 use std::time::Duration;
 use world::*;
 
@@ -26,7 +26,7 @@
 #[test]
 fn each_node_reads_what_all_are_asked_within_what_it_says() {
     for (seed, lost, late) in [(1, 0, 2), (2, 20, 500), (3, 5, 50)] {
-        let mut world = World::new(12, 8, 40.0, seed, Terms::default());
+        let mut world = World::new(12, 8, 40.0, seed, StatsConfig::default());
         world.nodes[0].rate = 300.0;
         world.ways = Ways {
             lost,
@@ -48,9 +48,9 @@
             "{seed}: {} bytes a node and second",
             world.most_bytes
         );
-        let share = world.view(0).share;
+        let share = world.view(0).coverage;
         assert!(
-            share.heard == 12 && share.age < ms(8_000),
+            share.reporting == 12 && share.age < ms(8_000),
             "{seed}: {share:?}"
         );
     }
@@ -58,26 +58,26 @@
 
 #[test]
 fn one_bad_backend_is_seen_by_nodes_that_never_met_it() {
-    let mut world = World::new(12, 8, 30.0, 4, Terms::default());
+    let mut world = World::new(12, 8, 30.0, 4, StatsConfig::default());
     world.good[3] = 40;
     // Node 11 is asked nothing.
     world.nodes[11].rate = 0.0;
     world.pass(ms(15_000));
     let view = world.view(11);
     let at = |backend: u64| {
-        view.judged[&Cell {
-            backend: Backend::of(1 + backend),
+        view.backends[&BackendClass {
+            backend: BackendId::of(1 + backend),
             class: class(),
         }]
             .clone()
     };
     assert!((0.3..0.5).contains(&at(3).in_time), "{:?}", at(3));
     assert!(
-        at(4).in_time > 0.9 && at(4).judges == 11 && at(4).rests_on > 50.0,
+        at(4).in_time > 0.9 && at(4).observers == 11 && at(4).evidence > 50.0,
         "{:?}",
         at(4)
     );
-    let median = at(4).times.quantile(0.5).expect("times");
+    let median = at(4).latencies.quantile(0.5).expect("times");
     assert!(
         (22..=27).contains(&median.as_millis()),
         "24 ms, an eleventh off: {median:?}"
@@ -86,14 +86,14 @@
 
 #[test]
 fn a_half_that_is_cut_off_weighs_less_and_less_and_is_there_once_when_it_is_back() {
-    let mut world = World::new(12, 8, 40.0, 5, Terms::default());
+    let mut world = World::new(12, 8, 40.0, 5, StatsConfig::default());
     world.pass(ms(10_000));
-    let before = world.view(0).share.weight;
+    let before = world.view(0).coverage.weight;
     world.cut = Some(6);
     let mut weights = vec![before];
     for _ in 0..70 {
         world.pass(ms(1000));
-        weights.push(world.view(0).share.weight);
+        weights.push(world.view(0).coverage.weight);
     }
     // By a straight line, and nothing at once.
     assert!(
@@ -116,22 +116,22 @@
     world.pass(ms(10_000));
     let (within, _) = right(&mut world, 10);
     assert!(
-        within >= 0.95 && world.view(0).share.weight > 0.99,
+        within >= 0.95 && world.view(0).coverage.weight > 0.99,
         "{within}"
     );
 }
 
 #[test]
 fn a_restart_neither_doubles_nor_loses_what_a_node_is_asked() {
-    let dip = |plant: Option<Plant>| {
+    let dip = |plant: Option<InjectedBug>| {
         let mut world = World::new(
             12,
             8,
             40.0,
             6,
-            Terms {
-                plant,
-                ..Terms::default()
+            StatsConfig {
+                injected_bug: plant,
+                ..StatsConfig::default()
             },
         );
         world.nodes[1].rate = 300.0;
@@ -149,27 +149,27 @@
     };
     let (least, most) = dip(None);
     assert!(least > 0.75 && most < 1.25, "{least} to {most}");
-    let (_, doubled) = dip(Some(Plant::DoubleCount));
+    let (_, doubled) = dip(Some(InjectedBug::DoubleCountRestarts));
     assert!(doubled > 1.25, "the plant is not seen: {doubled}");
 }
 
 #[test]
 fn a_liar_sways_sums_and_judgements_no_further_than_is_stated() {
-    let sway = |plant: Option<Plant>| {
+    let sway = |plant: Option<InjectedBug>| {
         let mut world = World::new(
             12,
             8,
             40.0,
             7,
-            Terms {
-                plant,
-                ..Terms::default()
+            StatsConfig {
+                injected_bug: plant,
+                ..StatsConfig::default()
             },
         );
         world.nodes[2].lies = 60.0;
         world.pass(ms(15_000));
-        let judged = world.view(0).judged[&Cell {
-            backend: Backend::of(1),
+        let judged = world.view(0).backends[&BackendClass {
+            backend: BackendId::of(1),
             class: class(),
         }]
             .in_time;
@@ -184,7 +184,7 @@
         judged >= 0.97 * 0.75,
         "a fifth of the judgement at the most: {judged}"
     );
-    let (believed, dead) = sway(Some(Plant::BelieveLiar));
+    let (believed, dead) = sway(Some(InjectedBug::NoShareCap));
     assert!(
         believed > 4.0 && dead < 0.3,
         "the plant is not seen: {believed} {dead}"
@@ -193,7 +193,7 @@
 
 #[test]
 fn who_truly_sees_half_of_all_counts_whole() {
-    let mut world = World::new(12, 8, 40.0, 8, Terms::default());
+    let mut world = World::new(12, 8, 40.0, 8, StatsConfig::default());
     world.nodes[0].rate = 440.0;
     world.pass(ms(15_000));
     let (read, truth) = (world.read(5).0, world.truth());
@@ -202,15 +202,15 @@
 
 #[test]
 fn words_that_are_old_do_not_pass_for_new() {
-    let weight = |plant: Option<Plant>| {
+    let weight = |plant: Option<InjectedBug>| {
         let mut world = World::new(
             6,
             4,
             20.0,
             9,
-            Terms {
-                plant,
-                ..Terms::default()
+            StatsConfig {
+                injected_bug: plant,
+                ..StatsConfig::default()
             },
         );
         world.pass(ms(10_000));
@@ -218,18 +218,18 @@
         world.ways.late = ms(0);
         world.cut = Some(1);
         world.pass(ms(40_000));
-        world.view(0).share.weight
+        world.view(0).coverage.weight
     };
     assert!(weight(None) < 0.6, "five of six are 40 s old");
     assert!(
-        weight(Some(Plant::StaleAsFresh)) > 0.9,
+        weight(Some(InjectedBug::IgnoreAge)) > 0.9,
         "the plant is not seen"
     );
 }
 
 #[test]
 fn loss_and_delay_never_make_a_word_younger_than_it_is() {
-    let mut world = World::new(12, 8, 20.0, 10, Terms::default());
+    let mut world = World::new(12, 8, 20.0, 10, StatsConfig::default());
     world.ways = Ways {
         lost: 20,
         late: ms(1500),
@@ -237,7 +237,7 @@
     for _ in 0..30 {
         world.pass(ms(1000));
         for number in 0..12 {
-            for ((whose, life), word) in world.nodes[number].spread.board().iter() {
+            for ((whose, life), word) in world.nodes[number].spread.reports().iter() {
                 let of: usize = whose.as_str()[1..].parse().expect("a node");
                 if world.nodes[of].life != *life {
                     continue;
@@ -256,7 +256,7 @@
 
 #[test]
 fn a_hundred_nodes_hear_of_each_other_by_groups_within_the_same_rate() {
-    let mut world = World::new(100, 40, 8.0, 11, Terms::default());
+    let mut world = World::new(100, 40, 8.0, 11, StatsConfig::default());
     world.nodes[0].rate = 300.0;
     world.good[3] = 40;
     world.ways = Ways {
@@ -274,12 +274,12 @@
     for number in (0..100).step_by(9) {
         let view = world.view(number);
         assert!(
-            view.share.heard >= 97 && view.share.age < ms(10_000),
+            view.coverage.reporting >= 97 && view.coverage.age < ms(10_000),
             "n{number} {:?}",
-            view.share
+            view.coverage
         );
-        let bad = &view.judged[&Cell {
-            backend: Backend::of(4),
+        let bad = &view.backends[&BackendClass {
+            backend: BackendId::of(4),
             class: class(),
         }];
         assert!((0.3..0.52).contains(&bad.in_time), "n{number} {bad:?}");
@@ -300,7 +300,13 @@
         .map(|nodes| nodes.parse::<usize>().expect("a number"))
     {
         let backends = (nodes / 2).clamp(8, 147);
-        let mut world = World::new(nodes, backends, 3100.0 / 734.0 * 2.0, 1, Terms::default());
+        let mut world = World::new(
+            nodes,
+            backends,
+            3100.0 / 734.0 * 2.0,
+            1,
+            StatsConfig::default(),
+        );
         world.nodes.iter_mut().enumerate().for_each(|(i, node)| {
             node.rate *= if i % 20 == 0 { 6.0 } else { 0.74 };
             node.swing = (0.2, 60.0);
@@ -313,12 +319,12 @@
         world.bytes = 0;
         let (within, off) = right(&mut world, 10);
         let bytes = world.bytes as f64 / 10.0 / nodes as f64;
-        let (share, (read, error)) = (world.view(nodes / 2).share, world.read(nodes / 2));
+        let (share, (read, error)) = (world.view(nodes / 2).coverage, world.read(nodes / 2));
         println!(
             "| {nodes} | {backends} | {:.1}, {:.1} (fresh for {:.1}) | {:.3} | {:.3} | {bytes:.0} | {:.2} |",
             share.age.as_secs_f64(),
             share.oldest.as_secs_f64(),
-            world.nodes[nodes / 2].spread.fresh().as_secs_f64(),
+            world.nodes[nodes / 2].spread.fresh_for().as_secs_f64(),
             within,
             off,
             error / read
--- a/crates/outcome-stats/tests/golden.rs
+++ b/crates/outcome-stats/tests/golden.rs
@@ -1,8 +1,11 @@
 //! Golden bytes of the statistics that nodes tell each other.
 
 use prost::Message;
-use sillward_outcome_stats::words::{Answer, Ask, Said, Told, mark, pack, unpack};
-use sillward_outcome_stats::{Asked, Backend, Cell, Class, Counts, Tally};
+use sillward_outcome_stats::codec::{decode_counts, encode_counts};
+use sillward_outcome_stats::wire::{
+    PullRequest, PullResponse, ReportMessage, StatsMessage, report_mark,
+};
+use sillward_outcome_stats::{AttemptCounts, BackendClass, BackendId, CallCounts, ClassId, Counts};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -10,106 +13,111 @@
 
 fn counts() -> Counts {
     let mut counts = Counts::default();
-    let (read, submit) = (Class::of("read"), Class::of("submit"));
-    counts.asked.insert(
+    let (read, submit) = (ClassId::of("read"), ClassId::of("submit"));
+    counts.calls.insert(
         read,
-        Asked {
+        CallCounts {
             first: 300,
-            again: 2,
-            shed: 1,
+            retries: 2,
+            rejected: 1,
         },
     );
-    counts.asked.insert(
+    counts.calls.insert(
         submit,
-        Asked {
+        CallCounts {
             first: 5,
-            again: 0,
-            shed: 0,
+            retries: 0,
+            rejected: 0,
         },
     );
-    let plain = Tally {
+    let plain = AttemptCounts {
         sent: 40,
         in_time: 40,
-        ..Tally::default()
+        ..AttemptCounts::default()
     };
-    let mut full = Tally {
+    let mut full = AttemptCounts {
         sent: 500,
         in_time: 450,
         late: 20,
-        refused: 10,
+        rejected: 10,
         failed: 5,
         work_ms: 70_000,
-        probes: 3,
-        ..Tally::default()
+        health_checks: 3,
+        ..AttemptCounts::default()
     };
-    full.times.put(7, 200);
-    full.times.put(63, 1);
+    full.latencies.add(7, 200);
+    full.latencies.add(63, 1);
     for (backend, class, tally) in [
-        (Backend(9), read, full),
-        (Backend(9), submit, plain.clone()),
-        (Backend::OTHERS, read, plain),
+        (BackendId(9), read, full),
+        (BackendId(9), submit, plain.clone()),
+        (BackendId::OTHERS, read, plain),
     ] {
-        counts.cells.insert(Cell { backend, class }, tally);
+        counts
+            .attempts
+            .insert(BackendClass { backend, class }, tally);
     }
     counts
 }
 
 #[test]
 fn packed_counts_keep_their_bytes() {
-    let bytes = pack(&counts());
+    let bytes = encode_counts(&counts());
     assert_eq!(hex(&bytes), include_str!("golden/counts.hex").trim());
-    assert_eq!(unpack(&bytes).map(|read| pack(&read)), Some(bytes));
+    assert_eq!(
+        decode_counts(&bytes).map(|read| encode_counts(&read)),
+        Some(bytes)
+    );
 }
 
 #[test]
 fn asks_and_answers_keep_their_bytes() {
-    let ask = Ask {
+    let ask = PullRequest {
         number: 3,
         since: 4,
         salt: 5,
-        have: vec![6, 7],
-        room: 800,
-        since_sums: 9,
-        own: true,
+        known: vec![6, 7],
+        max_bytes: 800,
+        groups_since: 9,
+        own_only: true,
     };
-    let told = Told {
+    let told = ReportMessage {
         name: "n3".to_owned(),
         epoch: 2,
         salt: 0xfeed_beef,
         version: 300,
         age_ms: 900,
         span_ms: 5000,
-        counts: pack(&counts()),
+        counts: encode_counts(&counts()),
         groups: 16,
         group: 4,
-        nodes: 18,
-        heard: 17_500,
-        largest: 120,
+        group_size: 18,
+        represented_permille: 17_500,
+        largest_share_permille: 120,
     };
-    let answer = Answer {
+    let answer = PullResponse {
         number: 3,
         until: 10,
         salt: 5,
-        words: vec![told],
-        until_sums: 2,
-        more: true,
-        own: false,
+        reports: vec![told],
+        groups_until: 2,
+        truncated: true,
+        own_only: false,
     };
-    let said = Said {
-        ask: Some(ask),
-        answer: Some(answer),
+    let said = StatsMessage {
+        request: Some(ask),
+        response: Some(answer),
     };
     let bytes = said.encode_to_vec();
     assert_eq!(hex(&bytes), include_str!("golden/said.hex").trim());
-    assert_eq!(Said::decode(bytes.as_slice()), Ok(said));
+    assert_eq!(StatsMessage::decode(bytes.as_slice()), Ok(said));
 }
 
 #[test]
 fn marks_are_as_they_were() {
     let marks = [
-        mark("n3", 5, 0, 300),
-        mark("n3", 5, 4, 301),
-        mark("", 0, 0, 0),
+        report_mark("n3", 5, 0, 300),
+        report_mark("n3", 5, 4, 301),
+        report_mark("", 0, 0, 0),
     ];
     assert_eq!(
         marks.map(|mark| format!("{mark:08x}")).join("\n"),
--- a/crates/outcome-stats/tests/parts.rs
+++ b/crates/outcome-stats/tests/parts.rs
@@ -2,31 +2,45 @@
 
 use proptest::prelude::*;
 use sillward_membership::{Incarnation, Name};
-use sillward_outcome_stats::words::{MOST, pack, unpack};
-use sillward_outcome_stats::{Asked, Backend, Cell, Class, Counts, Sketch, Spread, Tally, Terms};
+use sillward_outcome_stats::codec::{MAX_COUNTS_BYTES, decode_counts, encode_counts};
+use sillward_outcome_stats::{
+    AttemptCounts, BackendClass, BackendId, CallCounts, ClassId, Counts, LatencyHistogram,
+    StatsConfig, StatsExchange,
+};
 use std::time::Duration;
 
-fn sketches() -> impl Strategy<Value = Sketch> {
+fn sketches() -> impl Strategy<Value = LatencyHistogram> {
     prop::collection::vec((0u8..70, 1u32..50), 0..6).prop_map(|buckets| {
-        let mut sketch = Sketch::default();
+        let mut sketch = LatencyHistogram::default();
         buckets
             .into_iter()
-            .for_each(|(bucket, count)| sketch.put(bucket, count));
+            .for_each(|(bucket, count)| sketch.add(bucket, count));
         sketch
     })
 }
 
-fn tallies() -> impl Strategy<Value = Tally> {
+fn tallies() -> impl Strategy<Value = AttemptCounts> {
     (prop::array::uniform7(0u32..500), sketches()).prop_map(
-        |([sent, in_time, late, refused, failed, work_ms, probes], times)| Tally {
+        |(
+            [
+                sent,
+                in_time,
+                late,
+                rejected,
+                failed,
+                work_ms,
+                health_checks,
+            ],
+            latencies,
+        )| AttemptCounts {
             sent,
             in_time,
             late,
-            refused,
+            rejected,
             failed,
             work_ms,
-            probes,
-            times,
+            health_checks,
+            latencies,
         },
     )
 }
@@ -35,21 +49,30 @@
     let cells = prop::collection::btree_map((1u32..400, 0u32..5), tallies(), 0..most);
     let asked = prop::collection::btree_map(0u32..5, prop::array::uniform3(0u32..900), 0..5);
     (cells, asked).prop_map(|(cells, asked)| Counts {
-        cells: cells
+        attempts: cells
             .into_iter()
             .map(|((backend, class), tally)| {
                 (
-                    Cell {
-                        backend: Backend(backend),
-                        class: Class(class),
+                    BackendClass {
+                        backend: BackendId(backend),
+                        class: ClassId(class),
                     },
                     tally,
                 )
             })
             .collect(),
-        asked: asked
+        calls: asked
             .into_iter()
-            .map(|(class, [first, again, shed])| (Class(class), Asked { first, again, shed }))
+            .map(|(class, [first, retries, rejected])| {
+                (
+                    ClassId(class),
+                    CallCounts {
+                        first,
+                        retries,
+                        rejected,
+                    },
+                )
+            })
             .collect(),
     })
 }
@@ -63,12 +86,12 @@
 /// By class, over all backends.
 fn by_class(counts: &Counts) -> Vec<(u32, u64, u64, u64)> {
     let mut sums = std::collections::BTreeMap::<u32, (u64, u64, u64)>::new();
-    for (cell, tally) in &counts.cells {
+    for (cell, tally) in &counts.attempts {
         let sum = sums.entry(cell.class.0).or_default();
         *sum = (
             sum.0 + u64::from(tally.sent),
             sum.1 + tally.ended(),
-            sum.2 + u64::from(tally.probes),
+            sum.2 + u64::from(tally.health_checks),
         );
     }
     sums.into_iter()
@@ -88,41 +111,41 @@
 
     #[test]
     fn what_is_packed_is_read_back_and_what_has_no_room_is_in_the_sums(counts in counts(300)) {
-        let bytes = pack(&counts);
-        prop_assert!(bytes.len() <= MOST, "{}", bytes.len());
-        let back = unpack(&bytes).expect("its own");
-        prop_assert_eq!(&back.asked, &counts.asked);
+        let bytes = encode_counts(&counts);
+        prop_assert!(bytes.len() <= MAX_COUNTS_BYTES, "{}", bytes.len());
+        let back = decode_counts(&bytes).expect("its own");
+        prop_assert_eq!(&back.calls, &counts.calls);
         prop_assert_eq!(by_class(&back), by_class(&counts));
-        if back.cells.keys().all(|cell| cell.backend != Backend::OTHERS) {
+        if back.attempts.keys().all(|cell| cell.backend != BackendId::OTHERS) {
             prop_assert_eq!(back, counts);
         }
     }
 
     #[test]
     fn a_quantile_is_an_eleventh_off_at_the_most(times in prop::collection::vec(2u64..60_000, 1..80), share in 0.0f64..1.0) {
-        let mut sketch = Sketch::default();
-        times.iter().for_each(|ms| sketch.add(Duration::from_millis(*ms)));
+        let mut sketch = LatencyHistogram::default();
+        times.iter().for_each(|ms| sketch.record(Duration::from_millis(*ms)));
         let mut sorted = times.clone();
         sorted.sort();
         let rank = ((share * sorted.len() as f64).ceil() as usize).clamp(1, sorted.len());
         let (exact, read) = (sorted[rank - 1] as f64, sketch.quantile(share).expect("some").as_secs_f64() * 1e3);
-        prop_assert!((read - exact).abs() <= exact * (Sketch::ERROR + 1e-6), "{} for {}", read, exact);
+        prop_assert!((read - exact).abs() <= exact * (LatencyHistogram::MAX_RELATIVE_ERROR + 1e-6), "{} for {}", read, exact);
     }
 
     #[test]
     fn whatever_comes_is_read_or_dropped(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        let _ = unpack(&bytes);
+        let _ = decode_counts(&bytes);
         heard(&bytes);
     }
 
     /// Nearer to what there is than noise: one byte changed, or the end cut off.
     #[test]
     fn a_spoilt_word_is_read_or_dropped(counts in counts(20), at in any::<prop::sample::Index>(), byte in any::<u8>(), cut in any::<prop::sample::Index>()) {
-        let mut bytes = pack(&counts);
+        let mut bytes = encode_counts(&counts);
         let place = at.index(bytes.len());
         bytes[place] = byte;
-        let _ = unpack(&bytes);
-        let _ = unpack(&bytes[..cut.index(bytes.len())]);
+        let _ = decode_counts(&bytes);
+        let _ = decode_counts(&bytes[..cut.index(bytes.len())]);
     }
 }
 
@@ -132,10 +155,10 @@
         Name::new("b").expect("a name"),
     );
     let (life, now) = (Incarnation { epoch: 1, salt: 7 }, Duration::from_secs(5));
-    let mut spread = Spread::new(Terms::default(), me, life, 1, now);
-    let _ = spread.turn(now, life, [(&other, life)].into_iter());
-    let _ = spread.heard(now, &other, life, bytes);
-    assert!(spread.board().len() <= 1, "nothing was asked for");
+    let mut spread = StatsExchange::new(StatsConfig::default(), me, life, 1, now);
+    let _ = spread.tick(now, life, [(&other, life)].into_iter());
+    let _ = spread.handle_message(now, &other, life, bytes);
+    assert!(spread.reports().len() <= 1, "nothing was asked for");
 }
 
 /// `cargo test --release -p sillward-outcomes --test parts -- --ignored`: a million.
@@ -146,15 +169,15 @@
     let mut dice = rand_pcg::Pcg32::seed_from_u64(1);
     let mut counts = Counts::default();
     for backend in 1..9 {
-        counts.sent(
-            Cell {
-                backend: Backend(backend),
-                class: Class(1),
+        counts.record_attempt(
+            BackendClass {
+                backend: BackendId(backend),
+                class: ClassId(1),
             },
             Duration::from_millis(3),
         );
     }
-    let whole = pack(&counts);
+    let whole = encode_counts(&counts);
     for round in 0..1_000_000u32 {
         let mut bytes = if round % 2 == 0 {
             whole.clone()
@@ -170,7 +193,7 @@
                 bytes[at] = dice.next_u32() as u8;
             }
         }
-        let _ = unpack(&bytes);
+        let _ = decode_counts(&bytes);
         heard(&bytes);
     }
 }
@@ -183,30 +206,30 @@
     );
     let (life, now) = (Incarnation { epoch: 1, salt: 7 }, Duration::from_secs(5));
     let window = Duration::from_secs(10);
-    let mut spread = Spread::new(
-        Terms {
+    let mut spread = StatsExchange::new(
+        StatsConfig {
             window,
-            oldest: window,
-            ..Terms::default()
+            max_report_age: window,
+            ..StatsConfig::default()
         },
         me,
         life,
         1,
         now,
     );
-    let asked = spread.turn(now, life, [(&other, life)].into_iter());
+    let asked = spread.tick(now, life, [(&other, life)].into_iter());
     assert_eq!(asked.len(), 1);
     use prost::Message;
-    let answer = sillward_outcome_stats::words::Answer {
+    let answer = sillward_outcome_stats::wire::PullResponse {
         number: 1,
         ..Default::default()
     };
-    let said = sillward_outcome_stats::words::Said {
-        ask: None,
-        answer: Some(answer),
+    let said = sillward_outcome_stats::wire::StatsMessage {
+        request: None,
+        response: Some(answer),
     };
-    spread.heard(now, &other, life, &said.encode_to_vec());
-    assert!(spread.fresh() <= window && spread.view(now).share.living == 2);
+    spread.handle_message(now, &other, life, &said.encode_to_vec());
+    assert!(spread.fresh_for() <= window && spread.estimate(now).coverage.living == 2);
 }
 
 #[test]
@@ -216,81 +239,81 @@
         Incarnation { epoch: 1, salt: 7 },
     );
     let mut now = Duration::from_secs(5);
-    let mut spread = Spread::new(Terms::default(), me, life, 1, now);
+    let mut spread = StatsExchange::new(StatsConfig::default(), me, life, 1, now);
     for _ in 0..100 {
         now += Duration::from_millis(100);
-        spread.counts(now).taken(Class(1), false);
-        assert!(spread.turn(now, life, [].into_iter()).is_empty());
+        spread.counts(now).record_call(ClassId(1), false);
+        assert!(spread.tick(now, life, [].into_iter()).is_empty());
     }
-    let view = spread.view(now);
+    let view = spread.estimate(now);
     assert!(
-        (8.0..12.0).contains(&view.demand[&Class(1)].first),
+        (8.0..12.0).contains(&view.demand[&ClassId(1)].first),
         "{view:?}"
     );
-    assert_eq!((view.share.living, view.share.heard), (1, 1));
+    assert_eq!((view.coverage.living, view.coverage.reporting), (1, 1));
 }
 
 #[test]
 fn a_word_that_nobody_asked_for_is_not_believed() {
     use prost::Message;
-    use sillward_outcome_stats::words::{Answer, Said, Told};
+    use sillward_outcome_stats::wire::{PullResponse, ReportMessage, StatsMessage};
     let (me, other) = (
         Name::new("a").expect("a name"),
         Name::new("b").expect("a name"),
     );
     let (life, now) = (Incarnation { epoch: 1, salt: 7 }, Duration::from_secs(5));
-    let mut spread = Spread::new(Terms::default(), me, life, 1, now);
-    let asked = spread.turn(now, life, [(&other, life)].into_iter());
+    let mut spread = StatsExchange::new(StatsConfig::default(), me, life, 1, now);
+    let asked = spread.tick(now, life, [(&other, life)].into_iter());
     assert_eq!(asked.len(), 1, "{asked:?}");
     let mut counts = Counts::default();
-    counts.taken(Class(1), false);
-    let told = |name: &str| Told {
+    counts.record_call(ClassId(1), false);
+    let told = |name: &str| ReportMessage {
         name: name.to_owned(),
         epoch: 1,
         salt: 7,
         version: 3,
         age_ms: 100,
         span_ms: 3000,
-        counts: pack(&counts),
-        ..Told::default()
+        counts: encode_counts(&counts),
+        ..ReportMessage::default()
     };
     let answer = |number: u64, name: &str| {
-        let answer = Answer {
+        let answer = PullResponse {
             number,
             until: 1,
             salt: 7,
-            words: vec![told(name)],
-            ..Answer::default()
+            reports: vec![told(name)],
+            ..PullResponse::default()
         };
-        Said {
-            ask: None,
-            answer: Some(answer),
+        StatsMessage {
+            request: None,
+            response: Some(answer),
         }
         .encode_to_vec()
     };
-    spread.heard(now, &other, life, &answer(9, "b"));
-    assert!(spread.board().is_empty(), "another number");
-    spread.heard(now, &other, life, &answer(1, "a"));
+    spread.handle_message(now, &other, life, &answer(9, "b"));
+    assert!(spread.reports().is_empty(), "another number");
+    spread.handle_message(now, &other, life, &answer(1, "a"));
     assert!(
-        spread.board().is_empty(),
+        spread.reports().is_empty(),
         "a word of this node's own, from somebody else"
     );
-    let mut again = Spread::new(
-        Terms::default(),
+    let mut again = StatsExchange::new(
+        StatsConfig::default(),
         Name::new("a").expect("a name"),
         life,
         1,
         now,
     );
-    again.turn(now, life, [(&other, life)].into_iter());
+    again.tick(now, life, [(&other, life)].into_iter());
     let later = now + Duration::from_millis(1500);
-    again.heard(later, &other, life, &answer(1, "b"));
-    let (_, word) = again.board().iter().next().expect("what was asked for");
+    again.handle_message(later, &other, life, &answer(1, "b"));
+    let (_, word) = again.reports().iter().next().expect("what was asked for");
     assert_eq!(
         word.age(later),
         Duration::from_millis(1600),
         "counted from the ask"
     );
-    again.heard(later, &other, life, &answer(1, "b"));
-    assert_eq!(again.figures().nonsense, 1, "an answer counts once");
+    again.handle_message(later, &other, life, &answer(1, "b"));
+    assert_eq!(again.counters().invalid, 1, "an answer counts once");
 }
--- a/crates/outcome-stats/tests/world/mod.rs
+++ b/crates/outcome-stats/tests/world/mod.rs
@@ -1,11 +1,14 @@
 //! A fleet of books and words on a clock of its own: links that lose, delay and are cut, callers with a rate by node, and
 //! backends that serve so well. What is true is known here, and compared with what nodes read.
-#![allow(dead_code)] // each test file uses its own part of this
+#![allow(dead_code, unreachable_pub)] // each test file uses its own part of this
 
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use sillward_membership::{Incarnation, Name};
-use sillward_outcome_stats::{Action, Backend, Cell, Class, End, Plant, Spread, Terms, View};
+use sillward_outcome_stats::{
+    Action, AttemptOutcome, BackendClass, BackendId, ClassId, FleetEstimate, InjectedBug,
+    StatsConfig, StatsExchange,
+};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
@@ -20,8 +23,8 @@
     Name::new(&format!("n{number}")).expect("a name")
 }
 
-pub fn class() -> Class {
-    Class::of("read")
+pub fn class() -> ClassId {
+    ClassId::of("read")
 }
 
 /// What happens between nodes.
@@ -34,7 +37,7 @@
 }
 
 pub struct Node {
-    pub spread: Spread,
+    pub spread: StatsExchange,
     pub life: Incarnation,
     /// Calls a second that its callers ask, and by how much of that it swings, once in so many seconds.
     pub rate: f64,
@@ -57,7 +60,7 @@
     pub ways: Ways,
     /// Nodes below this number and the others hear nothing of each other.
     pub cut: Option<usize>,
-    pub terms: Terms,
+    pub config: StatsConfig,
     under_way: BinaryHeap<Due>,
     numbers: u64,
     dice: Pcg32,
@@ -67,7 +70,7 @@
 }
 
 impl World {
-    pub fn new(count: usize, backends: usize, rate: f64, seed: u64, terms: Terms) -> Self {
+    pub fn new(count: usize, backends: usize, rate: f64, seed: u64, config: StatsConfig) -> Self {
         let mut world = World {
             now: ms(10_000),
             nodes: Vec::new(),
@@ -78,7 +81,7 @@
                 late: ms(2),
             },
             cut: None,
-            terms,
+            config,
             under_way: BinaryHeap::new(),
             numbers: 0,
             dice: Pcg32::seed_from_u64(seed),
@@ -99,7 +102,7 @@
             salt: 1 + number as u32 + 10_000 * epoch,
         };
         let seed = self.seed ^ (number as u64) << 20 ^ u64::from(epoch);
-        let spread = Spread::new(self.terms.clone(), name(number), life, seed, self.now);
+        let spread = StatsExchange::new(self.config.clone(), name(number), life, seed, self.now);
         Node {
             spread,
             life,
@@ -142,22 +145,22 @@
             let backend = self.dice.next_u32() as usize % self.backends;
             let good = self.good[backend];
             let end = if lies > 1.0 || !self.chance(good) {
-                End::Failed
+                AttemptOutcome::Failed
             } else {
-                End::InTime
+                AttemptOutcome::InTime
             };
             let now = self.now;
-            let cell = Cell {
-                backend: Backend::of(1 + backend as u64),
+            let cell = BackendClass {
+                backend: BackendId::of(1 + backend as u64),
                 class: class(),
             };
             let counts = self.nodes[number].spread.counts(now);
-            counts.taken(class(), false);
-            counts.sent(cell, Duration::ZERO);
-            counts.ended(
+            counts.record_call(class(), false);
+            counts.record_attempt(cell, Duration::ZERO);
+            counts.record_outcome(
                 cell,
                 end,
-                (end == End::InTime).then(|| ms(20 + backend as u64)),
+                (end == AttemptOutcome::InTime).then(|| ms(20 + backend as u64)),
             );
         }
         self.nodes[number].owed = owed;
@@ -207,7 +210,9 @@
                 if self.apart(from, to) || self.nodes[from].life != life {
                     continue;
                 }
-                let actions = self.nodes[to].spread.heard(at, &name(from), life, &bytes);
+                let actions = self.nodes[to]
+                    .spread
+                    .handle_message(at, &name(from), life, &bytes);
                 self.post(to, actions);
             }
             let living: Vec<(Name, Incarnation)> = self
@@ -219,13 +224,13 @@
             for number in 0..self.nodes.len() {
                 self.calls(number);
                 let node = &mut self.nodes[number];
-                if node.spread.next() <= self.now {
+                if node.spread.next_wakeup() <= self.now {
                     let others = living
                         .iter()
                         .enumerate()
                         .filter(|(other, _)| *other != number);
                     let others = others.map(|(_, (name, life))| (name, *life));
-                    let actions = node.spread.turn(self.now, node.life, others);
+                    let actions = node.spread.tick(self.now, node.life, others);
                     self.post(number, actions);
                 }
             }
@@ -234,8 +239,8 @@
         self.most_bytes = self.most_bytes.max(each);
     }
 
-    pub fn view(&self, number: usize) -> View {
-        self.nodes[number].spread.view(self.now)
+    pub fn view(&self, number: usize) -> FleetEstimate {
+        self.nodes[number].spread.estimate(self.now)
     }
 
     /// What a node reads that all callers ask a second, and by how much it may be wrong.
@@ -246,13 +251,13 @@
             .get(&class())
             .copied()
             .unwrap_or_default();
-        (demand.first + demand.again, demand.error)
+        (demand.first + demand.retries, demand.error)
     }
 }
 
-pub fn planted(plant: Plant) -> Terms {
-    Terms {
-        plant: Some(plant),
-        ..Terms::default()
+pub fn planted(plant: InjectedBug) -> StatsConfig {
+    StatsConfig {
+        injected_bug: Some(plant),
+        ..StatsConfig::default()
     }
 }
