--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -8,7 +8,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Response, StatusCode};
-use sillward_http1::Socket;
+use sillward_http1::HyperIo;
 use sillward_logging::log_peer;
 use sillward_runtime::Stream;
 use sillward_runtime::net::{TcpListener, TcpStream};
@@ -167,7 +167,7 @@
             .header_read_timeout(None)
             .keep_alive(false)
             .max_buf_size(8 * 1024)
-            .serve_connection(Socket(stream, ()), service)
+            .serve_connection(HyperIo::new(stream), service)
             .await;
     }
 
--- a/crates/app/src/control.rs
+++ b/crates/app/src/control.rs
@@ -3,23 +3,23 @@
 use hyper::{Method, StatusCode};
 use sillward_admin::{Answering, Reply, Route};
 use sillward_forwarding::Message;
-use sillward_lifecycle::{Event, Said};
-use sillward_listener::Life;
+use sillward_lifecycle::{Event, EventOutcome};
+use sillward_listener::SharedLifecycle;
 use sillward_logging::log;
-use sillward_metrics::{Counters, View};
+use sillward_metrics::{Counters, EndpointGauges};
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
 /// All of them.
 pub fn routes(
-    life: &Rc<Life>,
+    lifecycle: &Rc<SharedLifecycle>,
     counters: &Rc<Counters>,
     node: &mpsc::Sender<Message>,
 ) -> Vec<Route> {
     let ready = {
-        let life = life.clone();
+        let lifecycle = lifecycle.clone();
         Route::new(Method::GET, "/control/ready", move || {
-            match life.can_serve() {
+            match lifecycle.can_serve() {
                 true => Reply::yes("ready\n"),
                 false => Reply::no(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             }
@@ -29,7 +29,7 @@
         let (counters, node) = (counters.clone(), node.clone());
         let answer = move || -> Answering {
             let (counters, node) = (counters.clone(), node.clone());
-            Box::pin(async move { Reply::yes(counters.text(view(&node).await)) })
+            Box::pin(async move { Reply::yes(counters.render(view(&node).await)) })
         };
         Route {
             method: Method::GET,
@@ -40,27 +40,29 @@
     vec![
         ready,
         figures,
-        told(life, "/control/out-of-service", Event::OutOfService),
-        told(life, "/control/in-service", Event::InService),
+        told(lifecycle, "/control/out-of-service", Event::OutOfService),
+        told(lifecycle, "/control/in-service", Event::InService),
     ]
 }
 
 /// What the node says of its list. One that has ended has none.
-async fn view(node: &mpsc::Sender<Message>) -> View {
+async fn view(node: &mpsc::Sender<Message>) -> EndpointGauges {
     let (ask, told) = oneshot::channel();
     match node.send(Message::View(ask)).await {
         Ok(()) => told.await.unwrap_or_default(),
-        Err(_) => View::default(),
+        Err(_) => EndpointGauges::default(),
     }
 }
 
-fn told(life: &Rc<Life>, path: &'static str, event: Event) -> Route {
-    let life = life.clone();
-    Route::new(Method::POST, path, move || match life.handle(event) {
-        Said::Yes => {
+fn told(lifecycle: &Rc<SharedLifecycle>, path: &'static str, event: Event) -> Route {
+    let lifecycle = lifecycle.clone();
+    Route::new(Method::POST, path, move || match lifecycle.handle(event) {
+        EventOutcome::Applied => {
             log(format_args!("an operator called {path}"));
             Reply::yes("done\n")
         }
-        Said::Leaving => Reply::no(StatusCode::CONFLICT, "the node is leaving\n"),
+        EventOutcome::RejectedShuttingDown => {
+            Reply::no(StatusCode::CONFLICT, "the node is leaving\n")
+        }
     })
 }
--- a/crates/app/src/fronts.rs
+++ b/crates/app/src/fronts.rs
@@ -8,7 +8,7 @@
 use sillward_endpoints::Membership;
 use sillward_forwarding::{Budget, Intake, Live, Message};
 use sillward_hot_restart::Holding;
-use sillward_listener::{Door, Hold, Life};
+use sillward_listener::{ConnectionManager, ListenerOwnership, SharedLifecycle};
 use sillward_logging::log;
 use sillward_metrics::Counters;
 use sillward_node_config::Config;
@@ -31,11 +31,11 @@
     pub config: Rc<Config>,
     pub intake: Intake,
     pub messages: mpsc::Sender<Message>,
-    pub life: Rc<Life>,
+    pub lifecycle: Rc<SharedLifecycle>,
     pub counters: Rc<Counters>,
     pub live: Rc<Live>,
     /// HTTP clients' connections, and those to backends.
-    pub door: Rc<Door>,
+    pub client_connections: Rc<ConnectionManager>,
     pub sockets: Rc<Sockets>,
     pub budget: Budget,
     pub stop: watch::Receiver<bool>,
@@ -54,10 +54,9 @@
             backends: self.config.backend_connections,
             bytes: self.config.body_bytes,
         };
-        let (door, sockets) = (self.door.clone(), self.sockets.clone());
         let holders = Holders {
-            door,
-            sockets,
+            client_connections: self.client_connections.clone(),
+            sockets: self.sockets.clone(),
             budget: self.budget.clone(),
         };
         if let Some(handover) = Handover::start(self.config.folder.as_deref(), alone, holders).await
@@ -86,17 +85,28 @@
     }
 
     pub async fn http(&self, listener: TcpListener) -> Result<(), String> {
-        let (life, door) = (self.life.clone(), self.door.clone());
-        let (intake, live) = (self.intake.clone(), self.live.clone());
-        let (budget, counters) = (self.budget.clone(), self.counters.clone());
-        let front = sillward_http1::Front::new(intake, live, door.clone(), budget, life, counters);
+        let connections = self.client_connections.clone();
+        let frontend = sillward_http1::Frontend::new(
+            self.intake.clone(),
+            self.live.clone(),
+            connections.clone(),
+            self.budget.clone(),
+            self.lifecycle.clone(),
+            self.counters.clone(),
+        );
         let shared = self.config.listen_fd.is_some();
         if shared {
             // Another process takes from the same queue, and can serve what this one would keep waiting.
-            self.life.until_it_can_serve().await;
+            self.lifecycle.wait_until_it_can_serve().await;
         }
-        let hold = if shared { Hold::Shared } else { Hold::Own };
-        door.run(front, listener, hold, self.told_to_stop()).await;
+        let ownership = if shared {
+            ListenerOwnership::Shared
+        } else {
+            ListenerOwnership::Exclusive
+        };
+        connections
+            .run(frontend, listener, ownership, self.told_to_stop())
+            .await;
         Ok(())
     }
 
@@ -104,8 +114,8 @@
         let Some(terms) = terms else { return Ok(()) };
         let listener = bind(terms.listen).await?;
         self.said(&listener, "Thrift")?;
-        let door = Door::new(
-            self.life.clone(),
+        let connections = ConnectionManager::new(
+            self.lifecycle.clone(),
             self.thrift_connections,
             longest(&self.live),
         );
@@ -114,11 +124,17 @@
             intake,
             live,
             terms,
-            door.clone(),
+            connections.clone(),
             self.budget.clone(),
             seed,
         );
-        door.run(front.clone(), listener, Hold::Own, self.told_to_stop())
+        connections
+            .run(
+                front.clone(),
+                listener,
+                ListenerOwnership::Exclusive,
+                self.told_to_stop(),
+            )
             .await;
         log(format_args!(
             "{} oneway calls were taken",
@@ -174,7 +190,7 @@
         if let Some(address) = platform {
             let listener = bind(address).await?;
             self.said(&listener, "operators")?;
-            let mut routes = control::routes(&self.life, &self.counters, &self.messages);
+            let mut routes = control::routes(&self.lifecycle, &self.counters, &self.messages);
             routes.extend(
                 (sources.is_some() || fleet.is_some())
                     .then(pages)
--- a/crates/app/src/handover.rs
+++ b/crates/app/src/handover.rs
@@ -3,7 +3,7 @@
 
 use sillward_forwarding::{Budget, Lease};
 use sillward_hot_restart::{Event, Holding, LONGEST_LINE, Shares, line, read};
-use sillward_listener::Door;
+use sillward_listener::ConnectionManager;
 use sillward_logging::{log, log_peer};
 use sillward_pool::Sockets;
 use sillward_runtime::local::{LocalListener, LocalStream};
@@ -28,7 +28,7 @@
 
 /// The parts that hold something.
 pub struct Holders {
-    pub door: Rc<Door>,
+    pub client_connections: Rc<ConnectionManager>,
     pub sockets: Rc<Sockets>,
     pub budget: Budget,
 }
@@ -37,7 +37,7 @@
     fn held(&self, aside: &Lease) -> Holding {
         let bytes = self.budget.taken().saturating_sub(aside.bytes());
         Holding {
-            clients: self.door.clients(),
+            clients: self.client_connections.connection_count(),
             backends: self.sockets.open(),
             bytes,
         }
@@ -186,7 +186,9 @@
     fn apply(&mut self) {
         let held = self.holders.held(&self.aside);
         let may = self.shares.may_hold(held);
-        self.holders.door.hold(may.clients);
+        self.holders
+            .client_connections
+            .set_max_connections(may.clients);
         self.holders.sockets.hold(may.backends);
         self.aside
             .become_of(self.alone.bytes.saturating_sub(may.bytes));
--- a/crates/app/src/lib.rs
+++ b/crates/app/src/lib.rs
@@ -17,9 +17,9 @@
 use sillward_forwarding::{
     Backends, Budget, Dispatch, Gauges, Intake, Lapse, Live, Message, Node, Reports,
 };
-use sillward_listener::{Door, Life};
+use sillward_listener::{ConnectionManager, SharedLifecycle};
 use sillward_logging::log;
-use sillward_metrics::Counters;
+use sillward_metrics::{Counters, ReloadOutcome};
 use sillward_node_config::Config;
 use sillward_operator_config::Operator;
 use sillward_pool::{Pool, Sockets, Terms};
@@ -172,7 +172,7 @@
     let budget = Budget::new(config.body_bytes - fleet_bytes.min(config.body_bytes / 2));
     let sockets = Sockets::new(config.backend_connections);
     let (counters, live) = (Counters::new(), Live::new(config.site.clone()));
-    counters.name(&config.site.class_names);
+    counters.register_classes(&config.site.class_names);
     let mut protocols = backends(
         clock,
         &config,
@@ -252,7 +252,7 @@
     });
     let intake = Intake::new(clock, messages.clone());
     let mut node = spawn_local(node.run(inbox));
-    let life = Life::start(clock, sources.discovery.ready());
+    let lifecycle = SharedLifecycle::new(clock, sources.discovery.ready());
     let mut discovery = spawn_local(sources.discovery.run(discovery_orders, moved));
     let reloading = Reloading {
         running: config.clone(),
@@ -272,15 +272,16 @@
     log(format_args!("{} listens on {said}", config.name));
 
     let clients = config.client_connections - thrift_connections - fleet_connections;
-    let door = Door::new(life.clone(), clients, fronts::longest(&live));
+    let client_connections =
+        ConnectionManager::new(lifecycle.clone(), clients, fronts::longest(&live));
     let doors = fronts::Fronts {
-        door,
+        client_connections,
         sockets,
         clock,
         config: config.clone(),
         intake,
         messages,
-        life,
+        lifecycle,
         counters,
         live,
         budget,
@@ -331,7 +332,7 @@
     let reports = Reports::new(live.clone());
     let pool = Pool::start(clock, sillward_http1::Http1, terms, sockets.clone());
     let http =
-        sillward_http1::Backend::new(pool, budget.clone(), reports.clone(), counters.clone());
+        sillward_http1::BackendClient::new(pool, budget.clone(), reports.clone(), counters.clone());
     if thrift.is_empty() {
         return http;
     }
@@ -391,7 +392,10 @@
                 Ok(new) => self.take(new).await,
                 Err(what) => Err(what),
             };
-            self.counters.loaded(taken.is_ok());
+            self.counters.config_reloaded(match taken {
+                Ok(_) => ReloadOutcome::Applied,
+                Err(_) => ReloadOutcome::Rejected,
+            });
             if let Err(what) = taken {
                 log(format_args!("{what}; the configuration stays as it was"));
             }
@@ -419,7 +423,7 @@
         };
         let changed = *called != *self.live.get();
         if changed || self.council.is_some() {
-            self.counters.name(&site.class_names);
+            self.counters.register_classes(&site.class_names);
             // The node first: what a front reads by the new settings is behind this news.
             let told = self.node.send(Message::Settings(site, generation)).await;
             told.map_err(|_| "the node has ended".to_owned())?;
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -61,5 +61,5 @@
         u64,
     ),
     /// Somebody asks how many backends are listed, and how many of them are avoided.
-    View(tokio::sync::oneshot::Sender<sillward_metrics::View>),
+    View(tokio::sync::oneshot::Sender<sillward_metrics::EndpointGauges>),
 }
--- a/crates/forwarding/src/node.rs
+++ b/crates/forwarding/src/node.rs
@@ -8,7 +8,7 @@
 use sillward_balancer::settings::PlatformSettings;
 use sillward_balancer::*;
 use sillward_logging::{log, log_peer};
-use sillward_metrics::{Counters, End, InProgress, View};
+use sillward_metrics::{Counters, EndpointGauges, InProgressGuard, RequestOutcome};
 use sillward_runtime::Clock;
 use sillward_runtime::task::spawn_local;
 use sillward_runtime::time::sleep_until;
@@ -29,7 +29,7 @@
     /// Its timers, which go with it: a client may say that it waits for as long as it likes.
     timers: Vec<TimerId>,
     /// Counts it as taken and not ended.
-    in_progress: Option<InProgress>,
+    in_progress: Option<InProgressGuard>,
     /// When its last byte came, where it went on before.
     arrived: Option<Duration>,
     /// The attempt whose long answer the client is being given, and when that began.
@@ -52,15 +52,15 @@
             return false;
         };
         let end = match answer {
-            Answer::Served(_) => Some(End::Passed),
+            Answer::Served(_) => Some(RequestOutcome::Served),
             // Its end is counted: it may break yet.
             Answer::Streamed(..) => None,
-            Answer::Refused { .. } => Some(End::Dropped),
-            Answer::Failed | Answer::TimedOut => Some(End::BadGateway),
+            Answer::Refused { .. } => Some(RequestOutcome::Rejected),
+            Answer::Failed | Answer::TimedOut => Some(RequestOutcome::Failed),
         };
         if let Some(end) = end {
             self.in_progress = None;
-            counters.ended(self.call.class, end);
+            counters.request_ended(self.call.class, end);
         }
         let _ = reply.send(answer); // or the client has just left: then no answer is owed
         true
@@ -289,7 +289,10 @@
             }
             Message::View(told) => {
                 let (known, skipped) = self.balancer.view();
-                let _ = told.send(View { known, skipped }); // or nobody waits for it any more
+                let _ = told.send(EndpointGauges {
+                    known,
+                    avoided: skipped,
+                }); // or nobody waits for it any more
             }
         }
     }
@@ -308,7 +311,7 @@
             new.remaining = new.remaining.saturating_sub(waited);
         }
         let (attempts, timers) = (Vec::new(), Vec::new());
-        let in_progress = Some(self.counters.taken());
+        let in_progress = Some(self.counters.request_started());
         if let Some(witness) = &self.witness {
             witness.taken(self.clock.now(), new.class, new.client_retry);
         }
@@ -396,9 +399,13 @@
             held.in_progress = None;
             // A client that left is told nothing, and counted nowhere.
             match ended.outcome {
-                Outcome::Served => self.counters.ended(held.call.class, End::Passed),
+                Outcome::Served => self
+                    .counters
+                    .request_ended(held.call.class, RequestOutcome::Served),
                 Outcome::Cancelled => {}
-                _ => self.counters.ended(held.call.class, End::BadGateway),
+                _ => self
+                    .counters
+                    .request_ended(held.call.class, RequestOutcome::Failed),
             }
         }
         // The first served answer is the client's; a later one only informs the module.
--- a/crates/http1/src/ahead.rs
+++ b/crates/http1/src/ahead.rs
@@ -6,7 +6,7 @@
 use crate::socket::{CHUNK, Watch, with_chunk};
 use bytes::{Buf, BytesMut};
 use sillward_forwarding::{Budget, Lease};
-use sillward_listener::Client;
+use sillward_listener::ClientConnection;
 use sillward_runtime::Stream;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -48,12 +48,17 @@
 
     /// Waits until a client that has a request open has gone. To be polled behind whoever reads requests, in one task
     /// with it.
-    pub async fn left(&self, stream: &Stream, client: &Client) {
+    pub async fn left(&self, stream: &Stream, client: &ClientConnection) {
         std::future::poll_fn(|cx| self.poll_left(stream, client, cx)).await;
     }
 
-    fn poll_left(&self, stream: &Stream, client: &Client, cx: &mut Context<'_>) -> Poll<()> {
-        if !client.is_open() {
+    fn poll_left(
+        &self,
+        stream: &Stream,
+        client: &ClientConnection,
+        cx: &mut Context<'_>,
+    ) -> Poll<()> {
+        if !client.has_open_request() {
             return Poll::Pending; // whoever reads requests sees the end
         }
         let (mut kept, mut more) = (self.kept.borrow_mut(), false);
--- a/crates/http1/src/backend.rs
+++ b/crates/http1/src/backend.rs
@@ -1,7 +1,7 @@
 //! The backends' side: attempts, what their answers tell, and probes.
 
 use crate::outgoing::{Outgoing, Written};
-use crate::socket::Socket;
+use crate::socket::HyperIo;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -61,7 +61,7 @@
 
     async fn open(&self, stream: Stream) -> io::Result<Carrier> {
         let written = Rc::<Written>::default();
-        let sending = Socket(stream, written.clone());
+        let sending = HyperIo::observed(stream, written.clone());
         let opened = http1::Builder::new()
             .max_buf_size(READ_BUFFER)
             .handshake(sending)
@@ -110,7 +110,7 @@
 }
 
 /// The backends that speak HTTP/1.1.
-pub struct Backend {
+pub struct BackendClient {
     pool: Rc<Pool<Http1>>,
     /// Room for bodies, requests' and answers'.
     budget: Budget,
@@ -118,7 +118,7 @@
     counters: Rc<Counters>,
 }
 
-impl Backends for Backend {
+impl Backends for BackendClient {
     fn attempt(self: Rc<Self>, attempt: Attempt, stopped: oneshot::Receiver<Stop>) -> Task<Ended> {
         Box::pin(async move {
             let sent = Sent::default();
@@ -157,14 +157,14 @@
     }
 }
 
-impl Backend {
+impl BackendClient {
     pub fn new(
         pool: Rc<Pool<Http1>>,
         budget: Budget,
         reports: Reports,
         counters: Rc<Counters>,
     ) -> Rc<Self> {
-        Rc::new(Backend {
+        Rc::new(BackendClient {
             pool,
             budget,
             reports,
@@ -514,7 +514,7 @@
     length: Option<u64>,
     /// Back to the pool with the last byte.
     connection: Option<Connection<Http1>>,
-    backend: Rc<Backend>,
+    backend: Rc<BackendClient>,
     ended: Option<oneshot::Sender<Outcome>>,
     /// When the backend has been silent for too long.
     silence: Pin<Box<Sleep>>,
--- a/crates/http1/src/backend/tests.rs
+++ b/crates/http1/src/backend/tests.rs
@@ -61,7 +61,8 @@
         let reports = Reports::new(Live::new(
             sillward_balancer::settings::parse(SITE).expect("settings"),
         ));
-        let backends = Backend::new(pool.clone(), Budget::new(1 << 20), reports, Counters::new());
+        let backends =
+            BackendClient::new(pool.clone(), Budget::new(1 << 20), reports, Counters::new());
         let ended = backends.attempt(attempt, stopped).await;
         pool.close_idle(SERVER);
         (ended.outcome, served.await.expect("the backend's part"))
--- a/crates/http1/src/front.rs
+++ b/crates/http1/src/front.rs
@@ -4,7 +4,7 @@
 use crate::heads::Heads;
 use crate::reply::Reply;
 use crate::request::{self, Arriving, Bad, First};
-use crate::socket::Socket;
+use crate::socket::HyperIo;
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
@@ -13,9 +13,12 @@
 use hyper::{Request, Response, StatusCode, Version};
 use sillward_balancer::{Idempotency, NewRequest};
 use sillward_forwarding::{Answer, Budget, Call, Coming, Content, Feed, Intake, Live, READ_BUFFER};
-use sillward_listener::{Client, Door, LINGER, Life, READ_PAST, Serve};
+use sillward_listener::{
+    AfterRequest, ClientConnection, ConnectionHandler, ConnectionManager, LINGER_TIMEOUT,
+    MAX_DISCARDED_BYTES, SharedLifecycle,
+};
 use sillward_logging::log_peer;
-use sillward_metrics::{Counters, End};
+use sillward_metrics::{Counters, RequestOutcome};
 use sillward_runtime::Stream;
 use sillward_runtime::task::spawn_local;
 use sillward_runtime::time::Instant;
@@ -29,33 +32,33 @@
 /// A body takes so long at the most: 32 MiB at the least rate, and what a slow backend adds.
 const LONGEST_UPLOAD: Duration = Duration::from_secs(1200);
 
-pub struct Front {
+pub struct Frontend {
     live: Rc<Live>,
     intake: Intake,
-    life: Rc<Life>,
+    lifecycle: Rc<SharedLifecycle>,
     counters: Rc<Counters>,
-    door: Rc<Door>,
+    connections: Rc<ConnectionManager>,
     /// Room for bodies, requests' and answers'.
     budget: Budget,
     /// The X-Call-Ids of the requests that have no answer yet.
     open: RefCell<HashSet<HeaderValue>>,
 }
 
-impl Front {
+impl Frontend {
     pub fn new(
         intake: Intake,
         live: Rc<Live>,
-        door: Rc<Door>,
+        connections: Rc<ConnectionManager>,
         budget: Budget,
-        life: Rc<Life>,
+        lifecycle: Rc<SharedLifecycle>,
         counters: Rc<Counters>,
     ) -> Rc<Self> {
-        Rc::new(Front {
+        Rc::new(Frontend {
             live,
             intake,
-            life,
+            lifecycle,
             counters,
-            door,
+            connections,
             budget,
             open: RefCell::default(),
         })
@@ -63,26 +66,29 @@
 
     async fn respond(
         self: Rc<Self>,
-        client: Rc<Client>,
+        client: Rc<ClientConnection>,
         heads: Rc<Heads>,
         request: Request<Incoming>,
     ) -> Result<Response<Reply>, Infallible> {
-        client.opened();
+        client.request_opened();
         let http_10 = request.version() < Version::HTTP_11;
         let answer = self.handle(&client, request, &heads).await;
         // After what is malformed nobody can tell where the next request begins, nor after what was not read whole.
-        let last = self.door.is_closing() || matches!(answer, Err(_) | Ok(Answered::Unread(_)));
+        let after_request = match answer {
+            Err(_) | Ok(Answered::Unread(_)) => AfterRequest::Close,
+            Ok(_) => self.connections.after_request(),
+        };
         let mut response = match answer {
             Ok(Answered::Read(Answer::Streamed(content, length, rest)))
                 if length.is_some() || !http_10 =>
             {
-                let door = self.door.clone();
+                let connections = self.connections.clone();
                 // Its client asks for nothing, and is not idle, before that.
-                let over = Box::new(move || door.done(&client, last));
+                let over = Box::new(move || connections.request_finished(&client, after_request));
                 Response::new(Reply::long(content.bytes, length, rest, over))
             }
             others => {
-                self.door.done(&client, last);
+                self.connections.request_finished(&client, after_request);
                 match others {
                     Ok(Answered::Read(answer) | Answered::Unread(answer)) => worded(answer),
                     Ok(Answered::Health(status)) => plain(status, Bytes::new()),
@@ -90,7 +96,7 @@
                 }
             }
         };
-        if last {
+        if after_request == AfterRequest::Close {
             response
                 .headers_mut()
                 .insert(CONNECTION, HeaderValue::from_static("close"));
@@ -100,7 +106,7 @@
 
     async fn handle(
         &self,
-        client: &Rc<Client>,
+        client: &Rc<ClientConnection>,
         request: Request<Incoming>,
         heads: &Heads,
     ) -> Result<Answered, Bad> {
@@ -109,7 +115,7 @@
         let ready_asked = head.uri.path() == "/health/ready";
         let checked = match request::framing(&head, &body, heads) {
             Ok(_) if ready_asked => {
-                let healthy = self.life.healthy();
+                let healthy = self.lifecycle.is_healthy();
                 return Ok(Answered::Health(if healthy {
                     StatusCode::OK
                 } else {
@@ -122,12 +128,16 @@
         let (request, framing) = match checked {
             Ok(checked) => checked,
             Err(bad) => {
-                spawn_local(request::drain(body, READ_PAST, Instant::now() + LINGER / 2));
+                spawn_local(request::drain(
+                    body,
+                    MAX_DISCARDED_BYTES,
+                    Instant::now() + LINGER_TIMEOUT / 2,
+                ));
                 return Err(bad);
             }
         };
         let class = request.class;
-        let failed = |_: &Bad| self.counters.ended(class, End::BadGateway);
+        let failed = |_: &Bad| self.counters.request_ended(class, RequestOutcome::Failed);
         let mut arriving = Arriving::new(body);
         let (bytes, more) = match arriving
             .first(framing, &self.budget)
@@ -138,11 +148,11 @@
             First::More(bytes) => (bytes, true),
             First::NoRoom => {
                 log_peer("no room for a request's body: refused");
-                self.counters.ended(class, End::Dropped);
+                self.counters.request_ended(class, RequestOutcome::Rejected);
                 spawn_local(request::drain(
                     arriving.into_rest(),
-                    READ_PAST,
-                    Instant::now() + LINGER / 2,
+                    MAX_DISCARDED_BYTES,
+                    Instant::now() + LINGER_TIMEOUT / 2,
                 ));
                 let after = site.settings.limits.max_retry_after;
                 return Ok(Answered::Unread(Answer::Refused {
@@ -184,7 +194,7 @@
             coming,
             judge: None,
             answered: true,
-            here: Some(client.here()),
+            here: Some(client.connected_check()),
             deadline: Cell::new(at + if more { LONGEST_UPLOAD } else { request.budget }),
             window: request.window,
             first_byte: Cell::new(None),
@@ -215,8 +225,8 @@
         }
         spawn_local(request::drain(
             arriving.into_rest(),
-            READ_PAST,
-            Instant::now() + LINGER / 2,
+            MAX_DISCARDED_BYTES,
+            Instant::now() + LINGER_TIMEOUT / 2,
         ));
         Ok(Answered::Unread(answer))
     }
@@ -256,8 +266,8 @@
     Unread(Answer),
 }
 
-impl Serve for Front {
-    async fn serve(self: Rc<Self>, stream: Stream, client: Rc<Client>) {
+impl ConnectionHandler for Frontend {
+    async fn serve(self: Rc<Self>, stream: Stream, client: Rc<ClientConnection>) {
         let (heads, ahead) = (Rc::<Heads>::default(), Ahead::new(self.budget.clone()));
         let kept = stream.again();
         let service =
@@ -270,20 +280,20 @@
             // Its time-out would run on idle connections too: the door tells them apart.
             .header_read_timeout(None)
             .max_buf_size(READ_BUFFER)
-            .serve_connection(Socket(stream, inlet), service);
+            .serve_connection(HyperIo::observed(stream, inlet), service);
         let mut connection = Box::pin(connection);
         loop {
             // Biased: a request that has come is read before the connection is told to close.
             tokio::select! {
                 biased;
                 _ = connection.as_mut() => break,
-                () = client.told_to_close() => connection.as_mut().graceful_shutdown(),
+                () = client.close_requested() => connection.as_mut().graceful_shutdown(),
                 // With it goes what is open.
                 () = ahead.left(&kept, &client) => return,
             }
         }
         drop(connection);
-        client.part(&kept).await;
+        client.lingering_close(&kept).await;
     }
 }
 
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -10,6 +10,6 @@
 mod request;
 mod socket;
 
-pub use backend::{Backend, Http1};
-pub use front::Front;
-pub use socket::Socket;
+pub use backend::{BackendClient, Http1};
+pub use front::Frontend;
+pub use socket::HyperIo;
--- a/crates/http1/src/outgoing.rs
+++ b/crates/http1/src/outgoing.rs
@@ -40,7 +40,7 @@
     fn flushed(&self) {
         if self.taken.get() && !self.whole.replace(true) {
             if let Some(counters) = self.counted.take() {
-                counters.tried();
+                counters.attempt_written();
             }
         }
     }
--- a/crates/http1/src/socket.rs
+++ b/crates/http1/src/socket.rs
@@ -35,9 +35,23 @@
 impl Watch for () {}
 
 /// The stream, for hyper, and who watches it.
-pub struct Socket<W = ()>(pub Stream, pub W);
+pub struct HyperIo<W = ()>(Stream, W);
 
-impl<W: Watch> Read for Socket<W> {
+impl HyperIo {
+    /// A stream that nobody observes.
+    pub fn new(stream: Stream) -> Self {
+        HyperIo(stream, ())
+    }
+}
+
+impl<W: Watch> HyperIo<W> {
+    /// A stream whose bytes `observer` sees.
+    pub(crate) fn observed(stream: Stream, observer: W) -> Self {
+        HyperIo(stream, observer)
+    }
+}
+
+impl<W: Watch> Read for HyperIo<W> {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -57,7 +71,7 @@
     }
 }
 
-impl<W: Watch> Write for Socket<W> {
+impl<W: Watch> Write for HyperIo<W> {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- /dev/null
+++ b/crates/listener/src/lifecycle.rs
@@ -0,0 +1,79 @@
+//! The lifecycle that all connection managers and protocols of a process share.
+
+use sillward_lifecycle::{Event, EventOutcome, Lifecycle, LifecycleSettings};
+use sillward_runtime::Clock;
+use sillward_runtime::time::sleep;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// How long connections are accepted after SIGTERM. The platform sends new ones for up to 0.4 s.
+pub(crate) const ACCEPT_PERIOD: Duration = Duration::from_millis(450);
+/// How long the connections accepted last then have to send their request before idle connections are closed.
+pub(crate) const LAST_REQUEST_PERIOD: Duration = Duration::from_millis(100);
+/// How often a process that cannot serve yet checks whether it can.
+const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+
+/// The lifecycle of this process.
+pub struct SharedLifecycle {
+    clock: Clock,
+    lifecycle: RefCell<Lifecycle>,
+    /// Set by service discovery.
+    endpoints_known: Rc<Cell<bool>>,
+}
+
+impl SharedLifecycle {
+    /// The lifecycle of a process that has just started. `endpoints_known` is to be set once the process knows enough
+    /// endpoints to serve.
+    pub fn new(clock: Clock, endpoints_known: Rc<Cell<bool>>) -> Rc<Self> {
+        let settings = LifecycleSettings {
+            deregistration_delay: ACCEPT_PERIOD + LAST_REQUEST_PERIOD,
+        };
+        Rc::new(SharedLifecycle {
+            clock,
+            lifecycle: Lifecycle::new(settings).into(),
+            endpoints_known,
+        })
+    }
+
+    /// Applies an event that happens now.
+    pub fn handle(&self, event: Event) -> EventOutcome {
+        let now = self.clock.now();
+        self.lifecycle.borrow_mut().handle(now, event)
+    }
+
+    /// Whether the node reports itself healthy to the load balancer in front of it.
+    pub fn is_healthy(&self) -> bool {
+        self.check_endpoints();
+        self.lifecycle.borrow().is_healthy()
+    }
+
+    /// Whether the process can serve, as reported to operators.
+    pub fn can_serve(&self) -> bool {
+        self.check_endpoints();
+        self.lifecycle.borrow().can_serve()
+    }
+
+    /// Whether the node is out of service or shutting down.
+    pub fn is_draining(&self) -> bool {
+        self.lifecycle.borrow().is_draining()
+    }
+
+    /// Whether idle connections may be closed.
+    pub(crate) fn may_close_idle(&self) -> bool {
+        self.lifecycle.borrow().may_close_idle(self.clock.now())
+    }
+
+    /// Waits until the process can serve or is draining.
+    pub async fn wait_until_it_can_serve(&self) {
+        while !self.can_serve() && !self.is_draining() {
+            sleep(READINESS_CHECK_INTERVAL).await;
+        }
+    }
+
+    fn check_endpoints(&self) {
+        if self.endpoints_known.get() {
+            self.handle(Event::EndpointsKnown);
+        }
+    }
+}
--- a/crates/thrift/src/backend.rs
+++ b/crates/thrift/src/backend.rs
@@ -168,7 +168,7 @@
                 continue;
             }
             written.set(true);
-            self.counters.tried();
+            self.counters.attempt_written();
             if !call.answered {
                 self.pool.put(connection);
                 return (Outcome::Served, None, None);
--- a/crates/thrift/src/front.rs
+++ b/crates/thrift/src/front.rs
@@ -6,7 +6,9 @@
 use crate::wire::{Encoding, ExceptionKind, FrameReader, NotFramed, Step, exception, read_head};
 use bytes::Bytes;
 use sillward_forwarding::{Answer, Budget, Intake, Lease, Live, READ_BUFFER};
-use sillward_listener::{Client, Door, READ_TIMEOUT, Serve};
+use sillward_listener::{
+    AfterRequest, ClientConnection, ConnectionHandler, ConnectionManager, READ_TIMEOUT,
+};
 use sillward_logging::log_peer;
 use sillward_runtime::Stream;
 use sillward_runtime::random::Random;
@@ -30,7 +32,7 @@
     intake: Intake,
     live: Rc<Live>,
     terms: FrontTerms,
-    door: Rc<Door>,
+    connections: Rc<ConnectionManager>,
     /// Room for frames.
     budget: Budget,
     random: RefCell<Random>,
@@ -42,7 +44,7 @@
         intake: Intake,
         live: Rc<Live>,
         terms: FrontTerms,
-        door: Rc<Door>,
+        connections: Rc<ConnectionManager>,
         budget: Budget,
         seed: u64,
     ) -> Rc<Self> {
@@ -51,7 +53,7 @@
             intake,
             live,
             terms,
-            door,
+            connections,
             budget,
             random,
             oneway: Cell::new(0),
@@ -70,8 +72,8 @@
     }
 }
 
-impl Serve for Front {
-    async fn serve(self: Rc<Self>, stream: Stream, client: Rc<Client>) {
+impl ConnectionHandler for Front {
+    async fn serve(self: Rc<Self>, stream: Stream, connection: Rc<ClientConnection>) {
         let Some(room) = self.budget.lease(0) else {
             return;
         };
@@ -79,7 +81,7 @@
         let mut session = Session {
             front: self,
             stream,
-            client,
+            connection,
             reader,
             room,
             unread: VecDeque::new(),
@@ -102,7 +104,7 @@
 struct Session {
     front: Rc<Front>,
     stream: Stream,
-    client: Rc<Client>,
+    connection: Rc<ClientConnection>,
     reader: FrameReader,
     /// The room of the frame that is being read.
     room: Lease,
@@ -120,7 +122,7 @@
     taken: usize,
     /// When the caller last took something, or had nothing to take.
     progress: Instant,
-    /// A call has been taken since the door was told that none is open.
+    /// A call has been taken since the connection was last idle.
     busy: bool,
     /// Nothing more is read: what came can't be.
     ended: bool,
@@ -137,10 +139,12 @@
                 if self.busy && !self.ended {
                     self.busy = false;
                     // A frame that has begun has its own time, `until`.
-                    self.front.door.done(&self.client, false);
+                    self.front
+                        .connections
+                        .request_finished(&self.connection, AfterRequest::KeepAlive);
                 }
                 let nothing_more =
-                    self.leaving && !self.reader.is_within() && self.client.is_quiet();
+                    self.leaving && !self.reader.is_within() && self.connection.is_quiet();
                 if self.ended || nothing_more {
                     break;
                 }
@@ -148,7 +152,7 @@
             let Session {
                 calls,
                 stream,
-                client,
+                connection,
                 out,
                 ..
             } = self;
@@ -174,15 +178,17 @@
                     Ok(0) | Err(_) => return,
                     Ok(count) => self.unread.extend(&chunk[..count]),
                 },
-                () = client.told_to_close(), if !self.leaving => self.leaving = true,
+                () = connection.close_requested(), if !self.leaving => self.leaving = true,
                 () = sleep_until(self.until.unwrap_or(taken_by)), if self.until.is_some() => {
                     self.turn_down(NotWhole::Slow);
                 }
                 () = sleep_until(taken_by), if !out.is_empty() => return,
             }
         }
-        self.front.door.done(&self.client, true);
-        self.client.part(&self.stream).await;
+        self.front
+            .connections
+            .request_finished(&self.connection, AfterRequest::Close);
+        self.connection.lingering_close(&self.stream).await;
     }
 
     /// Whether no call is open and every answer has been taken.
@@ -261,7 +267,7 @@
             self.waiting = Some(frame);
             return;
         }
-        self.client.opened();
+        self.connection.request_opened();
         self.busy = true;
         let front = self.front.clone();
         let at = front.intake.clock().now();
@@ -278,7 +284,7 @@
                 mut call,
                 caller,
             }) => {
-                call.here = Some(self.client.here());
+                call.here = Some(self.connection.connected_check());
                 self.open.insert(caller.seqid);
                 self.calls.spawn_local(async move {
                     let answer = front.intake.submit(new, call, at).await;
