--- a/crates/http1/src/backend/tests.rs
+++ b/crates/http1/src/backend/tests.rs
@@ -66,7 +66,7 @@
         let reports = LoadReportParser::new(LiveSettings::new(
             sillward_balancer::settings::parse(SITE).expect("settings"),
         ));
-        let backends = Backend::new(
+        let backends = BackendClient::new(
             pool.clone(),
             MemoryBudget::new(1 << 20),
             reports,
