--- /dev/null
+++ b/crates/balancer/tests/decisions/bodies.rs
@@ -0,0 +1,230 @@
+//! Requests whose body is still being received, and streamed responses.
+
+use crate::actions::{failed, rejected, sent_to};
+use crate::common::*;
+use sillward_balancer::*;
+use std::time::Duration;
+
+/// A node of two servers in the same zone and cell, played by hand: what is on its way has other times than `World` knows.
+struct Bodies {
+    node: Balancer,
+    now: std::time::Duration,
+}
+
+impl Bodies {
+    fn new() -> Self {
+        let mut bodies = Bodies {
+            node: Balancer::new(answering(), 1),
+            now: ms(100_000),
+        };
+        bodies.tell(Event::EndpointList {
+            update: EndpointUpdate::Full,
+            endpoints: vec![entry(0), entry(3)],
+        });
+        bodies
+    }
+
+    fn tell(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.node.handle(self.now, event, &mut actions);
+        actions
+    }
+
+    fn request(&mut self, id: u64, class: usize, arriving: bool) -> Vec<Action> {
+        let (id, remaining) = (RequestId(id), ms(1000));
+        self.tell(Event::Request(NewRequest {
+            id,
+            class,
+            remaining,
+            body_pending: arriving,
+            ..Default::default()
+        }))
+    }
+
+    fn end(&mut self, id: u64, server: u64, outcome: Outcome, spent: bool) -> Vec<Action> {
+        self.tell(Event::AttemptEnded(AttemptEnd {
+            id: RequestId(id),
+            attempt: 0,
+            server: ServerId(server),
+            outcome,
+            elapsed: ms(1),
+            answered: false,
+            body_consumed: spent,
+            report: None,
+        }))
+    }
+}
+
+#[test]
+fn counts_the_deadline_from_the_last_byte_of_the_body() {
+    let mut bodies = Bodies::new();
+    let actions = bodies.request(1, 1, true);
+    assert_eq!(
+        sent_to(&actions).len(),
+        1,
+        "it goes on while it comes: {actions:?}"
+    );
+    let timers = |actions: &[Action]| {
+        let timer = |action: &Action| match action {
+            Action::SetTimer { after, token: 1 } => Some(*after),
+            _ => None,
+        };
+        actions.iter().filter_map(timer).collect::<Vec<_>>()
+    };
+    assert!(
+        timers(&actions).iter().all(|after| *after > ms(60_000)),
+        "nobody hurries it: {actions:?}"
+    );
+    bodies.now += ms(30_000);
+    assert!(
+        bodies.tell(Event::Timer { token: 1 }).is_empty(),
+        "it is not late"
+    );
+    let actions = bodies.tell(Event::BodyComplete {
+        id: RequestId(1),
+        body_consumed: true,
+    });
+    assert_eq!(
+        timers(&actions),
+        [ms(400)],
+        "its aim, from now: {actions:?}"
+    );
+    bodies.now += ms(400);
+    let actions = bodies.tell(Event::Timer { token: 1 });
+    assert!(
+        failed(&actions) && sent_to(&actions).is_empty(),
+        "{actions:?}"
+    );
+    assert!(
+        bodies
+            .tell(Event::BodyComplete {
+                id: RequestId(1),
+                body_consumed: true
+            })
+            .is_empty(),
+        "once"
+    );
+}
+
+#[test]
+fn rejects_a_request_in_time_where_no_server_is_eligible_for_its_body() {
+    let mut bodies = Bodies::new();
+    bodies.tell(Event::EndpointList {
+        update: EndpointUpdate::Full,
+        endpoints: Vec::new(),
+    });
+    assert!(
+        sent_to(&bodies.request(1, 1, true)).is_empty(),
+        "nobody is listed"
+    );
+    let mut waited = Duration::ZERO;
+    let ended = loop {
+        bodies.now += ms(10);
+        waited += ms(10);
+        let actions = bodies.tell(Event::Timer { token: 1 });
+        if rejected(&actions) || failed(&actions) {
+            break actions;
+        }
+        assert!(
+            waited < ms(2000),
+            "nothing of it is read on, and nobody tells its client"
+        );
+    };
+    assert!(
+        rejected(&ended) && waited >= ms(400),
+        "after its aim: {waited:?} {ended:?}"
+    );
+}
+
+#[test]
+fn counts_a_server_as_crowded_only_by_complete_bodies() {
+    let crowd = |arrived: bool| {
+        let mut bodies = Bodies::new();
+        for id in 1..=24 {
+            let actions = bodies.request(id, 1, true);
+            if !arrived {
+                assert_eq!(sent_to(&actions).len(), 1, "{id}: {actions:?}");
+            } else {
+                bodies.tell(Event::BodyComplete {
+                    id: RequestId(id),
+                    body_consumed: true,
+                });
+            }
+        }
+        sent_to(&bodies.request(99, 1, false)).len()
+    };
+    assert_eq!(crowd(false), 1);
+    assert_eq!(crowd(true), 0);
+}
+
+#[test]
+fn never_retries_a_consumed_body_and_rejects_it_only_if_nothing_ran() {
+    let mut bodies = Bodies::new();
+    let first = sent_to(&bodies.request(1, 1, true))[0];
+    let actions = bodies.end(1, first, Outcome::NotSent, false);
+    assert_eq!(
+        sent_to(&actions).len(),
+        1,
+        "its first part is kept: {actions:?}"
+    );
+    let first = sent_to(&bodies.request(2, 1, true))[0];
+    let actions = bodies.end(2, first, Outcome::NotSent, true);
+    assert!(
+        sent_to(&actions).is_empty() && rejected(&actions),
+        "{actions:?}"
+    );
+    let first = sent_to(&bodies.request(3, 1, true))[0];
+    bodies.tell(Event::BodyComplete {
+        id: RequestId(3),
+        body_consumed: true,
+    });
+    let actions = bodies.end(3, first, Outcome::Reset, true);
+    assert!(
+        sent_to(&actions).is_empty() && failed(&actions),
+        "it may have run: {actions:?}"
+    );
+}
+
+#[test]
+fn lets_a_started_response_be_the_only_one_and_never_times_it_out() {
+    let mut bodies = Bodies::new();
+    let first = sent_to(&bodies.request(1, 0, false))[0];
+    bodies.now += ms(399);
+    let second = sent_to(&bodies.tell(Event::Timer { token: 1 }));
+    assert_eq!(second.len(), 1, "a silent one is followed by a copy");
+    let started = Event::ResponseStarted {
+        id: RequestId(1),
+        attempt: 0,
+        server: ServerId(first),
+        report: None,
+    };
+    let actions = bodies.tell(started.clone());
+    assert_eq!(
+        actions,
+        [Action::CancelAttempt {
+            id: RequestId(1),
+            attempt: 1
+        }]
+    );
+    bodies.now += ms(5000);
+    assert!(
+        bodies.tell(Event::Timer { token: 1 }).is_empty(),
+        "what the client is being given is not cut"
+    );
+    assert!(bodies.tell(started).is_empty(), "once");
+    let mut end = AttemptEnd {
+        id: RequestId(1),
+        attempt: 1,
+        server: ServerId(second[0]),
+        outcome: Outcome::Cancelled,
+        elapsed: ms(1),
+        answered: true,
+        body_consumed: false,
+        report: None,
+    };
+    assert!(bodies.tell(Event::AttemptEnded(end.clone())).is_empty());
+    (end.attempt, end.server, end.outcome) = (0, ServerId(first), Outcome::Served);
+    assert!(bodies.tell(Event::AttemptEnded(end)).is_empty());
+    // Both servers are free again: neither end was counted twice.
+    assert_eq!(sent_to(&bodies.request(2, 1, false)).len(), 1);
+}
--- /dev/null
+++ b/crates/balancer/tests/decisions/many_nodes.rs
@@ -0,0 +1,61 @@
+//! Subsets of servers, many nodes, large fleets.
+
+use crate::actions::serve;
+use crate::common::*;
+use sillward_balancer::*;
+use std::collections::BTreeMap;
+
+#[test]
+fn keeps_to_a_subset_where_connections_cost_and_uses_all_servers_evenly() {
+    // The danger: each node connects to each server, and most connects fail.
+    let mut settings = answering();
+    (settings.nodes, settings.penalties.connections) = (40, 0.1);
+    let mut nodes_of = BTreeMap::new();
+    for node in 0..40 {
+        let mut world = World::seeded(
+            Settings {
+                node,
+                ..settings.clone()
+            },
+            node.into(),
+        );
+        world.list(EndpointUpdate::Full, (0..20).map(entry).collect());
+        let met: std::collections::BTreeSet<u64> =
+            (0..100).map(|_| serve(&mut world, 1.0)).collect();
+        assert!((2..=5).contains(&met.len()), "{met:?}");
+        met.into_iter()
+            .for_each(|server| *nodes_of.entry(server).or_insert(0) += 1);
+    }
+    let (fewest, most) = (nodes_of.values().min(), nodes_of.values().max());
+    assert!(nodes_of.len() == 20 && fewest == most, "{nodes_of:?}");
+}
+
+#[test]
+fn keeps_to_a_small_subset_on_a_quiet_node() {
+    // The danger: among dozens of servers a quiet node meets each so seldom that it never learns who is slow.
+    let met = |pause: u64| {
+        let mut world = World::with_servers(answering(), 40);
+        let mut met = std::collections::BTreeSet::new();
+        for step in 0..200 {
+            let to = serve(&mut world, 1.0);
+            world.pass(ms(pause));
+            if step >= 50 {
+                met.insert(to);
+            }
+        }
+        met.len()
+    };
+    let (quiet, busy) = (met(400), met(20));
+    assert!(
+        (6..=10).contains(&quiet) && busy > 30,
+        "{quiet} by a quiet node, {busy} by a busy one"
+    );
+}
+
+#[test]
+fn bounds_the_work_of_a_request_in_a_large_fleet() {
+    // The danger: hundreds of servers, each looked at several times for each event, take all the CPU.
+    let mut world = World::with_servers(answering(), 500);
+    let met: std::collections::BTreeSet<u64> = (0..2000).map(|_| serve(&mut world, 1.0)).collect();
+    assert!((32..=64).contains(&met.len()), "{}", met.len());
+}
--- a/crates/balancer/tests/troubles.rs
+++ b/crates/balancer/tests/faults.rs
@@ -1,10 +1,10 @@
 //! Troubles in combination and troubles on no list. `World` checks the four rules on the side; here it is
 //! checked that service goes on, that further attempts stay within their budget, and that no jam lasts.
 
-mod world;
+mod common;
 
+use common::*;
 use sillward_balancer::*;
-use world::*;
 
 /// What came of a stretch of requests.
 #[derive(Debug, Default)]
--- a/crates/balancer/tests/memory.rs
+++ b/crates/balancer/tests/memory.rs
@@ -1,11 +1,11 @@
 //! Nothing grows with requests that have ended or servers that have left. Alone in its process, so that the
 //! process's memory is the balancer's.
 
-mod world;
+mod common;
 
+use common::{entry, ms, probing};
 use sillward_balancer::*;
 use std::time::Duration;
-use world::{entry, ms, probing};
 
 /// Resident memory in KiB, as Linux tells it.
 fn resident() -> Option<u64> {
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -1,11 +1,11 @@
 //! Random legal histories: the four rules hold in each, and the same history gives the same actions.
 
-mod world;
+mod common;
 
+use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 use sillward_balancer::*;
-use world::*;
 
 /// One step of a history. The numbers choose among what is there at that point.
 #[derive(Clone, Debug)]
