--- a/crates/balancer/src/policy/crowding.rs
+++ b/crates/balancer/src/policy/crowding.rs
@@ -87,3 +87,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "tests/crowding.rs"]
+mod tests;
--- a/crates/balancer/src/policy/estimators.rs
+++ b/crates/balancer/src/policy/estimators.rs
@@ -101,3 +101,7 @@
         self.mean.observe(elapsed_s, Self::MEAN_WEIGHT);
     }
 }
+
+#[cfg(test)]
+#[path = "tests/estimators.rs"]
+mod tests;
--- a/crates/balancer/src/policy/outlier.rs
+++ b/crates/balancer/src/policy/outlier.rs
@@ -168,3 +168,7 @@
 pub(super) fn may_eject_more(ejected: usize, ready: usize) -> bool {
     2 * ejected + 2 <= ready
 }
+
+#[cfg(test)]
+#[path = "tests/outlier.rs"]
+mod tests;
--- a/crates/balancer/src/policy/polling.rs
+++ b/crates/balancer/src/policy/polling.rs
@@ -60,3 +60,7 @@
         actions.push(Action::SetTimer { after, token });
     }
 }
+
+#[cfg(test)]
+#[path = "tests/polling.rs"]
+mod tests;
--- a/crates/balancer/src/policy/priority.rs
+++ b/crates/balancer/src/policy/priority.rs
@@ -106,3 +106,7 @@
         work_s / self.0.value()
     }
 }
+
+#[cfg(test)]
+#[path = "tests/priority.rs"]
+mod tests;
--- a/crates/balancer/src/policy/retry.rs
+++ b/crates/balancer/src/policy/retry.rs
@@ -116,3 +116,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "tests/retry.rs"]
+mod tests;
--- a/crates/balancer/src/policy/slow_start.rs
+++ b/crates/balancer/src/policy/slow_start.rs
@@ -207,3 +207,7 @@
     let even_aim = limit - SAFETY_DEVIATIONS * (sharing / 2.0).sqrt();
     (poisson_aim.max(even_aim) / allowed.max(1e-9)).min(MAX_SPEND)
 }
+
+#[cfg(test)]
+#[path = "tests/slow_start.rs"]
+mod tests;
--- a/crates/balancer/tests/characterization.rs
+++ b/crates/balancer/tests/characterization.rs
@@ -14,6 +14,9 @@
 #[path = "characterization/sequence.rs"]
 mod sequence;
 
+use sillward_balancer::{FinishReason, HoldReason, SendBlocked};
+use std::collections::BTreeSet;
+
 const FIXTURE: &str = include_str!("fixtures/decision-digests.txt");
 const SEEDS: u64 = 256;
 const EVENTS: u64 = 4000;
@@ -53,6 +56,34 @@
     lines.into_iter().map(|(_, line)| line).collect()
 }
 
+/// Sequences that reach no end for some reason hold nothing of it.
+#[test]
+fn generated_sequences_reach_every_reason() {
+    let mut finished = BTreeSet::new();
+    let mut held = BTreeSet::new();
+    for seed in 0..SEEDS {
+        let played = sequence::play(seed, EVENTS / 4);
+        finished.extend(played.balancer().finish_counts().keys().copied());
+        held.extend(played.balancer().hold_counts().keys().copied());
+    }
+    let expected_holds = [
+        HoldReason::NoEligibleServer,
+        HoldReason::CrowdingUnexplored,
+        HoldReason::HealthChecks,
+    ];
+    assert_eq!(held, expected_holds.into());
+    let expected = [
+        FinishReason::ExpectedWorkTooLong,
+        FinishReason::DeadlinePassed,
+        FinishReason::NoServerDuringBody,
+        FinishReason::RetryBudgetExhausted,
+        FinishReason::NoServerForRetry,
+        FinishReason::ServersCrowded,
+        FinishReason::SendBlocked(SendBlocked::NoAttemptsLeft),
+    ];
+    assert_eq!(finished, expected.into());
+}
+
 #[test]
 fn decides_as_before_on_generated_sequences() {
     let lines = lines();
--- a/crates/balancer/tests/characterization/sequence.rs
+++ b/crates/balancer/tests/characterization/sequence.rs
@@ -84,6 +84,10 @@
 }
 
 impl Sequence {
+    pub fn balancer(&self) -> &Balancer {
+        &self.balancer
+    }
+
     fn begin(&mut self) {
         self.change_load();
         if self.random.chance(0.5) {
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A small world around one node for tests: it plays legal events, obeys the actions, and checks the
-//! four rules with bookkeeping of its own.
+//! A simulated environment of one balancer: it plays legal events, performs the actions, and checks the four safety rules
+//! with bookkeeping of its own.
 #![allow(dead_code, unreachable_pub)] // each test file uses its own part of this
 
 use sillward_balancer::*;
@@ -58,7 +58,7 @@
     settings
 }
 
-pub fn probing() -> Settings {
+pub fn with_health_checks() -> Settings {
     let mut settings = settings();
     settings.reports = ReportSource::HealthChecks;
     settings.limits.health_checks = true;
@@ -66,41 +66,41 @@
     settings
 }
 
-pub fn answering() -> Settings {
+pub fn with_load_reports() -> Settings {
     Settings {
         reports: ReportSource::Responses,
         ..settings()
     }
 }
 
-struct Try {
+struct SentAttempt {
     server: ServerId,
     sent: Duration,
     ends: Duration,
     outcome: Option<Outcome>,
 }
 
-struct Taken {
-    /// What its class allowed when it came.
-    repeat: Idempotency,
+struct AcceptedRequest {
+    /// As its class allowed when it was accepted.
+    idempotency: Idempotency,
     deadline: Duration,
     answered: bool,
-    tries: Vec<Try>,
+    attempts: Vec<SentAttempt>,
 }
 
-/// One node and what surrounds it. Panics when a rule is broken.
+/// One node and its environment. Panics when a rule is broken.
 pub struct World {
     pub now: Duration,
     pub settings: Settings,
     pub balancer: Balancer,
     /// All actions so far.
     pub log: Vec<Action>,
-    requests: BTreeMap<RequestId, Taken>,
+    requests: BTreeMap<RequestId, AcceptedRequest>,
     timers: BTreeMap<(Duration, usize), u64>,
     timers_set: usize,
-    /// What the node was last told of each server, and when it was told to stop.
-    told: BTreeMap<ServerId, (Endpoint, Option<Duration>)>,
-    probes: Vec<(ServerId, Duration)>,
+    /// Each server as the node last had it listed, and since when it must get nothing new.
+    listed: BTreeMap<ServerId, (Endpoint, Option<Duration>)>,
+    health_checks_in_flight: Vec<(ServerId, Duration)>,
     next_id: u64,
 }
 
@@ -118,13 +118,13 @@
             requests: BTreeMap::new(),
             timers: BTreeMap::new(),
             timers_set: 0,
-            told: BTreeMap::new(),
-            probes: Vec::new(),
+            listed: BTreeMap::new(),
+            health_checks_in_flight: Vec::new(),
             next_id: 1,
         }
     }
 
-    /// A world whose node has been told of servers 0, 1, 2 ...
+    /// A world whose node has a list of servers 0, 1, 2 ...
     pub fn with_servers(settings: Settings, count: u64) -> Self {
         let mut world = World::new(settings);
         world.list(EndpointUpdate::Full, (0..count).map(entry).collect());
@@ -132,10 +132,10 @@
     }
 
     /// Lets the node handle an event, obeys and checks what it does, and returns it.
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
-        actions.iter().for_each(|action| self.obey(action));
+        actions.iter().for_each(|action| self.perform(action));
         self.log.extend(actions.iter().cloned());
         actions
     }
@@ -143,20 +143,20 @@
     pub fn list(&mut self, kind: EndpointUpdate, entries: Vec<Endpoint>) -> Vec<Action> {
         let now = self.now;
         if matches!(kind, EndpointUpdate::Full | EndpointUpdate::Cached) {
-            self.told
+            self.listed
                 .values_mut()
                 .for_each(|(_, stop)| *stop = stop.or(Some(now)));
         }
         for entry in &entries {
             let since = self
-                .told
+                .listed
                 .get(&entry.id)
                 .and_then(|(_, stop)| *stop)
                 .unwrap_or(now);
             let stop = (entry.state != ServerState::Ready).then_some(since);
-            self.told.insert(entry.id, (*entry, stop));
+            self.listed.insert(entry.id, (*entry, stop));
         }
-        self.tell(Event::EndpointList {
+        self.handle(Event::EndpointList {
             update: kind,
             endpoints: entries,
         })
@@ -193,14 +193,14 @@
     /// Lets the node take a request.
     pub fn take(&mut self, new: NewRequest) -> Vec<Action> {
         let deadline = self.now + new.remaining;
-        let taken = Taken {
-            repeat: self.settings.classes[new.class].idempotency,
+        let request = AcceptedRequest {
+            idempotency: self.settings.classes[new.class].idempotency,
             deadline,
             answered: false,
-            tries: Vec::new(),
+            attempts: Vec::new(),
         };
-        self.requests.insert(new.id, taken);
-        self.tell(Event::Request(new))
+        self.requests.insert(new.id, request);
+        self.handle(Event::Request(new))
     }
 
     /// Ends an attempt that is out.
@@ -211,19 +211,19 @@
         outcome: Outcome,
         load: Option<f32>,
     ) -> Vec<Action> {
-        let taken = self.requests.get_mut(&id).expect("a request");
-        let one = &mut taken.tries[attempt];
+        let request = self.requests.get_mut(&id).expect("a request");
+        let one = &mut request.attempts[attempt];
         assert!(one.outcome.is_none(), "the test ends an attempt twice");
         one.outcome = Some(outcome);
         let (server, elapsed) = (one.server, self.now - one.sent);
-        taken.answered |= outcome == Outcome::Served;
-        let finished = taken.answered;
+        request.answered |= outcome == Outcome::Served;
+        let finished = request.answered;
         let report = load.map(|load| LoadReport {
             in_flight: Some(load),
             ..LoadReport::default()
         });
         let attempt = attempt as u32;
-        self.tell(Event::AttemptEnded(AttemptEnd {
+        self.handle(Event::AttemptEnded(AttemptEnd {
             id,
             attempt,
             server,
@@ -236,8 +236,9 @@
     }
 
     /// Ends the oldest probe that is out; without a load it got no answer.
-    pub fn end_probe(&mut self, load: Option<f32>) -> Option<ServerId> {
-        let (server, sent) = (!self.probes.is_empty()).then(|| self.probes.remove(0))?;
+    pub fn end_health_check(&mut self, load: Option<f32>) -> Option<ServerId> {
+        let (server, sent) = (!self.health_checks_in_flight.is_empty())
+            .then(|| self.health_checks_in_flight.remove(0))?;
         let outcome = if load.is_some() {
             Outcome::Served
         } else {
@@ -247,7 +248,7 @@
             in_flight: Some(load),
             ..LoadReport::default()
         });
-        self.tell(Event::HealthChecked(HealthCheckEnd {
+        self.handle(Event::HealthChecked(HealthCheckEnd {
             server,
             outcome,
             elapsed: self.now - sent,
@@ -256,20 +257,20 @@
         Some(server)
     }
 
-    /// Answers all probes: those of the named servers say idle, the others busy.
-    pub fn answer_probes(&mut self, idle: &[u64]) {
-        while let Some((server, _)) = self.probes.first() {
+    /// Answers all health_checks_in_flight: those of the named servers say idle, the others busy.
+    pub fn answer_health_checks(&mut self, idle: &[u64]) {
+        while let Some((server, _)) = self.health_checks_in_flight.first() {
             let load = if idle.contains(&server.0) { 0.0 } else { 2.0 };
-            self.end_probe(Some(load));
+            self.end_health_check(Some(load));
         }
     }
 
     pub fn client_leaves(&mut self, id: RequestId) {
         self.requests.get_mut(&id).expect("a request").answered = true;
-        self.tell(Event::ClientGone { id });
+        self.handle(Event::ClientGone { id });
     }
 
-    /// Lets time pass: timers come due, attempts and probes run into their time-outs.
+    /// Lets time pass: timers come due, attempts and health_checks_in_flight run into their time-outs.
     pub fn pass(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -280,24 +281,24 @@
                 .filter(|((at, _), _)| *at <= self.now)
             {
                 let token = self.timers.remove(&due).expect("a timer");
-                self.tell(Event::Timer { token });
+                self.handle(Event::Timer { token });
             }
             for (id, attempt) in self.out() {
-                let one = &self.requests[&id].tries[attempt];
+                let one = &self.requests[&id].attempts[attempt];
                 if one.outcome.is_none() && one.ends <= self.now {
                     self.end(id, attempt, Outcome::TimedOut, None);
                 }
             }
             while self
-                .probes
+                .health_checks_in_flight
                 .first()
                 .is_some_and(|(_, sent)| self.now >= *sent + ms(250))
             {
-                self.end_probe(None);
+                self.end_health_check(None);
             }
-            for (id, taken) in &self.requests {
+            for (id, request) in &self.requests {
                 assert!(
-                    taken.answered || self.now <= taken.deadline + ms(5),
+                    request.answered || self.now <= request.deadline + ms(5),
                     "rule 1: {id:?} has no answer"
                 );
             }
@@ -306,11 +307,11 @@
 
     /// The attempts that are out.
     pub fn out(&self) -> Vec<(RequestId, usize)> {
-        let tries = self
+        let attempts = self
             .requests
             .iter()
-            .flat_map(|(id, t)| t.tries.iter().enumerate().map(|(i, t)| (*id, i, t)));
-        tries
+            .flat_map(|(id, t)| t.attempts.iter().enumerate().map(|(i, t)| (*id, i, t)));
+        attempts
             .filter(|(_, _, t)| t.outcome.is_none())
             .map(|(id, i, _)| (id, i))
             .collect()
@@ -318,7 +319,7 @@
 
     /// How long ago the request came first to a server.
     pub fn age(&self, id: RequestId) -> Duration {
-        self.now - self.requests[&id].tries[0].sent
+        self.now - self.requests[&id].attempts[0].sent
     }
 
     pub fn answered(&self, id: RequestId) -> bool {
@@ -326,7 +327,7 @@
     }
 
     pub fn server_of(&self, id: RequestId, attempt: usize) -> ServerId {
-        self.requests[&id].tries[attempt].server
+        self.requests[&id].attempts[attempt].server
     }
 
     /// The requests that are still owed an answer.
@@ -338,7 +339,7 @@
             .collect()
     }
 
-    fn obey(&mut self, action: &Action) {
+    fn perform(&mut self, action: &Action) {
         match action {
             Action::Send {
                 id,
@@ -346,16 +347,16 @@
                 timeout,
             } => self.check_send(*id, *server, *timeout),
             Action::Reject { id, .. } => {
-                let taken = self
+                let request = self
                     .requests
                     .get_mut(id)
                     .expect("rule 1: refuses what it was not given");
-                assert!(!taken.answered, "rule 1: a second answer for {id:?}");
-                let ran = taken
-                    .tries
+                assert!(!request.answered, "rule 1: a second answer for {id:?}");
+                let ran = request
+                    .attempts
                     .iter()
                     .any(|t| !t.outcome.is_some_and(proves_no_run));
-                let allowed = match taken.repeat {
+                let allowed = match request.idempotency {
                     Idempotency::Idempotent
                     | Idempotency::Keyed {
                         scope: Scope::All, ..
@@ -363,15 +364,15 @@
                     _ => !ran,
                 };
                 assert!(allowed, "rule 2: {id:?} may have run and is refused");
-                taken.answered = true;
+                request.answered = true;
             }
             Action::Fail { id } => {
-                let taken = self
+                let request = self
                     .requests
                     .get_mut(id)
                     .expect("rule 1: fails what it was not given");
-                assert!(!taken.answered, "rule 1: a second answer for {id:?}");
-                taken.answered = true;
+                assert!(!request.answered, "rule 1: a second answer for {id:?}");
+                request.answered = true;
             }
             Action::CancelAttempt { id, attempt } => {
                 assert!(
@@ -379,7 +380,7 @@
                     "cancels where that is not allowed"
                 );
                 let one =
-                    &mut self.requests.get_mut(id).expect("a request").tries[*attempt as usize];
+                    &mut self.requests.get_mut(id).expect("a request").attempts[*attempt as usize];
                 one.ends = self.now; // its outcome comes with the next round
             }
             Action::SetTimer { after, token } => {
@@ -391,9 +392,9 @@
             Action::HealthCheck { server } => {
                 assert!(
                     self.settings.limits.health_checks,
-                    "probes where that is not allowed"
+                    "health_checks_in_flight where that is not allowed"
                 );
-                self.probes.push((*server, self.now));
+                self.health_checks_in_flight.push((*server, self.now));
             }
             Action::WatchEndpoints { .. } | Action::FetchEndpoints => {}
             other => panic!("unexpected {other:?}"),
@@ -401,13 +402,13 @@
     }
 
     fn check_send(&mut self, id: RequestId, to: ServerId, timeout: Duration) {
-        let taken = self
+        let request = self
             .requests
             .get_mut(&id)
             .expect("rule 1: sends what it was not given");
-        assert!(!taken.answered, "rule 1: {id:?} is sent after its answer");
+        assert!(!request.answered, "rule 1: {id:?} is sent after its answer");
         let (entry, stop) = self
-            .told
+            .listed
             .get(&to)
             .expect("sends to a server that was never listed");
         let grace = self.settings.safety.drain_grace;
@@ -417,18 +418,18 @@
         );
         let limits = &self.settings.limits;
         assert!(
-            taken.tries.len() < limits.max_attempts as usize,
+            request.attempts.len() < limits.max_attempts as usize,
             "too many attempts"
         );
-        let parallel = taken.tries.iter().any(|t| t.outcome.is_none());
+        let parallel = request.attempts.iter().any(|t| t.outcome.is_none());
         assert!(!parallel || limits.hedging, "two attempts at once");
-        let ran = taken
-            .tries
+        let ran = request
+            .attempts
             .iter()
             .find(|t| !t.outcome.is_some_and(proves_no_run));
         if let Some(first) = ran {
-            let home = &self.told[&first.server].0;
-            let allowed = match taken.repeat {
+            let home = &self.listed[&first.server].0;
+            let allowed = match request.idempotency {
                 Idempotency::Idempotent => true,
                 Idempotency::NonIdempotent => false,
                 Idempotency::Keyed { scope, window } => {
@@ -442,8 +443,8 @@
             };
             assert!(allowed, "rule 2: {id:?} may have run and is sent to {to:?}");
         }
-        let ends = (self.now + timeout).min(taken.deadline);
-        taken.tries.push(Try {
+        let ends = (self.now + timeout).min(request.deadline);
+        request.attempts.push(SentAttempt {
             server: to,
             sent: self.now,
             ends,
--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -7,7 +7,7 @@
 #[test]
 fn reduces_admission_when_idle_looking_servers_are_late_and_recovers() {
     // Hundreds of nodes may choke the servers with one request each: none of them looks crowded to its node.
-    let mut world = World::with_servers(answering(), 4);
+    let mut world = World::with_servers(with_load_reports(), 4);
     let sent = |world: &mut World, takes: u64| {
         let mut sent = 0;
         for _ in 0..200 {
@@ -30,7 +30,7 @@
 #[test]
 fn rejects_a_request_whose_expected_work_exceeds_its_deadline() {
     // The danger: in a busy fleet, heavy requests that can't be in time take the work of many light ones.
-    let mut world = World::with_servers(answering(), 4);
+    let mut world = World::with_servers(with_load_reports(), 4);
     for _ in 0..60 {
         serve(&mut world, 3.0); // nobody is idle
     }
@@ -54,7 +54,7 @@
 
 #[test]
 fn rejects_a_tenant_over_its_quota_first() {
-    let mut settings = answering();
+    let mut settings = with_load_reports();
     settings.tenants = vec![
         Tenant {
             quota_per_s: 30.0,
@@ -86,7 +86,7 @@
 #[test]
 fn fills_no_server_when_started_into_an_overload() {
     // The danger: dozens of requests of one node at a server before its first time-out is seen.
-    let mut world = World::with_servers(answering(), 4);
+    let mut world = World::with_servers(with_load_reports(), 4);
     for _ in 0..300 {
         world.request(1);
         world.pass(ms(1));
@@ -102,7 +102,7 @@
 fn rejects_nothing_at_a_few_fast_servers_while_crowding_is_unexplored() {
     // The danger: a node learns one level of crowding after the other, and refuses all that goes beyond meanwhile.
     for servers in [1, 2] {
-        let mut world = World::with_servers(answering(), servers);
+        let mut world = World::with_servers(with_load_reports(), servers);
         let mut refusals = 0;
         for _ in 0..400 {
             for _ in world.open().len()..12 {
@@ -136,7 +136,7 @@
 
 #[test]
 fn bounds_requests_held_for_unexplored_crowding_and_rejects_them_once_a_server_is_late() {
-    let mut world = World::with_servers(answering(), 1);
+    let mut world = World::with_servers(with_load_reports(), 1);
     let taken: Vec<_> = (0..100).map(|_| world.request(1)).collect();
     let at_once = taken
         .iter()
@@ -164,7 +164,7 @@
 fn closes_a_crowding_level_after_slow_answers() {
     // The danger: servers choke while nearly all answers are still in time.
     let fill = |answer: u64| {
-        let mut world = World::with_servers(answering(), 4);
+        let mut world = World::with_servers(with_load_reports(), 4);
         let mut most = 0;
         for _ in 0..2000 {
             world.request(1);
@@ -194,7 +194,7 @@
 #[test]
 fn rejects_a_client_retry_past_its_latency_objective_without_an_attempt() {
     // The danger: clients that gave up come again, and work for answers worth nothing keeps a jam alive.
-    let mut world = World::with_servers(answering(), 4);
+    let mut world = World::with_servers(with_load_reports(), 4);
     let repeat = |world: &mut World, left: u64| {
         let mut new = NewRequest {
             id: RequestId(1_000_000 + left),
@@ -225,7 +225,7 @@
 #[test]
 fn admits_higher_priority_first_in_an_overload() {
     // The danger: a share of all alike is refused, and with it most of the worth.
-    let mut settings = answering();
+    let mut settings = with_load_reports();
     settings.classes[1].priority_weight = 10.0;
     let mut world = World::with_servers(settings, 4);
     let mut sent = [0, 0];
@@ -244,7 +244,7 @@
 #[test]
 fn sends_no_request_to_a_crowded_server_that_a_free_one_did_not_admit() {
     // The danger: in a jam the free servers are closed by chance and the crowded ones, known to serve, stay open.
-    let mut settings = answering();
+    let mut settings = with_load_reports();
     settings.limits.max_attempts = 1;
     let mut world = World::with_servers(settings, 2);
     for _ in 0..40 {
--- a/crates/balancer/tests/decisions/bodies.rs
+++ b/crates/balancer/tests/decisions/bodies.rs
@@ -14,17 +14,17 @@
 impl Bodies {
     fn new() -> Self {
         let mut bodies = Bodies {
-            node: Balancer::new(answering(), 1),
+            node: Balancer::new(with_load_reports(), 1),
             now: ms(100_000),
         };
-        bodies.tell(Event::EndpointList {
+        bodies.handle(Event::EndpointList {
             update: EndpointUpdate::Full,
             endpoints: vec![entry(0), entry(3)],
         });
         bodies
     }
 
-    fn tell(&mut self, event: Event) -> Vec<Action> {
+    fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.node.handle(self.now, event, &mut actions);
         actions
@@ -32,7 +32,7 @@
 
     fn request(&mut self, id: u64, class: usize, arriving: bool) -> Vec<Action> {
         let (id, remaining) = (RequestId(id), ms(1000));
-        self.tell(Event::Request(NewRequest {
+        self.handle(Event::Request(NewRequest {
             id,
             class,
             remaining,
@@ -42,7 +42,7 @@
     }
 
     fn end(&mut self, id: u64, server: u64, outcome: Outcome, spent: bool) -> Vec<Action> {
-        self.tell(Event::AttemptEnded(AttemptEnd {
+        self.handle(Event::AttemptEnded(AttemptEnd {
             id: RequestId(id),
             attempt: 0,
             server: ServerId(server),
@@ -77,10 +77,10 @@
     );
     bodies.now += ms(30_000);
     assert!(
-        bodies.tell(Event::Timer { token: 1 }).is_empty(),
+        bodies.handle(Event::Timer { token: 1 }).is_empty(),
         "it is not late"
     );
-    let actions = bodies.tell(Event::BodyComplete {
+    let actions = bodies.handle(Event::BodyComplete {
         id: RequestId(1),
         body_consumed: true,
     });
@@ -90,14 +90,14 @@
         "its aim, from now: {actions:?}"
     );
     bodies.now += ms(400);
-    let actions = bodies.tell(Event::Timer { token: 1 });
+    let actions = bodies.handle(Event::Timer { token: 1 });
     assert!(
         failed(&actions) && sent_to(&actions).is_empty(),
         "{actions:?}"
     );
     assert!(
         bodies
-            .tell(Event::BodyComplete {
+            .handle(Event::BodyComplete {
                 id: RequestId(1),
                 body_consumed: true
             })
@@ -109,7 +109,7 @@
 #[test]
 fn rejects_a_request_in_time_where_no_server_is_eligible_for_its_body() {
     let mut bodies = Bodies::new();
-    bodies.tell(Event::EndpointList {
+    bodies.handle(Event::EndpointList {
         update: EndpointUpdate::Full,
         endpoints: Vec::new(),
     });
@@ -121,7 +121,7 @@
     let ended = loop {
         bodies.now += ms(10);
         waited += ms(10);
-        let actions = bodies.tell(Event::Timer { token: 1 });
+        let actions = bodies.handle(Event::Timer { token: 1 });
         if rejected(&actions) || failed(&actions) {
             break actions;
         }
@@ -145,7 +145,7 @@
             if !arrived {
                 assert_eq!(sent_to(&actions).len(), 1, "{id}: {actions:?}");
             } else {
-                bodies.tell(Event::BodyComplete {
+                bodies.handle(Event::BodyComplete {
                     id: RequestId(id),
                     body_consumed: true,
                 });
@@ -174,7 +174,7 @@
         "{actions:?}"
     );
     let first = sent_to(&bodies.request(3, 1, true))[0];
-    bodies.tell(Event::BodyComplete {
+    bodies.handle(Event::BodyComplete {
         id: RequestId(3),
         body_consumed: true,
     });
@@ -190,7 +190,7 @@
     let mut bodies = Bodies::new();
     let first = sent_to(&bodies.request(1, 0, false))[0];
     bodies.now += ms(399);
-    let second = sent_to(&bodies.tell(Event::Timer { token: 1 }));
+    let second = sent_to(&bodies.handle(Event::Timer { token: 1 }));
     assert_eq!(second.len(), 1, "a silent one is followed by a copy");
     let started = Event::ResponseStarted {
         id: RequestId(1),
@@ -198,7 +198,7 @@
         server: ServerId(first),
         report: None,
     };
-    let actions = bodies.tell(started.clone());
+    let actions = bodies.handle(started.clone());
     assert_eq!(
         actions,
         [Action::CancelAttempt {
@@ -208,10 +208,10 @@
     );
     bodies.now += ms(5000);
     assert!(
-        bodies.tell(Event::Timer { token: 1 }).is_empty(),
+        bodies.handle(Event::Timer { token: 1 }).is_empty(),
         "what the client is being given is not cut"
     );
-    assert!(bodies.tell(started).is_empty(), "once");
+    assert!(bodies.handle(started).is_empty(), "once");
     let mut end = AttemptEnd {
         id: RequestId(1),
         attempt: 1,
@@ -222,9 +222,9 @@
         body_consumed: false,
         report: None,
     };
-    assert!(bodies.tell(Event::AttemptEnded(end.clone())).is_empty());
+    assert!(bodies.handle(Event::AttemptEnded(end.clone())).is_empty());
     (end.attempt, end.server, end.outcome) = (0, ServerId(first), Outcome::Served);
-    assert!(bodies.tell(Event::AttemptEnded(end)).is_empty());
+    assert!(bodies.handle(Event::AttemptEnded(end)).is_empty());
     // Both servers are free again: neither end was counted twice.
     assert_eq!(sent_to(&bodies.request(2, 1, false)).len(), 1);
 }
--- a/crates/balancer/tests/decisions/endpoint_list.rs
+++ b/crates/balancer/tests/decisions/endpoint_list.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn removes_servers_that_a_full_list_omits_and_takes_them_back() {
-    let mut world = World::with_servers(answering(), 3);
+    let mut world = World::with_servers(with_load_reports(), 3);
     world.list(EndpointUpdate::Full, vec![entry(1)]);
     assert!((0..10).all(|_| sent_to(&world.request(0).1).iter().all(|s| *s == 1)));
     world.list(
@@ -32,7 +32,7 @@
     };
     let mut world = World::new(Settings {
         poll_endpoint_list: true,
-        ..answering()
+        ..with_load_reports()
     });
     world.list(EndpointUpdate::Cached, vec![entry(0)]);
     world.pass(ms(3000));
@@ -60,7 +60,7 @@
 #[test]
 fn starts_a_new_server_with_the_usual_estimate() {
     // The danger: it stands at zero at all nodes, and each sends it the next requests.
-    let mut world = World::with_servers(answering(), 5);
+    let mut world = World::with_servers(with_load_reports(), 5);
     for _ in 0..60 {
         serve(&mut world, 1.0);
     }
--- a/crates/balancer/tests/decisions/health_checks.rs
+++ b/crates/balancer/tests/decisions/health_checks.rs
@@ -13,20 +13,20 @@
 
 #[test]
 fn waits_for_health_checks_and_sends_to_the_idle_server() {
-    let mut world = World::with_servers(probing(), 4);
+    let mut world = World::with_servers(with_health_checks(), 4);
     let (id, actions) = world.request(0);
     assert!(
         health_checked(&actions) > 0 && sent_to(&actions).is_empty(),
         "{actions:?}"
     );
     world.pass(ms(1));
-    world.answer_probes(&[2]);
+    world.answer_health_checks(&[2]);
     assert_eq!(world.server_of(id, 0), ServerId(2));
 }
 
 #[test]
 fn waits_only_briefly_for_an_unanswered_health_check() {
-    let mut world = World::with_servers(probing(), 4);
+    let mut world = World::with_servers(with_health_checks(), 4);
     let (id, _) = world.request(0);
     world.pass(ms(40));
     assert_eq!(world.out(), [(id, 0)]);
@@ -34,7 +34,7 @@
 
 #[test]
 fn keeps_health_checks_within_their_budget() {
-    let mut settings = probing();
+    let mut settings = with_health_checks();
     settings.penalties.health_check = 0.05; // a hundredth of the service buys one probe in five requests
     let mut world = World::with_servers(settings, 8);
     let probes: usize = (0..100)
@@ -42,7 +42,7 @@
             let before = world.log.len();
             world.request(0);
             world.pass(ms(1));
-            world.answer_probes(&[0, 1, 2, 3, 4, 5, 6, 7]);
+            world.answer_health_checks(&[0, 1, 2, 3, 4, 5, 6, 7]);
             world.pass(ms(30));
             for (id, attempt) in world.out() {
                 world.end(id, attempt, Outcome::Served, None);
@@ -59,12 +59,12 @@
 #[test]
 fn checks_no_servers_in_place_of_ones_known_to_be_full() {
     // Those known to be full were set aside and the blind sends hit full ones.
-    let mut world = World::with_servers(probing(), 3);
+    let mut world = World::with_servers(with_health_checks(), 3);
     for _ in 0..60 {
         world.request(0);
         for _ in 0..4 {
             world.pass(ms(1));
-            while world.end_probe(Some(9.0)).is_some() {}
+            while world.end_health_check(Some(9.0)).is_some() {}
         }
         for (id, attempt) in world.out() {
             world.end(id, attempt, Outcome::Rejected, None);
@@ -73,7 +73,7 @@
     let (_, actions) = world.request(0);
     world.pass(ms(1));
     let before = world.log.len();
-    while world.end_probe(Some(9.0)).is_some() {}
+    while world.end_health_check(Some(9.0)).is_some() {}
     let after = &world.log[before..];
     assert!(
         rejected(&actions) || rejected(after),
--- a/crates/balancer/tests/decisions/many_nodes.rs
+++ b/crates/balancer/tests/decisions/many_nodes.rs
@@ -8,7 +8,7 @@
 #[test]
 fn keeps_to_a_subset_where_connections_cost_and_uses_all_servers_evenly() {
     // The danger: each node connects to each server, and most connects fail.
-    let mut settings = answering();
+    let mut settings = with_load_reports();
     (settings.nodes, settings.penalties.connections) = (40, 0.1);
     let mut nodes_of = BTreeMap::new();
     for node in 0..40 {
@@ -34,7 +34,7 @@
 fn keeps_to_a_small_subset_on_a_quiet_node() {
     // The danger: among dozens of servers a quiet node meets each so seldom that it never learns who is slow.
     let met = |pause: u64| {
-        let mut world = World::with_servers(answering(), 40);
+        let mut world = World::with_servers(with_load_reports(), 40);
         let mut met = std::collections::BTreeSet::new();
         for step in 0..200 {
             let to = serve(&mut world, 1.0);
@@ -55,7 +55,7 @@
 #[test]
 fn bounds_the_work_of_a_request_in_a_large_fleet() {
     // The danger: hundreds of servers, each looked at several times for each event, take all the CPU.
-    let mut world = World::with_servers(answering(), 500);
+    let mut world = World::with_servers(with_load_reports(), 500);
     let met: std::collections::BTreeSet<u64> = (0..2000).map(|_| serve(&mut world, 1.0)).collect();
     assert!((32..=64).contains(&met.len()), "{}", met.len());
 }
--- a/crates/balancer/tests/decisions/outliers.rs
+++ b/crates/balancer/tests/decisions/outliers.rs
@@ -9,7 +9,7 @@
 #[test]
 fn ejects_unreachable_servers_however_many_they_are() {
     // The danger: half of the servers stay in use whatever happens, though this node reaches only a few.
-    let mut world = World::with_servers(answering(), 10);
+    let mut world = World::with_servers(with_load_reports(), 10);
     let reach = |server: u64| {
         if server < 2 {
             Outcome::Served
@@ -30,7 +30,7 @@
     // Connections that come up late, or break under a request, come in between answers: a backend was avoided for each,
     // half of the fleet at a time.
     let avoided = |pattern: &[Outcome], after: Duration| {
-        let mut world = World::with_servers(answering(), 4);
+        let mut world = World::with_servers(with_load_reports(), 4);
         let (mut at, mut most) = (0, 0);
         for _ in 0..100 {
             let (id, actions) = world.request(0);
@@ -65,7 +65,7 @@
 
 #[test]
 fn does_not_prefer_a_server_that_fails_fast() {
-    let mut world = World::with_servers(answering(), 4);
+    let mut world = World::with_servers(with_load_reports(), 4);
     let met = play(&mut world, 400, |server| {
         if server == 0 {
             Outcome::Error
@@ -78,7 +78,7 @@
 
 #[test]
 fn returns_an_ejected_server_after_a_trial() {
-    let mut world = World::with_servers(answering(), 4);
+    let mut world = World::with_servers(with_load_reports(), 4);
     play(&mut world, 100, |server| {
         if server == 0 {
             Outcome::ConnectFailed
@@ -93,7 +93,7 @@
 
 #[test]
 fn ejects_nobody_when_all_servers_fail() {
-    let mut world = World::with_servers(answering(), 6);
+    let mut world = World::with_servers(with_load_reports(), 6);
     play(&mut world, 200, |_| Outcome::Error);
     // Errors reset no estimate, so whoever serves first is the lowest: only requests at once meet more.
     for _ in 0..10 {
@@ -114,7 +114,7 @@
 
 #[test]
 fn avoids_a_server_that_accepts_and_never_answers() {
-    let mut world = World::with_servers(answering(), 4);
+    let mut world = World::with_servers(with_load_reports(), 4);
     let mut met = BTreeMap::new();
     for _ in 0..200 {
         world.request(1);
@@ -136,7 +136,7 @@
 
 #[test]
 fn does_not_blame_servers_for_a_pause_of_the_node() {
-    let mut world = World::with_servers(answering(), 6);
+    let mut world = World::with_servers(with_load_reports(), 6);
     play(&mut world, 100, |_| Outcome::Served);
     let ids: Vec<_> = (0..30).map(|_| world.request(1).0).collect();
     // The node stands still long past every aim, then finds all its time-outs at once.
@@ -156,7 +156,7 @@
 #[test]
 fn spends_a_small_part_of_requests_on_trials() {
     // The danger: a quiet node with several dead servers sends most of its requests there on trial.
-    let mut world = World::with_servers(answering(), 8);
+    let mut world = World::with_servers(with_load_reports(), 8);
     let dead = |server: u64| {
         if server < 3 {
             Outcome::ConnectFailed
--- a/crates/balancer/tests/decisions/retries.rs
+++ b/crates/balancer/tests/decisions/retries.rs
@@ -13,7 +13,7 @@
             _ => None,
         })
     };
-    let mut settings = answering();
+    let mut settings = with_load_reports();
     settings.limits.hedging = false;
     settings.limits.max_attempts = 2;
     let learned = |servers: u64, settings: &Settings| {
@@ -72,7 +72,7 @@
     // The danger: an answer that never comes takes the request's whole time.
     for (class, further) in [(0, true), (1, false), (4, true)] {
         for parallel in [false, true] {
-            let mut settings = answering();
+            let mut settings = with_load_reports();
             settings.limits.hedging = parallel;
             let mut world = World::with_servers(settings, 6);
             play(&mut world, 100, |_| Outcome::Served); // answers take 30 ms
@@ -94,7 +94,7 @@
 
 #[test]
 fn retries_an_idempotent_request_on_another_server() {
-    let mut world = World::with_servers(answering(), 3);
+    let mut world = World::with_servers(with_load_reports(), 3);
     let (id, actions) = world.request(0);
     let again = world.end(id, 0, Outcome::Error, None);
     assert_eq!(sent_to(&again).len(), 1);
@@ -111,7 +111,7 @@
         (Outcome::Reset, false),
         (Outcome::TimedOut, false),
     ] {
-        let mut world = World::with_servers(answering(), 3);
+        let mut world = World::with_servers(with_load_reports(), 3);
         let (id, _) = world.request(1);
         let actions = world.end(id, 0, outcome, None);
         assert_eq!(sent_to(&actions).len(), usize::from(again), "{outcome:?}");
@@ -123,7 +123,7 @@
 #[test]
 fn retries_a_keyed_request_only_in_its_scope_and_window() {
     for class in [2, 3] {
-        let mut world = World::with_servers(answering(), 9);
+        let mut world = World::with_servers(with_load_reports(), 9);
         let (id, actions) = world.request(class);
         let first = sent_to(&actions)[0];
         let again = sent_to(&world.end(id, 0, Outcome::Reset, None));
@@ -141,14 +141,14 @@
 
 #[test]
 fn rejects_a_keyed_request_of_all_servers_after_it_may_have_run() {
-    let mut world = World::with_servers(answering(), 1);
+    let mut world = World::with_servers(with_load_reports(), 1);
     let (id, _) = world.request(4);
     assert!(rejected(&world.end(id, 0, Outcome::Error, None)));
 }
 
 #[test]
 fn finishes_a_request_at_its_latency_objective() {
-    let mut world = World::with_servers(answering(), 2);
+    let mut world = World::with_servers(with_load_reports(), 2);
     let (id, _) = world.request(1);
     world.pass(ms(401));
     assert!(world.answered(id));
@@ -157,7 +157,7 @@
 
 #[test]
 fn rejects_a_request_in_time_without_any_server() {
-    let mut world = World::new(answering());
+    let mut world = World::new(with_load_reports());
     let (id, _) = world.request(1);
     world.pass(ms(401));
     assert!(
@@ -170,7 +170,7 @@
 
 #[test]
 fn sends_a_held_request_once_a_server_is_listed() {
-    let mut world = World::new(answering());
+    let mut world = World::new(with_load_reports());
     let (id, _) = world.request(1);
     world.pass(ms(50));
     world.list(EndpointUpdate::Incremental, vec![entry(1)]);
@@ -180,13 +180,13 @@
 
 #[test]
 fn ignores_late_events() {
-    let mut world = World::with_servers(answering(), 2);
+    let mut world = World::with_servers(with_load_reports(), 2);
     let (id, _) = world.request(1);
     world.client_leaves(id);
-    assert!(world.tell(Event::ClientGone { id }).is_empty());
+    assert!(world.handle(Event::ClientGone { id }).is_empty());
     world.pass(ms(1));
     assert!(world.out().is_empty());
-    assert!(world.tell(Event::Timer { token: id.0 }).is_empty());
+    assert!(world.handle(Event::Timer { token: id.0 }).is_empty());
     let server = ServerId(77);
     let end = HealthCheckEnd {
         server,
@@ -194,7 +194,7 @@
         elapsed: ms(1),
         report: None,
     };
-    assert!(world.tell(Event::HealthChecked(end)).is_empty());
+    assert!(world.handle(Event::HealthChecked(end)).is_empty());
     let ended = AttemptEnd {
         id,
         attempt: 0,
@@ -205,10 +205,10 @@
         body_consumed: false,
         report: None,
     };
-    assert!(world.tell(Event::AttemptEnded(ended)).is_empty());
+    assert!(world.handle(Event::AttemptEnded(ended)).is_empty());
     assert!(
         world
-            .tell(Event::ResponseStarted {
+            .handle(Event::ResponseStarted {
                 id,
                 attempt: 0,
                 server,
@@ -220,7 +220,7 @@
 
 #[test]
 fn keeps_retries_within_their_budget() {
-    let mut world = World::with_servers(answering(), 9);
+    let mut world = World::with_servers(with_load_reports(), 9);
     for _ in 0..500 {
         world.request(0);
         world.pass(ms(5));
--- a/crates/balancer/tests/decisions/selection.rs
+++ b/crates/balancer/tests/decisions/selection.rs
@@ -8,7 +8,7 @@
 #[test]
 fn sends_one_to_every_server_before_any_gets_two() {
     for seed in 0..20 {
-        let mut world = World::seeded(answering(), seed);
+        let mut world = World::seeded(with_load_reports(), seed);
         world.list(EndpointUpdate::Full, (0..5).map(entry).collect());
         let mut met: Vec<u64> = (0..5).flat_map(|_| sent_to(&world.request(0).1)).collect();
         met.sort();
@@ -19,7 +19,7 @@
 #[test]
 fn breaks_ties_at_random() {
     let first: BTreeMap<u64, u32> = (0..200).fold(BTreeMap::new(), |mut seen, seed| {
-        let mut world = World::seeded(answering(), seed);
+        let mut world = World::seeded(with_load_reports(), seed);
         world.list(EndpointUpdate::Full, (0..4).map(entry).collect());
         *seen.entry(sent_to(&world.request(0).1)[0]).or_default() += 1;
         seen
@@ -32,7 +32,7 @@
 
 #[test]
 fn resets_an_estimate_by_an_idle_signal_and_not_by_a_busy_report() {
-    let mut world = World::with_servers(answering(), 6);
+    let mut world = World::with_servers(with_load_reports(), 6);
     for _ in 0..300 {
         serve(&mut world, 1.0);
     }
@@ -57,7 +57,7 @@
         .iter()
         .flat_map(|outcome| [(*outcome, None), (*outcome, Some(0.0))]);
     for ((outcome, report), seed) in cases.flat_map(|case| (0..20).map(move |seed| (case, seed))) {
-        let mut world = World::seeded(answering(), seed);
+        let mut world = World::seeded(with_load_reports(), seed);
         world.list(EndpointUpdate::Full, (0..2).map(entry).collect());
         let (id, actions) = world.request(1);
         let first = sent_to(&actions);
@@ -84,7 +84,7 @@
 #[test]
 fn picks_at_random_where_all_estimates_reached_the_cap() {
     let mut met = BTreeMap::new();
-    let mut world = World::with_servers(answering(), 4);
+    let mut world = World::with_servers(with_load_reports(), 4);
     for _ in 0..200 {
         *met.entry(serve(&mut world, 3.0)).or_insert(0) += 1;
     }
@@ -96,7 +96,7 @@
 
 #[test]
 fn keeps_own_attempts_in_flight_counted_after_a_late_idle_report() {
-    let mut world = World::with_servers(answering(), 2);
+    let mut world = World::with_servers(with_load_reports(), 2);
     let (held, actions) = world.request(0);
     let busy = sent_to(&actions)[0];
     let (other, _) = world.request(0);
@@ -118,12 +118,12 @@
 
 #[test]
 fn does_not_prefer_a_server_whose_reports_are_stuck_at_idle() {
-    let mut world = World::with_servers(probing(), 4);
+    let mut world = World::with_servers(with_health_checks(), 4);
     let mut met = BTreeMap::new();
     for step in 0..400 {
         world.request(1);
         world.pass(ms(1));
-        world.answer_probes(&[0]);
+        world.answer_health_checks(&[0]);
         world.pass(ms(20));
         // The frozen server answers too late for most; the others are in time.
         for (id, attempt) in world.out() {
--- a/crates/balancer/tests/decisions/settings_changes.rs
+++ b/crates/balancer/tests/decisions/settings_changes.rs
@@ -8,13 +8,13 @@
     let mut settings = world.settings.clone();
     change(&mut settings);
     world.settings = settings.clone();
-    world.tell(Event::Settings(Box::new(settings)));
+    world.handle(Event::Settings(Box::new(settings)));
 }
 
 #[test]
 fn keeps_the_idempotency_of_open_requests() {
     // Looser now: what must not run twice when it came must not later.
-    let mut world = world_of_alike_servers(answering());
+    let mut world = world_of_alike_servers(with_load_reports());
     let (id, _) = world.request(1);
     change_settings(&mut world, |settings| {
         settings.classes[1].idempotency = Idempotency::Idempotent
@@ -25,7 +25,7 @@
         "{actions:?}"
     );
     // Stricter now: what may be repeated when it came still may, and is refused as harmless where it can't.
-    let mut world = world_of_alike_servers(answering());
+    let mut world = world_of_alike_servers(with_load_reports());
     let (id, _) = world.request(0);
     change_settings(&mut world, |settings| {
         settings.classes[0].idempotency = Idempotency::NonIdempotent
@@ -43,7 +43,7 @@
 #[test]
 fn tightens_open_requests_where_settings_come_by_consensus() {
     let stricter = |to: Idempotency| {
-        let mut world = world_of_alike_servers(answering());
+        let mut world = world_of_alike_servers(with_load_reports());
         let (id, _) = world.request(0);
         change_settings(&mut world, |settings| {
             settings.tighten_open_requests = true;
@@ -66,7 +66,7 @@
 
 #[test]
 fn binds_open_requests_to_fewer_attempts_and_not_to_more() {
-    let mut world = world_of_alike_servers(answering());
+    let mut world = world_of_alike_servers(with_load_reports());
     let (id, _) = world.request(0);
     change_settings(&mut world, |settings| settings.limits.max_attempts = 1);
     let actions = world.end(id, 0, Outcome::Reset, None);
@@ -91,7 +91,7 @@
 
 #[test]
 fn serves_new_classes_and_tenants_and_keeps_what_was_learnt() {
-    let mut world = world_of_alike_servers(answering());
+    let mut world = world_of_alike_servers(with_load_reports());
     for _ in 0..8 {
         world.pass(ms(50));
         serve(&mut world, 0.0);
@@ -124,16 +124,16 @@
 fn acts_sensibly_under_extreme_settings() {
     let one_node = Settings {
         nodes: 1,
-        ..probing()
+        ..with_health_checks()
     };
     let free_probes = Settings {
         penalties: Penalties::default(),
-        ..probing()
+        ..with_health_checks()
     };
-    let mut blind = probing();
+    let mut blind = with_health_checks();
     blind.limits.health_checks = false;
     let silent = settings();
-    let mut never_cold = answering();
+    let mut never_cold = with_load_reports();
     never_cold.safety = SafetyRules {
         slow_start_capacity: 1.0,
         slow_start_window: ms(0),
@@ -155,7 +155,7 @@
         for _ in 0..100 {
             world.request(1);
             world.pass(ms(15));
-            world.answer_probes(&[0, 1, 2, 3]);
+            world.answer_health_checks(&[0, 1, 2, 3]);
             world.pass(ms(15));
             for (id, attempt) in world.out() {
                 world.end(id, attempt, Outcome::Served, None);
--- a/crates/balancer/tests/decisions/slow_start.rs
+++ b/crates/balancer/tests/decisions/slow_start.rs
@@ -7,7 +7,7 @@
 #[test]
 fn sends_a_warming_server_no_more_than_this_nodes_part() {
     // Ten warm servers carry 100 requests a second of three nodes, so a warm one has at least 10 a second.
-    let mut settings = answering();
+    let mut settings = with_load_reports();
     settings.safety = SafetyRules {
         slow_start_capacity: 0.2,
         slow_start_window: ms(10_000),
@@ -49,7 +49,7 @@
 
 #[test]
 fn serves_while_all_servers_are_warming_up() {
-    let mut settings = answering();
+    let mut settings = with_load_reports();
     settings.safety = SafetyRules {
         slow_start_capacity: 0.3,
         slow_start_window: ms(10_000),
--- a/crates/balancer/tests/faults.rs
+++ b/crates/balancer/tests/faults.rs
@@ -21,7 +21,7 @@
     let before = world.log.len();
     for i in 0..requests {
         world.request(i % 5);
-        world.answer_probes(&[]);
+        world.answer_health_checks(&[]);
         world.pass(ms(30));
         for (id, attempt) in world.out() {
             if let Some(outcome) = ends(world.server_of(id, attempt).0) {
@@ -44,7 +44,7 @@
 
 /// Both ways of reporting, and a node that has had the time to learn that all is well.
 fn worlds(servers: u64) -> [World; 2] {
-    [answering(), probing()].map(|settings| {
+    [with_load_reports(), with_health_checks()].map(|settings| {
         let mut world = World::with_servers(settings, servers);
         recovers(&mut world);
         world
@@ -105,7 +105,7 @@
 fn a_list_that_never_comes_while_requests_flood_in_is_asked_for_again_within_half_a_second() {
     let mut world = World::new(Settings {
         poll_endpoint_list: true,
-        ..probing()
+        ..with_health_checks()
     });
     let (mut failed, mut calls) = (None, 0);
     let end = world.now + ms(24_000);
@@ -195,7 +195,7 @@
             let heavy = i % 10 == 0;
             let (id, _) =
                 world.request_with(1, 0, ms(1000), Some(ms(if heavy { 390 } else { 40 })));
-            world.answer_probes(&[]);
+            world.answer_health_checks(&[]);
             world.pass(ms(40));
             for (out, attempt) in world
                 .out()
@@ -217,6 +217,6 @@
 #[test]
 fn a_node_that_never_sees_its_servers_less_than_busy_learns_that_they_serve() {
     // Crowding levels start closed: while no server was ever seen below a closed level, all was refused for ever.
-    let mut world = World::with_servers(probing(), 4);
+    let mut world = World::with_servers(with_health_checks(), 4);
     recovers(&mut world);
 }
--- a/crates/balancer/tests/memory.rs
+++ b/crates/balancer/tests/memory.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{entry, ms, probing};
+use common::{entry, ms, with_health_checks};
 use sillward_balancer::*;
 use std::time::Duration;
 
@@ -74,7 +74,7 @@
 
 #[test]
 fn memory_does_not_grow_with_what_has_passed() {
-    let mut balancer = Balancer::new(probing(), 1);
+    let mut balancer = Balancer::new(with_health_checks(), 1);
     play(&mut balancer, 1..20_000);
     let Some(before) = resident() else {
         return eprintln!("no /proc here: not checked");
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -85,7 +85,7 @@
                     world.end(id, attempt, OUTCOMES[*outcome], load.map(f32::from));
                 }
             }
-            Step::Probe { load } => drop(world.end_probe(load.map(f32::from))),
+            Step::Probe { load } => drop(world.end_health_check(load.map(f32::from))),
             Step::Leave { which } => {
                 let open = world.open();
                 if !open.is_empty() {
@@ -117,7 +117,7 @@
                     .collect();
                 world.list(kind, lines);
             }
-            Step::Fail => drop(world.tell(Event::EndpointList {
+            Step::Fail => drop(world.handle(Event::EndpointList {
                 update: EndpointUpdate::Failed,
                 endpoints: Vec::new(),
             })),
@@ -149,7 +149,7 @@
 
     #[test]
     fn the_rules_hold_with_reports_from_probes(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
-        let mut settings = probing();
+        let mut settings = with_health_checks();
         settings.safety.slow_start_capacity = 0.2;
         settings.safety.slow_start_window = ms(5000);
         settings.safety.drain_grace = ms(0);
@@ -158,7 +158,7 @@
 
     #[test]
     fn the_rules_hold_with_reports_from_answers(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
-        let mut settings = answering();
+        let mut settings = with_load_reports();
         settings.limits.hedging = false;
         settings.safety.drain_grace = ms(0);
         settings.poll_endpoint_list = true;
@@ -180,7 +180,7 @@
 fn cold_server_is_spared(seed: u64, arrivals: &[(usize, u64)]) -> Result<(), TestCaseError> {
     const COLD: ServerId = ServerId(9);
     let work = ms(20); // so a warm server's capacity is 50 requests a second
-    let mut settings = answering();
+    let mut settings = with_load_reports();
     settings.safety.slow_start_capacity = 0.05;
     settings.safety.slow_start_window = ms(20_000);
     settings.safety.overload_factor = 4.0;
@@ -248,7 +248,7 @@
 /// been listed for a while when all of them turn to it at once. Counts what all together send it in a span.
 fn many_nodes_spare_a_cold_server(seed: u64) -> Result<(), TestCaseError> {
     const NODES: u32 = 200;
-    let mut settings = answering();
+    let mut settings = with_load_reports();
     settings.nodes = NODES;
     settings.safety.slow_start_capacity = 0.12;
     settings.safety.slow_start_window = ms(19_000);
--- a/crates/balancer/tests/slow_start_fleet.rs
+++ b/crates/balancer/tests/slow_start_fleet.rs
@@ -222,10 +222,10 @@
             update: EndpointUpdate::Full,
             endpoints: entries.collect(),
         };
-        self.tell(node, event);
+        self.handle(node, event);
     }
 
-    fn tell(&mut self, node: u32, event: Event) {
+    fn handle(&mut self, node: u32, event: Event) {
         let mut actions = Vec::new();
         let (balancer, life) = &mut self.nodes[node as usize];
         let life = *life;
@@ -309,11 +309,11 @@
                         remaining: secs(1.0),
                         ..NewRequest::default()
                     };
-                    self.tell(node, Event::Request(new));
+                    self.handle(node, Event::Request(new));
                     self.arrive(node);
                 }
                 Due::Timer(node, life, token) if self.nodes[node as usize].1 == life => {
-                    self.tell(node, Event::Timer { token });
+                    self.handle(node, Event::Timer { token });
                 }
                 Due::Answer {
                     node,
@@ -341,7 +341,7 @@
                             body_consumed: false,
                             report: ok.then_some(load),
                         };
-                        self.tell(node, Event::AttemptEnded(end));
+                        self.handle(node, Event::AttemptEnded(end));
                     }
                 }
                 Due::Probed(node, life, server) if self.nodes[node as usize].1 == life => {
@@ -352,7 +352,7 @@
                     });
                     let server = ServerId(server);
                     let (outcome, elapsed) = (Outcome::Served, secs(0.01));
-                    self.tell(
+                    self.handle(
                         node,
                         Event::HealthChecked(HealthCheckEnd {
                             server,
