--- a/crates/balancer/src/policy/dispatch.rs
+++ b/crates/balancer/src/policy/dispatch.rs
@@ -57,14 +57,15 @@
         if eligible.is_empty() {
             return self.hold(id, HoldReason::NoEligibleServer, actions);
         }
+        let may_check_health = !request.health_checks_done && !self.health_checks.is_waiting(id);
         let selector = Selector {
             context,
             gate: &self.crowding_gate,
             join_up_to: &self.join_up_to,
+            may_check_health,
         };
         let selection = selector.select(request, eligible, draws);
         let first_attempt = !request.was_attempted();
-        let may_check_health = !request.health_checks_done;
         self.act_on(id, selection, first_attempt, may_check_health, actions);
     }
 
--- a/crates/balancer/src/policy/selection.rs
+++ b/crates/balancer/src/policy/selection.rs
@@ -45,6 +45,8 @@
     pub(super) context: Context<'a>,
     pub(super) gate: &'a CrowdingGate,
     pub(super) join_up_to: &'a JoinUpTo,
+    /// Whether the request may wait for health checks, and does not yet.
+    pub(super) may_check_health: bool,
 }
 
 impl Selector<'_> {
@@ -69,7 +71,7 @@
         {
             return Selection::BelowCap(server);
         }
-        let unknown_load = self.unknown_load(request, &healthy);
+        let unknown_load = self.unknown_load(&healthy);
         match random::pick(&candidates, draws.choice) {
             Some(server) => Selection::AtCap {
                 fallback: server.endpoint.id,
@@ -122,9 +124,9 @@
         self.gate.is_unexplored(self.level(server))
     }
 
-    /// Servers whose load a health check could find out, if the request may still wait for health checks.
-    fn unknown_load(&self, request: &Request, servers: &[&Server]) -> Vec<ServerId> {
-        if request.health_checks_done {
+    /// Servers whose load a health check could find out, if any may be sent.
+    fn unknown_load(&self, servers: &[&Server]) -> Vec<ServerId> {
+        if !self.may_check_health {
             return Vec::new();
         }
         let unknown = servers.iter().filter(|s| self.needs_health_check(s));
