--- a/crates/forwarding/src/call.rs
+++ b/crates/forwarding/src/call.rs
@@ -1,97 +1,47 @@
-//! A call as every protocol sees it, and its answer.
+//! A request as every protocol sees it.
 
-use crate::{BodyStream, StreamingBody};
+use crate::{Payload, StreamingBody};
 use bytes::Bytes;
 use std::cell::Cell;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What the bytes of a call or an answer are. The core never looks; a protocol that meets a form it can't
-/// carry says that the attempt was not sent.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PayloadFormat(pub &'static str);
-
-impl PayloadFormat {
-    /// A body with no more said of it.
-    pub const PLAIN: PayloadFormat = PayloadFormat("");
-}
-
-/// Bytes, and what they are.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Payload {
-    /// What they are.
-    pub format: PayloadFormat,
-    /// The bytes, with their room in the memory budget.
-    pub bytes: Bytes,
-}
-
-impl Payload {
-    /// A body with no more said of it.
-    pub fn plain(bytes: Bytes) -> Self {
-        Payload {
-            format: PayloadFormat::PLAIN,
-            bytes,
-        }
-    }
-}
-
-/// Tells whether whoever asked is still there to be answered, as of now.
+/// Returns whether the client is still connected.
 pub type ClientCheck = Rc<dyn Fn() -> bool>;
 
-/// Tells whether a body is an answer to a call at all.
+/// Returns whether a body is a response to the call.
 pub type ResponseValidator = Rc<dyn Fn(&[u8]) -> bool>;
 
-/// A final answer.
-pub enum FinalResponse {
-    /// A backend's answer, as it came.
-    Complete(Payload),
-    /// A backend's long answer, as it comes: what is there, bytes in all where that is known, and the rest.
-    Streamed {
-        first: Payload,
-        length: Option<u64>,
-        rest: Box<dyn BodyStream>,
-    },
-    /// To try again is harmless, perhaps after that time: it never ran, or its class may be repeated as it is.
-    Rejected {
-        /// After this time, where the settings allow to say so.
-        retry_after: Option<Duration>,
-        /// It is known never to have run. Otherwise it may have.
-        never_ran: bool,
-    },
-    /// It has failed, with no promise.
-    Failed,
-    /// It has failed at its deadline, with no promise.
-    TimedOut,
-}
-
-/// What all attempts of a request share: what goes on unchanged, and what binds them.
+/// What all attempts of a request share: what is sent, and the rules for sending it.
+///
+/// Times are measured by the node's clock, as durations since 1970.
 pub struct Call {
-    /// The class's position in the settings: backend protocols may word a call by it.
+    /// The position of the class in the settings.
     pub class: usize,
-    /// Whether the class may be repeated freely: in HTTP's words, a GET.
+    /// Whether the class is idempotent without a key: in HTTP, a GET.
     pub safe: bool,
-    /// What is asked for, as a path and perhaps a query.
+    /// What is asked for: a path, perhaps with a query.
     pub target: Bytes,
-    /// The call's name among all that are open.
+    /// Identifies the call among all open ones.
     pub call_id: Bytes,
-    /// By which backends know a repeat.
+    /// By which backends recognise a repeated request.
     pub idempotency_key: Option<Bytes>,
-    /// What goes on: all of it, or its first bytes where the rest is coming.
+    /// The body, or its first bytes where the rest is still being received.
     pub payload: Payload,
-    /// The rest, where it is still coming.
+    /// The rest of the body, where it is still being received.
     pub streaming_body: Option<StreamingBody>,
-    /// Judges whether a backend's body is an answer to this call at all, where its protocol can't tell.
+    /// Checks a backend's response, where the backend's protocol can't.
     pub response_validator: Option<ResponseValidator>,
-    /// Whether anybody waits for an answer. Where nobody does, the call is over once it may have run.
+    /// Whether the client waits for a response. If not, the call gets no further attempt once it may have run.
     pub expects_response: bool,
-    /// Where it can be asked whether the client is still there.
+    /// Checks whether the client is still connected, where that can be checked.
     pub client_check: Option<ClientCheck>,
-    /// When the client stops waiting; where the body is still coming, when it must have come.
+    /// When the client stops waiting; while the body is being received, when all of it must have been received.
     pub deadline: Cell<Duration>,
-    /// How long backends remember a keyed request, from the first byte of the first attempt.
+    /// How long backends remember an idempotency key, from the first byte of the first attempt.
     pub idempotency_window: Option<Duration>,
-    /// What has been sent for it so far.
+    /// What has been sent so far.
     pub progress: CallProgress,
 }
 
@@ -102,55 +52,68 @@
     pub first_sent_at: Cell<Option<Duration>>,
     /// The final response has been given, or the client has left: nothing more is sent.
     pub finished: Cell<bool>,
-    /// Attempts that are in flight or may have run.
+    /// The number of attempts that are in flight or may have run.
     pub claimed_attempts: Cell<u32>,
 }
 
 impl Call {
-    /// Whether an attempt may still be written at `now`: not past its time `until`, nor past the window in
-    /// which backends drop its repeats, nor once the call has its answer, nor beside another attempt of a call
-    /// that nobody waits for, nor once its client has gone. Time has passed since the decision: what was permitted then
-    /// may not be any more. If so, it counts as written from now on.
-    pub fn claim(&self, now: Duration, until: Duration) -> bool {
-        let forgotten = self
-            .idempotency_window
-            .zip(self.progress.first_sent_at.get())
-            .is_some_and(|(w, first)| now >= first + w);
+    /// Claims the call for an attempt that is about to write its first byte at `now`. False if it must not be written.
+    ///
+    /// Time has passed since the decision to send it. The attempt must not be written past its deadline, past the
+    /// window in which backends recognise the key, once the call is finished or its client has left, nor while
+    /// another attempt is claimed for a call without a response.
+    pub fn claim(&self, now: Duration, attempt_deadline: Duration) -> bool {
         if self.progress.finished.get()
-            || now >= until
-            || forgotten
-            || (!self.expects_response && self.progress.claimed_attempts.get() > 0)
+            || now >= attempt_deadline
+            || self.is_key_forgotten(now)
+            || self.is_spent_oneway()
+            || self.has_client_left()
         {
             return false;
         }
-        if self.client_check.as_ref().is_some_and(|here| !here()) {
-            return false; // the news of that is on its way to the node
-        }
         if self.progress.first_sent_at.get().is_none() {
             self.progress.first_sent_at.set(Some(now));
         }
-        self.progress
-            .claimed_attempts
-            .set(self.progress.claimed_attempts.get() + 1);
+        let claimed = &self.progress.claimed_attempts;
+        claimed.set(claimed.get() + 1);
         true
     }
 
-    /// Whether its body can't be sent again.
+    /// Releases a claim: its attempt is known never to have run.
+    pub fn release_claim(&self) {
+        let claimed = &self.progress.claimed_attempts;
+        claimed.set(claimed.get().saturating_sub(1));
+    }
+
+    /// Whether the body can't be sent again.
     pub fn is_body_consumed(&self) -> bool {
         self.streaming_body
             .as_ref()
             .is_some_and(StreamingBody::is_consumed)
     }
 
-    /// Takes a claim back: the attempt is known never to have run.
-    pub fn release_claim(&self) {
-        self.progress
-            .claimed_attempts
-            .set(self.progress.claimed_attempts.get().saturating_sub(1));
+    /// Whether backends may have dropped the idempotency key of the first attempt.
+    fn is_key_forgotten(&self, now: Duration) -> bool {
+        match (self.idempotency_window, self.progress.first_sent_at.get()) {
+            (Some(window), Some(first_sent_at)) => now >= first_sent_at + window,
+            _ => false,
+        }
+    }
+
+    /// Whether the call has no response and has had its one attempt.
+    fn is_spent_oneway(&self) -> bool {
+        !self.expects_response && self.progress.claimed_attempts.get() > 0
+    }
+
+    /// Whether the client has left, even if the node has not been notified yet.
+    fn has_client_left(&self) -> bool {
+        self.client_check
+            .as_ref()
+            .is_some_and(|is_connected| !is_connected())
     }
 }
 
-/// What a request is about, as the module's number: the same text gives the same number at every node.
+/// The number under which the decision module knows a key: the same at every node.
 pub fn key_hash(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| {
         let mut hasher = DefaultHasher::new();
--- a/crates/forwarding/src/dispatch.rs
+++ b/crates/forwarding/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Several backend protocols side by side: each backend speaks the one of its machine kind.
+//! Several back-end protocols at once: the machine type of a backend says which one it speaks.
 
 use crate::{
     Attempt, AttemptResult, Backend, BackendProtocol, BackendUpdate, HealthCheckReply,
@@ -12,185 +12,113 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Passes attempts and update on to the protocol of the backend's machine kind.
+/// The position of a protocol in [`Dispatch::protocols`].
+type ProtocolIndex = usize;
+
+/// The protocol of machine types that are not named.
+const DEFAULT_PROTOCOL: ProtocolIndex = 0;
+
+/// Passes attempts and endpoint updates on to the protocol of the backend's machine type.
 pub struct Dispatch {
     protocols: Vec<Rc<dyn BackendProtocol>>,
-    /// Which of them each machine kind speaks; the first where a kind is not named.
-    by_kind: BTreeMap<u8, usize>,
-    servers: RefCell<BTreeMap<ServerId, usize>>,
+    by_machine_type: BTreeMap<u8, ProtocolIndex>,
+    by_server: RefCell<BTreeMap<ServerId, ProtocolIndex>>,
 }
 
 impl Dispatch {
-    /// `first` is for every kind that `others` don't name.
-    pub fn new(first: Rc<dyn BackendProtocol>, others: Vec<(u8, Rc<dyn BackendProtocol>)>) -> Self {
-        let mut protocols = vec![first];
-        let mut by_kind = BTreeMap::new();
-        for (kind, protocol) in others {
-            by_kind.insert(kind, protocols.len());
+    /// `default` is for all machine types that `others` don't name.
+    pub fn new(
+        default: Rc<dyn BackendProtocol>,
+        others: Vec<(u8, Rc<dyn BackendProtocol>)>,
+    ) -> Self {
+        let mut protocols = vec![default];
+        let mut by_machine_type = BTreeMap::new();
+        for (machine_type, protocol) in others {
+            by_machine_type.insert(machine_type, protocols.len());
             protocols.push(protocol);
         }
         Dispatch {
             protocols,
-            by_kind,
-            servers: RefCell::default(),
+            by_machine_type,
+            by_server: RefCell::default(),
         }
     }
 
-    fn of(&self, server: ServerId) -> Rc<dyn BackendProtocol> {
-        let place = self
-            .servers
+    fn protocol_of(&self, server: ServerId) -> Rc<dyn BackendProtocol> {
+        let index = self
+            .by_server
             .borrow()
             .get(&server)
             .copied()
-            .unwrap_or_default();
-        self.protocols[place].clone()
+            .unwrap_or(DEFAULT_PROTOCOL);
+        self.protocols[index].clone()
+    }
+
+    /// Splits an update by protocol.
+    fn split(&self, update: &BackendUpdate) -> Vec<Vec<Backend>> {
+        let mut parts: Vec<Vec<Backend>> = vec![Vec::new(); self.protocols.len()];
+        let mut by_server = self.by_server.borrow_mut();
+        if matches!(update.kind, EndpointUpdate::Full | EndpointUpdate::Cached) {
+            by_server.clear();
+        }
+        for backend in &update.backends {
+            let endpoint = &backend.endpoint;
+            let index = self
+                .by_machine_type
+                .get(&endpoint.machine_type)
+                .copied()
+                .unwrap_or(DEFAULT_PROTOCOL);
+            let previous = by_server.insert(endpoint.id, index);
+            // The previous protocol must drop its connections to a backend that now speaks another one.
+            if let Some(previous) = previous.filter(|previous| *previous != index) {
+                parts[previous].push(removed(backend));
+            }
+            if endpoint.state == ServerState::Removed {
+                by_server.remove(&endpoint.id);
+            }
+            parts[index].push(backend.clone());
+        }
+        parts
     }
 }
 
+fn removed(backend: &Backend) -> Backend {
+    let mut removed = backend.clone();
+    removed.endpoint.state = ServerState::Removed;
+    removed
+}
+
 impl BackendProtocol for Dispatch {
     fn attempt(
         self: Rc<Self>,
         attempt: Attempt,
         stopped: oneshot::Receiver<StopReason>,
     ) -> LocalBoxFuture<AttemptResult> {
-        self.of(attempt.server).attempt(attempt, stopped)
+        self.protocol_of(attempt.server).attempt(attempt, stopped)
     }
 
     fn health_check(self: Rc<Self>, server: ServerId) -> LocalBoxFuture<HealthCheckReply> {
-        self.of(server).health_check(server)
+        self.protocol_of(server).health_check(server)
     }
 
     fn update_backends(&self, update: &BackendUpdate, now: Duration) {
-        let mut parts: Vec<Vec<Backend>> = vec![Vec::new(); self.protocols.len()];
-        let mut servers = self.servers.borrow_mut();
-        if matches!(update.kind, EndpointUpdate::Full | EndpointUpdate::Cached) {
-            servers.clear();
-        }
-        for backend in &update.backends {
-            let place = self
-                .by_kind
-                .get(&backend.endpoint.machine_type)
-                .copied()
-                .unwrap_or_default();
-            let before = servers.insert(backend.endpoint.id, place);
-            // What the other protocol still holds of it leads nowhere from now on.
-            if let Some(before) = before.filter(|before| *before != place) {
-                let mut gone = backend.clone();
-                gone.endpoint.state = ServerState::Removed;
-                parts[before].push(gone);
-            }
-            if backend.endpoint.state == ServerState::Removed {
-                servers.remove(&backend.endpoint.id);
-            }
-            parts[place].push(backend.clone());
-        }
-        drop(servers);
+        let parts = self.split(update);
         for (protocol, backends) in self.protocols.iter().zip(parts) {
-            protocol.update_backends(
-                &BackendUpdate {
-                    kind: update.kind,
-                    backends,
-                },
-                now,
-            );
+            let part = BackendUpdate {
+                kind: update.kind,
+                backends,
+            };
+            protocol.update_backends(&part, now);
         }
     }
 
     fn apply_settings(&self, settings: &PlatformSettings) {
-        self.protocols
-            .iter()
-            .for_each(|protocol| protocol.apply_settings(settings));
-    }
-
-    fn close_idle(&self, server: ServerId) {
-        self.of(server).close_idle(server);
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use sillward_balancer::Endpoint;
-
-    /// A list, as numbers and states.
-    type Listed = (EndpointUpdate, Vec<(u64, ServerState)>);
-
-    /// Writes down what it is told.
-    #[derive(Default)]
-    struct Told(RefCell<Vec<Listed>>);
-
-    impl BackendProtocol for Told {
-        fn attempt(
-            self: Rc<Self>,
-            _: Attempt,
-            _: oneshot::Receiver<StopReason>,
-        ) -> LocalBoxFuture<AttemptResult> {
-            unreachable!("no attempt is made")
-        }
-        fn health_check(self: Rc<Self>, _: ServerId) -> LocalBoxFuture<HealthCheckReply> {
-            unreachable!("no probe is made")
-        }
-        fn update_backends(&self, update: &BackendUpdate, _: Duration) {
-            let backends = update
-                .backends
-                .iter()
-                .map(|b| (b.endpoint.id.0, b.endpoint.state))
-                .collect();
-            self.0.borrow_mut().push((update.kind, backends));
-        }
-        fn apply_settings(&self, _: &PlatformSettings) {}
-        fn close_idle(&self, server: ServerId) {
-            self.0
-                .borrow_mut()
-                .push((EndpointUpdate::Failed, vec![(server.0, ServerState::Ready)]));
+        for protocol in &self.protocols {
+            protocol.apply_settings(settings);
         }
     }
 
-    #[test]
-    fn each_protocol_learns_of_its_own_backends_and_of_those_that_change_to_another() {
-        use ServerState::{Draining, Ready, Removed};
-        let (http, thrift) = (Rc::new(Told::default()), Rc::new(Told::default()));
-        let dispatch = Dispatch::new(http.clone(), vec![(3, thrift.clone())]);
-        let tell = |kind, lines: &[(u64, u8, ServerState)]| {
-            let backends = lines.iter().map(|(id, kind, state)| Backend {
-                endpoint: Endpoint {
-                    id: ServerId(*id),
-                    machine_type: *kind,
-                    state: *state,
-                    ..Endpoint::default()
-                },
-                address: ([127, 0, 0, 1], 1).into(),
-            });
-            dispatch.update_backends(
-                &BackendUpdate {
-                    kind,
-                    backends: backends.collect(),
-                },
-                Duration::ZERO,
-            );
-            (http.0.take(), thrift.0.take())
-        };
-        // A full list is one for each: what is not in it is gone there too.
-        let (h, t) = tell(
-            EndpointUpdate::Full,
-            &[(1, 0, Ready), (2, 3, Ready), (4, u8::MAX, Ready)],
-        );
-        assert_eq!(h, [(EndpointUpdate::Full, vec![(1, Ready), (4, Ready)])]);
-        assert_eq!(t, [(EndpointUpdate::Full, vec![(2, Ready)])]);
-        let (h, t) = tell(
-            EndpointUpdate::Incremental,
-            &[(1, 3, Draining), (2, 3, Removed)],
-        );
-        assert_eq!(h, [(EndpointUpdate::Incremental, vec![(1, Removed)])]);
-        assert_eq!(
-            t,
-            [(
-                EndpointUpdate::Incremental,
-                vec![(1, Draining), (2, Removed)]
-            )]
-        );
-        dispatch.close_idle(ServerId(1));
-        dispatch.close_idle(ServerId(4));
-        assert_eq!((http.0.take()[0].1[0].0, thrift.0.take()[0].1[0].0), (4, 1));
+    fn close_idle(&self, server: ServerId) {
+        self.protocol_of(server).close_idle(server);
     }
 }
--- a/crates/forwarding/src/memory.rs
+++ b/crates/forwarding/src/memory.rs
@@ -1,93 +1,82 @@
-//! What bodies may take of the memory limit: requests and answers are read only once there is room for them.
+//! The memory budget of bodies: requests and responses are read only within a reservation.
 
 use bytes::Bytes;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Bytes that may still be held.
+/// A budget in bytes. Clones share it.
 #[derive(Clone)]
 pub struct MemoryBudget {
-    left: Arc<AtomicUsize>,
-    whole: usize,
-}
-
-/// A part of the budget, which goes back when it is dropped.
-pub struct MemoryReservation {
-    budget: MemoryBudget,
-    bytes: usize,
+    available: Arc<AtomicUsize>,
+    total: usize,
 }
 
 impl MemoryBudget {
+    /// A budget of so many bytes.
     pub fn new(bytes: usize) -> Self {
         MemoryBudget {
-            left: Arc::new(AtomicUsize::new(bytes)),
-            whole: bytes,
+            available: Arc::new(AtomicUsize::new(bytes)),
+            total: bytes,
         }
     }
 
-    /// The bytes that are held.
+    /// The bytes that are reserved.
     pub fn reserved(&self) -> usize {
-        self.whole - self.left.load(Ordering::Relaxed)
+        self.total - self.available()
     }
 
-    /// Room for so many bytes, if there is that much.
+    /// Reserves so many bytes, if as many are available.
     pub fn try_reserve(&self, bytes: usize) -> Option<MemoryReservation> {
-        let taken = self
-            .left
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| {
-                left.checked_sub(bytes)
-            });
-        taken.ok().map(|_| MemoryReservation {
+        self.available
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |available| {
+                available.checked_sub(bytes)
+            })
+            .ok()?;
+        Some(MemoryReservation {
             budget: self.clone(),
             bytes,
         })
     }
-}
 
-impl MemoryBudget {
-    /// Room for so many bytes of a long body: a quarter of all is left to the short ones.
+    /// Reserves so many bytes for a long body. A quarter of the budget is left to short ones.
     pub fn try_reserve_for_long_body(&self, bytes: usize) -> Option<MemoryReservation> {
-        let spare = self
-            .left
-            .load(Ordering::Relaxed)
-            .saturating_sub(self.whole / 4);
-        (bytes <= spare).then(|| self.try_reserve(bytes))?
+        let spare = self.available().saturating_sub(self.total / 4);
+        if bytes > spare {
+            return None;
+        }
+        self.try_reserve(bytes)
     }
+
+    fn available(&self) -> usize {
+        self.available.load(Ordering::Relaxed)
+    }
+}
+
+/// Reserved bytes of a budget, released on drop.
+pub struct MemoryReservation {
+    budget: MemoryBudget,
+    bytes: usize,
 }
 
 impl MemoryReservation {
-    /// How many bytes it has.
+    /// How many bytes are reserved.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Has so many bytes from now on, or as many of them as there is room for.
+    /// Resizes the reservation to so many bytes, or to as many of them as are available.
     pub fn resize_up_to(&mut self, bytes: usize) {
         if bytes < self.bytes {
-            let back = self.bytes - bytes;
+            let released = self.bytes - bytes;
             self.bytes = bytes;
-            self.budget.left.fetch_add(back, Ordering::Relaxed);
+            self.budget.available.fetch_add(released, Ordering::Relaxed);
         } else {
-            let left = self.budget.left.load(Ordering::Relaxed);
-            let more = (bytes - self.bytes).min(left);
-            self.try_grow(more);
+            let wanted = bytes - self.bytes;
+            self.try_grow(wanted.min(self.budget.available()));
         }
     }
 
-    /// Takes so many bytes more for a long body while half of all is left, so that its later fellows find room to begin;
-    /// otherwise nothing changes.
-    pub fn try_grow_for_long_body(&mut self, bytes: usize) -> bool {
-        let plenty = self.budget.left.load(Ordering::Relaxed) >= self.budget.whole / 2;
-        plenty
-            .then(|| self.budget.try_reserve(bytes))
-            .flatten()
-            .is_some_and(|mut more| {
-                self.bytes += std::mem::take(&mut more.bytes);
-                true
-            })
-    }
-
-    /// Takes so many bytes more, if there is that much room; otherwise nothing changes.
+    /// Reserves so many bytes more, if as many are available; false if not, and nothing changes.
     pub fn try_grow(&mut self, bytes: usize) -> bool {
         match self.budget.try_reserve(bytes) {
             Some(mut more) => {
@@ -98,23 +87,37 @@
         }
     }
 
-    /// These bytes, which keep their room for as long as a copy of them lives.
+    /// Reserves so many bytes more for a long body while half of the budget is available, so that later bodies find
+    /// memory to begin with; false if not, and nothing changes.
+    pub fn try_grow_for_long_body(&mut self, bytes: usize) -> bool {
+        let is_plenty = self.budget.available() >= self.budget.total / 2;
+        is_plenty && self.try_grow(bytes)
+    }
+
+    /// Ties the reservation to these bytes: it is released with their last copy.
     pub fn attach(self, bytes: Bytes) -> Bytes {
-        struct Kept(
-            Bytes,
-            #[expect(dead_code, reason = "its drop gives the room back")] MemoryReservation,
-        );
-        impl AsRef<[u8]> for Kept {
-            fn as_ref(&self) -> &[u8] {
-                &self.0
-            }
-        }
-        Bytes::from_owner(Kept(bytes, self))
+        Bytes::from_owner(ReservedBytes {
+            bytes,
+            _reservation: self,
+        })
     }
 }
 
 impl Drop for MemoryReservation {
     fn drop(&mut self) {
-        self.budget.left.fetch_add(self.bytes, Ordering::Relaxed);
+        self.budget
+            .available
+            .fetch_add(self.bytes, Ordering::Relaxed);
+    }
+}
+
+struct ReservedBytes {
+    bytes: Bytes,
+    _reservation: MemoryReservation,
+}
+
+impl AsRef<[u8]> for ReservedBytes {
+    fn as_ref(&self) -> &[u8] {
+        &self.bytes
     }
 }
--- /dev/null
+++ b/crates/forwarding/src/node/events.rs
@@ -0,0 +1,264 @@
+//! How the node turns messages and timers into events of the decision module.
+
+use super::Node;
+use super::pending_request::PendingRequest;
+use super::timers::TimerKind;
+use crate::{
+    AcceptedRequest, AttemptResult, AttemptTimes, BackendUpdate, FinalResponse, HealthCheckResult,
+    Message, ResponseStarted, StopReason,
+};
+use sillward_balancer::settings::PlatformSettings;
+use sillward_balancer::{AttemptEnd, Event, HealthCheckEnd, RequestId};
+use sillward_logging::log_peer;
+use sillward_metrics::View;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+impl Node {
+    pub(super) fn on_message(&mut self, message: Message) {
+        match message {
+            Message::Request(accepted) => self.on_request(*accepted),
+            Message::ClientGone(id) => self.on_client_gone(id),
+            Message::BodyReceived(id, received_at) => self.on_body_received(id, received_at),
+            Message::ResponseStarted(started) => self.on_response_started(started),
+            Message::AttemptEnded(result) => self.on_attempt_ended(result),
+            Message::HealthChecked(result) => self.on_health_checked(result),
+            Message::EndpointList(update) => self.on_endpoint_list(update),
+            Message::Settings {
+                settings,
+                generation,
+            } => self.on_settings(&settings, generation),
+            Message::View(reply) => {
+                let (known, skipped) = self.balancer.view();
+                let _ = reply.send(View { known, skipped }); // fails only if nobody waits for it any more
+            }
+        }
+    }
+
+    pub(super) fn fire_due_timers(&mut self) {
+        let now = self.clock.now();
+        while let Some(timer) = self.timers.pop_due(now) {
+            match timer {
+                TimerKind::Balancer(token) => self.handle_event(Event::Timer { token }),
+                TimerKind::AttemptDeadline(id, number) => {
+                    self.stop_attempt(id, number, StopReason::TimedOut);
+                }
+                TimerKind::RequestDeadline(id) => self.on_request_deadline(id),
+            }
+        }
+    }
+
+    /// Changes to the fallback settings when the lease on the others has expired. Called before anything is decided.
+    pub(super) fn check_settings_lease(&mut self) {
+        if let Some(fallback) = self.settings_in_force.expire(self.clock.now()) {
+            self.apply_settings(&fallback);
+        }
+    }
+
+    fn on_settings(&mut self, settings: &PlatformSettings, generation: u64) {
+        if self.settings_in_force.accept(generation, self.clock.now()) {
+            self.apply_settings(settings);
+        }
+    }
+
+    fn apply_settings(&mut self, platform: &PlatformSettings) {
+        self.timer_resolution = platform.settings.timer_resolution;
+        self.max_attempts = super::max_attempts(&platform.settings);
+        self.backends.apply_settings(platform);
+        self.handle_event(Event::Settings(Box::new(platform.settings.clone())));
+    }
+
+    fn on_request(&mut self, accepted: AcceptedRequest) {
+        let AcceptedRequest {
+            mut request,
+            received_at,
+            call,
+            reply,
+        } = accepted;
+        let id = request.id;
+        let deadline = call.deadline.get();
+        request.body_pending = call.streaming_body.is_some();
+        if !request.body_pending {
+            let queued = self.clock.now().saturating_sub(received_at);
+            request.remaining = request.remaining.saturating_sub(queued);
+        }
+        let in_progress = self.counters.taken();
+        if let Some(observer) = &self.observer {
+            observer.request_accepted(self.clock.now(), request.class, request.client_retry);
+        }
+        let pending = PendingRequest::new(call, received_at, reply, in_progress);
+        self.requests.insert(id, pending);
+        self.set_request_deadline(id, deadline);
+        self.handle_event(Event::Request(request));
+        self.remove_if_done(id);
+    }
+
+    /// Sets the timer one tick early, so that the client has the response before it gives up.
+    fn set_request_deadline(&mut self, id: RequestId, deadline: Duration) {
+        let due = deadline.saturating_sub(self.timer_resolution);
+        self.set_timer(due, TimerKind::RequestDeadline(id));
+    }
+
+    fn on_client_gone(&mut self, id: RequestId) {
+        let Some(request) = owing_response(&mut self.requests, id) else {
+            return;
+        };
+        request.abandon();
+        self.handle_event(Event::ClientGone { id });
+        self.remove_if_done(id);
+    }
+
+    /// The last byte of a streamed body was received: the request's time begins.
+    fn on_body_received(&mut self, id: RequestId, received_at: Duration) {
+        let Some(request) = owing_response(&mut self.requests, id) else {
+            return;
+        };
+        let Some(body) = &request.call.streaming_body else {
+            return;
+        };
+        let deadline = received_at + body.time_budget;
+        let body_consumed = body.is_consumed();
+        request.body_received_at = Some(received_at);
+        request.call.deadline.set(deadline);
+        self.set_request_deadline(id, deadline);
+        self.handle_event(Event::BodyComplete { id, body_consumed });
+        self.remove_if_done(id);
+    }
+
+    /// The first bytes of a streamed response go to the client. The attempt goes on until the last one has.
+    fn on_response_started(&mut self, started: ResponseStarted) {
+        let ResponseStarted {
+            id,
+            number,
+            payload,
+            length,
+            report,
+            rest,
+        } = started;
+        let now = self.clock.now();
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let response = FinalResponse::Streamed {
+            first: payload,
+            length,
+            rest,
+        };
+        // If another response was given, dropping this one closes its connection.
+        if !request.start_streaming(number, now, response) {
+            return;
+        }
+        let Some(attempt) = request.attempts.get(number as usize) else {
+            return;
+        };
+        let server = attempt.server;
+        self.handle_event(Event::ResponseStarted {
+            id,
+            attempt: number,
+            server,
+            report,
+        });
+    }
+
+    fn on_attempt_ended(&mut self, result: AttemptResult) {
+        let AttemptResult {
+            id,
+            number,
+            outcome,
+            report,
+            response,
+        } = result;
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(attempt) = request.attempts.get_mut(number as usize) else {
+            return;
+        };
+        attempt.end();
+        self.gauges.attempts.set(self.gauges.attempts.get() - 1);
+        let server = attempt.server;
+        let sent_at = attempt.sent_at;
+        // A backend's latency runs from the last byte of the request to the first byte of the response.
+        let began_at = request
+            .body_received_at
+            .map_or(sent_at, |received_at| received_at.max(sent_at));
+        let now = self.clock.now();
+        let responded_at = request
+            .end_streaming(&self.counters, number, outcome)
+            .unwrap_or(now);
+        // The first response is the client's; a later one only informs the decision module.
+        if let Some(response) = response {
+            request.respond(&self.counters, FinalResponse::Complete(response));
+        }
+        let times = AttemptTimes {
+            since_request: responded_at.saturating_sub(request.received_at),
+            since_sent: responded_at.saturating_sub(began_at),
+        };
+        if let Some(observer) = &self.observer {
+            observer.attempt_ended(responded_at, request.call.class, server, outcome, times);
+        }
+        let end = AttemptEnd {
+            id,
+            attempt: number,
+            server,
+            outcome,
+            elapsed: times.since_sent,
+            answered: !request.owes_response(),
+            body_consumed: request.call.is_body_consumed(),
+            report,
+        };
+        self.handle_event(Event::AttemptEnded(end));
+        self.remove_if_done(id);
+    }
+
+    fn on_health_checked(&mut self, result: HealthCheckResult) {
+        let elapsed = self.clock.now().saturating_sub(result.sent_at);
+        self.handle_event(Event::HealthChecked(HealthCheckEnd {
+            server: result.server,
+            outcome: result.outcome,
+            elapsed,
+            report: result.report,
+        }));
+    }
+
+    fn on_endpoint_list(&mut self, update: BackendUpdate) {
+        self.backends.update_backends(&update, self.clock.now());
+        let endpoints = update
+            .backends
+            .into_iter()
+            .map(|backend| backend.endpoint)
+            .collect();
+        self.handle_event(Event::EndpointList {
+            update: update.kind,
+            endpoints,
+        });
+    }
+
+    /// Whatever the decision module does, no client is left without a response at its deadline.
+    fn on_request_deadline(&mut self, id: RequestId) {
+        let Some(request) = owing_response(&mut self.requests, id) else {
+            return;
+        };
+        let deadline = request.call.deadline.get();
+        if deadline.saturating_sub(self.timer_resolution) > self.clock.now() {
+            return; // the deadline was moved when the body was received: a later timer fires
+        }
+        log_peer(format_args!(
+            "request {} had no response at its deadline: failed",
+            id.0
+        ));
+        request.respond(&self.counters, FinalResponse::TimedOut);
+        self.handle_event(Event::ClientGone { id });
+        self.remove_if_done(id);
+    }
+}
+
+/// A request whose client still waits for its final response.
+fn owing_response(
+    requests: &mut BTreeMap<RequestId, PendingRequest>,
+    id: RequestId,
+) -> Option<&mut PendingRequest> {
+    requests
+        .get_mut(&id)
+        .filter(|request| request.owes_response())
+}
