--- /dev/null
+++ b/crates/pool/src/pool/release.rs
@@ -0,0 +1,58 @@
+//! Releasing connections: they become idle, or serve the attempts that wait.
+
+use super::Pool;
+use crate::{Connection, ConnectionProtocol};
+use sillward_balancer::ServerId;
+use sillward_runtime::task::spawn_local;
+use sillward_runtime::time::sleep_until;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// A connection is not reused for so long after a response. A backend that answers twice by mistake may do so some
+/// milliseconds later, and its second response would be read as that of the next request.
+pub const REUSE_DELAY: Duration = Duration::from_millis(10);
+
+impl<P: ConnectionProtocol> Pool<P> {
+    /// Releases a connection after a complete response. It is reusable after [`REUSE_DELAY`], and then goes to the
+    /// longest waiting attempt, if there is one.
+    pub fn release(self: &Rc<Self>, connection: Connection<P>) {
+        let server = connection.server;
+        let reusable_at = self.clock.now() + REUSE_DELAY;
+        self.add_idle(connection, reusable_at);
+        if !self.has_waiters(server) {
+            return;
+        }
+        let pool = self.clone();
+        spawn_local(async move {
+            sleep_until(pool.clock.instant(reusable_at)).await;
+            pool.serve_waiters(server);
+        });
+    }
+
+    /// Releases a connection that has carried nothing since it was acquired or opened. It is reusable at once.
+    pub fn release_unused(&self, connection: Connection<P>) {
+        let server = connection.server;
+        self.add_idle(connection, Duration::ZERO);
+        self.serve_waiters(server);
+    }
+
+    fn add_idle(&self, connection: Connection<P>, reusable_at: Duration) {
+        let mut backends = self.backends.borrow_mut();
+        if let Some(backend) = backends.get_mut(&connection.server) {
+            backend.add_idle(connection, self.clock.now(), reusable_at);
+        }
+    }
+
+    fn has_waiters(&self, server: ServerId) -> bool {
+        self.backends
+            .borrow()
+            .get(&server)
+            .is_some_and(|backend| !backend.waiters.is_empty())
+    }
+
+    fn serve_waiters(&self, server: ServerId) {
+        if let Some(backend) = self.backends.borrow_mut().get_mut(&server) {
+            backend.serve_waiters(self.clock.now(), self.timeouts.get().idle_timeout);
+        }
+    }
+}
--- a/crates/pool/src/tests.rs
+++ b/crates/pool/src/pool/tests.rs
@@ -1,15 +1,25 @@
-use super::*;
-use sillward_balancer::Endpoint;
+//! Acquiring, dialling and releasing connections.
+
+use super::{Pool, REUSE_DELAY};
+use crate::{ConnectionLimit, ConnectionProtocol, PoolTimeouts};
+use sillward_balancer::{Endpoint, EndpointUpdate, Outcome, ServerId, ServerState};
+use sillward_forwarding::{Backend, BackendUpdate};
 use sillward_runtime::net::TcpListener;
 use sillward_runtime::task::{block_on, yield_now};
+use sillward_runtime::time::sleep;
+use sillward_runtime::{Clock, Stream};
+use std::cell::Cell;
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
 
 const SERVER: ServerId = ServerId(1);
 
-/// Carries nothing, and tells connections apart by their number.
+/// Numbers the connections.
 #[derive(Default)]
-struct Numbered(Cell<usize>);
+struct NumberedSessions(Cell<usize>);
 
-impl ConnectionProtocol for Numbered {
+impl ConnectionProtocol for NumberedSessions {
     type Session = (usize, Stream);
 
     async fn handshake(&self, stream: Stream) -> io::Result<Self::Session> {
@@ -22,11 +32,11 @@
     }
 }
 
-/// Makes no connection ready before it is told to.
+/// Completes a handshake each time it is notified.
 #[derive(Default)]
-struct Late(tokio::sync::Notify);
+struct DelayedHandshake(tokio::sync::Notify);
 
-impl ConnectionProtocol for Late {
+impl ConnectionProtocol for DelayedHandshake {
     type Session = Stream;
 
     async fn handshake(&self, stream: Stream) -> io::Result<Self::Session> {
@@ -39,15 +49,20 @@
     }
 }
 
-/// A pool that knows one backend, which listens.
-fn with_pool(test: impl AsyncFnOnce(Rc<Pool<Numbered>>, TcpListener)) {
-    with_pool_of(Numbered::default(), Duration::from_secs(60), 10, test);
+/// Runs a test on a pool with one backend, which listens.
+fn with_pool(test: impl AsyncFnOnce(Rc<Pool<NumberedSessions>>, TcpListener)) {
+    with_pool_of(
+        NumberedSessions::default(),
+        Duration::from_secs(60),
+        10,
+        test,
+    );
 }
 
 fn with_pool_of<P: ConnectionProtocol>(
     protocol: P,
     connect_timeout: Duration,
-    most: usize,
+    max_connections: usize,
     test: impl AsyncFnOnce(Rc<Pool<P>>, TcpListener),
 ) {
     block_on(async {
@@ -60,7 +75,12 @@
             connect_timeout,
             drain_grace: Duration::ZERO,
         };
-        let pool = Pool::start(Clock::start(), protocol, terms, ConnectionLimit::new(most));
+        let pool = Pool::start(
+            Clock::start(),
+            protocol,
+            terms,
+            ConnectionLimit::new(max_connections),
+        );
         let entry = Endpoint {
             id: SERVER,
             state: ServerState::Ready,
@@ -81,18 +101,18 @@
 }
 
 /// How many connections to the backend are idle in the pool.
-fn idle<P: ConnectionProtocol>(pool: &Pool<P>) -> usize {
-    pool.places
+fn idle_count<P: ConnectionProtocol>(pool: &Pool<P>) -> usize {
+    pool.backends
         .borrow()
         .get(&SERVER)
-        .map_or(0, |place| place.idle.len())
+        .map_or(0, |backend| backend.idle_count())
 }
 
 #[test]
-fn who_waits_for_a_dial_takes_what_falls_free_and_the_late_dial_is_kept() {
+fn uses_a_released_connection_while_dialling_and_keeps_the_dialled_one() {
     with_pool(async |pool, _listener| {
         let first = pool.acquire(SERVER).await.expect("a connection");
-        let freed = first.session.0;
+        let released = first.session.0;
         let mut second = std::pin::pin!(pool.acquire(SERVER));
         tokio::select! {
             biased;
@@ -100,20 +120,20 @@
             () = std::future::ready(()) => pool.release_unused(first),
         }
         let taken = second.await.expect("a connection");
-        assert_eq!(taken.session.0, freed);
-        while idle(&pool) == 0 {
+        assert_eq!(taken.session.0, released);
+        while idle_count(&pool) == 0 {
             yield_now().await;
         }
         let late = pool.acquire(SERVER).await.expect("a connection");
-        assert_ne!(late.session.0, freed);
-        assert_eq!(pool.sockets.open.get(), 2, "nothing further was dialled");
+        assert_ne!(late.session.0, released);
+        assert_eq!(pool.limit.open(), 2, "there was no further dial");
     });
 }
 
 #[test]
-fn a_dial_that_came_too_late_for_who_waited_serves_the_next() {
+fn serves_a_later_request_with_a_dial_that_came_up_late() {
     with_pool_of(
-        Late::default(),
+        DelayedHandshake::default(),
         Duration::from_millis(30),
         10,
         async |pool, _listener| {
@@ -121,9 +141,9 @@
                 pool.acquire(SERVER).await.err(),
                 Some(Outcome::ConnectFailed)
             );
-            assert_eq!(pool.sockets.open.get(), 1, "it may yet come");
+            assert_eq!(pool.limit.open(), 1, "it may still come up");
             pool.protocol.0.notify_one();
-            while idle(&pool) == 0 {
+            while idle_count(&pool) == 0 {
                 yield_now().await;
             }
             assert!(pool.acquire(SERVER).await.is_ok());
@@ -132,45 +152,45 @@
 }
 
 #[test]
-fn a_dial_that_never_comes_up_and_one_where_descriptors_run_short_are_let_go_of() {
-    for most in [10, 1] {
+fn abandons_a_dial_that_never_comes_up_or_when_descriptors_run_short() {
+    for max_connections in [10, 1] {
         with_pool_of(
-            Late::default(),
+            DelayedHandshake::default(),
             Duration::from_millis(10),
-            most,
+            max_connections,
             async |pool, _listener| {
                 assert_eq!(
                     pool.acquire(SERVER).await.err(),
                     Some(Outcome::ConnectFailed)
                 );
-                if most == 1 {
-                    // The next turn, not the rest of its time.
+                if max_connections == 1 {
+                    // At the next poll, not after the rest of its time.
                     yield_now().await;
-                    assert_eq!(pool.sockets.open.get(), 0);
+                    assert_eq!(pool.limit.open(), 0);
                 }
-                while pool.sockets.open.get() > 0 {
+                while pool.limit.open() > 0 {
                     sleep(Duration::from_millis(5)).await;
                 }
-                assert_eq!(idle(&pool), 0);
+                assert_eq!(idle_count(&pool), 0);
             },
         );
     }
 }
 
-/// Neither the runtime nor hyper have had a turn since the bytes came: only the kernel knows of them.
+/// Regression: the runtime has not polled since the bytes were received, so that only the kernel knows of them.
 #[test]
-fn a_connection_is_not_used_again_once_something_came_behind_its_answer() {
+fn does_not_reuse_a_connection_with_bytes_after_its_response() {
     with_pool(async |pool, listener| {
         let first = pool.acquire(SERVER).await.expect("a connection");
         let (stream, _) = listener.accept().await.expect("the dial");
         let (backend, _) = Stream::new(stream);
-        // Known to be writable from now on: what is written below waits for no turn of the runtime.
+        // Writable from now on: the write below does not wait for the runtime.
         backend.write(&[]).await.expect("a node");
         let used = first.session.0;
-        // Hyper has its first turn before, and would see nothing.
+        // The first poll is before the bytes are written, and sees nothing.
         yield_now().await;
         pool.release(first);
-        assert_eq!(idle(&pool), 1);
+        assert_eq!(idle_count(&pool), 1);
         backend
             .write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             .await
@@ -181,28 +201,28 @@
 }
 
 #[test]
-fn a_connection_delivered_to_who_has_left_goes_back_to_the_pool() {
+fn returns_a_connection_that_was_delivered_to_a_cancelled_waiter() {
     with_pool(async |pool, _listener| {
         let first = pool.acquire(SERVER).await.expect("a connection");
-        let freed = first.session.0;
+        let released = first.session.0;
         let mut second = Box::pin(pool.acquire(SERVER));
         tokio::select! {
             biased;
             _ = &mut second => panic!("the dial has not been up yet"),
             () = std::future::ready(()) => pool.release_unused(first),
         }
-        assert_eq!(idle(&pool), 0);
+        assert_eq!(idle_count(&pool), 0);
         drop(second);
-        assert_eq!(idle(&pool), 1);
+        assert_eq!(idle_count(&pool), 1);
         assert_eq!(
             pool.acquire(SERVER).await.ok().map(|back| back.session.0),
-            Some(freed)
+            Some(released)
         );
     });
 }
 
 #[test]
-fn a_connection_rests_after_its_answer_and_whoever_needs_it_waits_for_that() {
+fn delays_reuse_after_a_response_and_waits_for_it() {
     with_pool(async |pool, _listener| {
         let first = pool.acquire(SERVER).await.expect("a connection");
         let used = first.session.0;
@@ -210,15 +230,15 @@
         pool.release(first);
         let again = pool.acquire(SERVER).await.expect("a connection");
         assert_eq!(
-            (again.session.0, pool.sockets.open.get()),
+            (again.session.0, pool.limit.open()),
             (used, 1),
             "it costs no handshake"
         );
         assert!(
             pool.clock.now() >= answered + REUSE_DELAY,
-            "what comes late behind the answer would be read as the next"
+            "a late second response would be read as the next one"
         );
-        // What carried nothing has nothing to rest from.
+        // An unused connection is reusable at once.
         let unsent = pool.clock.now();
         pool.release_unused(again);
         assert!(pool.acquire(SERVER).await.is_ok() && pool.clock.now() < unsent + REUSE_DELAY);
@@ -226,9 +246,9 @@
 }
 
 #[test]
-fn a_dial_that_takes_far_longer_than_usual_has_one_other_beside_it() {
+fn hedges_a_slow_dial_with_one_other() {
     with_pool_of(
-        Late::default(),
+        DelayedHandshake::default(),
         Duration::from_millis(900),
         10,
         async |pool, _listener| {
@@ -236,26 +256,26 @@
                 pool.protocol.0.notify_one();
                 drop(pool.acquire(SERVER).await.expect("a connection"));
             }
-            assert_eq!(pool.sockets.open.get(), 0);
+            assert_eq!(pool.limit.open(), 0);
             let mut taking = Box::pin(pool.acquire(SERVER));
             let mut most = 0;
             let beside = async {
-                while pool.sockets.open.get() < 2 {
+                while pool.limit.open() < 2 {
                     sleep(Duration::from_millis(1)).await;
                 }
             };
             tokio::select! {
                 biased;
                 _ = &mut taking => panic!("no dial has been up yet"),
-                () = beside => most = most.max(pool.sockets.open.get()),
+                () = beside => most = most.max(pool.limit.open()),
             }
             assert_eq!(most, 2);
             pool.protocol.0.notify_one();
             let taken = taking.await;
-            assert!(taken.is_ok() && pool.sockets.open.get() == 2);
-            // The other one comes up late, and serves the next.
+            assert!(taken.is_ok() && pool.limit.open() == 2);
+            // The other one comes up late, and serves a later request.
             pool.protocol.0.notify_one();
-            while idle(&pool) == 0 {
+            while idle_count(&pool) == 0 {
                 yield_now().await;
             }
         },
@@ -263,9 +283,9 @@
 }
 
 #[test]
-fn who_waits_for_a_dial_takes_what_falls_free_once_that_has_rested() {
+fn uses_a_released_connection_while_dialling_after_the_reuse_delay() {
     with_pool_of(
-        Late::default(),
+        DelayedHandshake::default(),
         Duration::from_secs(60),
         10,
         async |pool, _listener| {
