--- a/crates/forwarding/src/message.rs
+++ b/crates/forwarding/src/message.rs
@@ -3,7 +3,7 @@
 use crate::{AcceptedRequest, AttemptResult, BackendUpdate, HealthCheckResult, ResponseStarted};
 use sillward_balancer::RequestId;
 use sillward_balancer::settings::PlatformSettings;
-use sillward_metrics::View;
+use sillward_metrics::EndpointGauges;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -32,5 +32,5 @@
         generation: u64,
     },
     /// Asks how many backends are listed, and how many of them are avoided.
-    View(oneshot::Sender<View>),
+    EndpointGauges(oneshot::Sender<EndpointGauges>),
 }
--- a/crates/forwarding/src/node/events.rs
+++ b/crates/forwarding/src/node/events.rs
@@ -10,7 +10,7 @@
 use sillward_balancer::settings::PlatformSettings;
 use sillward_balancer::{AttemptEnd, Event, HealthCheckEnd, RequestId};
 use sillward_logging::log_peer;
-use sillward_metrics::View;
+use sillward_metrics::EndpointGauges;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -28,9 +28,8 @@
                 settings,
                 generation,
             } => self.on_settings(&settings, generation),
-            Message::View(reply) => {
-                let (known, skipped) = self.balancer.view();
-                let _ = reply.send(View { known, skipped }); // fails only if nobody waits for it any more
+            Message::EndpointGauges(reply) => {
+                let _ = reply.send(self.endpoint_gauges()); // fails only if nobody waits for it any more
             }
         }
     }
@@ -55,6 +54,14 @@
         }
     }
 
+    fn endpoint_gauges(&self) -> EndpointGauges {
+        let counts = self.balancer.endpoint_counts();
+        EndpointGauges {
+            known: counts.listed,
+            avoided: counts.ejected,
+        }
+    }
+
     fn on_settings(&mut self, settings: &PlatformSettings, generation: u64) {
         if self.settings_in_force.accept(generation, self.clock.now()) {
             self.apply_settings(settings);
@@ -82,7 +89,7 @@
             let queued = self.clock.now().saturating_sub(received_at);
             request.remaining = request.remaining.saturating_sub(queued);
         }
-        let in_progress = self.counters.taken();
+        let in_progress = self.counters.request_started();
         if let Some(observer) = &self.observer {
             observer.request_accepted(self.clock.now(), request.class, request.client_retry);
         }
--- a/crates/forwarding/src/node/pending_request.rs
+++ b/crates/forwarding/src/node/pending_request.rs
@@ -3,7 +3,7 @@
 use super::timers::TimerId;
 use crate::{Call, FinalResponse, StopReason};
 use sillward_balancer::{Outcome, ServerId};
-use sillward_metrics::{Counters, End, InProgress};
+use sillward_metrics::{Counters, InProgressGuard, RequestOutcome};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -26,13 +26,13 @@
     /// It is owed to the client.
     Owed {
         reply: oneshot::Sender<FinalResponse>,
-        in_progress: InProgress,
+        in_progress: InProgressGuard,
     },
     /// The client is receiving the response of an attempt.
     Streaming {
         attempt: u32,
         began_at: Duration,
-        _in_progress: InProgress,
+        _in_progress: InProgressGuard,
     },
     /// It has been given, or the client has left.
     Done,
@@ -59,7 +59,7 @@
         call: Call,
         received_at: Duration,
         reply: oneshot::Sender<FinalResponse>,
-        in_progress: InProgress,
+        in_progress: InProgressGuard,
     ) -> Self {
         PendingRequest {
             call: Rc::new(call),
@@ -83,19 +83,19 @@
 
     /// Gives the final response, unless it has been given.
     pub(super) fn respond(&mut self, counters: &Counters, response: FinalResponse) {
-        let end = match response {
-            FinalResponse::Complete(_) => Some(End::Passed),
+        let outcome = match response {
+            FinalResponse::Complete(_) => Some(RequestOutcome::Served),
             FinalResponse::Streamed { .. } => None, // counted by `end_streaming`
-            FinalResponse::Rejected { .. } => Some(End::Dropped),
-            FinalResponse::Failed | FinalResponse::TimedOut => Some(End::BadGateway),
+            FinalResponse::Rejected { .. } => Some(RequestOutcome::Rejected),
+            FinalResponse::Failed | FinalResponse::TimedOut => Some(RequestOutcome::Failed),
         };
         self.call.progress.finished.set(true);
         let Some((reply, in_progress)) = self.take_owed() else {
             return;
         };
         drop(in_progress);
-        if let Some(end) = end {
-            counters.ended(self.call.class, end);
+        if let Some(outcome) = outcome {
+            counters.request_ended(self.call.class, outcome);
         }
         let _ = reply.send(response); // fails only if the client has just left
     }
@@ -138,9 +138,9 @@
         };
         self.response = ResponseState::Done;
         match outcome {
-            Outcome::Served => counters.ended(self.call.class, End::Passed),
+            Outcome::Served => counters.request_ended(self.call.class, RequestOutcome::Served),
             Outcome::Cancelled => {} // the client has left
-            _ => counters.ended(self.call.class, End::BadGateway),
+            _ => counters.request_ended(self.call.class, RequestOutcome::Failed),
         }
         Some(began_at)
     }
@@ -162,7 +162,7 @@
     }
 
     /// The end of an owed response. The next state is [`ResponseState::Done`].
-    fn take_owed(&mut self) -> Option<(oneshot::Sender<FinalResponse>, InProgress)> {
+    fn take_owed(&mut self) -> Option<(oneshot::Sender<FinalResponse>, InProgressGuard)> {
         if !self.owes_response() {
             return None;
         }
