--- a/crates/app/src/fronts.rs
+++ b/crates/app/src/fronts.rs
@@ -5,7 +5,7 @@
 use hyper::Method;
 use sillward_admin::{Admin, Posted, Reply, Route};
 use sillward_consensus_io::Council;
-use sillward_endpoints::Membership;
+use sillward_endpoints::MergedEndpoints;
 use sillward_forwarding::{Budget, Intake, Live, Message};
 use sillward_hot_restart::Holding;
 use sillward_listener::{Door, Hold, Life};
@@ -133,13 +133,13 @@
         &self,
         platform: Option<SocketAddr>,
         operator: Option<SocketAddr>,
-        sources: Option<Rc<RefCell<Membership>>>,
+        sources: Option<Rc<RefCell<MergedEndpoints>>>,
         fleet: Option<Rc<Fleet>>,
         council: Option<Rc<Council>>,
         told: Option<Rc<outcomes::Outcomes>>,
     ) -> Result<(), String> {
         let clock = self.clock;
-        let page = |path, text: fn(Clock, &Rc<RefCell<Membership>>) -> String| {
+        let page = |path, text: fn(Clock, &Rc<RefCell<MergedEndpoints>>) -> String| {
             let sources = sources.clone();
             let text = move || {
                 sources
--- a/crates/app/src/pages.rs
+++ b/crates/app/src/pages.rs
@@ -1,7 +1,7 @@
 //! What operators see: plain JSON.
 
 use sillward_balancer::ServerState;
-use sillward_endpoints::{Membership, Standing};
+use sillward_endpoints::{MergedEndpoints, SourceState};
 use sillward_runtime::Clock;
 use std::cell::RefCell;
 use std::fmt::Write;
@@ -17,27 +17,27 @@
 }
 
 /// The sources with state and age. Ages are in milliseconds.
-pub fn sources(clock: Clock, membership: &Rc<RefCell<Membership>>) -> String {
+pub fn sources(clock: Clock, membership: &Rc<RefCell<MergedEndpoints>>) -> String {
     let (now, membership) = (clock.now(), membership.borrow());
     let mut out = String::from("{\"sources\":[");
     let age = |at: Duration| now.saturating_sub(at).as_millis();
-    let sources = membership.sources();
+    let sources = membership.source_statuses();
     for (i, source) in sources.iter().enumerate() {
-        let standing = match source.standing {
-            Standing::Never => "never",
-            Standing::Resyncing => "resyncing",
-            Standing::Current => "current",
-            Standing::Silent => "silent",
+        let state = match source.state {
+            SourceState::NeverSynced => "never",
+            SourceState::Resyncing => "resyncing",
+            SourceState::Current => "current",
+            SourceState::Disconnected => "silent",
         };
         let heard = source
-            .heard
+            .last_heard
             .map_or("null".to_owned(), |heard| age(heard).to_string());
         let comma = if i > 0 { "," } else { "" };
         // A write into a string can't fail.
         let _ = write!(
             out,
-            "{comma}{{\"name\":\"{}\",\"state\":\"{standing}\",\"age_ms\":{heard},\"backends\":{},\"held\":{}}}",
-            source.name, source.lines, source.held
+            "{comma}{{\"name\":\"{}\",\"state\":\"{state}\",\"age_ms\":{heard},\"backends\":{},\"held\":{}}}",
+            source.name, source.endpoints, source.withheld_removals
         );
     }
     out.push_str("]}");
@@ -45,23 +45,23 @@
 }
 
 /// The sources, and who says what of each backend. Ages are in milliseconds.
-pub fn membership(clock: Clock, membership: &Rc<RefCell<Membership>>) -> String {
+pub fn membership(clock: Clock, membership: &Rc<RefCell<MergedEndpoints>>) -> String {
     let mut out = sources(clock, membership);
     out.pop();
     out.push_str(",\"backends\":[");
     let (now, membership) = (clock.now(), membership.borrow());
     let age = |at: Duration| now.saturating_sub(at).as_millis();
-    let sources = membership.sources();
-    for (i, line) in membership.lines().enumerate() {
+    let sources = membership.source_statuses();
+    for (i, line) in membership.endpoints().enumerate() {
         let comma = if i > 0 { "," } else { "" };
         let _ = write!(
             out,
             "{comma}{{\"id\":\"{:016x}\",\"address\":\"{}\",\"state\":\"{}\",\"said\":{{",
-            line.entry.id.0,
+            line.endpoint.id.0,
             line.address,
-            state(line.entry.state)
+            state(line.endpoint.state)
         );
-        let said = membership.said(line.entry.id);
+        let said = membership.source_entries(line.endpoint.id);
         let words = sources
             .iter()
             .zip(said)
@@ -71,9 +71,9 @@
             let _ = write!(
                 out,
                 "{comma}\"{name}\":{{\"state\":\"{}\",\"age_ms\":{},\"held\":{}}}",
-                state(said.line.entry.state),
+                state(said.listed.endpoint.state),
                 age(said.since),
-                said.held.is_some()
+                said.removal_withheld_since.is_some()
             );
         }
         out.push_str("}}");
--- /dev/null
+++ b/crates/endpoint-updates/src/aggregator.rs
@@ -0,0 +1,148 @@
+//! The task that applies the sources' updates to the merged list and sends its changes to the node.
+
+use crate::event::SourceEvent;
+use sillward_balancer::EndpointUpdate;
+use sillward_endpoints::{ListedEndpoint, MergedEndpoints, SourceId};
+use sillward_forwarding::{Backend, Message, News};
+use sillward_runtime::Clock;
+use sillward_runtime::time::{Instant, sleep_until};
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::mpsc;
+
+/// How often withheld removals are checked.
+const REMOVAL_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Discovery's place among the sources of the merged list.
+const DISCOVERY: SourceId = SourceId(0);
+/// The additional source's place.
+const ADDITIONAL: SourceId = SourceId(1);
+
+/// Aggregates discovery and an additional source.
+pub struct EndpointAggregator {
+    clock: Clock,
+    merged: Rc<RefCell<MergedEndpoints>>,
+    node: mpsc::Sender<Message>,
+    ready: Rc<Cell<bool>>,
+}
+
+impl EndpointAggregator {
+    /// `merged` has discovery as its first source and the additional one as its second. `ready` is set once the
+    /// additional source has sent its complete list.
+    pub fn new(
+        clock: Clock,
+        merged: Rc<RefCell<MergedEndpoints>>,
+        node: mpsc::Sender<Message>,
+        ready: Rc<Cell<bool>>,
+    ) -> Self {
+        EndpointAggregator {
+            clock,
+            merged,
+            node,
+            ready,
+        }
+    }
+
+    /// Runs until the node has ended. A channel that closes only ends the updates of its source.
+    pub async fn run(
+        self,
+        mut discovery: mpsc::Receiver<Message>,
+        mut additional: mpsc::Receiver<SourceEvent>,
+    ) {
+        let mut removal_check_at = Instant::now() + REMOVAL_CHECK_INTERVAL;
+        loop {
+            // Receiving from a channel is cancellation safe: a branch that is dropped has taken nothing.
+            let changed = tokio::select! {
+                biased;
+                () = sleep_until(removal_check_at) => {
+                    removal_check_at = Instant::now() + REMOVAL_CHECK_INTERVAL;
+                    self.merged.borrow_mut().apply_due_removals(self.clock.now())
+                }
+                Some(message) = discovery.recv() => self.apply_discovery_message(message).await,
+                Some(event) = additional.recv() => self.apply_event(event),
+            };
+            if changed.is_empty() {
+                continue;
+            }
+            let news = News {
+                kind: EndpointUpdate::Incremental,
+                backends: changed.into_iter().map(to_backend).collect(),
+            };
+            if self.node.send(Message::List(news)).await.is_err() {
+                return;
+            }
+        }
+    }
+
+    async fn apply_discovery_message(&self, message: Message) -> Vec<ListedEndpoint> {
+        match message {
+            Message::List(news) if news.kind == EndpointUpdate::Failed => {
+                self.merged.borrow_mut().mark_disconnected(DISCOVERY);
+                self.forward(Message::List(news)).await;
+                Vec::new()
+            }
+            Message::List(news) => self.apply_discovery_list(&news),
+            other => {
+                self.forward(other).await;
+                Vec::new()
+            }
+        }
+    }
+
+    fn apply_discovery_list(&self, news: &News) -> Vec<ListedEndpoint> {
+        let now = self.clock.now();
+        let endpoints = to_listed(&news.backends);
+        let mut merged = self.merged.borrow_mut();
+        if news.kind == EndpointUpdate::Incremental {
+            return merged.update(DISCOVERY, now, &endpoints);
+        }
+        merged.begin_resync(DISCOVERY, now);
+        let mut changed = merged.update(DISCOVERY, now, &endpoints);
+        changed.extend(merged.finish_resync(DISCOVERY, now));
+        changed
+    }
+
+    fn apply_event(&self, event: SourceEvent) -> Vec<ListedEndpoint> {
+        let now = self.clock.now();
+        let mut merged = self.merged.borrow_mut();
+        match event {
+            SourceEvent::ResyncStarted => {
+                merged.begin_resync(ADDITIONAL, now);
+                Vec::new()
+            }
+            SourceEvent::Updated(backends) => merged.update(ADDITIONAL, now, &to_listed(&backends)),
+            SourceEvent::Removed(id) => merged.remove(ADDITIONAL, now, id),
+            SourceEvent::ResyncFinished => {
+                self.ready.set(true);
+                merged.finish_resync(ADDITIONAL, now)
+            }
+            SourceEvent::Connected => {
+                merged.mark_connected(ADDITIONAL, now);
+                Vec::new()
+            }
+            SourceEvent::Disconnected => {
+                merged.mark_disconnected(ADDITIONAL);
+                Vec::new()
+            }
+        }
+    }
+
+    async fn forward(&self, message: Message) {
+        let _ = self.node.send(message).await; // fails only if the node has ended
+    }
+}
+
+fn to_listed(backends: &[Backend]) -> Vec<ListedEndpoint> {
+    let listed = |backend: &Backend| ListedEndpoint {
+        endpoint: backend.entry,
+        address: backend.address,
+    };
+    backends.iter().map(listed).collect()
+}
+
+fn to_backend(listed: ListedEndpoint) -> Backend {
+    Backend {
+        entry: listed.endpoint,
+        address: listed.address,
+    }
+}
--- /dev/null
+++ b/crates/endpoints/src/merge.rs
@@ -0,0 +1,49 @@
+//! What the reports of all sources about one endpoint come to.
+
+use crate::endpoint::ListedEndpoint;
+use crate::source::SourceEntry;
+use sillward_balancer::ServerState;
+use std::time::Duration;
+
+/// The merged endpoint; `None` without a report. `entries` are in the sources' order.
+pub(crate) fn merge(entries: &[&SourceEntry]) -> Option<ListedEndpoint> {
+    let newest = entries
+        .iter()
+        .filter_map(|entry| entry.listed.endpoint.started_at)
+        .max();
+    let mut merged = preferred(entries, newest)?.listed;
+    merged.endpoint.state = strictest_state(entries, newest);
+    merged.endpoint.started_at = newest;
+    Some(merged)
+}
+
+/// The entry whose address and attributes count: the first that lists the newest incarnation.
+fn preferred<'a>(entries: &[&'a SourceEntry], newest: Option<Duration>) -> Option<&'a SourceEntry> {
+    let is_listed = |entry: &SourceEntry| !entry.listed.is_removed();
+    let is_newest = |entry: &SourceEntry| {
+        let started_at = entry.listed.endpoint.started_at;
+        started_at.is_none() || started_at == newest
+    };
+    entries
+        .iter()
+        .find(|entry| is_listed(entry) && is_newest(entry))
+        .or_else(|| entries.iter().find(|entry| is_listed(entry)))
+        .or_else(|| entries.first())
+        .copied()
+}
+
+fn strictest_state(entries: &[&SourceEntry], newest: Option<Duration>) -> ServerState {
+    let reported = |state: ServerState| {
+        entries.iter().any(|entry| {
+            let is_void = entry.incarnation < newest;
+            entry.listed.endpoint.state == state && !is_void
+        })
+    };
+    if reported(ServerState::Removed) {
+        ServerState::Removed
+    } else if reported(ServerState::Draining) {
+        ServerState::Draining
+    } else {
+        ServerState::Ready
+    }
+}
--- /dev/null
+++ b/crates/endpoints/src/source.rs
@@ -0,0 +1,219 @@
+//! One source of endpoints: its connection's state and what it reports of each endpoint.
+
+use crate::endpoint::ListedEndpoint;
+use crate::guard::RemovalGuard;
+use sillward_balancer::ServerId;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// A source of endpoints, as it is set up.
+#[derive(Clone, Debug, PartialEq)]
+pub struct SourceConfig {
+    /// Its name, for operators.
+    pub name: String,
+    /// When its resyncs are distrusted; without a guard each takes effect at once.
+    pub removal_guard: Option<RemovalGuard>,
+}
+
+/// The state of a source.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SourceState {
+    /// It has reported nothing yet.
+    NeverSynced,
+    /// It is sending its complete list.
+    Resyncing,
+    /// It has sent its complete list, and is connected.
+    Current,
+    /// It is disconnected; what it reported still counts.
+    Disconnected,
+}
+
+/// A source, as operators see it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct SourceStatus {
+    /// Its name.
+    pub name: String,
+    /// Its state.
+    pub state: SourceState,
+    /// When it last sent anything.
+    pub last_heard: Option<Duration>,
+    /// How many endpoints it lists.
+    pub endpoints: usize,
+    /// How many removals were withheld, as of the last resync or check for due removals.
+    pub withheld_removals: usize,
+}
+
+/// What a source reports of an endpoint.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SourceEntry {
+    /// The endpoint as the source lists it.
+    pub listed: ListedEndpoint,
+    /// When this state was first reported.
+    pub since: Duration,
+    /// Since when its removal is withheld: it was missing from a complete list.
+    pub removal_withheld_since: Option<Duration>,
+    /// The start time of the incarnation that the report is about.
+    pub(crate) incarnation: Option<Duration>,
+    /// The number of the last resync that had it.
+    last_resync: u64,
+}
+
+pub(crate) struct Source {
+    name: String,
+    removal_guard: Option<RemovalGuard>,
+    state: SourceState,
+    last_heard: Option<Duration>,
+    entries: BTreeMap<ServerId, SourceEntry>,
+    /// The number of the resync that runs, or that ran last.
+    resync: u64,
+    withheld_removals: usize,
+}
+
+impl Source {
+    pub(crate) fn new(config: SourceConfig) -> Self {
+        Source {
+            name: config.name,
+            removal_guard: config.removal_guard,
+            state: SourceState::NeverSynced,
+            last_heard: None,
+            entries: BTreeMap::new(),
+            resync: 0,
+            withheld_removals: 0,
+        }
+    }
+
+    pub(crate) fn status(&self) -> SourceStatus {
+        SourceStatus {
+            name: self.name.clone(),
+            state: self.state,
+            last_heard: self.last_heard,
+            endpoints: self.listed_count(),
+            withheld_removals: self.withheld_removals,
+        }
+    }
+
+    pub(crate) fn entry(&self, id: ServerId) -> Option<&SourceEntry> {
+        self.entries.get(&id)
+    }
+
+    pub(crate) fn forget(&mut self, id: ServerId) {
+        self.entries.remove(&id);
+    }
+
+    pub(crate) fn begin_resync(&mut self, now: Duration) {
+        self.resync += 1;
+        self.state = SourceState::Resyncing;
+        self.last_heard = Some(now);
+    }
+
+    pub(crate) fn finish_resync(&mut self, now: Duration) {
+        self.state = SourceState::Current;
+        self.last_heard = Some(now);
+    }
+
+    pub(crate) fn touch(&mut self, now: Duration) {
+        self.last_heard = Some(now);
+    }
+
+    pub(crate) fn mark_connected(&mut self) {
+        if self.state == SourceState::Disconnected {
+            self.state = SourceState::Current;
+        }
+    }
+
+    pub(crate) fn mark_disconnected(&mut self) {
+        if self.state != SourceState::NeverSynced {
+            self.state = SourceState::Disconnected;
+        }
+    }
+
+    /// Records a report about `incarnation`. A removal of an endpoint that this source never listed is ignored.
+    pub(crate) fn record(
+        &mut self,
+        now: Duration,
+        listed: &ListedEndpoint,
+        incarnation: Option<Duration>,
+    ) {
+        let mut entry = SourceEntry {
+            listed: *listed,
+            since: now,
+            removal_withheld_since: None,
+            incarnation,
+            last_resync: self.resync,
+        };
+        match self.entries.get_mut(&listed.endpoint.id) {
+            Some(old) => {
+                let before = old.listed.endpoint;
+                let after = listed.endpoint;
+                // A repeated report counts from when it was first made, and for the incarnation of then.
+                if before.state == after.state && before.started_at == after.started_at {
+                    entry.since = old.since;
+                    entry.incarnation = old.incarnation;
+                }
+                *old = entry;
+            }
+            None if listed.is_removed() => {}
+            None => {
+                self.entries.insert(listed.endpoint.id, entry);
+            }
+        }
+    }
+
+    /// The listed endpoints that the resync that has just ended lacked.
+    pub(crate) fn missing(&self) -> Vec<ServerId> {
+        self.entries
+            .iter()
+            .filter(|(_, entry)| !entry.listed.is_removed() && entry.last_resync != self.resync)
+            .map(|(id, _)| *id)
+            .collect()
+    }
+
+    /// Whether the guard withholds the removal of these endpoints.
+    pub(crate) fn distrusts(&self, missing: &[ServerId]) -> bool {
+        let listed = self.listed_count();
+        self.removal_guard
+            .is_some_and(|guard| guard.withholds(missing.len(), listed))
+    }
+
+    /// Withholds the removal of these endpoints from `now`, or from when it was withheld first.
+    pub(crate) fn withhold(&mut self, missing: &[ServerId], now: Duration) {
+        for id in missing {
+            if let Some(entry) = self.entries.get_mut(id) {
+                entry.removal_withheld_since.get_or_insert(now);
+            }
+        }
+    }
+
+    /// The endpoints whose removal was withheld for long enough. Only a source that is current can confirm a removal,
+    /// and none may remove its whole list. `None` if there is nothing to check.
+    pub(crate) fn due_removals(&self, now: Duration) -> Option<Vec<ServerId>> {
+        let guard = self.removal_guard?;
+        let confirms = self.state == SourceState::Current;
+        if self.withheld_removals == 0 || !confirms || self.withheld_removals >= self.listed_count()
+        {
+            return None;
+        }
+        let is_due = |entry: &SourceEntry| {
+            entry
+                .removal_withheld_since
+                .is_some_and(|since| now >= since + guard.delay)
+        };
+        let due = self.entries.iter().filter(|(_, entry)| is_due(entry));
+        Some(due.map(|(id, _)| *id).collect())
+    }
+
+    pub(crate) fn count_withheld(&mut self) {
+        self.withheld_removals = self
+            .entries
+            .values()
+            .filter(|entry| entry.removal_withheld_since.is_some())
+            .count();
+    }
+
+    fn listed_count(&self) -> usize {
+        self.entries
+            .values()
+            .filter(|entry| !entry.listed.is_removed())
+            .count()
+    }
+}
--- a/crates/etcd/src/lib.rs
+++ b/crates/etcd/src/lib.rs
@@ -1,12 +1,19 @@
-//! Membership from etcd's watch API (`KV.Range` and `Watch.Watch` of `etcdserverpb`, over gRPC): keys under a prefix,
-//! values in discovery's entry form. What to do next is decided without I/O ([`Session`]).
+//! The endpoint list from etcd's watch API (`KV.Range` and `Watch.Watch` of `etcdserverpb`, over gRPC): the keys under a
+//! prefix, with values in discovery's entry form.
+//!
+//! What to do next is decided without I/O by the `session`; `source` does it, and `publisher` turns keys into the
+//! events of an endpoint source.
 #![forbid(unsafe_code)]
 
+mod config;
+mod error;
 mod grpc;
 pub mod proto;
+mod publisher;
 mod session;
 mod source;
 
-pub use grpc::{Frames, Grpc, Status, Stream, framed};
-pub use session::{Session, Times, Wish};
-pub use source::{Etcd, Terms};
+pub use config::{Credentials, EtcdConfig, Timeouts};
+pub use error::{EtcdError, ProtocolError};
+pub use grpc::{FrameDecoder, GrpcConnection, GrpcStream, encode_frame};
+pub use source::EtcdSource;
--- /dev/null
+++ b/crates/etcd/src/session/tests.rs
@@ -0,0 +1,300 @@
+//! The session: order and repetition of events, compaction and older or other clusters, broken lists, backoff.
+
+use super::*;
+use crate::proto::Event;
+
+fn header(cluster_id: u64, revision: i64) -> Option<ResponseHeader> {
+    Some(ResponseHeader {
+        cluster_id,
+        revision,
+        ..ResponseHeader::default()
+    })
+}
+
+fn kv(key: &str, mod_revision: i64, value: &str) -> KeyValue {
+    KeyValue {
+        key: Bytes::copy_from_slice(key.as_bytes()),
+        value: Bytes::copy_from_slice(value.as_bytes()),
+        mod_revision,
+        ..KeyValue::default()
+    }
+}
+
+fn event(key: &str, revision: i64, value: Option<&str>) -> Event {
+    let kind = if value.is_some() {
+        EventType::Put
+    } else {
+        EventType::Delete
+    };
+    Event {
+        r#type: kind as i32,
+        kv: Some(kv(key, revision, value.unwrap_or_default())),
+    }
+}
+
+fn put(key: &str, value: &str) -> Action {
+    let bytes = |text: &str| Bytes::copy_from_slice(text.as_bytes());
+    Action::Put {
+        key: bytes(key),
+        value: bytes(value),
+    }
+}
+
+fn delete(key: &str) -> Action {
+    Action::Delete {
+        key: Bytes::copy_from_slice(key.as_bytes()),
+    }
+}
+
+fn events(revision: i64, events: Vec<Event>) -> WatchResponse {
+    WatchResponse {
+        header: header(1, revision),
+        events,
+        ..WatchResponse::default()
+    }
+}
+
+fn created(cluster: u64, revision: i64) -> WatchResponse {
+    WatchResponse {
+        header: header(cluster, revision),
+        created: true,
+        ..WatchResponse::default()
+    }
+}
+
+fn read_list() -> Vec<Action> {
+    vec![Action::ReadPage {
+        after: Bytes::new(),
+        revision: 0,
+    }]
+}
+
+/// A session that watches after a list of `a` and `b` at revision 10.
+fn watching() -> Session {
+    let mut session = Session::new(3, Timeouts::default(), 1);
+    assert_eq!(session.on_connected(), read_list());
+    let page = |kvs, more| RangeResponse {
+        header: header(1, 10),
+        kvs,
+        more,
+        count: 2,
+    };
+    let actions = session.on_page(page(vec![kv("a", 4, "1")], true));
+    let next = Action::ReadPage {
+        after: Bytes::from_static(b"a"),
+        revision: 10,
+    };
+    assert_eq!(actions, [Action::BeginList, put("a", "1"), next]);
+    let actions = session.on_page(page(vec![kv("b", 9, "2")], false));
+    assert_eq!(
+        actions,
+        [
+            put("b", "2"),
+            Action::EndList,
+            Action::OpenWatch { from: 11 }
+        ]
+    );
+    assert_eq!(session.on_watch_response(created(1, 10)), []);
+    assert!(session.is_current());
+    session
+}
+
+#[test]
+fn applies_events_once_in_the_order_of_revisions_however_they_are_delivered() {
+    let mut session = watching();
+    let fragment = |fragment, list| WatchResponse {
+        fragment,
+        ..events(12, list)
+    };
+    assert_eq!(
+        session.on_watch_response(fragment(true, vec![event("a", 12, Some("3"))])),
+        []
+    );
+    assert_eq!(session.revision, 10, "a fragment completes no revision");
+    let last = session.on_watch_response(fragment(
+        false,
+        vec![event("b", 12, None), event("c", 11, Some("4"))],
+    ));
+    assert_eq!(last, [put("c", "4"), put("a", "3"), delete("b")]);
+    assert_eq!(session.revision, 12);
+    // Repeated and older events are ignored.
+    let again = vec![
+        event("a", 12, Some("3")),
+        event("b", 12, None),
+        event("b", 9, Some("2")),
+        event("before", 7, Some("the list")),
+    ];
+    assert_eq!(session.on_watch_response(events(12, again)), []);
+    // Revisions in the wrong order: each key has its newest.
+    assert_eq!(
+        session.on_watch_response(events(15, vec![event("a", 15, Some("5"))])),
+        [put("a", "5")]
+    );
+    let late = vec![event("a", 14, None), event("c", 14, None)];
+    assert_eq!(session.on_watch_response(events(15, late)), [delete("c")]);
+    assert_eq!(session.revision, 15);
+    // Progress moves the revision on.
+    assert_eq!(session.on_watch_response(events(40, vec![])), []);
+    session.on_disconnected();
+    assert_eq!(session.on_connected(), [Action::OpenWatch { from: 41 }]);
+}
+
+#[test]
+fn reads_the_list_again_if_compacted_or_older_or_of_another_cluster() {
+    let canceled = |compact_revision, reason: &str| WatchResponse {
+        header: header(1, 99),
+        canceled: true,
+        compact_revision,
+        cancel_reason: reason.to_owned(),
+        ..WatchResponse::default()
+    };
+    let mut session = watching();
+    session.on_disconnected();
+    assert_eq!(session.on_connected(), [Action::OpenWatch { from: 11 }]);
+    assert_eq!(
+        session.on_watch_response(canceled(50, "compacted")),
+        read_list()
+    );
+    // While the list is read, its revision may be compacted too.
+    let page = RangeResponse {
+        header: header(1, 99),
+        kvs: vec![kv("a", 4, "1")],
+        more: true,
+        count: 9,
+    };
+    assert_eq!(session.on_page(page).len(), 3);
+    assert_eq!(session.on_page_compacted(), read_list());
+    // A lower revision, at the watch's start or in a progress notice.
+    let mut session = watching();
+    session.on_disconnected();
+    session.on_connected();
+    assert_eq!(session.on_watch_response(created(1, 3)), read_list());
+    assert_eq!(watching().on_watch_response(events(9, vec![])), read_list());
+    // Another cluster, whatever its revision.
+    assert_eq!(
+        watching().on_watch_response(WatchResponse {
+            header: header(2, 11),
+            ..events(11, vec![])
+        }),
+        read_list()
+    );
+    // Any other end is that of the connection, and the next attempt resumes the watch.
+    let mut session = watching();
+    assert!(matches!(
+        session.on_watch_response(canceled(0, "permission denied"))[..],
+        [Action::Disconnect(_)]
+    ));
+    session.on_disconnected();
+    assert_eq!(session.on_connected(), [Action::OpenWatch { from: 11 }]);
+    // A list at a lower revision makes that the known one.
+    let mut session = watching();
+    session.resync();
+    let page = RangeResponse {
+        header: header(2, 5),
+        kvs: vec![kv("z", 5, "9")],
+        more: false,
+        count: 1,
+    };
+    assert_eq!(
+        session.on_page(page),
+        [
+            Action::BeginList,
+            put("z", "9"),
+            Action::EndList,
+            Action::OpenWatch { from: 6 }
+        ]
+    );
+    assert_eq!(session.on_watch_response(created(2, 5)), []);
+    // And keys that were known before are new again.
+    let again = WatchResponse {
+        header: header(2, 6),
+        ..events(6, vec![event("a", 6, Some("1"))])
+    };
+    assert_eq!(session.on_watch_response(again), [put("a", "1")]);
+}
+
+#[test]
+fn reads_a_list_that_broke_off_again() {
+    let mut session = watching();
+    session.resync();
+    let page = RangeResponse {
+        header: header(1, 30),
+        kvs: vec![kv("a", 4, "1")],
+        more: true,
+        count: 9,
+    };
+    session.on_page(page);
+    session.on_disconnected();
+    assert_eq!(session.on_connected(), read_list());
+}
+
+#[test]
+fn tries_the_endpoints_in_turn_with_exponential_backoff() {
+    let timeouts = Timeouts::default();
+    let mut session = Session::new(3, timeouts, 7);
+    let first = session.endpoint();
+    let mut longest = timeouts.initial_backoff;
+    for i in 1..20 {
+        let delay = session.on_disconnected();
+        assert_eq!(session.endpoint(), (first + i) % 3);
+        assert!(
+            delay >= longest / 2 && delay <= longest,
+            "{delay:?} of {longest:?}"
+        );
+        longest = (longest * 2).min(timeouts.max_backoff);
+    }
+    let mut session = watching();
+    assert!(
+        session.on_disconnected() <= timeouts.initial_backoff,
+        "the backoff is short after a watch"
+    );
+}
+
+/// etcd restarts: all watches break at once, and it is down for a while.
+#[test]
+fn spreads_the_reconnects_of_seven_hundred_watchers() {
+    let timeouts = Timeouts::default();
+    let down = Duration::from_secs(3);
+    let mut arrivals = Vec::new();
+    let mut lists = 0;
+    for seed in 0..700u64 {
+        let mut session = Session::new(3, timeouts, seed);
+        session.on_connected();
+        let page = RangeResponse {
+            header: header(1, 10),
+            ..RangeResponse::default()
+        };
+        session.on_page(page);
+        session.on_watch_response(created(1, 10));
+        let mut at = session.on_disconnected();
+        while at < down {
+            at += session.on_disconnected();
+        }
+        arrivals.push(at);
+        session.on_connected();
+        // A quarter of them had missed the last revisions, which are compacted away.
+        let compact_revision = if seed % 4 == 0 { 12 } else { 0 };
+        let response = WatchResponse {
+            header: header(1, 14),
+            canceled: compact_revision > 0,
+            created: compact_revision == 0,
+            compact_revision,
+            ..WatchResponse::default()
+        };
+        lists += usize::from(session.on_watch_response(response) == read_list());
+    }
+    arrivals.sort();
+    let spread = arrivals[699] - arrivals[0];
+    let window = Duration::from_millis(100);
+    let peak = arrivals.iter().map(|from| {
+        arrivals
+            .iter()
+            .filter(|at| *at >= from && **at < *from + window)
+            .count()
+    });
+    let peak = peak.max().expect("some");
+    println!("peak {peak} in 100 ms, spread {spread:?}, {lists} lists");
+    assert_eq!(lists, 175);
+    assert!(peak < 700 / 10, "{peak} of 700 within 100 ms");
+    assert!(spread > Duration::from_secs(1), "{spread:?}");
+}
--- a/crates/etcd/src/source.rs
+++ b/crates/etcd/src/source.rs
@@ -1,266 +1,208 @@
-//! The source: does what the session wishes, and tells what keys say.
+//! The task that follows etcd: does what the session wants done, and passes keys on to the publisher.
 
-use crate::grpc::{Grpc, Status, Stream};
+use crate::config::EtcdConfig;
+use crate::error::{EtcdError, code};
+use crate::grpc::{GrpcConnection, GrpcStream};
 use crate::proto::{
     AuthenticateRequest, AuthenticateResponse, RangeRequest, RangeResponse, WatchCreateRequest,
-    WatchProgressRequest, WatchRequest, WatchResponse, WatchWish, range_end,
+    WatchProgressRequest, WatchRequest, WatchRequestUnion, WatchResponse, range_end,
 };
-use crate::session::{Session, Times, Wish};
+use crate::publisher::Publisher;
+use crate::session::{Action, Session};
 use bytes::Bytes;
-use sillward_balancer::ServerId;
-use sillward_endpoint_updates::Telling;
-use sillward_forwarding::{Backend, Live};
-use sillward_logging::{log, log_peer};
+use sillward_endpoint_updates::SourceEvent;
+use sillward_forwarding::Live;
+use sillward_logging::log;
 use sillward_runtime::time::{Instant, sleep, timeout};
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::VecDeque;
+use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Keys of a page of the list.
-const PAGE: i64 = 500;
-/// Lines that are told at once: between two such parts other work has its turn.
-const PART: usize = 25;
-/// So long at least between two parts of a whole list.
-const BREATH: Duration = Duration::from_millis(1);
-/// gRPC's code for a revision that is compacted, or in the future.
-const OUT_OF_RANGE: u32 = 11;
-
-/// What an installation says of its etcd.
-#[derive(Clone, Debug)]
-pub struct Terms {
-    /// Tried in turn; at least one.
-    pub endpoints: Vec<SocketAddr>,
-    /// The keys that are backends.
-    pub prefix: String,
-    /// User and password, where etcd asks for them.
-    pub user: Option<(String, String)>,
-    /// How long to wait for what.
-    pub times: Times,
-}
+const AUTHENTICATE: &str = "/etcdserverpb.Auth/Authenticate";
+const RANGE: &str = "/etcdserverpb.KV/Range";
+const WATCH: &str = "/etcdserverpb.Watch/Watch";
+/// Keys in a page of the list.
+const PAGE_KEYS: i64 = 500;
+/// Into how many parts the keep-alive timeout of a watch is divided: after each but the last, progress is requested.
+const KEEP_ALIVE_PARTS: u32 = 3;
 
 /// Follows etcd.
-pub struct Etcd {
-    terms: Terms,
-    live: Rc<Live>,
+pub struct EtcdSource {
+    config: EtcdConfig,
     session: Session,
-    tellings: mpsc::Sender<Telling>,
-    /// The last good line of each key.
-    lines: BTreeMap<Bytes, Backend>,
-    /// Those of before the list that is being read.
-    before: BTreeMap<Bytes, Backend>,
-    part: Vec<Backend>,
-    listing: bool,
+    publisher: Publisher,
 }
 
-impl Etcd {
-    pub fn new(terms: Terms, live: Rc<Live>, seed: u64, tellings: mpsc::Sender<Telling>) -> Self {
-        let session = Session::new(terms.endpoints.len(), terms.times, seed.rotate_left(17));
-        let (lines, before) = (BTreeMap::new(), BTreeMap::new());
-        Etcd {
-            terms,
-            live,
-            session,
-            tellings,
-            lines,
-            before,
-            part: Vec::new(),
-            listing: false,
+impl EtcdSource {
+    /// `live` has the settings by which values are read. `seed` spreads the attempts of many nodes.
+    pub fn new(
+        config: EtcdConfig,
+        live: Rc<Live>,
+        seed: u64,
+        events: mpsc::Sender<SourceEvent>,
+    ) -> Self {
+        // Another sequence than that of the node's other generators with the same seed.
+        let session_seed = seed.rotate_left(17);
+        EtcdSource {
+            session: Session::new(config.endpoints.len(), config.timeouts, session_seed),
+            publisher: Publisher::new(live, events),
+            config,
         }
     }
 
-    /// Follows it for good. Whatever breaks is no news: what was told stays.
+    /// Follows etcd until it is dropped. A connection that breaks withdraws nothing.
     pub async fn run(mut self) {
         loop {
-            let endpoint = self.terms.endpoints[self.session.endpoint()];
-            let broken = self.follow(endpoint).await;
-            log(format_args!("etcd at {endpoint}: {broken}"));
-            self.listing = false;
-            self.part.clear();
-            self.tell(Telling::Silent).await;
-            sleep(self.session.lost()).await;
+            let endpoint = self.config.endpoints[self.session.endpoint()];
+            let Err(error) = self.follow(endpoint).await;
+            log(format_args!(
+                "etcd at {endpoint}: {error} (gRPC {})",
+                error.code()
+            ));
+            self.publisher.disconnected().await;
+            sleep(self.session.on_disconnected()).await;
         }
     }
 
-    /// Follows one endpoint until that breaks; returns why.
-    async fn follow(&mut self, endpoint: SocketAddr) -> String {
-        match self.followed(endpoint).await {
-            Ok(()) => "it ended".to_owned(),
-            Err(Status { code, message }) => format!("{message} (gRPC {code})"),
+    /// Follows one endpoint until that fails.
+    async fn follow(&mut self, endpoint: SocketAddr) -> Result<Infallible, EtcdError> {
+        let timeouts = self.config.timeouts;
+        let mut connection = within(timeouts.connect, GrpcConnection::connect(endpoint)).await?;
+        self.authenticate(&mut connection).await?;
+        let mut actions: VecDeque<Action> = self.session.on_connected().into();
+        let mut watch = None;
+        let mut resync_at = Instant::now() + timeouts.resync_interval;
+        loop {
+            while let Some(action) = actions.pop_front() {
+                let next = self.perform(action, &mut connection, &mut watch).await?;
+                actions.extend(next);
+            }
+            self.publisher.flush().await;
+            let watch = watch.as_mut().ok_or(EtcdError::Timeout)?;
+            let response = self.next_response(watch).await?;
+            self.publisher.connected().await;
+            actions.extend(self.session.on_watch_response(response));
+            let is_idle = actions.is_empty() && self.session.is_current();
+            if is_idle && Instant::now() >= resync_at {
+                resync_at = Instant::now() + timeouts.resync_interval;
+                actions.extend(self.session.resync());
+            }
         }
     }
 
-    async fn followed(&mut self, endpoint: SocketAddr) -> Result<(), Status> {
-        let silent = || Status {
-            code: 4,
-            message: "silent".to_owned(),
+    async fn authenticate(&self, connection: &mut GrpcConnection) -> Result<(), EtcdError> {
+        let Some(credentials) = &self.config.credentials else {
+            return Ok(());
         };
-        let times = self.terms.times;
-        let mut grpc = timeout(times.connect, Grpc::connect(endpoint))
-            .await
-            .map_err(|_| silent())??;
-        if let Some((name, password)) = self.terms.user.clone() {
-            let request = AuthenticateRequest { name, password };
-            let call = grpc.unary("/etcdserverpb.Auth/Authenticate", &request);
-            let response: AuthenticateResponse =
-                timeout(times.connect, call).await.map_err(|_| silent())??;
-            grpc.authorize(&response.token);
-        }
-        let mut wishes: VecDeque<Wish> = self.session.connected().into();
-        let mut watch: Option<Stream> = None;
-        let mut resync_at = Instant::now() + times.resync;
-        loop {
-            while let Some(wish) = wishes.pop_front() {
-                match wish {
-                    Wish::Range { after, revision } => {
-                        let page =
-                            timeout(times.keep_alive, self.page(&mut grpc, &after, revision)).await;
-                        wishes.extend(match page.map_err(|_| silent())? {
-                            Ok(page) => self.session.page(page),
-                            Err(status) if status.code == OUT_OF_RANGE => {
-                                self.session.page_compacted()
-                            }
-                            Err(status) => return Err(status),
-                        });
-                    }
-                    Wish::Watch { from } => {
-                        let create = WatchCreateRequest {
-                            key: self.terms.prefix.clone().into(),
-                            range_end: range_end(self.terms.prefix.as_bytes()),
-                            start_revision: from,
-                            progress_notify: true,
-                            fragment: true,
-                        };
-                        let create = WatchRequest {
-                            wish: Some(WatchWish::Create(create)),
-                        };
-                        let opened = grpc.stream("/etcdserverpb.Watch/Watch", &create);
-                        watch = Some(
-                            timeout(times.keep_alive, opened)
-                                .await
-                                .map_err(|_| silent())??,
-                        );
-                    }
-                    Wish::Begin => {
-                        // A list that broke off has left some of them here.
-                        self.before.append(&mut self.lines);
-                        self.listing = true;
-                        self.tell(Telling::Begin).await;
-                    }
-                    Wish::Put { key, value } => self.put(key, &value).await,
-                    Wish::Delete { key } => self.delete(&key).await,
-                    Wish::End => {
-                        self.flush().await;
-                        self.before.clear();
-                        self.listing = false;
-                        self.tell(Telling::End).await;
-                    }
-                    Wish::Drop(why) => {
-                        return Err(Status {
-                            code: 13,
-                            message: why,
-                        });
-                    }
-                }
-            }
-            self.flush().await;
-            let Some(stream) = &mut watch else {
-                return Err(silent());
-            };
-            let mut asked = 0;
-            let response: WatchResponse = loop {
-                match timeout(times.keep_alive / 3, stream.next()).await {
-                    Ok(response) => break response?,
-                    Err(_) if asked < 2 => {
-                        asked += 1;
-                        let wish = Some(WatchWish::Progress(WatchProgressRequest {}));
-                        stream.send(&WatchRequest { wish })?;
-                    }
-                    Err(_) => return Err(silent()),
-                }
-            };
-            self.tell(Telling::Heard).await;
-            wishes.extend(self.session.watched(response));
-            if wishes.is_empty() && Instant::now() >= resync_at && self.session.is_current() {
-                resync_at = Instant::now() + times.resync;
-                wishes.extend(self.session.resync());
+        let request = AuthenticateRequest {
+            name: credentials.user.clone(),
+            password: credentials.password.clone(),
+        };
+        let call = connection.unary(AUTHENTICATE, &request);
+        let response: AuthenticateResponse = within(self.config.timeouts.connect, call).await?;
+        connection.set_token(&response.token);
+        Ok(())
+    }
+
+    /// Performs an action; returns those that follow from it.
+    async fn perform(
+        &mut self,
+        action: Action,
+        connection: &mut GrpcConnection,
+        watch: &mut Option<GrpcStream>,
+    ) -> Result<Vec<Action>, EtcdError> {
+        match action {
+            Action::ReadPage { after, revision } => {
+                return self.read_page(connection, &after, revision).await;
             }
+            Action::OpenWatch { from } => *watch = Some(self.open_watch(connection, from).await?),
+            Action::BeginList => self.publisher.begin_list().await,
+            Action::Put { key, value } => self.publisher.put(key, &value).await,
+            Action::Delete { key } => self.publisher.delete(&key).await,
+            Action::EndList => self.publisher.end_list().await,
+            Action::Disconnect(error) => return Err(error.into()),
         }
+        Ok(Vec::new())
     }
 
-    async fn page(
-        &self,
-        grpc: &mut Grpc,
+    async fn read_page(
+        &mut self,
+        connection: &mut GrpcConnection,
         after: &[u8],
         revision: i64,
-    ) -> Result<RangeResponse, Status> {
-        // From the key that comes next after the last one.
-        let key = if after.is_empty() {
-            self.terms.prefix.clone().into()
-        } else {
-            [after, &[0]].concat().into()
-        };
-        let range_end = range_end(self.terms.prefix.as_bytes());
+    ) -> Result<Vec<Action>, EtcdError> {
         let request = RangeRequest {
-            key,
-            range_end,
-            limit: PAGE,
+            key: self.first_key(after),
+            range_end: range_end(self.config.prefix.as_bytes()),
+            limit: PAGE_KEYS,
             revision,
         };
-        grpc.unary("/etcdserverpb.KV/Range", &request).await
-    }
-
-    async fn put(&mut self, key: Bytes, value: &[u8]) {
-        let backend = match sillward_discovery::read_entry(&self.live.get(), value) {
-            Ok(backend) => backend,
-            Err(e) => {
-                let name = String::from_utf8_lossy(&key).into_owned();
-                log_peer(format_args!(
-                    "etcd: the value of {name:?} can't be read, its last good one stays: {e}"
-                ));
-                match self.before.get(&key).or_else(|| self.lines.get(&key)) {
-                    Some(last) => last.clone(),
-                    None => return,
-                }
-            }
-        };
-        let id = backend.entry.id;
-        let old = self.lines.insert(key, backend.clone());
-        if let Some(old) = old.filter(|old| old.entry.id != id) {
-            self.gone(old.entry.id).await;
-        }
-        self.part.push(backend);
-        if self.part.len() >= PART {
-            self.flush().await;
-            if self.listing {
-                sleep(BREATH).await;
+        let call = connection.unary(RANGE, &request);
+        let page: Result<RangeResponse, EtcdError> =
+            within(self.config.timeouts.keep_alive, call).await;
+        match page {
+            Ok(page) => Ok(self.session.on_page(page)),
+            Err(error) if error.code() == code::OUT_OF_RANGE => {
+                Ok(self.session.on_page_compacted())
             }
+            Err(error) => Err(error),
         }
     }
 
-    async fn delete(&mut self, key: &Bytes) {
-        if let Some(old) = self.lines.remove(key) {
-            self.gone(old.entry.id).await;
+    /// The first key of a page: the prefix, or the key that is next after the last page's.
+    fn first_key(&self, after: &[u8]) -> Bytes {
+        if after.is_empty() {
+            self.config.prefix.clone().into()
+        } else {
+            [after, &[0]].concat().into()
         }
     }
 
-    /// A key no longer names that backend; perhaps another does.
-    async fn gone(&mut self, id: ServerId) {
-        self.flush().await;
-        if !self.lines.values().any(|line| line.entry.id == id) {
-            self.tell(Telling::Gone(id)).await;
-        }
+    async fn open_watch(
+        &self,
+        connection: &mut GrpcConnection,
+        from: i64,
+    ) -> Result<GrpcStream, EtcdError> {
+        let create = WatchCreateRequest {
+            key: self.config.prefix.clone().into(),
+            range_end: range_end(self.config.prefix.as_bytes()),
+            start_revision: from,
+            progress_notify: true,
+            fragment: true,
+        };
+        let request = WatchRequest {
+            request_union: Some(WatchRequestUnion::Create(create)),
+        };
+        let opened = connection.stream(WATCH, &request);
+        within(self.config.timeouts.keep_alive, opened).await
     }
 
-    async fn flush(&mut self) {
-        if !self.part.is_empty() {
-            let part = std::mem::take(&mut self.part);
-            self.tell(Telling::Lines(part)).await;
+    /// The next response of the watch. Progress is requested while none comes.
+    async fn next_response(&self, watch: &mut GrpcStream) -> Result<WatchResponse, EtcdError> {
+        let part = self.config.timeouts.keep_alive / KEEP_ALIVE_PARTS;
+        for _ in 1..KEEP_ALIVE_PARTS {
+            match within(part, watch.next()).await {
+                Err(EtcdError::Timeout) => watch.send(&progress_request())?,
+                response => return response,
+            }
         }
+        within(part, watch.next()).await
     }
+}
 
-    async fn tell(&self, telling: Telling) {
-        let _ = self.tellings.send(telling).await; // or the node has ended
+fn progress_request() -> WatchRequest {
+    WatchRequest {
+        request_union: Some(WatchRequestUnion::Progress(WatchProgressRequest {})),
     }
 }
+
+/// What the call returns, or [`EtcdError::Timeout`]. The call is dropped then.
+async fn within<T>(
+    limit: Duration,
+    call: impl Future<Output = Result<T, EtcdError>>,
+) -> Result<T, EtcdError> {
+    timeout(limit, call).await.map_err(|_| EtcdError::Timeout)?
+}
--- a/crates/operator-config/src/etcd.rs
+++ b/crates/operator-config/src/etcd.rs
@@ -2,11 +2,14 @@
 
 use crate::reader::Section;
 use sillward_balancer::settings::PlatformSettings;
-use sillward_endpoints::Guard;
-use sillward_etcd::{Terms, Times};
+use sillward_endpoints::RemovalGuard;
+use sillward_etcd::{Credentials, EtcdConfig, Timeouts};
 use std::time::Duration;
 
-pub fn read(section: &Section<'_>, site: Option<&PlatformSettings>) -> Option<(Terms, Guard)> {
+pub fn read(
+    section: &Section<'_>,
+    site: Option<&PlatformSettings>,
+) -> Option<(EtcdConfig, RemovalGuard)> {
     if site.is_some_and(|site| site.settings.poll_endpoint_list) {
         section.fault(
             "endpoints",
@@ -32,38 +35,40 @@
     if user.is_some() != password.is_some() {
         section.fault("password", "user and password go together");
     }
-    let usual = Times::default();
+    let usual = Timeouts::default();
     let time = |name, usual: Duration| {
         section
             .number(name, 1, 86_400_000)
             .map_or(usual, |ms| Duration::from_millis(ms as u64))
     };
-    let times = Times {
+    let timeouts = Timeouts {
         connect: time("connect_ms", usual.connect),
         keep_alive: time("keep_alive_ms", usual.keep_alive),
-        first_pause: time("first_pause_ms", usual.first_pause),
-        longest_pause: time("longest_pause_ms", usual.longest_pause),
-        resync: time("resync_ms", usual.resync),
+        initial_backoff: time("first_pause_ms", usual.initial_backoff),
+        max_backoff: time("longest_pause_ms", usual.max_backoff),
+        resync_interval: time("resync_ms", usual.resync_interval),
     };
-    if times.first_pause > times.longest_pause {
+    if timeouts.initial_backoff > timeouts.max_backoff {
         section.fault("first_pause_ms", "is longer than longest_pause_ms");
     }
-    let usual = Guard::default();
-    let guard = Guard {
-        most_percent: section
+    let usual = RemovalGuard::default();
+    let guard = RemovalGuard {
+        max_removed_percent: section
             .number("guard_percent", 0, 100)
-            .map_or(usual.most_percent, |n| n as usize),
-        least: section
+            .map_or(usual.max_removed_percent, |n| n as usize),
+        min_removed: section
             .number("guard_least", 1, 1 << 20)
-            .map_or(usual.least, |n| n as usize),
-        hold: time("guard_hold_ms", usual.hold),
+            .map_or(usual.min_removed, |n| n as usize),
+        delay: time("guard_hold_ms", usual.delay),
     };
     let endpoints: Result<Vec<_>, _> = parsed.into_iter().collect();
-    let terms = Terms {
+    let config = EtcdConfig {
         endpoints: endpoints.ok()?,
         prefix,
-        user: user.zip(password),
-        times,
+        credentials: user
+            .zip(password)
+            .map(|(user, password)| Credentials { user, password }),
+        timeouts,
     };
-    Some((terms, guard))
+    Some((config, guard))
 }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -16,7 +16,7 @@
 
 use reader::Reader;
 use sillward_balancer::settings::PlatformSettings;
-use sillward_endpoints::Guard;
+use sillward_endpoints::RemovalGuard;
 use sillward_thrift::{BackendTerms, FrontTerms};
 use std::net::SocketAddr;
 
@@ -28,7 +28,7 @@
     /// Machine types whose backends speak Thrift.
     pub thrift_backends: Vec<BackendTerms>,
     /// Membership from etcd, with the guard of its lists.
-    pub etcd: Option<(sillward_etcd::Terms, Guard)>,
+    pub etcd: Option<(sillward_etcd::EtcdConfig, RemovalGuard)>,
     /// The fleet that this node is a member of.
     pub fleet: Option<FleetTerms>,
     /// What its nodes tell each other of backends and classes.
--- a/testing/scenarios/src/scenario/etcd.rs
+++ b/testing/scenarios/src/scenario/etcd.rs
@@ -4,7 +4,7 @@
 use crate::etcd::{Etcd, Manner, Sent, operator};
 use crate::peers::{Backend, Client, Discovery, Node, config, entry, list, ok, settings, until};
 use crate::random::Random;
-use sillward_etcd::Grpc;
+use sillward_etcd::GrpcConnection;
 use sillward_etcd::proto::{RangeRequest, RangeResponse};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -235,7 +235,9 @@
             .build()
             .expect("a runtime");
         tokio::task::LocalSet::new().block_on(&runtime, async move {
-            let mut grpc = Grpc::connect(address).await.expect("a connection");
+            let mut grpc = GrpcConnection::connect(address)
+                .await
+                .expect("a connection");
             let mut times = Vec::new();
             for _ in 0..60 {
                 let request = RangeRequest {
--- a/testing/servers/src/etcd.rs
+++ b/testing/servers/src/etcd.rs
@@ -8,7 +8,7 @@
 use http::{HeaderMap, HeaderValue, Request, Response};
 use prost::Message;
 use sillward_etcd::proto::*;
-use sillward_etcd::{Frames, Grpc, Status, framed};
+use sillward_etcd::{EtcdError, FrameDecoder, GrpcConnection, encode_frame};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex};
@@ -437,7 +437,7 @@
         if path == "/etcdserverpb.Watch/Watch" && allowed {
             return self.watch(body, respond).await;
         }
-        let mut frames = Frames::default();
+        let mut frames = FrameDecoder::default();
         while let Some(Ok(data)) = body.data().await {
             frames.push(&data);
             let _ = body.flow_control().release_capacity(data.len());
@@ -468,8 +468,8 @@
         let _ = out.send_trailers(trailers);
     }
 
-    fn unary(&self, path: &str, frames: &mut Frames) -> Result<Bytes, (u16, &'static str)> {
-        fn read<M: Message + Default>(frames: &mut Frames) -> Result<M, (u16, &'static str)> {
+    fn unary(&self, path: &str, frames: &mut FrameDecoder) -> Result<Bytes, (u16, &'static str)> {
+        fn read<M: Message + Default>(frames: &mut FrameDecoder) -> Result<M, (u16, &'static str)> {
             frames.message().ok().flatten().ok_or((3, "no message"))
         }
         let mut store = self.store.lock().expect("the store");
@@ -504,7 +504,7 @@
                 if !more {
                     self.note(Sent::List(revision));
                 }
-                Ok(framed(&RangeResponse {
+                Ok(encode_frame(&RangeResponse {
                     header: store.header(),
                     kvs,
                     more,
@@ -515,7 +515,7 @@
                 let PutRequest { key, value, lease } = read(frames)?;
                 store.put(key, value, lease);
                 self.changed();
-                Ok(framed(&HeaderOnly {
+                Ok(encode_frame(&HeaderOnly {
                     header: store.header(),
                 }))
             }
@@ -524,14 +524,14 @@
                 let keys = store.range(&request.key, &request.range_end);
                 store.delete(&keys);
                 self.changed();
-                Ok(framed(&HeaderOnly {
+                Ok(encode_frame(&HeaderOnly {
                     header: store.header(),
                 }))
             }
             "/etcdserverpb.KV/Compact" => {
                 let request: CompactionRequest = read(frames)?;
                 store.compacted = request.revision.min(store.revision);
-                Ok(framed(&HeaderOnly {
+                Ok(encode_frame(&HeaderOnly {
                     header: store.header(),
                 }))
             }
@@ -545,7 +545,7 @@
                 };
                 let ttl = Duration::from_secs(u64::try_from(request.ttl).unwrap_or_default());
                 store.leases.insert(id, Instant::now() + ttl);
-                Ok(framed(&LeaseGrantResponse {
+                Ok(encode_frame(&LeaseGrantResponse {
                     header: store.header(),
                     id,
                     ttl: request.ttl,
@@ -563,7 +563,7 @@
                         "etcdserver: authentication failed, invalid user ID or password",
                     ));
                 }
-                Ok(framed(&AuthenticateResponse {
+                Ok(encode_frame(&AuthenticateResponse {
                     header: store.header(),
                     token: "the-token".to_owned(),
                 }))
@@ -580,37 +580,40 @@
         let Ok(mut out) = respond.send_response(response, false) else {
             return;
         };
-        let (mut change, mut frames) = (self.change.subscribe(), Frames::default());
+        let (mut change, mut frames) = (self.change.subscribe(), FrameDecoder::default());
         let mut watched: Option<WatchCreateRequest> = None;
         let mut emptied = false;
         let progress_at = Instant::now() + Duration::from_secs(600); // etcd's own interval
         loop {
             self.wait().await;
-            // What the client wishes.
-            while let Ok(Some(WatchRequest { wish: Some(wish) })) = frames.message() {
+            // What the client requests.
+            while let Ok(Some(WatchRequest {
+                request_union: Some(request),
+            })) = frames.message()
+            {
                 let header = self.store.lock().expect("the store").header();
                 let mut response = WatchResponse {
                     header,
                     ..WatchResponse::default()
                 };
-                match wish {
-                    WatchWish::Create(mut create) => {
+                match request {
+                    WatchRequestUnion::Create(mut create) => {
                         self.seen.lock().expect("seen").watches += 1;
                         response.created = true;
-                        send(&mut out, framed(&response)).await;
+                        send(&mut out, encode_frame(&response)).await;
                         let forgets = self.manner.lock().expect("its manner").forgets;
                         let compacted = self.compacted(&mut create, forgets);
                         if let Some(response) = compacted {
-                            send(&mut out, framed(&response)).await;
+                            send(&mut out, encode_frame(&response)).await;
                             continue;
                         }
                         watched = Some(create);
                     }
-                    WatchWish::Progress(_) => send(&mut out, framed(&response)).await,
-                    WatchWish::Cancel(_) => {
+                    WatchRequestUnion::Progress(_) => send(&mut out, encode_frame(&response)).await,
+                    WatchRequestUnion::Cancel(_) => {
                         response.canceled = true;
                         watched = None;
-                        send(&mut out, framed(&response)).await;
+                        send(&mut out, encode_frame(&response)).await;
                     }
                 }
             }
@@ -619,14 +622,14 @@
                 let manner = self.manner.lock().expect("its manner").clone();
                 if manner.empties && !std::mem::replace(&mut emptied, true) {
                     let response = self.emptied(create);
-                    send(&mut out, framed(&response)).await;
+                    send(&mut out, encode_frame(&response)).await;
                 }
                 for response in self.responses(create, &manner) {
                     for kv in response.events.iter().filter_map(|event| event.kv.as_ref()) {
                         let key = String::from_utf8_lossy(&kv.key).into_owned();
                         self.note(Sent::Event(key, kv.mod_revision));
                     }
-                    let response = framed(&response);
+                    let response = encode_frame(&response);
                     send(&mut out, response).await;
                 }
             }
@@ -743,8 +746,8 @@
         Bytes::copy_from_slice(value.as_bytes()),
     );
     local.block_on(&runtime, async {
-        let failed = |status: Status| format!("{} (code {})", status.message, status.code);
-        let mut grpc = Grpc::connect(to).await.map_err(failed)?;
+        let failed = |error: EtcdError| format!("{error} (code {})", error.code());
+        let mut grpc = GrpcConnection::connect(to).await.map_err(failed)?;
         let put = PutRequest {
             key,
             value,
--- a/testing/simulation/src/parties/etcd.rs
+++ b/testing/simulation/src/parties/etcd.rs
@@ -10,9 +10,9 @@
 use http::{HeaderMap, HeaderValue, Request, Response};
 use sillward_etcd::proto::{
     Event, EventType, KeyValue, RangeRequest, RangeResponse, ResponseHeader, WatchRequest,
-    WatchResponse, WatchWish,
+    WatchRequestUnion, WatchResponse,
 };
-use sillward_etcd::{Frames, framed};
+use sillward_etcd::{FrameDecoder, encode_frame};
 use sillward_runtime::time::sleep_until;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -204,7 +204,7 @@
             };
             return self.watch(node, body, out).await;
         }
-        let mut frames = Frames::default();
+        let mut frames = FrameDecoder::default();
         while let Some(Ok(data)) = body.data().await {
             frames.push(&data);
             let _ = body.flow_control().release_capacity(data.len());
@@ -230,7 +230,7 @@
         let _ = out.send_trailers(trailers);
     }
 
-    fn range(&self, node: Host, frames: &mut Frames) -> Result<Bytes, Failed> {
+    fn range(&self, node: Host, frames: &mut FrameDecoder) -> Result<Bytes, Failed> {
         let request: RangeRequest = frames.message().ok().flatten().ok_or((3, "no message"))?;
         let revision = if request.revision > 0 {
             request.revision
@@ -265,7 +265,7 @@
             })
             .collect();
         let count = kvs.len() as i64;
-        Ok(framed(&RangeResponse {
+        Ok(encode_frame(&RangeResponse {
             header: self.header(),
             kvs,
             more: false,
@@ -294,19 +294,22 @@
     }
 
     async fn watch(&self, node: Host, mut body: h2::RecvStream, mut out: h2::SendStream<Bytes>) {
-        let mut frames = Frames::default();
+        let mut frames = FrameDecoder::default();
         let mut from: Option<i64> = None;
         loop {
             self.awake().await;
-            while let Ok(Some(WatchRequest { wish: Some(wish) })) = frames.message() {
+            while let Ok(Some(WatchRequest {
+                request_union: Some(request),
+            })) = frames.message()
+            {
                 let mut response = WatchResponse {
                     header: self.header(),
                     ..WatchResponse::default()
                 };
-                match wish {
-                    WatchWish::Create(create) => {
+                match request {
+                    WatchRequestUnion::Create(create) => {
                         response.created = true;
-                        let _ = out.send_data(framed(&response), false);
+                        let _ = out.send_data(encode_frame(&response), false);
                         let start = if create.start_revision == 0 {
                             self.revision() + 1
                         } else {
@@ -316,13 +319,15 @@
                             response.created = false;
                             response.canceled = true;
                             response.compact_revision = self.compacted.get();
-                            let _ = out.send_data(framed(&response), false);
+                            let _ = out.send_data(encode_frame(&response), false);
                             continue;
                         }
                         from = Some(start);
                     }
-                    WatchWish::Progress(_) => drop(out.send_data(framed(&response), false)),
-                    WatchWish::Cancel(_) => from = None,
+                    WatchRequestUnion::Progress(_) => {
+                        drop(out.send_data(encode_frame(&response), false))
+                    }
+                    WatchRequestUnion::Cancel(_) => from = None,
                 }
             }
             let seen = self.changed.count();
@@ -358,7 +363,7 @@
                         events,
                         ..WatchResponse::default()
                     };
-                    let _ = out.send_data(framed(&response), false);
+                    let _ = out.send_data(encode_frame(&response), false);
                 }
                 from = Some(self.revision().max(start - 1) + 1);
             }
