--- a/crates/app/src/sources.rs
+++ b/crates/app/src/sources.rs
@@ -4,7 +4,7 @@
 use sillward_endpoint_updates::EndpointAggregator;
 use sillward_endpoints::{MergedEndpoints, RemovalGuard, SourceConfig};
 use sillward_etcd::{EtcdConfig, EtcdSource};
-use sillward_forwarding::{Live, Message};
+use sillward_forwarding::{LiveSettings, Message};
 use sillward_node_config::Config;
 use sillward_runtime::Clock;
 use sillward_runtime::task::spawn_local;
@@ -29,7 +29,7 @@
     config: &Config,
     etcd: Option<(EtcdConfig, RemovalGuard)>,
     node: &mpsc::Sender<Message>,
-    live: &Rc<Live>,
+    live: &Rc<LiveSettings>,
 ) -> Sources {
     let (discovery_messages, discovery_inbox) = match &etcd {
         Some(_) => mpsc::channel(UPDATE_CAPACITY),
--- a/crates/discovery/src/client.rs
+++ b/crates/discovery/src/client.rs
@@ -4,7 +4,7 @@
 use crate::feed::{ListFeed, ListOrigin};
 use crate::timing::CACHED_READY_DELAY;
 use crate::{polled, pushed};
-use sillward_forwarding::{Live, Message, Order};
+use sillward_forwarding::{DiscoveryCommand, LiveSettings, Message};
 use sillward_logging::log;
 use sillward_runtime::random::Random;
 use sillward_runtime::task::spawn_local;
@@ -26,7 +26,7 @@
     /// is the node's.
     pub fn new(
         address: SocketAddr,
-        live: Rc<Live>,
+        live: Rc<LiveSettings>,
         cached_list: Option<String>,
         seed: u64,
         messages: mpsc::Sender<Message>,
@@ -48,7 +48,7 @@
     /// list is polled; the client ends with it then.
     pub async fn run(
         mut self,
-        orders: mpsc::Receiver<Order>,
+        orders: mpsc::Receiver<DiscoveryCommand>,
         addresses: watch::Receiver<SocketAddr>,
     ) {
         if let Some(list) = self.cached_list.take() {
--- a/crates/discovery/src/entry.rs
+++ b/crates/discovery/src/entry.rs
@@ -84,7 +84,7 @@
             Status::Terminating => ServerState::Draining,
             Status::Terminated => ServerState::Removed,
         };
-        let entry = Endpoint {
+        let endpoint = Endpoint {
             id: server_id(&self.name),
             zone,
             machine_type: machine_type.unwrap_or(UNKNOWN_MACHINE_TYPE),
@@ -94,7 +94,7 @@
             started_at: (self.started_at_ms > 0.0).then(|| millis(self.started_at_ms)),
         };
         Ok(Backend {
-            entry,
+            endpoint,
             address: self.address,
         })
     }
--- a/crates/discovery/src/feed.rs
+++ b/crates/discovery/src/feed.rs
@@ -6,7 +6,7 @@
 use crate::timing;
 use serde_json::Value;
 use sillward_balancer::EndpointUpdate;
-use sillward_forwarding::{Backend, Live, Message, News};
+use sillward_forwarding::{Backend, BackendUpdate, LiveSettings, Message};
 use sillward_logging::{log, log_peer};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
 /// The feed of lists from discovery to the node.
 pub(crate) struct ListFeed {
     address: SocketAddr,
-    live: Rc<Live>,
+    live: Rc<LiveSettings>,
     messages: mpsc::Sender<Message>,
     ready: Rc<Cell<bool>>,
     /// The version from which on a watch asks for changes.
@@ -45,7 +45,7 @@
 impl ListFeed {
     pub(crate) fn new(
         address: SocketAddr,
-        live: Rc<Live>,
+        live: Rc<LiveSettings>,
         messages: mpsc::Sender<Message>,
     ) -> Self {
         ListFeed {
@@ -180,7 +180,7 @@
     }
 
     async fn send(&self, kind: EndpointUpdate, backends: Vec<Backend>) {
-        let message = Message::List(News { kind, backends });
+        let message = Message::EndpointList(BackendUpdate { kind, backends });
         let _ = self.messages.send(message).await; // fails only if the node has ended
     }
 }
--- a/crates/discovery/src/polled.rs
+++ b/crates/discovery/src/polled.rs
@@ -8,7 +8,7 @@
 use crate::timing::POLL_BODY_TIMEOUT;
 use crate::watch::watch;
 use http_body_util::{BodyExt, Limited};
-use sillward_forwarding::Order;
+use sillward_forwarding::DiscoveryCommand;
 use sillward_logging::log;
 use sillward_runtime::time::{Instant, timeout_at};
 use std::net::SocketAddr;
@@ -53,7 +53,7 @@
 /// What ends the wait for an order.
 enum Event {
     /// `None`: the node has ended.
-    Order(Option<Order>),
+    Order(Option<DiscoveryCommand>),
     Moved(SocketAddr),
     WatchBroken(DiscoveryError),
 }
@@ -61,17 +61,17 @@
 /// Follows orders until the node has ended.
 pub(crate) async fn run(
     feed: &mut ListFeed,
-    mut orders: mpsc::Receiver<Order>,
+    mut orders: mpsc::Receiver<DiscoveryCommand>,
     mut addresses: AddressChanges,
 ) {
     let mut subscription = Subscription::Off;
     loop {
         match next_event(feed, subscription, &mut orders, &mut addresses).await {
             Event::Order(None) => return,
-            Event::Order(Some(Order::Subscribe(subscribe))) => {
+            Event::Order(Some(DiscoveryCommand::Watch(subscribe))) => {
                 subscription = Subscription::on_order(subscribe);
             }
-            Event::Order(Some(Order::Fetch)) => {
+            Event::Order(Some(DiscoveryCommand::Fetch)) => {
                 if poll(feed, &mut addresses).await == Poll::Moved {
                     subscription = subscription.on_moved();
                 }
@@ -96,7 +96,7 @@
 async fn next_event(
     feed: &mut ListFeed,
     subscription: Subscription,
-    orders: &mut mpsc::Receiver<Order>,
+    orders: &mut mpsc::Receiver<DiscoveryCommand>,
     addresses: &mut AddressChanges,
 ) -> Event {
     let is_watching = subscription == Subscription::Watching;
@@ -113,7 +113,7 @@
             biased;
             order = orders.recv() => match order {
                 // The watch that is ordered is open, or being opened: another would lose it.
-                Some(Order::Subscribe(true)) if is_watching => {}
+                Some(DiscoveryCommand::Watch(true)) if is_watching => {}
                 order => return Event::Order(order),
             },
             address = addresses.next() => return Event::Moved(address),
--- a/crates/endpoint-updates/src/aggregator.rs
+++ b/crates/endpoint-updates/src/aggregator.rs
@@ -3,7 +3,7 @@
 use crate::event::SourceEvent;
 use sillward_balancer::EndpointUpdate;
 use sillward_endpoints::{ListedEndpoint, MergedEndpoints, SourceId};
-use sillward_forwarding::{Backend, Message, News};
+use sillward_forwarding::{Backend, BackendUpdate, Message};
 use sillward_runtime::Clock;
 use sillward_runtime::time::{Instant, sleep_until};
 use std::cell::{Cell, RefCell};
@@ -64,11 +64,11 @@
             if changed.is_empty() {
                 continue;
             }
-            let news = News {
+            let update = BackendUpdate {
                 kind: EndpointUpdate::Incremental,
                 backends: changed.into_iter().map(to_backend).collect(),
             };
-            if self.node.send(Message::List(news)).await.is_err() {
+            if self.node.send(Message::EndpointList(update)).await.is_err() {
                 return;
             }
         }
@@ -76,12 +76,12 @@
 
     async fn apply_discovery_message(&self, message: Message) -> Vec<ListedEndpoint> {
         match message {
-            Message::List(news) if news.kind == EndpointUpdate::Failed => {
+            Message::EndpointList(update) if update.kind == EndpointUpdate::Failed => {
                 self.merged.borrow_mut().mark_disconnected(DISCOVERY);
-                self.forward(Message::List(news)).await;
+                self.forward(Message::EndpointList(update)).await;
                 Vec::new()
             }
-            Message::List(news) => self.apply_discovery_list(&news),
+            Message::EndpointList(update) => self.apply_discovery_list(&update),
             other => {
                 self.forward(other).await;
                 Vec::new()
@@ -89,11 +89,11 @@
         }
     }
 
-    fn apply_discovery_list(&self, news: &News) -> Vec<ListedEndpoint> {
+    fn apply_discovery_list(&self, update: &BackendUpdate) -> Vec<ListedEndpoint> {
         let now = self.clock.now();
-        let endpoints = to_listed(&news.backends);
+        let endpoints = to_listed(&update.backends);
         let mut merged = self.merged.borrow_mut();
-        if news.kind == EndpointUpdate::Incremental {
+        if update.kind == EndpointUpdate::Incremental {
             return merged.update(DISCOVERY, now, &endpoints);
         }
         merged.begin_resync(DISCOVERY, now);
@@ -134,7 +134,7 @@
 
 fn to_listed(backends: &[Backend]) -> Vec<ListedEndpoint> {
     let listed = |backend: &Backend| ListedEndpoint {
-        endpoint: backend.entry,
+        endpoint: backend.endpoint,
         address: backend.address,
     };
     backends.iter().map(listed).collect()
@@ -142,7 +142,7 @@
 
 fn to_backend(listed: ListedEndpoint) -> Backend {
     Backend {
-        entry: listed.endpoint,
+        endpoint: listed.endpoint,
         address: listed.address,
     }
 }
--- a/crates/etcd/src/publisher.rs
+++ b/crates/etcd/src/publisher.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use sillward_balancer::ServerId;
 use sillward_endpoint_updates::SourceEvent;
-use sillward_forwarding::{Backend, Live};
+use sillward_forwarding::{Backend, LiveSettings};
 use sillward_logging::log_peer;
 use sillward_runtime::time::sleep;
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
 const LIST_BATCH_INTERVAL: Duration = Duration::from_millis(1);
 
 pub(crate) struct Publisher {
-    live: Rc<Live>,
+    live: Rc<LiveSettings>,
     events: mpsc::Sender<SourceEvent>,
     /// The last readable value of each key.
     current: BTreeMap<Bytes, Backend>,
@@ -29,7 +29,7 @@
 }
 
 impl Publisher {
-    pub(crate) fn new(live: Rc<Live>, events: mpsc::Sender<SourceEvent>) -> Self {
+    pub(crate) fn new(live: Rc<LiveSettings>, events: mpsc::Sender<SourceEvent>) -> Self {
         Publisher {
             live,
             events,
@@ -61,10 +61,10 @@
         let Some(backend) = self.read(&key, value) else {
             return;
         };
-        let id = backend.entry.id;
+        let id = backend.endpoint.id;
         let old = self.current.insert(key, backend.clone());
-        if let Some(old) = old.filter(|old| old.entry.id != id) {
-            self.remove(old.entry.id).await;
+        if let Some(old) = old.filter(|old| old.endpoint.id != id) {
+            self.remove(old.endpoint.id).await;
         }
         self.batch.push(backend);
         if self.batch.len() >= MAX_BATCH {
@@ -78,7 +78,7 @@
     /// A key is deleted.
     pub(crate) async fn delete(&mut self, key: &Bytes) {
         if let Some(old) = self.current.remove(key) {
-            self.remove(old.entry.id).await;
+            self.remove(old.endpoint.id).await;
         }
     }
 
@@ -119,7 +119,11 @@
     /// A key no longer names that endpoint; unless another key does, it is gone.
     async fn remove(&mut self, id: ServerId) {
         self.flush().await;
-        if !self.current.values().any(|backend| backend.entry.id == id) {
+        if !self
+            .current
+            .values()
+            .any(|backend| backend.endpoint.id == id)
+        {
             self.send(SourceEvent::Removed(id)).await;
         }
     }
--- a/crates/etcd/src/source.rs
+++ b/crates/etcd/src/source.rs
@@ -11,7 +11,7 @@
 use crate::session::{Action, Session};
 use bytes::Bytes;
 use sillward_endpoint_updates::SourceEvent;
-use sillward_forwarding::Live;
+use sillward_forwarding::LiveSettings;
 use sillward_logging::log;
 use sillward_runtime::time::{Instant, sleep, timeout};
 use std::collections::VecDeque;
@@ -40,7 +40,7 @@
     /// `live` has the settings by which values are read. `seed` spreads the attempts of many nodes.
     pub fn new(
         config: EtcdConfig,
-        live: Rc<Live>,
+        live: Rc<LiveSettings>,
         seed: u64,
         events: mpsc::Sender<SourceEvent>,
     ) -> Self {
