--- a/crates/forwarding/src/node.rs
+++ b/crates/forwarding/src/node.rs
@@ -9,7 +9,7 @@
 use sillward_balancer::settings::PlatformSettings;
 use sillward_balancer::*;
 use sillward_logging::{log, log_peer};
-use sillward_metrics::{Counters, End, InProgress, View};
+use sillward_metrics::{Counters, EndpointGauges, InProgressGuard, RequestOutcome};
 use sillward_runtime::Clock;
 use sillward_runtime::task::spawn_local;
 use sillward_runtime::time::sleep_until;
@@ -30,7 +30,7 @@
     /// Its timers, which go with it: a client may say that it waits for as long as it likes.
     timers: Vec<TimerId>,
     /// Counts it as taken and not ended.
-    in_progress: Option<InProgress>,
+    in_progress: Option<InProgressGuard>,
     /// When its last byte came, where it went on before.
     arrived: Option<Duration>,
     /// The attempt whose long answer the client is being given, and when that began.
@@ -53,15 +53,15 @@
             return false;
         };
         let end = match answer {
-            FinalResponse::Complete(_) => Some(End::Passed),
+            FinalResponse::Complete(_) => Some(RequestOutcome::Served),
             // Its end is counted: it may break yet.
             FinalResponse::Streamed { .. } => None,
-            FinalResponse::Rejected { .. } => Some(End::Dropped),
-            FinalResponse::Failed | FinalResponse::TimedOut => Some(End::BadGateway),
+            FinalResponse::Rejected { .. } => Some(RequestOutcome::Rejected),
+            FinalResponse::Failed | FinalResponse::TimedOut => Some(RequestOutcome::Failed),
         };
         if let Some(end) = end {
             self.in_progress = None;
-            counters.ended(self.call.class, end);
+            counters.request_ended(self.call.class, end);
         }
         let _ = reply.send(answer); // or the client has just left: then no answer is owed
         true
@@ -292,8 +292,12 @@
                 }
             }
             Message::View(told) => {
-                let (known, skipped) = self.balancer.view();
-                let _ = told.send(View { known, skipped }); // or nobody waits for it any more
+                let counts = self.balancer.endpoint_counts();
+                let gauges = EndpointGauges {
+                    known: counts.listed,
+                    avoided: counts.ejected,
+                };
+                let _ = told.send(gauges); // or nobody waits for it any more
             }
         }
     }
@@ -312,7 +316,7 @@
             new.remaining = new.remaining.saturating_sub(waited);
         }
         let (attempts, timers) = (Vec::new(), Vec::new());
-        let in_progress = Some(self.counters.taken());
+        let in_progress = Some(self.counters.request_started());
         if let Some(witness) = &self.witness {
             witness.request_accepted(self.clock.now(), new.class, new.client_retry);
         }
@@ -407,9 +411,13 @@
             held.in_progress = None;
             // A client that left is told nothing, and counted nowhere.
             match ended.outcome {
-                Outcome::Served => self.counters.ended(held.call.class, End::Passed),
+                Outcome::Served => self
+                    .counters
+                    .request_ended(held.call.class, RequestOutcome::Served),
                 Outcome::Cancelled => {}
-                _ => self.counters.ended(held.call.class, End::BadGateway),
+                _ => self
+                    .counters
+                    .request_ended(held.call.class, RequestOutcome::Failed),
             }
         }
         // The first served answer is the client's; a later one only informs the module.
--- a/crates/http1/src/backend.rs
+++ b/crates/http1/src/backend.rs
@@ -1,7 +1,7 @@
 //! The backends' side: attempts, what their answers tell, and probes.
 
 use crate::outgoing::{Outgoing, Written};
-use crate::socket::Socket;
+use crate::socket::HyperIo;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -63,7 +63,7 @@
 
     async fn handshake(&self, stream: Stream) -> io::Result<Carrier> {
         let written = Rc::<Written>::default();
-        let sending = Socket(stream, written.clone());
+        let sending = HyperIo::observed(stream, written.clone());
         let opened = http1::Builder::new()
             .max_buf_size(READ_BUFFER_BYTES)
             .handshake(sending)
@@ -112,7 +112,7 @@
 }
 
 /// The backends that speak HTTP/1.1.
-pub struct Backend {
+pub struct BackendClient {
     pool: Rc<Pool<Http1>>,
     /// Room for bodies, requests' and answers'.
     budget: MemoryBudget,
@@ -120,7 +120,7 @@
     counters: Rc<Counters>,
 }
 
-impl BackendProtocol for Backend {
+impl BackendProtocol for BackendClient {
     fn attempt(
         self: Rc<Self>,
         attempt: Attempt,
@@ -164,14 +164,14 @@
     }
 }
 
-impl Backend {
+impl BackendClient {
     pub fn new(
         pool: Rc<Pool<Http1>>,
         budget: MemoryBudget,
         reports: LoadReportParser,
         counters: Rc<Counters>,
     ) -> Rc<Self> {
-        Rc::new(Backend {
+        Rc::new(BackendClient {
             pool,
             budget,
             reports,
@@ -542,7 +542,7 @@
     length: Option<u64>,
     /// Back to the pool with the last byte.
     connection: Option<Connection<Http1>>,
-    backend: Rc<Backend>,
+    backend: Rc<BackendClient>,
     ended: Option<oneshot::Sender<Outcome>>,
     /// When the backend has been silent for too long.
     silence: Pin<Box<Sleep>>,
--- a/crates/thrift/src/front.rs
+++ b/crates/thrift/src/front.rs
@@ -8,7 +8,9 @@
 use sillward_forwarding::{
     FinalResponse, LiveSettings, MemoryBudget, MemoryReservation, NodeHandle, READ_BUFFER_BYTES,
 };
-use sillward_listener::{Client, Door, READ_TIMEOUT, Serve};
+use sillward_listener::{
+    AfterRequest, ClientConnection, ConnectionHandler, ConnectionManager, READ_TIMEOUT,
+};
 use sillward_logging::log_peer;
 use sillward_runtime::Stream;
 use sillward_runtime::random::Random;
@@ -32,7 +34,7 @@
     intake: NodeHandle,
     live: Rc<LiveSettings>,
     terms: FrontTerms,
-    door: Rc<Door>,
+    connections: Rc<ConnectionManager>,
     /// Room for frames.
     budget: MemoryBudget,
     random: RefCell<Random>,
@@ -44,7 +46,7 @@
         intake: NodeHandle,
         live: Rc<LiveSettings>,
         terms: FrontTerms,
-        door: Rc<Door>,
+        connections: Rc<ConnectionManager>,
         budget: MemoryBudget,
         seed: u64,
     ) -> Rc<Self> {
@@ -53,7 +55,7 @@
             intake,
             live,
             terms,
-            door,
+            connections,
             budget,
             random,
             oneway: Cell::new(0),
@@ -72,8 +74,8 @@
     }
 }
 
-impl Serve for Front {
-    async fn serve(self: Rc<Self>, stream: Stream, client: Rc<Client>) {
+impl ConnectionHandler for Front {
+    async fn serve(self: Rc<Self>, stream: Stream, connection: Rc<ClientConnection>) {
         let Some(room) = self.budget.try_reserve(0) else {
             return;
         };
@@ -81,7 +83,7 @@
         let mut session = Session {
             front: self,
             stream,
-            client,
+            connection,
             reader,
             room,
             unread: VecDeque::new(),
@@ -104,7 +106,7 @@
 struct Session {
     front: Rc<Front>,
     stream: Stream,
-    client: Rc<Client>,
+    connection: Rc<ClientConnection>,
     reader: FrameReader,
     /// The room of the frame that is being read.
     room: MemoryReservation,
@@ -122,7 +124,7 @@
     taken: usize,
     /// When the caller last took something, or had nothing to take.
     progress: Instant,
-    /// A call has been taken since the door was told that none is open.
+    /// A call has been taken since the connection was last idle.
     busy: bool,
     /// Nothing more is read: what came can't be.
     ended: bool,
@@ -139,10 +141,12 @@
                 if self.busy && !self.ended {
                     self.busy = false;
                     // A frame that has begun has its own time, `until`.
-                    self.front.door.done(&self.client, false);
+                    self.front
+                        .connections
+                        .request_finished(&self.connection, AfterRequest::KeepAlive);
                 }
                 let nothing_more =
-                    self.leaving && !self.reader.is_within() && self.client.is_quiet();
+                    self.leaving && !self.reader.is_within() && self.connection.is_quiet();
                 if self.ended || nothing_more {
                     break;
                 }
@@ -150,7 +154,7 @@
             let Session {
                 calls,
                 stream,
-                client,
+                connection,
                 out,
                 ..
             } = self;
@@ -176,15 +180,17 @@
                     Ok(0) | Err(_) => return,
                     Ok(count) => self.unread.extend(&chunk[..count]),
                 },
-                () = client.told_to_close(), if !self.leaving => self.leaving = true,
+                () = connection.close_requested(), if !self.leaving => self.leaving = true,
                 () = sleep_until(self.until.unwrap_or(taken_by)), if self.until.is_some() => {
                     self.turn_down(NotWhole::Slow);
                 }
                 () = sleep_until(taken_by), if !out.is_empty() => return,
             }
         }
-        self.front.door.done(&self.client, true);
-        self.client.part(&self.stream).await;
+        self.front
+            .connections
+            .request_finished(&self.connection, AfterRequest::Close);
+        self.connection.lingering_close(&self.stream).await;
     }
 
     /// Whether no call is open and every answer has been taken.
@@ -263,7 +269,7 @@
             self.waiting = Some(frame);
             return;
         }
-        self.client.opened();
+        self.connection.request_opened();
         self.busy = true;
         let front = self.front.clone();
         let at = front.intake.clock().now();
@@ -280,7 +286,7 @@
                 mut call,
                 caller,
             }) => {
-                call.client_check = Some(self.client.here());
+                call.client_check = Some(self.connection.connected_check());
                 self.open.insert(caller.seqid);
                 self.calls.spawn_local(async move {
                     let answer = front.intake.submit(new, call, at).await;
