--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -145,7 +145,7 @@
     let budget = text(&head.headers, "x-budget-ms").and_then(|text| text.parse::<u64>().ok());
     let budget = budget.filter(|ms| (1..=LONGEST_BUDGET_MS).contains(ms));
     let budget =
-        Duration::from_millis(budget.ok_or((BAD, "no X-MemoryBudget-Ms that makes sense"))?);
+        Duration::from_millis(budget.ok_or((BAD, "no X-Budget-Ms that makes sense"))?);
     let caller = text(&head.headers, "x-caller");
     let tenant = caller.and_then(|caller| site.tenant(caller.as_bytes()));
     if tenant.is_none() && !site.tenant_names.is_empty() {
