--- /dev/null
+++ b/crates/http1/src/backend/session.rs
@@ -0,0 +1,54 @@
+//! HTTP/1.1 on a connection to a backend.
+
+use crate::hyper_io::HyperIo;
+use crate::outgoing_body::{OutgoingBody, WriteProgress};
+use hyper::client::conn::http1::{self, SendRequest};
+use sillward_forwarding::READ_BUFFER_BYTES;
+use sillward_pool::ConnectionProtocol;
+use sillward_runtime::Stream;
+use sillward_runtime::task::{AbortHandle, spawn_local};
+use std::io;
+use std::rc::Rc;
+
+/// HTTP/1.1 as a protocol of the connection pool.
+pub struct Http1;
+
+/// Carries one request at a time over a connection. Dropped, it closes the connection.
+pub struct Session {
+    pub(super) sender: SendRequest<OutgoingBody>,
+    /// How far the current request has been written.
+    pub(super) progress: Rc<WriteProgress>,
+    task: AbortHandle,
+}
+
+impl Drop for Session {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
+
+impl ConnectionProtocol for Http1 {
+    type Session = Session;
+
+    async fn handshake(&self, stream: Stream) -> io::Result<Session> {
+        let progress = Rc::<WriteProgress>::default();
+        let io = HyperIo::observed(stream, progress.clone());
+        let (sender, connection) = http1::Builder::new()
+            .max_buf_size(READ_BUFFER_BYTES)
+            .handshake(io)
+            .await
+            .map_err(io::Error::other)?;
+        let task = spawn_local(async move {
+            let _ = connection.await; // an error shows in the request on the connection
+        });
+        Ok(Session {
+            sender,
+            progress,
+            task: task.abort_handle(),
+        })
+    }
+
+    fn is_closed(session: &Session) -> bool {
+        session.sender.is_closed()
+    }
+}
--- /dev/null
+++ b/crates/http1/src/frontend.rs
@@ -0,0 +1,358 @@
+//! The frontend: serves clients' connections, takes their requests, and writes the node's final responses.
+
+mod open_calls;
+mod responses;
+
+use crate::discard::discard_in_background;
+use crate::head_scanner::HeadScanner;
+use crate::hyper_io::HyperIo;
+use crate::read_ahead::{ClientStreamObserver, ReadAhead};
+use crate::request_body::{BodyStart, RequestBody};
+use crate::request_error::RequestError;
+use crate::request_head::{Framing, RequestHead, body_framing};
+use crate::response_body::ResponseBody;
+use bytes::Bytes;
+use hyper::body::Incoming;
+use hyper::header::{CONNECTION, HeaderValue};
+use hyper::http::request::Parts;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Request, Response, Version};
+use open_calls::{OpenCall, OpenCalls};
+use responses::{error_response, final_response, health_response};
+use sillward_balancer::settings::PlatformSettings;
+use sillward_balancer::{Idempotency, NewRequest};
+use sillward_forwarding::{
+    BodySender, Call, CallProgress, FinalResponse, LiveSettings, MemoryBudget, NodeHandle, Payload,
+    READ_BUFFER_BYTES, StreamingBody,
+};
+use sillward_listener::{
+    AfterRequest, ClientConnection, ConnectionHandler, ConnectionManager, SharedLifecycle,
+};
+use sillward_logging::log_peer;
+use sillward_metrics::{Counters, RequestOutcome};
+use sillward_runtime::Stream;
+use std::cell::Cell;
+use std::convert::Infallible;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+
+/// The longest time that a request's body may take: 32 MiB at the least rate, and the time of a slow backend.
+const MAX_UPLOAD_TIME: Duration = Duration::from_secs(1200);
+/// Where the load balancer in front of the node asks whether to send clients.
+const READINESS_PATH: &str = "/health/ready";
+
+/// Serves clients that speak HTTP/1.1.
+pub struct Frontend {
+    settings: Rc<LiveSettings>,
+    node: NodeHandle,
+    lifecycle: Rc<SharedLifecycle>,
+    counters: Rc<Counters>,
+    connections: Rc<ConnectionManager>,
+    /// The memory for bodies of requests and responses.
+    budget: MemoryBudget,
+    open_calls: OpenCalls,
+}
+
+/// What a request came to.
+enum Handled {
+    /// A question of the load balancer in front.
+    Readiness { healthy: bool },
+    /// A request whose body was read completely.
+    Complete(FinalResponse),
+    /// A request whose body was not read completely.
+    BodyUnread(FinalResponse),
+}
+
+impl Frontend {
+    /// A frontend for the connections of `connections`, which hands its requests to `node`.
+    pub fn new(
+        node: NodeHandle,
+        settings: Rc<LiveSettings>,
+        connections: Rc<ConnectionManager>,
+        budget: MemoryBudget,
+        lifecycle: Rc<SharedLifecycle>,
+        counters: Rc<Counters>,
+    ) -> Rc<Self> {
+        Rc::new(Frontend {
+            settings,
+            node,
+            lifecycle,
+            counters,
+            connections,
+            budget,
+            open_calls: OpenCalls::default(),
+        })
+    }
+
+    async fn respond(
+        self: Rc<Self>,
+        connection: Rc<ClientConnection>,
+        head_scanner: Rc<HeadScanner>,
+        request: Request<Incoming>,
+    ) -> Result<Response<ResponseBody>, Infallible> {
+        connection.request_opened();
+        let is_http_10 = request.version() < Version::HTTP_11;
+        let handled = self.handle(&connection, request, &head_scanner).await;
+        let after_request = match handled {
+            // Where the next request would begin is unknown.
+            Err(_) | Ok(Handled::BodyUnread(_)) => AfterRequest::Close,
+            Ok(_) => self.connections.after_request(),
+        };
+        let mut response = match handled {
+            Ok(Handled::Complete(FinalResponse::Streamed {
+                first,
+                length,
+                rest,
+            })) if length.is_some() || !is_http_10 => {
+                let connections = self.connections.clone();
+                // The request is open until the last byte of its response.
+                let on_end = Box::new(move || {
+                    connections.request_finished(&connection, after_request);
+                });
+                Response::new(ResponseBody::streamed(first.bytes, length, rest, on_end))
+            }
+            handled => {
+                self.connections
+                    .request_finished(&connection, after_request);
+                buffered_response(handled)
+            }
+        };
+        if after_request == AfterRequest::Close {
+            response
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
+        }
+        Ok(response)
+    }
+
+    async fn handle(
+        &self,
+        connection: &Rc<ClientConnection>,
+        request: Request<Incoming>,
+        head_scanner: &HeadScanner,
+    ) -> Result<Handled, RequestError> {
+        let (head, body) = request.into_parts();
+        let settings = self.settings.get();
+        let framing = body_framing(&head, &body, head_scanner);
+        if framing.is_ok() && head.uri.path() == READINESS_PATH {
+            return Ok(Handled::Readiness {
+                healthy: self.lifecycle.is_healthy(),
+            });
+        }
+        let (head, framing) = match check_head(&settings, head, framing) {
+            Ok(checked) => checked,
+            Err(error) => {
+                discard_in_background(body);
+                return Err(error);
+            }
+        };
+        let class = head.class;
+        self.forward(connection, head, framing, body, &settings)
+            .await
+            .inspect_err(|_| self.counters.request_ended(class, RequestOutcome::Failed))
+    }
+
+    /// Reads the request's body, hands the request to the node, and waits for the final response.
+    async fn forward(
+        &self,
+        connection: &Rc<ClientConnection>,
+        head: RequestHead,
+        framing: Framing,
+        body: Incoming,
+        settings: &PlatformSettings,
+    ) -> Result<Handled, RequestError> {
+        let mut body = RequestBody::new(body);
+        let (first, streaming) = match body.read_start(framing, &self.budget).await? {
+            BodyStart::Complete(bytes) => (bytes, None),
+            BodyStart::Partial(bytes) => {
+                let streaming = StreamingBody::new(framing.length(), head.time_budget);
+                (bytes, Some(streaming))
+            }
+            BodyStart::OutOfMemory => {
+                return Ok(self.reject_out_of_memory(head.class, body, settings));
+            }
+        };
+        let received_at = self.node.clock().now();
+        // Two open requests of one call id would be taken for one by the backends.
+        let Some(_open_call) = OpenCall::register(&self.open_calls, &head.call_id) else {
+            return Err(RequestError::CallIdInUse);
+        };
+        let request = new_request(&head);
+        let mut call = new_call(&head, first, connection, received_at, settings);
+        let response = match streaming {
+            None => self.node.submit(request, call, received_at).await,
+            Some((streaming_body, sender)) => {
+                call.streaming_body = Some(streaming_body);
+                call.deadline.set(received_at + MAX_UPLOAD_TIME);
+                self.submit_streaming(request, call, received_at, &mut body, sender)
+                    .await?
+            }
+        };
+        let response = response.unwrap_or(FinalResponse::Failed);
+        if body.is_ended() {
+            return Ok(Handled::Complete(response));
+        }
+        discard_in_background(body.into_unread());
+        Ok(Handled::BodyUnread(response))
+    }
+
+    fn reject_out_of_memory(
+        &self,
+        class: usize,
+        body: RequestBody,
+        settings: &PlatformSettings,
+    ) -> Handled {
+        log_peer("no memory for a request's body: rejected");
+        self.counters.request_ended(class, RequestOutcome::Rejected);
+        discard_in_background(body.into_unread());
+        Handled::BodyUnread(FinalResponse::Rejected {
+            retry_after: settings.settings.limits.max_retry_after,
+            never_ran: true,
+        })
+    }
+
+    /// Submits a request while its body is still coming.
+    async fn submit_streaming(
+        &self,
+        request: NewRequest,
+        call: Call,
+        received_at: Duration,
+        body: &mut RequestBody,
+        sender: BodySender,
+    ) -> Result<Option<FinalResponse>, RequestError> {
+        let (body_received_sender, body_received) = oneshot::channel();
+        let body_received = async {
+            match body_received.await {
+                Ok(at) => at,
+                Err(_) => std::future::pending().await, // the body broke, or nobody takes it
+            }
+        };
+        let response = self
+            .node
+            .submit_streaming(request, call, received_at, body_received);
+        // If the body breaks, dropping the submission tells the node that the client is gone.
+        tokio::select! {
+            biased;
+            response = response => Ok(response),
+            error = self.relay_body(body, sender, body_received_sender) => Err(error),
+        }
+    }
+
+    /// Passes a body on as it comes, and reports when all of it has. Returns only if the body breaks.
+    async fn relay_body(
+        &self,
+        body: &mut RequestBody,
+        sender: BodySender,
+        body_received: oneshot::Sender<Duration>,
+    ) -> RequestError {
+        loop {
+            match body.next().await {
+                Ok(Some(bytes)) => {
+                    if !sender.send(bytes).await {
+                        break; // the attempt is over; a response is on its way
+                    }
+                }
+                Ok(None) => {
+                    let _ = body_received.send(self.node.clock().now()); // or the response is there
+                    sender.finish().await;
+                    break;
+                }
+                Err(error) => return error,
+            }
+        }
+        std::future::pending().await
+    }
+}
+
+impl ConnectionHandler for Frontend {
+    async fn serve(self: Rc<Self>, stream: Stream, connection: Rc<ClientConnection>) {
+        let head_scanner = Rc::<HeadScanner>::default();
+        let read_ahead = ReadAhead::new(self.budget.clone());
+        let observed_stream = stream.again();
+        let service = service_fn(|request| {
+            self.clone()
+                .respond(connection.clone(), head_scanner.clone(), request)
+        });
+        let observer = ClientStreamObserver {
+            head_scanner: head_scanner.clone(),
+            read_ahead: read_ahead.clone(),
+        };
+        let http_connection = http1::Builder::new()
+            // hyper's timeout would run on idle connections too, which the connection manager times.
+            .header_read_timeout(None)
+            .max_buf_size(READ_BUFFER_BYTES)
+            .serve_connection(HyperIo::observed(stream, observer), service);
+        let mut http_connection = Box::pin(http_connection);
+        loop {
+            // A request that has come is read before the connection is closed.
+            tokio::select! {
+                biased;
+                _ = http_connection.as_mut() => break,
+                () = connection.close_requested() => http_connection.as_mut().graceful_shutdown(),
+                // The open request is dropped, which tells the node that the client is gone.
+                () = read_ahead.client_left(&observed_stream, &connection) => return,
+            }
+        }
+        drop(http_connection);
+        connection.lingering_close(&observed_stream).await;
+    }
+}
+
+fn check_head(
+    settings: &PlatformSettings,
+    head: Parts,
+    framing: Result<Framing, RequestError>,
+) -> Result<(RequestHead, Framing), RequestError> {
+    let framing = framing?;
+    let head = RequestHead::check(settings, head, framing)?;
+    Ok((head, framing))
+}
+
+fn new_request(head: &RequestHead) -> NewRequest {
+    NewRequest {
+        class: head.class,
+        tenant: head.tenant,
+        key: head.key,
+        remaining: head.time_budget,
+        expected_work: head.expected_work,
+        client_retry: head.client_retry,
+        ..NewRequest::default()
+    }
+}
+
+/// The call of a request whose body is complete.
+fn new_call(
+    head: &RequestHead,
+    body: Bytes,
+    connection: &Rc<ClientConnection>,
+    received_at: Duration,
+    settings: &PlatformSettings,
+) -> Call {
+    let copied = |value: &HeaderValue| Bytes::copy_from_slice(value.as_bytes());
+    let class = &settings.settings.classes[head.class];
+    Call {
+        class: head.class,
+        safe: class.idempotency == Idempotency::Idempotent,
+        target: Bytes::copy_from_slice(head.target.as_str().as_bytes()),
+        call_id: copied(&head.call_id),
+        idempotency_key: head.idempotency_key.as_ref().map(copied),
+        payload: Payload::plain(body),
+        streaming_body: None,
+        response_validator: None,
+        expects_response: true,
+        client_check: Some(connection.connected_check()),
+        deadline: Cell::new(received_at + head.time_budget),
+        idempotency_window: head.idempotency_window,
+        progress: CallProgress::default(),
+    }
+}
+
+fn buffered_response(handled: Result<Handled, RequestError>) -> Response<ResponseBody> {
+    match handled {
+        Ok(Handled::Complete(response) | Handled::BodyUnread(response)) => final_response(response),
+        Ok(Handled::Readiness { healthy }) => health_response(healthy),
+        Err(error) => error_response(error),
+    }
+}
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,15 +1,22 @@
-//! HTTP/1.1: the clients' side, the backends' side and what their messages must be.
+//! HTTP/1.1: the frontend that serves clients, the client for backends, and their messages.
+//!
+//! hyper reads and writes the messages; this package decides what they contain. [`Frontend`] turns a client's request into a
+//! call for the node and the node's final response into HTTP. [`BackendClient`] sends a call's attempts to backends.
 #![forbid(unsafe_code)]
 
-mod ahead;
 mod backend;
-mod front;
-mod heads;
-mod outgoing;
-mod reply;
-mod request;
-mod socket;
+mod discard;
+mod frontend;
+mod head_scanner;
+mod headers;
+mod hyper_io;
+mod outgoing_body;
+mod read_ahead;
+mod request_body;
+mod request_error;
+mod request_head;
+mod response_body;
 
-pub use backend::{BackendClient, Http1};
-pub use front::Frontend;
-pub use socket::HyperIo;
+pub use backend::{BackendClient, Http1, Session};
+pub use frontend::Frontend;
+pub use hyper_io::{HyperIo, StreamObserver};
--- /dev/null
+++ b/crates/http1/src/read_ahead.rs
@@ -0,0 +1,119 @@
+//! Reads what a client sends behind an open request, within a bound, so that the end of the connection shows behind it. hyper
+//! reads no further than the next request's first bytes, and a client that sent more and left would seem to wait for its
+//! response.
+
+use crate::head_scanner::HeadScanner;
+use crate::hyper_io::{READ_CHUNK_BYTES, StreamObserver, with_read_chunk};
+use bytes::{Buf, BytesMut};
+use sillward_forwarding::{MemoryBudget, MemoryReservation};
+use sillward_listener::ClientConnection;
+use sillward_runtime::Stream;
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+
+/// The most that is read ahead on a connection: the longest body that is buffered, and its head.
+const MAX_READ_AHEAD_BYTES: usize = 72 * 1024;
+
+/// Bytes that were read before hyper asked for them.
+pub(crate) struct ReadAhead {
+    budget: MemoryBudget,
+    buffer: RefCell<Buffer>,
+}
+
+#[derive(Default)]
+struct Buffer {
+    bytes: BytesMut,
+    /// One for each chunk of the capacity.
+    reservations: Vec<MemoryReservation>,
+}
+
+impl ReadAhead {
+    /// An empty buffer, whose memory comes from `budget`.
+    pub(crate) fn new(budget: MemoryBudget) -> Rc<Self> {
+        Rc::new(ReadAhead {
+            budget,
+            buffer: RefCell::default(),
+        })
+    }
+
+    /// Moves bytes into `target`, as many as it takes, and returns how many.
+    fn take(&self, target: &mut [u8]) -> usize {
+        let mut buffer = self.buffer.borrow_mut();
+        let count = target.len().min(buffer.bytes.len());
+        buffer.bytes.copy_to_slice(&mut target[..count]);
+        if buffer.bytes.is_empty() && count > 0 {
+            *buffer = Buffer::default();
+        }
+        count
+    }
+
+    /// Waits until a client that has a request open has left. It is to be polled after hyper's connection, in the same task.
+    pub(crate) async fn client_left(&self, stream: &Stream, connection: &ClientConnection) {
+        std::future::poll_fn(|cx| self.poll_client_left(stream, connection, cx)).await;
+    }
+
+    fn poll_client_left(
+        &self,
+        stream: &Stream,
+        connection: &ClientConnection,
+        cx: &mut Context<'_>,
+    ) -> Poll<()> {
+        if !connection.has_open_request() {
+            return Poll::Pending; // hyper reads the next request, and sees the end
+        }
+        let mut buffer = self.buffer.borrow_mut();
+        let mut received = false;
+        while buffer.bytes.len() + READ_CHUNK_BYTES <= MAX_READ_AHEAD_BYTES {
+            let Some(reservation) = self.budget.try_reserve_for_long_body(READ_CHUNK_BYTES) else {
+                break;
+            };
+            match read_into(&mut buffer.bytes, stream, cx) {
+                Poll::Pending => break,
+                Poll::Ready(ReadResult::Received) => received = true,
+                Poll::Ready(ReadResult::Ended) => return Poll::Ready(()),
+            }
+            if buffer.bytes.capacity() > buffer.reservations.len() * READ_CHUNK_BYTES {
+                buffer.reservations.push(reservation);
+            }
+        }
+        if received {
+            cx.waker().wake_by_ref(); // hyper may wait for these bytes
+        }
+        Poll::Pending
+    }
+}
+
+enum ReadResult {
+    Received,
+    /// The stream has ended or is broken.
+    Ended,
+}
+
+fn read_into(bytes: &mut BytesMut, stream: &Stream, cx: &mut Context<'_>) -> Poll<ReadResult> {
+    with_read_chunk(|chunk| {
+        stream.poll_read(cx, chunk).map(|read| match read {
+            Ok(0) | Err(_) => ReadResult::Ended,
+            Ok(count) => {
+                bytes.extend_from_slice(&chunk[..count]);
+                ReadResult::Received
+            }
+        })
+    })
+}
+
+/// Observes a client's stream.
+pub(crate) struct ClientStreamObserver {
+    pub(crate) head_scanner: Rc<HeadScanner>,
+    pub(crate) read_ahead: Rc<ReadAhead>,
+}
+
+impl StreamObserver for ClientStreamObserver {
+    fn bytes_read(&self, bytes: &[u8]) {
+        self.head_scanner.bytes_read(bytes);
+    }
+
+    fn take_read_ahead(&self, target: &mut [u8]) -> usize {
+        self.read_ahead.take(target)
+    }
+}
--- /dev/null
+++ b/crates/http1/src/request_body.rs
@@ -0,0 +1,173 @@
+//! Reads the body of a client's request, at the client's pace.
+
+use crate::request_error::RequestError;
+use crate::request_head::Framing;
+use bytes::{Bytes, BytesMut};
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+use sillward_forwarding::{
+    MAX_BODY_BYTES, MAX_BUFFERED_RESPONSE_BYTES, MAX_REPLAYABLE_BODY_BYTES, MemoryBudget,
+    READ_BUFFER_BYTES,
+};
+use sillward_logging::log_peer;
+use sillward_runtime::time::{Instant, timeout};
+use std::time::Duration;
+
+/// A body of known length up to this is short: as long as a response that is buffered.
+const MAX_SHORT_BODY_BYTES: usize = MAX_BUFFERED_RESPONSE_BYTES;
+/// How long a client may send nothing of a body. The platform wants bad clients gone within 3 s.
+const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a client may keep this node waiting in all, in addition to the time of its bytes at the least rate.
+const BODY_DELAY_ALLOWANCE: Duration = Duration::from_secs(2);
+/// The least rate: half of what the platform promises to slow clients.
+const MIN_BODY_BYTES_PER_SECOND: f64 = 32_000.0;
+
+/// A body that is being read.
+pub(crate) struct RequestBody {
+    body: Incoming,
+    /// How long this node has waited for bytes in all.
+    waited: Duration,
+    received_bytes: u64,
+    ended: bool,
+}
+
+/// The first part of a body.
+pub(crate) enum BodyStart {
+    /// All of it.
+    Complete(Bytes),
+    /// What is kept for retries of a long body, whose rest is still to be read.
+    Partial(Bytes),
+    /// There was no memory for it.
+    OutOfMemory,
+}
+
+impl RequestBody {
+    /// A body of which nothing was read.
+    pub(crate) fn new(body: Incoming) -> Self {
+        RequestBody {
+            body,
+            waited: Duration::ZERO,
+            received_bytes: 0,
+            ended: false,
+        }
+    }
+
+    /// Reads the next bytes; `None` at the end of the body.
+    ///
+    /// # Errors
+    /// The client is too slow, or the body is incomplete or too large.
+    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, RequestError> {
+        loop {
+            let wait_began = Instant::now();
+            let frame = timeout(self.next_timeout(), self.body.frame()).await;
+            self.waited += wait_began.elapsed();
+            let Ok(frame) = frame else {
+                log_peer(format_args!(
+                    "a client's body was too slow: {} bytes in {:?} of waiting",
+                    self.received_bytes, self.waited
+                ));
+                return Err(RequestError::BodyTooSlow);
+            };
+            let Some(frame) = frame else {
+                self.ended = true;
+                return Ok(None);
+            };
+            let frame = frame.map_err(|_| RequestError::IncompleteBody)?;
+            let Ok(data) = frame.into_data() else {
+                continue; // trailers
+            };
+            self.received_bytes += data.len() as u64;
+            if self.received_bytes > MAX_BODY_BYTES {
+                return Err(RequestError::BodyTooLarge);
+            }
+            return Ok(Some(data));
+        }
+    }
+
+    /// How long the client may take for its next bytes. Only the time that this node waits for the client counts, not the
+    /// time of a slow backend.
+    fn next_timeout(&self) -> Duration {
+        let time_of_bytes =
+            Duration::from_secs_f64(self.received_bytes as f64 / MIN_BODY_BYTES_PER_SECOND);
+        let allowed = BODY_DELAY_ALLOWANCE + time_of_bytes;
+        allowed.saturating_sub(self.waited).min(BODY_IDLE_TIMEOUT)
+    }
+
+    /// Reads all of a short body, or what is kept of a long one.
+    ///
+    /// # Errors
+    /// As [`RequestBody::next`].
+    pub(crate) async fn read_start(
+        &mut self,
+        framing: Framing,
+        budget: &MemoryBudget,
+    ) -> Result<BodyStart, RequestError> {
+        let length = framing
+            .length()
+            .and_then(|length| usize::try_from(length).ok());
+        match length {
+            Some(0) => {
+                self.ended = true;
+                Ok(BodyStart::Complete(Bytes::new()))
+            }
+            Some(length) if length <= MAX_SHORT_BODY_BYTES => {
+                self.read_short_body(length, budget).await
+            }
+            _ => self.read_start_of_long_body(budget).await,
+        }
+    }
+
+    /// Reads a body whose memory is reserved before it is read.
+    async fn read_short_body(
+        &mut self,
+        length: usize,
+        budget: &MemoryBudget,
+    ) -> Result<BodyStart, RequestError> {
+        let Some(reservation) = budget.try_reserve(length) else {
+            return Ok(BodyStart::OutOfMemory);
+        };
+        let mut bytes = BytesMut::with_capacity(length);
+        while let Some(data) = self.next().await? {
+            bytes.extend_from_slice(&data);
+        }
+        if bytes.len() != length {
+            return Err(RequestError::IncompleteBody);
+        }
+        Ok(BodyStart::Complete(reservation.attach(bytes.freeze())))
+    }
+
+    /// Reads a body whose reservation grows with its buffer, from the memory that short bodies leave.
+    async fn read_start_of_long_body(
+        &mut self,
+        budget: &MemoryBudget,
+    ) -> Result<BodyStart, RequestError> {
+        let mut reserved = MAX_SHORT_BODY_BYTES;
+        let Some(mut reservation) = budget.try_reserve_for_long_body(reserved) else {
+            return Ok(BodyStart::OutOfMemory);
+        };
+        let mut bytes = BytesMut::with_capacity(READ_BUFFER_BYTES);
+        while let Some(data) = self.next().await? {
+            bytes.extend_from_slice(&data);
+            // A buffer that grows doubles.
+            while bytes.capacity() > reserved
+                && reservation.try_grow_for_long_body(MAX_SHORT_BODY_BYTES)
+            {
+                reserved += MAX_SHORT_BODY_BYTES;
+            }
+            if bytes.len() >= MAX_REPLAYABLE_BODY_BYTES || bytes.capacity() > reserved {
+                return Ok(BodyStart::Partial(reservation.attach(bytes.freeze())));
+            }
+        }
+        Ok(BodyStart::Complete(reservation.attach(bytes.freeze())))
+    }
+
+    /// Whether all of it has been read.
+    pub(crate) fn is_ended(&self) -> bool {
+        self.ended
+    }
+
+    /// What has not been read.
+    pub(crate) fn into_unread(self) -> Incoming {
+        self.body
+    }
+}
--- /dev/null
+++ b/crates/http1/src/response_body.rs
@@ -0,0 +1,111 @@
+//! The body of a response to a client: complete, or as it comes from its backend.
+
+use bytes::Bytes;
+use hyper::body::{Body, Frame, SizeHint};
+use sillward_forwarding::BodyStream;
+use std::io;
+use std::pin::Pin;
+use std::task::{Context, Poll, ready};
+
+/// The body.
+pub(crate) enum ResponseBody {
+    /// All of it.
+    Complete(Bytes),
+    /// The rest is still coming.
+    Streamed(StreamedBody),
+}
+
+/// A body that is sent on as it comes.
+pub(crate) struct StreamedBody {
+    first: Bytes,
+    rest: Box<dyn BodyStream>,
+    /// The bytes that are still to be sent, if known.
+    remaining: Option<u64>,
+    /// Called when hyper has taken all of the body, or drops it.
+    on_end: Option<Box<dyn FnOnce()>>,
+}
+
+impl ResponseBody {
+    /// A body of `length` bytes, if known, that begins with `first`. `on_end` is called once hyper has taken all of it or
+    /// drops it.
+    pub(crate) fn streamed(
+        first: Bytes,
+        length: Option<u64>,
+        rest: Box<dyn BodyStream>,
+        on_end: Box<dyn FnOnce()>,
+    ) -> Self {
+        ResponseBody::Streamed(StreamedBody {
+            first,
+            rest,
+            remaining: length,
+            on_end: Some(on_end),
+        })
+    }
+}
+
+impl StreamedBody {
+    fn poll_frame(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
+        let bytes = if self.first.is_empty() {
+            match ready!(self.rest.poll_next(cx)) {
+                Some(Ok(bytes)) => bytes,
+                // The error ends the connection without the body's last chunk, so that the client sees it is incomplete.
+                Some(Err(_)) => {
+                    let error = io::Error::other("the backend's response is incomplete");
+                    return Poll::Ready(Some(Err(error)));
+                }
+                None => return Poll::Ready(None),
+            }
+        } else {
+            std::mem::take(&mut self.first)
+        };
+        self.remaining = self
+            .remaining
+            .map(|remaining| remaining.saturating_sub(bytes.len() as u64));
+        Poll::Ready(Some(Ok(Frame::data(bytes))))
+    }
+}
+
+impl Drop for StreamedBody {
+    fn drop(&mut self) {
+        if let Some(on_end) = self.on_end.take() {
+            on_end();
+        }
+    }
+}
+
+impl Body for ResponseBody {
+    type Data = Bytes;
+    type Error = io::Error;
+
+    fn poll_frame(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
+        match self.get_mut() {
+            ResponseBody::Complete(bytes) if bytes.is_empty() => Poll::Ready(None),
+            ResponseBody::Complete(bytes) => {
+                Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes)))))
+            }
+            ResponseBody::Streamed(body) => body.poll_frame(cx),
+        }
+    }
+
+    fn is_end_stream(&self) -> bool {
+        match self {
+            ResponseBody::Complete(bytes) => bytes.is_empty(),
+            ResponseBody::Streamed(body) => body.remaining == Some(0),
+        }
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        match self {
+            ResponseBody::Complete(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            ResponseBody::Streamed(body) => body
+                .remaining
+                .map_or_else(SizeHint::default, SizeHint::with_exact),
+        }
+    }
+}
