--- a/crates/forwarding/src/node.rs
+++ b/crates/forwarding/src/node.rs
@@ -292,11 +292,12 @@
                 }
             }
             Message::View(told) => {
-                let (known, skipped) = self.balancer.view();
-                let _ = told.send(EndpointGauges {
-                    known,
-                    avoided: skipped,
-                }); // or nobody waits for it any more
+                let counts = self.balancer.endpoint_counts();
+                let gauges = EndpointGauges {
+                    known: counts.listed,
+                    avoided: counts.ejected,
+                };
+                let _ = told.send(gauges); // or nobody waits for it any more
             }
         }
     }
