--- a/crates/http1/src/backend.rs
+++ b/crates/http1/src/backend.rs
@@ -125,8 +125,8 @@
         })
     }
 
-    /// Sends an attempt's request and receives the response. A request that was never written goes to another connection;
-    /// that one connection broke says nothing of whether its backend is up.
+    /// Sends an attempt's request and receives the response. A request that was never written goes to another connection:
+    /// a broken connection does not mean that its backend is down.
     async fn exchange(
         self: &Rc<Self>,
         attempt: &Attempt,
@@ -159,7 +159,7 @@
                 continue;
             }
             if !progress.is_complete() {
-                // That a long body broke off says little of its backend.
+                // A long body that broke off is no evidence against its backend.
                 return Exchange::from(Outcome::NotSent);
             }
             return Exchange::from(transport_failure(error.error()));
--- a/crates/http1/src/frontend.rs
+++ b/crates/http1/src/frontend.rs
@@ -57,7 +57,7 @@
 
 /// What a request came to.
 enum Handled {
-    /// A question of the load balancer in front.
+    /// A health check by the load balancer in front of the node.
     Readiness { healthy: bool },
     /// A request whose body was read completely.
     Complete(FinalResponse),
--- a/crates/listener/src/capacity.rs
+++ b/crates/listener/src/capacity.rs
@@ -1,4 +1,4 @@
-//! Which connection is closed when a client waits for a free place and all are taken.
+//! Which connection is closed when the limit is reached and a client waits to be served.
 
 use crate::connection::{ClientConnection, IdleSince};
 use sillward_runtime::time::Instant;
@@ -10,12 +10,12 @@
 /// How long a new client is given to send its first bytes. Without it, a full node would close each connection for the next
 /// one while its request is on the way.
 const FIRST_BYTES_GRACE: Duration = Duration::from_millis(20);
-/// That grace is for one place in so many at the most: silent clients beyond that are closed.
+/// At most one connection in so many has that grace: silent clients beyond that are closed.
 const FIRST_BYTES_GRACE_SHARE: usize = 8;
 
-/// Closes the connection that can best be spared, so that a new one finds a place. One that is closing already is waited for;
-/// an idle one is closed; one with an open request never is.
-pub(crate) fn free_a_place<'a>(
+/// Closes one connection to make capacity for a new one. One that is closing already is waited for; otherwise an idle one is
+/// closed. A connection with an open request is never closed.
+pub(crate) fn evict_connection<'a>(
     connections: impl Iterator<Item = &'a Rc<ClientConnection>> + Clone,
     max_connections: usize,
 ) {
@@ -26,7 +26,7 @@
         }
         return;
     }
-    if let Some(connection) = idle_to_close(connections, max_connections, now) {
+    if let Some(connection) = idle_to_evict(connections, max_connections, now) {
         connection.close();
     }
 }
@@ -40,7 +40,7 @@
 }
 
 /// The first idle connection, in the order of [`IdleSince`], on which no byte waits to be read.
-fn idle_to_close<'a>(
+fn idle_to_evict<'a>(
     connections: impl Iterator<Item = &'a Rc<ClientConnection>>,
     max_connections: usize,
     now: Instant,
--- a/crates/listener/src/manager.rs
+++ b/crates/listener/src/manager.rs
@@ -1,6 +1,6 @@
 //! The connections of one listener: accepted, limited in number, and closed gracefully when the node stops.
 
-use crate::capacity::{CLOSE_GRACE, free_a_place};
+use crate::capacity::{CLOSE_GRACE, evict_connection};
 use crate::connection::ClientConnection;
 use crate::lifecycle::{ACCEPT_PERIOD, LAST_REQUEST_PERIOD, SharedLifecycle};
 use sillward_lifecycle::Event;
@@ -62,11 +62,11 @@
     longest_deadline: Box<dyn Fn() -> Duration>,
     connections: RefCell<BTreeMap<ConnectionId, Rc<ClientConnection>>>,
     max_connections: Cell<usize>,
-    /// A connection that was accepted and waits for a free place. It outlives a cancelled accept, since it may carry a
+    /// A connection that was accepted and waits for capacity. It outlives a cancelled accept, since it may carry a
     /// request already.
     pending: RefCell<Option<TcpStream>>,
-    /// A connection has ended, has become idle, or the limit has changed.
-    place_may_be_free: Notify,
+    /// Notified when a connection has ended or become idle, and when the limit has changed.
+    capacity_changed: Notify,
 }
 
 impl ConnectionManager {
@@ -83,7 +83,7 @@
             connections: RefCell::default(),
             max_connections: Cell::new(max_connections),
             pending: RefCell::default(),
-            place_may_be_free: Notify::new(),
+            capacity_changed: Notify::new(),
         })
     }
 
@@ -95,7 +95,7 @@
     /// Changes the limit. Connections that are open stay open.
     pub fn set_max_connections(&self, max_connections: usize) {
         self.max_connections.set(max_connections);
-        self.place_may_be_free.notify_one();
+        self.capacity_changed.notify_one();
     }
 
     /// What becomes of connections after their next response: they end if the node is out of service or shutting down.
@@ -114,7 +114,7 @@
             AfterRequest::Close => connection.become_closing(),
         }
         if self.is_full() {
-            self.place_may_be_free.notify_one(); // a pending connection may take this one's place
+            self.capacity_changed.notify_one(); // a pending connection may replace this one
         }
     }
 
@@ -175,7 +175,7 @@
             .for_each(|connection| connection.request_close());
         let all_ended = async {
             while self.connection_count() > 0 {
-                self.place_may_be_free.notified().await;
+                self.capacity_changed.notified().await;
             }
         };
         let longest_deadline = (self.longest_deadline)();
@@ -222,8 +222,8 @@
                 self.accept_one(listener).await;
             }
             while self.pending.borrow().is_some() && self.is_full() {
-                self.free_a_place();
-                let _ = timeout(CLOSE_GRACE, self.place_may_be_free.notified()).await;
+                self.evict_connection();
+                let _ = timeout(CLOSE_GRACE, self.capacity_changed.notified()).await;
             }
             self.serve_pending(handler);
         }
@@ -237,7 +237,7 @@
             Err(e) => {
                 // The process is out of descriptors, or the client has left already: neither is a reason to end.
                 log_peer(format_args!("cannot accept: {e}"));
-                self.free_a_place();
+                self.evict_connection();
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -247,8 +247,8 @@
         self.connection_count() >= self.max_connections.get()
     }
 
-    fn free_a_place(&self) {
-        free_a_place(
+    fn evict_connection(&self) {
+        evict_connection(
             self.connections.borrow().values(),
             self.max_connections.get(),
         );
@@ -276,7 +276,7 @@
                 () = connection.terminated() => {}
             }
             manager.connections.borrow_mut().remove(&id);
-            manager.place_may_be_free.notify_one();
+            manager.capacity_changed.notify_one();
         });
     }
 
