--- a/crates/thrift/src/backend.rs
+++ b/crates/thrift/src/backend.rs
@@ -174,7 +174,7 @@
                 continue;
             }
             written.set(true);
-            self.counters.tried();
+            self.counters.attempt_written();
             if !call.expects_response {
                 self.pool.release(connection);
                 return Exchange::from(Outcome::Served);
