--- a/crates/consensus/src/lease/granter.rs
+++ b/crates/consensus/src/lease/granter.rs
@@ -9,7 +9,7 @@
 /// A node by its name, and the session of its process.
 type Session<N> = (N, u64);
 
-/// The most leases on different versions that are told apart for one session.
+/// The most leases on different versions that are distinguished for one session.
 const MAX_GRANTS: usize = 8;
 
 /// The lease on one version.
@@ -22,7 +22,7 @@
 }
 
 /// The leases of one session. A response may be lost: an earlier lease stays outstanding beside a later one until it has
-/// expired or the node says that it knows of a newer version.
+/// expired or the node reports that it knows of a newer version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Grants {
     /// By rising version.
@@ -146,7 +146,7 @@
         });
         grants.last_request = grants.last_request.max(request.number);
         grants.drop_older_than(request.known_version);
-        // A node that knows of a newer version than this voter heard of it from one that has it committed.
+        // A node that knows of a newer version than this voter learns of it from one that has it committed.
         grants.add(self.newest.max(request.known_version), until);
     }
 
--- a/crates/consensus/src/messages.rs
+++ b/crates/consensus/src/messages.rs
@@ -9,7 +9,7 @@
     /// The log: a hash of its name and its voters. Messages of another log are ignored.
     #[prost(fixed64, tag = "1")]
     pub log_id: u64,
-    /// Drawn at the start of the node's process, so that requests of different processes are told apart.
+    /// Drawn at the start of the node's process, so that requests of different processes are distinguished.
     #[prost(fixed64, tag = "2")]
     pub session: u64,
     /// The number of the request, which the response repeats.
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,4 +1,4 @@
-//! The side of every node: it requests leases, fetches versions that it has heard of, and knows what it may act on.
+//! The side of every node: it requests leases, fetches versions that it lacks, and knows what it may act on.
 
 use crate::lease::LeaseHolder;
 use crate::messages::{LeaseRequest, LeaseResponse};
@@ -75,7 +75,7 @@
         &self.lease
     }
 
-    /// The versions that it knows of, and whether it has a lease. A newer version that it has not heard of cannot matter
+    /// The versions that it knows of, and whether it has a lease. A newer version that it does not know of cannot matter
     /// while it has one.
     pub fn status(&self, now: Duration) -> VersionStatus {
         self.lease.status(now)
--- a/crates/consensus/src/voter/output.rs
+++ b/crates/consensus/src/voter/output.rs
@@ -1,6 +1,6 @@
-//! A voter's output, held back until the state that it follows from is on disk.
+//! A voter's output, delayed until the state that it follows from is on disk.
 
-use super::Action;
+use super::interface::Action;
 use crate::storage::MemoryStorage;
 use crate::voter_state::VoterState;
 use std::collections::VecDeque;
--- a/crates/consensus/tests/world/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Places with clocks, disks and ways of their own, in one true time.
+//! A simulated cluster: nodes with clocks, disks and network links of their own, in one true time.
 #![allow(dead_code, unreachable_pub)] // each test file uses its part
 
 use rand_pcg::Pcg32;
@@ -29,16 +29,16 @@
 
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// One place's ways are cut.
+    /// One process is partitioned from all others.
     Isolate(usize),
-    /// These are cut off from the others.
-    Halves(Vec<usize>),
-    /// All ways are whole, and in time.
+    /// These are partitioned from the others.
+    Partition(Vec<usize>),
+    /// All links work, without delay.
     Heal,
-    /// What goes to and from a place is late.
-    Late(usize, Duration),
+    /// Messages to and from a process are delayed.
+    Delay(usize, Duration),
     Pause(usize),
-    GoOn(usize),
+    Resume(usize),
     Kill(usize),
     Start(usize),
     Disk(usize, Disk),
@@ -46,7 +46,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum What {
+enum InFlight {
     LeaseRequest(LeaseRequest),
     LeaseResponse(LeaseResponse),
     VoterMessage(Envelope),
@@ -56,7 +56,7 @@
     Written(u64, u64, Vec<u8>, bool),
 }
 
-struct Place {
+struct Process {
     name: Name,
     node: Option<Node>,
     voter: Option<Voter>,
@@ -66,41 +66,41 @@
     offset: Duration,
     paused: bool,
     run: u64,
-    backlog: Vec<(usize, What)>,
+    backlog: Vec<(usize, InFlight)>,
     due: Duration,
-    /// Plain readings: from, to, value.
+    /// Values used that are not conservative: from, to, value.
     acted: Vec<(Duration, Duration, Value)>,
     acts: Option<(Duration, Value)>,
-    plain: Duration,
+    leased_time: Duration,
     ran: Duration,
 }
 
-pub struct World {
+pub struct Cluster {
     timing: Timing,
     now: Duration,
     voters: usize,
-    places: Vec<Place>,
+    places: Vec<Process>,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
-    on_way: BTreeMap<u64, (usize, usize, What)>,
+    in_flight: BTreeMap<u64, (usize, usize, InFlight)>,
     sequence: u64,
     random: Pcg32,
     cut: BTreeSet<usize>,
-    halves: BTreeSet<usize>,
-    late: BTreeMap<usize, Duration>,
+    partition: BTreeSet<usize>,
+    delays: BTreeMap<usize, Duration>,
     lost_percent: u32,
     last: BTreeMap<(usize, usize), Duration>,
     pending: Vec<(usize, Proposal)>,
     resend_at: Duration,
-    confirmed: BTreeMap<u64, u64>,
-    disorder: Option<String>,
-    /// Words by kind: askings, answers, between voters, fetches.
-    pub words: [u64; 4],
+    committed: BTreeMap<u64, u64>,
+    log_violation: Option<String>,
+    /// Messages by kind: lease requests, responses, between voters, fetches.
+    pub messages: [u64; 4],
     key: Key,
 }
 
-impl World {
+impl Cluster {
     pub fn new(seed: u64, voters: usize, nodes: usize, timing: Timing) -> Self {
-        let place = |at: usize| Place {
+        let place = |at: usize| Process {
             name: Name::new(&format!("n{at}")).expect("a name"),
             node: None,
             voter: None,
@@ -115,32 +115,32 @@
             due: Duration::ZERO,
             acted: Vec::new(),
             acts: None,
-            plain: Duration::ZERO,
+            leased_time: Duration::ZERO,
             ran: Duration::ZERO,
         };
-        let mut world = World {
+        let mut cluster = Cluster {
             timing,
             now: Duration::ZERO,
             voters,
             places: (0..nodes).map(place).collect(),
             queue: BinaryHeap::new(),
-            on_way: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sequence: 0,
             random: Pcg32::seed_from_u64(seed),
             cut: BTreeSet::new(),
-            halves: BTreeSet::new(),
-            late: BTreeMap::new(),
+            partition: BTreeSet::new(),
+            delays: BTreeMap::new(),
             lost_percent: 0,
             last: BTreeMap::new(),
             pending: Vec::new(),
             resend_at: ms(500),
-            confirmed: BTreeMap::new(),
-            disorder: None,
-            words: [0; 4],
+            committed: BTreeMap::new(),
+            log_violation: None,
+            messages: [0; 4],
             key: Key::Idempotency("tally-correct".to_owned()),
         };
-        (0..nodes).for_each(|place| world.start(place));
-        world
+        (0..nodes).for_each(|place| cluster.start(place));
+        cluster
     }
 
     fn draw(&mut self, below: u64) -> u64 {
@@ -155,7 +155,7 @@
         self.places[place].offset + self.now.mul_f64(self.places[place].rate)
     }
 
-    fn truly(&self, place: usize, local: Duration) -> Duration {
+    fn true_time(&self, place: usize, local: Duration) -> Duration {
         let place = &self.places[place];
         local.saturating_sub(place.offset).div_f64(place.rate) + Duration::from_micros(1)
     }
@@ -166,7 +166,7 @@
 
     pub fn jump(&mut self, place: usize, by: Duration) {
         self.places[place].offset += by;
-        self.look(place);
+        self.reschedule(place);
     }
 
     fn start(&mut self, at: usize) {
@@ -193,32 +193,32 @@
         if let Some(known) = known.filter(|known| !known.is_empty()) {
             self.node(at, node::Event::Versions(known));
         }
-        self.look(at);
+        self.reschedule(at);
     }
 
     pub fn fault(&mut self, fault: Fault) {
         match fault {
             Fault::Isolate(place) => drop(self.cut.insert(place)),
-            Fault::Halves(some) => self.halves = some.into_iter().collect(),
+            Fault::Partition(some) => self.partition = some.into_iter().collect(),
             Fault::Heal => {
                 self.cut.clear();
-                self.halves.clear();
-                self.late.clear();
+                self.partition.clear();
+                self.delays.clear();
                 self.lost_percent = 0;
             }
-            Fault::Late(place, by) => drop(self.late.insert(place, by)),
+            Fault::Delay(place, by) => drop(self.delays.insert(place, by)),
             Fault::Pause(place) => {
                 self.close(place);
                 self.places[place].paused = true;
-                self.look(place);
+                self.reschedule(place);
             }
-            Fault::GoOn(place) => {
+            Fault::Resume(place) => {
                 self.places[place].paused = false;
                 let waiting = std::mem::take(&mut self.places[place].backlog);
-                self.look(place);
+                self.reschedule(place);
                 waiting
                     .into_iter()
-                    .for_each(|(from, what)| self.deliver(from, place, what));
+                    .for_each(|(from, message)| self.deliver(from, place, message));
             }
             Fault::Kill(place) => {
                 self.close(place);
@@ -226,7 +226,7 @@
                 let place = &mut self.places[at];
                 (place.node, place.voter, place.paused) = (None, None, false);
                 place.backlog.clear();
-                self.look(at);
+                self.reschedule(at);
             }
             Fault::Start(place) => self.start(place),
             Fault::Disk(place, disk) => self.places[place].disk = disk,
@@ -238,78 +238,80 @@
         self.places[place].folder.clone()
     }
 
-    // ---- Ways ---------------------------------------------------------------------------------
+    // ---- Links ---------------------------------------------------------------------------------
 
-    fn put(&mut self, at: Duration, from: usize, to: usize, what: What) {
+    fn put(&mut self, at: Duration, from: usize, to: usize, message: InFlight) {
         self.sequence += 1;
         self.queue.push(Reverse((at, self.sequence)));
-        self.on_way.insert(self.sequence, (from, to, what));
+        self.in_flight.insert(self.sequence, (from, to, message));
     }
 
-    fn whole(&self, from: usize, to: usize) -> bool {
+    fn is_connected(&self, from: usize, to: usize) -> bool {
         let cut = self.cut.contains(&from) || self.cut.contains(&to);
-        from == to || !cut && self.halves.contains(&from) == self.halves.contains(&to)
+        from == to || !cut && self.partition.contains(&from) == self.partition.contains(&to)
     }
 
-    fn send(&mut self, from: usize, to: usize, what: What) {
+    fn send(&mut self, from: usize, to: usize, message: InFlight) {
         let late = [from, to]
             .iter()
-            .filter_map(|place| self.late.get(place))
+            .filter_map(|place| self.delays.get(place))
             .max()
             .copied()
             .unwrap_or_default();
         let late = if from == to { Duration::ZERO } else { late };
         let mut at = self.now + Duration::from_micros(200 + self.draw(4_000)) + late;
         let datagram = matches!(
-            what,
-            What::LeaseRequest(_) | What::LeaseResponse(_) | What::Fetch(_)
+            message,
+            InFlight::LeaseRequest(_) | InFlight::LeaseResponse(_) | InFlight::Fetch(_)
         );
-        let kind = match what {
-            What::LeaseRequest(_) => 0,
-            What::LeaseResponse(_) => 1,
-            What::VoterMessage(_) => 2,
+        let kind = match message {
+            InFlight::LeaseRequest(_) => 0,
+            InFlight::LeaseResponse(_) => 1,
+            InFlight::VoterMessage(_) => 2,
             _ => 3,
         };
-        self.words[kind] += 1;
-        if !self.whole(from, to) || datagram && (self.draw(100) as u32) < self.lost_percent {
+        self.messages[kind] += 1;
+        if !self.is_connected(from, to) || datagram && (self.draw(100) as u32) < self.lost_percent {
             return;
         }
         if datagram && self.lost_percent > 0 && self.draw(10) == 0 {
             let again = at + ms(self.draw(2_000));
-            self.put(again, from, to, what.clone());
+            self.put(again, from, to, message.clone());
         }
         if !datagram {
             let last = self.last.entry((from, to)).or_default();
             at = at.max(*last);
             *last = at;
         }
-        self.put(at, from, to, what);
+        self.put(at, from, to, message);
     }
 
-    fn deliver(&mut self, from: usize, to: usize, what: What) {
+    fn deliver(&mut self, from: usize, to: usize, message: InFlight) {
         if self.places[to].paused {
             if self.places[to].backlog.len() < 500 {
-                self.places[to].backlog.push((from, what));
+                self.places[to].backlog.push((from, message));
             }
             return;
         }
         let name = self.places[from].name.clone();
-        match what {
-            What::LeaseRequest(ask) => self.voter(to, Event::LeaseRequest(name, ask)),
-            What::LeaseResponse(answer) => self.node(to, node::Event::LeaseResponse(from, answer)),
-            What::VoterMessage(sealed) => self.voter(to, Event::VoterMessage(from + 1, sealed)),
-            What::Propose(proposal) => self.voter(to, Event::Propose(proposal)),
-            What::Versions(versions) => self.node(to, node::Event::Versions(versions)),
-            What::Fetch(after) => {
+        match message {
+            InFlight::LeaseRequest(ask) => self.voter(to, Event::LeaseRequest(name, ask)),
+            InFlight::LeaseResponse(answer) => {
+                self.node(to, node::Event::LeaseResponse(from, answer))
+            }
+            InFlight::VoterMessage(sealed) => self.voter(to, Event::VoterMessage(from + 1, sealed)),
+            InFlight::Propose(proposal) => self.voter(to, Event::Propose(proposal)),
+            InFlight::Versions(versions) => self.node(to, node::Event::Versions(versions)),
+            InFlight::Fetch(after) => {
                 let versions = self.places[to]
                     .node
                     .as_ref()
                     .map(|node| node.history().versions_after(after, 32 << 10));
                 if let Some(versions) = versions.filter(|versions| !versions.is_empty()) {
-                    self.send(to, from, What::Versions(versions));
+                    self.send(to, from, InFlight::Versions(versions));
                 }
             }
-            What::Written(run, number, bytes, done) => {
+            InFlight::Written(run, number, bytes, done) => {
                 if self.places[to].run == run && self.places[to].voter.is_some() {
                     if done {
                         self.places[to].folder = Some(bytes);
@@ -318,7 +320,7 @@
                 }
             }
         }
-        self.look(to);
+        self.reschedule(to);
     }
 
     fn voter(&mut self, at: usize, event: Event) {
@@ -329,11 +331,11 @@
         for action in voter.handle(now, event) {
             match action {
                 voter::Action::SendToVoter(to, sealed) => {
-                    self.send(at, to - 1, What::VoterMessage(sealed))
+                    self.send(at, to - 1, InFlight::VoterMessage(sealed))
                 }
                 voter::Action::SendLeaseResponse(to, answer) => {
                     let to = to.as_str()[1..].parse().expect("a place");
-                    self.send(at, to, What::LeaseResponse(answer));
+                    self.send(at, to, InFlight::LeaseResponse(answer));
                 }
                 voter::Action::Persist(number, bytes) => {
                     let (takes, done) = match self.places[at].disk {
@@ -346,23 +348,27 @@
                         self.now + takes,
                         at,
                         at,
-                        What::Written(run, number, bytes, done),
+                        InFlight::Written(run, number, bytes, done),
                     );
                 }
                 voter::Action::Committed(versions) => {
-                    versions.iter().for_each(|version| self.note(at, version));
+                    versions
+                        .iter()
+                        .for_each(|version| self.record_committed(at, version));
                     self.node(at, node::Event::Versions(versions));
                 }
                 voter::Action::StatusChanged(_) => {}
             }
         }
-        self.look(at);
+        self.reschedule(at);
     }
 
     fn node(&mut self, at: usize, event: node::Event) {
         let now = self.local(at);
         if let node::Event::Versions(versions) = &event {
-            versions.iter().for_each(|version| self.note(at, version));
+            versions
+                .iter()
+                .for_each(|version| self.record_committed(at, version));
         }
         let Some(node) = &mut self.places[at].node else {
             return;
@@ -370,8 +376,9 @@
         for action in node.handle(now, event) {
             match action {
                 node::Action::RequestLease(ask) => {
-                    (0..self.voters)
-                        .for_each(|voter| self.send(at, voter, What::LeaseRequest(ask.clone())));
+                    (0..self.voters).for_each(|voter| {
+                        self.send(at, voter, InFlight::LeaseRequest(ask.clone()))
+                    });
                 }
                 node::Action::Fetch { after, from_voter } => {
                     let among = if from_voter {
@@ -380,19 +387,19 @@
                         self.places.len()
                     };
                     let to = self.draw(among as u64) as usize;
-                    self.send(at, to, What::Fetch(after));
+                    self.send(at, to, InFlight::Fetch(after));
                 }
                 node::Action::StatusChanged => {}
             }
         }
-        self.look(at);
+        self.reschedule(at);
     }
 
-    /// A version that somebody holds to be confirmed.
-    fn note(&mut self, at: usize, version: &Version) {
-        let first = *self.confirmed.entry(version.number).or_insert(version.id);
+    /// A version that a process takes to be committed.
+    fn record_committed(&mut self, at: usize, version: &Version) {
+        let first = *self.committed.entry(version.number).or_insert(version.id);
         if first != version.id {
-            self.disorder = Some(format!(
+            self.log_violation = Some(format!(
                 "n{at} has {} as version {}, another had {first}",
                 version.id, version.number
             ));
@@ -402,7 +409,7 @@
     // ---- Time ---------------------------------------------------------------------------------
 
     /// Looks when a place is due, and what it acts on from now on.
-    fn look(&mut self, at: usize) {
+    fn reschedule(&mut self, at: usize) {
         let local = self.local(at);
         let place = &self.places[at];
         if place.paused || place.node.is_none() {
@@ -412,8 +419,8 @@
         let node = place.node.as_ref().map(|node| node.next_wakeup(local));
         let voter = place.voter.as_ref().map(|voter| voter.next_wakeup(local));
         let due = node.into_iter().chain(voter).min().expect("a node");
-        self.places[at].due = self.truly(at, due);
-        let reading = self.reading(at, &self.key.clone());
+        self.places[at].due = self.true_time(at, due);
+        let reading = self.effective_value(at, &self.key.clone());
         let acts = (!reading.conservative).then_some(reading.value);
         if self.places[at].acts.as_ref().map(|(_, value)| value) != acts.as_ref() {
             self.close(at);
@@ -425,7 +432,7 @@
         let now = self.now;
         let place = &mut self.places[at];
         if let Some((from, value)) = place.acts.take() {
-            place.plain += now - from;
+            place.leased_time += now - from;
             place.acted.push((from, now, value));
         }
     }
@@ -435,7 +442,7 @@
     }
 
     /// Runs until that holds, at most so long; how long it took.
-    pub fn until(&mut self, most: Duration, holds: impl Fn(&World) -> bool) -> Option<Duration> {
+    pub fn until(&mut self, most: Duration, holds: impl Fn(&Cluster) -> bool) -> Option<Duration> {
         let (begun, end) = (self.now, self.now + most);
         let mut looked = begun;
         loop {
@@ -470,10 +477,10 @@
                 let Some(Reverse((_, sequence))) = self.queue.pop() else {
                     continue;
                 };
-                if let Some((from, to, what)) = self.on_way.remove(&sequence) {
-                    // What is cut while it is on its way is lost with it.
-                    if self.whole(from, to) || matches!(what, What::Written(..)) {
-                        self.deliver(from, to, what);
+                if let Some((from, to, message)) = self.in_flight.remove(&sequence) {
+                    // A message is lost if its link is cut before it arrives.
+                    if self.is_connected(from, to) || matches!(message, InFlight::Written(..)) {
+                        self.deliver(from, to, message);
                     }
                 }
             } else {
@@ -500,7 +507,7 @@
         id
     }
 
-    /// Another sends it too, as whoever proposed it may have died.
+    /// Another process sends the proposal too, as the first may have crashed.
     pub fn propose_again(&mut self, place: usize, id: u64) {
         if let Some(at) = self
             .pending
@@ -522,13 +529,13 @@
         } else {
             self.draw(self.voters as u64) as usize
         };
-        self.send(place, to, What::Propose(proposal));
+        self.send(place, to, InFlight::Propose(proposal));
     }
 
     fn resend(&mut self) {
-        let known = |world: &World, at: usize| {
-            let (place, proposal) = &world.pending[at];
-            let newest = world.places[*place]
+        let known = |cluster: &Cluster, at: usize| {
+            let (place, proposal) = &cluster.pending[at];
+            let newest = cluster.places[*place]
                 .node
                 .as_ref()
                 .map_or(0, |node| node.history().newest());
@@ -546,15 +553,15 @@
     }
 
     pub fn version_of(&self, id: u64) -> Option<u64> {
-        self.confirmed
+        self.committed
             .iter()
             .find(|(_, known)| **known == id)
             .map(|(number, _)| *number)
     }
 
-    // ---- What is seen -------------------------------------------------------------------------
+    // ---- Observations ------------------------------------------------------------------------
 
-    pub fn reading(&self, place: usize, key: &Key) -> EffectiveValue {
+    pub fn effective_value(&self, place: usize, key: &Key) -> EffectiveValue {
         let node = self.places[place].node.as_ref().expect("it runs");
         node.history()
             .effective_value(node.status(self.local(place)), key)
@@ -568,34 +575,34 @@
     }
 
     pub fn in_force(&self, version: u64) -> bool {
-        self.in_force_but(version, &[])
+        self.in_force_except(version, &[])
     }
 
-    pub fn in_force_but(&self, version: u64, but: &[usize]) -> bool {
+    pub fn in_force_except(&self, version: u64, except: &[usize]) -> bool {
         let acts = |place: usize| {
-            let reading = self.reading(place, &self.key);
+            let reading = self.effective_value(place, &self.key);
             !reading.conservative && reading.version == version
         };
         (0..self.places.len())
-            .filter(|place| !but.contains(place))
+            .filter(|place| !except.contains(place))
             .all(|place| self.places[place].node.is_some() && acts(place))
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |place: &Place| place.voter.as_ref().is_some_and(|voter| voter.is_leader());
+        let leads = |place: &Process| place.voter.as_ref().is_some_and(|voter| voter.is_leader());
         self.places.iter().position(leads)
     }
 
-    pub fn stands(&self, place: usize) -> Option<&VoterStatus> {
+    pub fn status(&self, place: usize) -> Option<&VoterStatus> {
         self.places[place].voter.as_ref().map(Voter::status)
     }
 
-    pub fn votes(&self, place: usize) -> bool {
-        self.stands(place) == Some(&VoterStatus::Voting)
+    pub fn is_voting(&self, place: usize) -> bool {
+        self.status(place) == Some(&VoterStatus::Voting)
     }
 
-    pub fn refuses(&self, place: usize) -> bool {
-        matches!(self.stands(place), Some(VoterStatus::Disabled(_)))
+    pub fn is_disabled(&self, place: usize) -> bool {
+        matches!(self.status(place), Some(VoterStatus::Disabled(_)))
     }
 
     pub fn log_length(&self, place: usize) -> LogLength {
@@ -605,28 +612,28 @@
             .map_or(LogLength::default(), Voter::log_length)
     }
 
-    pub fn plain_share(&self) -> f64 {
-        let plain: Duration = self
+    pub fn leased_share(&self) -> f64 {
+        let leased_time: Duration = self
             .places
             .iter()
             .map(|place| {
-                place.plain
+                place.leased_time
                     + place
                         .acts
                         .as_ref()
                         .map_or(Duration::ZERO, |(from, _)| self.now - *from)
             })
             .sum();
-        plain.as_secs_f64() / (self.now.as_secs_f64() * self.places.len() as f64)
+        leased_time.as_secs_f64() / (self.now.as_secs_f64() * self.places.len() as f64)
     }
 
-    /// The longest time for which two places acted on values that differ, each by a plain reading.
-    pub fn longest_contradiction(&mut self) -> Duration {
+    /// The longest time for which two places acted on values that differ, neither of them conservatively.
+    pub fn longest_conflict(&mut self) -> Duration {
         let all = 0..self.places.len();
         for at in all.clone() {
             self.close(at);
             if self.places[at].node.is_some() && !self.places[at].paused {
-                self.look(at);
+                self.reschedule(at);
             }
         }
         let mut longest = Duration::ZERO;
@@ -645,14 +652,14 @@
         longest
     }
 
-    pub fn order(&self) -> Result<(), String> {
-        if let Some(disorder) = &self.disorder {
-            return Err(disorder.clone());
+    pub fn log_check(&self) -> Result<(), String> {
+        if let Some(log_violation) = &self.log_violation {
+            return Err(log_violation.clone());
         }
-        // What was confirmed once is there still, wherever somebody votes and has caught up.
-        let newest = self.confirmed.keys().last().copied().unwrap_or_default();
+        // Some voter still has every version that was committed.
+        let newest = self.committed.keys().last().copied().unwrap_or_default();
         let most = (0..self.voters)
-            .filter(|place| self.votes(*place))
+            .filter(|place| self.is_voting(*place))
             .map(|place| {
                 self.places[place]
                     .voter
@@ -661,23 +668,23 @@
             });
         match most.max() {
             Some(most) if most < newest => {
-                Err(format!("version {newest} was confirmed, and is lost"))
+                Err(format!("version {newest} was committed, and is lost"))
             }
             _ => Ok(()),
         }
     }
 
-    pub fn check_order(&self) {
-        assert_eq!(self.order(), Ok(()));
+    pub fn check_log(&self) {
+        assert_eq!(self.log_check(), Ok(()));
     }
 
     pub fn check(&mut self) {
-        assert_eq!(self.longest_contradiction(), Duration::ZERO);
-        self.check_order();
+        assert_eq!(self.longest_conflict(), Duration::ZERO);
+        self.check_log();
     }
 
-    /// Faults as drawn, with changes between them; and a time without any at the end.
-    pub fn night(&mut self, span: Duration, settings: impl Fn(u64) -> FleetSettings) {
+    /// Random faults and proposals, and a time without faults at the end.
+    pub fn random_faults(&mut self, span: Duration, settings: impl Fn(u64) -> FleetSettings) {
         self.run(ms(2_500));
         let nodes = self.places.len();
         let mut ends: Vec<(Duration, Fault)> = Vec::new();
@@ -700,17 +707,17 @@
                     let some = (0..nodes)
                         .filter(|_| self.random.next_u32() % 2 == 0)
                         .collect();
-                    self.fault(Fault::Halves(some));
+                    self.fault(Fault::Partition(some));
                     ends.push((later, Fault::Heal));
                 }
                 2 => {
                     let late = ms(100 + self.draw(4_000));
-                    self.fault(Fault::Late(place, late));
+                    self.fault(Fault::Delay(place, late));
                     ends.push((later, Fault::Heal));
                 }
                 3 => {
                     self.fault(Fault::Pause(place));
-                    ends.push((later, Fault::GoOn(place)));
+                    ends.push((later, Fault::Resume(place)));
                 }
                 4 => {
                     self.fault(Fault::Kill(place));
@@ -753,7 +760,7 @@
         self.fault(Fault::Heal);
         for place in 0..nodes {
             if self.places[place].paused {
-                self.fault(Fault::GoOn(place));
+                self.fault(Fault::Resume(place));
             }
             self.fault(Fault::Start(place));
         }
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_voters_file_keeps_its_bytes_and_is_read() {
+fn voter_file_keeps_its_bytes_and_is_read() {
     assert_eq!(hex(&file()), include_str!("golden/voter-file.hex").trim());
     let read = VoterState::decode(&file(), 0x77, 2, 3).expect("a voter's file");
     assert_eq!(read.encode(), file());
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -1,8 +1,7 @@
-//! The rights of [`sillward_consensus::lease`], over all orders at a small size: three voters, some nodes, one version that
-//! contradicts the one in force. A voter's consent counts as soon as it would give it, to whomever: as if there were other
-//! nodes without number that act on the new version the moment they may. Whatever was sent may come at any time, any number of times or never, before or after a
-//! voter's restart; a node does nothing for as long as it likes; one clock lags behind by a tick, as far as the drift that is
-//! stated.
+//! Model check of the leases of [`sillward_consensus::lease`]: three voters, some nodes, and one version that conflicts with
+//! the one in force. A voter's consent counts as soon as the voter would give it, as if there were any number of other nodes
+//! that act on the new version at once. Messages may arrive at any time, any number of times or never, before or after a
+//! restart of a voter; nodes may do nothing for any time; one clock may lag by a tick, which is the stated drift.
 
 use sillward_consensus::lease::{LeaseGranter, LeaseHolder};
 use sillward_consensus::messages::{LeaseRequest, LeaseResponse};
@@ -11,7 +10,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// A tick; a right lasts two by its node's clock, and a voter waits for three.
+/// A tick; a lease lasts two by its node's clock, and a voter waits for three.
 const TICK: Duration = Duration::from_millis(2);
 const VOTERS: usize = 3;
 const LOG: u64 = 7;
@@ -41,30 +40,30 @@
     lags: u32,
 }
 
-struct Rights {
-    plant: Option<InjectedBug>,
+struct LeaseModel {
+    bug: Option<InjectedBug>,
     size: Size,
 }
 
-/// What is on its way, for good: it may come again and again.
+/// A message that was sent: it may arrive any number of times.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Way {
+enum InFlight {
     /// From a node, to a voter: number and what it knows.
-    Ask(usize, usize, u64, u64),
+    Request(usize, usize, u64, u64),
     /// From a voter, to a node: number, newest, consent.
-    Answer(usize, usize, u64, u64, u64),
+    Response(usize, usize, u64, u64, u64),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     ticks: u32,
     voters: Vec<LeaseGranter<usize>>,
-    /// What each voter's folder has.
-    kept: Vec<u64>,
+    /// The newest version on each voter's disk.
+    persisted: Vec<u64>,
     nodes: Vec<LeaseHolder>,
     lag: Vec<u32>,
     asked: Vec<u64>,
-    ways: BTreeSet<Way>,
+    in_flight: BTreeSet<InFlight>,
     restarts: u32,
     /// The newest version that each voter ever consented to.
     consents: Vec<u64>,
@@ -73,9 +72,9 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Tick(Option<usize>),
-    Asks(usize),
-    Comes(Way),
-    Confirmed(usize),
+    RequestsLease(usize),
+    Arrives(InFlight),
+    Committed(usize),
     Restart(usize),
 }
 
@@ -88,20 +87,20 @@
         TICK * (10 + self.ticks - self.lag[node])
     }
 
-    /// The version that a node may act on by a plain reading, if it may: with no version between that contradicts it.
+    /// The version whose values a node may use, if no conflicting version may be in force.
     fn acts(&self, node: usize) -> Option<u64> {
         let status = self.nodes[node].status(self.node_now(node));
         (status.has_lease && status.in_force == status.newest).then_some(status.newest)
     }
 }
 
-impl Model for Rights {
+impl Model for LeaseModel {
     type State = State;
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let (timing, start) = (timing(self.plant), Duration::ZERO);
-        // All have been up for long, and version 1 is in force.
+        let (timing, start) = (timing(self.bug), Duration::ZERO);
+        // All have run for long, and version 1 is in force.
         let voters = (0..VOTERS)
             .map(|_| LeaseGranter::new(timing, LOG, 1, start))
             .collect();
@@ -125,11 +124,11 @@
         vec![State {
             ticks: 0,
             voters,
-            kept: vec![1; VOTERS],
+            persisted: vec![1; VOTERS],
             nodes,
             lag: vec![0; self.size.nodes],
             asked: vec![0; self.size.nodes],
-            ways: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
             restarts: 0,
             consents: vec![1; VOTERS],
         }]
@@ -147,13 +146,13 @@
             if state.asked[node] < self.size.asks
                 && state.nodes[node].next_request_at() <= state.node_now(node)
             {
-                steps.push(Step::Asks(node));
+                steps.push(Step::RequestsLease(node));
             }
         }
-        steps.extend(state.ways.iter().cloned().map(Step::Comes));
+        steps.extend(state.in_flight.iter().cloned().map(Step::Arrives));
         for voter in 0..VOTERS {
-            if state.kept[voter] == 1 {
-                steps.push(Step::Confirmed(voter));
+            if state.persisted[voter] == 1 {
+                steps.push(Step::Committed(voter));
             }
             if state.restarts < self.size.restarts {
                 steps.push(Step::Restart(voter));
@@ -171,15 +170,15 @@
                     state.lag[node] += 1;
                 }
             }
-            Step::Asks(node) => {
+            Step::RequestsLease(node) => {
                 let at = state.node_now(node);
                 let ask = state.nodes[node].take_request(at)?;
                 state.asked[node] += 1;
-                let ways =
-                    (0..VOTERS).map(|voter| Way::Ask(node, voter, ask.number, ask.known_version));
-                state.ways.extend(ways);
+                let in_flight = (0..VOTERS)
+                    .map(|voter| InFlight::Request(node, voter, ask.number, ask.known_version));
+                state.in_flight.extend(in_flight);
             }
-            Step::Comes(Way::Ask(node, voter, number, knows)) => {
+            Step::Arrives(InFlight::Request(node, voter, number, knows)) => {
                 let ask = LeaseRequest {
                     log_id: LOG,
                     session: node as u64 + 1,
@@ -187,7 +186,7 @@
                     known_version: knows,
                 };
                 let answer = state.voters[voter].handle_request(now, &node, &ask);
-                state.ways.insert(Way::Answer(
+                state.in_flight.insert(InFlight::Response(
                     voter,
                     node,
                     number,
@@ -195,7 +194,7 @@
                     answer.consented,
                 ));
             }
-            Step::Comes(Way::Answer(voter, node, number, newest, consent)) => {
+            Step::Arrives(InFlight::Response(voter, node, number, newest, consent)) => {
                 let answer = LeaseResponse {
                     log_id: LOG,
                     session: node as u64 + 1,
@@ -207,18 +206,18 @@
                 let at = state.node_now(node);
                 state.nodes[node].handle_response(at, voter, &answer);
             }
-            Step::Confirmed(voter) => {
-                state.kept[voter] = 2;
+            Step::Committed(voter) => {
+                state.persisted[voter] = 2;
                 state.voters[voter].on_committed(2);
             }
             Step::Restart(voter) => {
                 state.restarts += 1;
-                // What was not in the folder is forgotten with the rights.
-                if self.plant == Some(InjectedBug::SendBeforeSync) {
-                    state.kept[voter] = 1;
+                // What was not on disk is lost with the leases.
+                if self.bug == Some(InjectedBug::SendBeforeSync) {
+                    state.persisted[voter] = 1;
                 }
                 state.voters[voter] =
-                    LeaseGranter::new(timing(self.plant), LOG, state.kept[voter], now);
+                    LeaseGranter::new(timing(self.bug), LOG, state.persisted[voter], now);
             }
         }
         let now = state.now();
@@ -230,7 +229,7 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nobody contradicts another", |_, state: &State| {
+            Property::always("no two nodes conflict", |_, state: &State| {
                 let force = state
                     .consents
                     .iter()
@@ -251,20 +250,20 @@
     }
 }
 
-/// Whether a contradiction was found, with how many states and how deep.
-fn checked(plant: Option<InjectedBug>, size: Size) -> (bool, bool, usize) {
+/// Whether a conflict was found, whether the expected states were reached, and the number of states.
+fn checked(bug: Option<InjectedBug>, size: Size) -> (bool, bool, usize) {
     let begun = Instant::now();
-    let checker = Rights { plant, size }
+    let checker = LeaseModel { bug, size }
         .checker()
         .threads(4)
         .target_state_count(20_000_000);
-    let checker = if plant.is_some() {
+    let checker = if bug.is_some() {
         checker.finish_when(HasDiscoveries::AnyFailures)
     } else {
         checker
     };
     let checker = checker.spawn_dfs().join();
-    let broken = checker.discovery("nobody contradicts another").is_some();
+    let broken = checker.discovery("no two nodes conflict").is_some();
     let reached = [
         "the old version is acted on beside a voter's consent",
         "the new version is in force",
@@ -272,7 +271,7 @@
     let reached = reached.iter().all(|what| checker.discovery(what).is_some());
     let (states, depth) = (checker.unique_state_count(), checker.max_depth());
     println!(
-        "{plant:?}: broken {broken}, {states} states, depth {depth}, {:?}",
+        "{bug:?}: broken {broken}, {states} states, depth {depth}, {:?}",
         begun.elapsed()
     );
     (broken, reached, states)
@@ -288,28 +287,28 @@
 };
 
 #[test]
-fn no_order_makes_two_nodes_contradict_each_other() {
+fn no_order_of_events_makes_two_nodes_conflict() {
     let (broken, reached, states) = checked(None, SMALL);
     assert!(!broken);
     assert!(reached && states > 10_000, "{states}");
 }
 
 #[test]
-fn the_model_finds_each_plant() {
-    for plant in [
+fn model_finds_each_injected_bug() {
+    for bug in [
         InjectedBug::LeaseFromArrival,
         InjectedBug::SendBeforeSync,
         InjectedBug::SkipLeaseWait,
         InjectedBug::ForgetLeases,
     ] {
-        let ticks = if plant == InjectedBug::LeaseFromArrival {
+        let ticks = if bug == InjectedBug::LeaseFromArrival {
             3
         } else {
             1
         };
-        let restarts = u32::from(plant != InjectedBug::LeaseFromArrival);
+        let restarts = u32::from(bug != InjectedBug::LeaseFromArrival);
         let (broken, ..) = checked(
-            Some(plant),
+            Some(bug),
             Size {
                 nodes: 1,
                 ticks,
@@ -318,7 +317,7 @@
                 lags: 0,
             },
         );
-        assert!(broken, "{plant:?}");
+        assert!(broken, "{bug:?}");
     }
 }
 
@@ -338,12 +337,12 @@
         restarts: number("RESTARTS"),
         lags: number("LAGS"),
     };
-    let plant = [
+    let bug = [
         None,
         Some(InjectedBug::LeaseFromArrival),
         Some(InjectedBug::SendBeforeSync),
         Some(InjectedBug::SkipLeaseWait),
         Some(InjectedBug::ForgetLeases),
     ][number("PLANT") as usize];
-    checked(plant, size);
+    checked(bug, size);
 }
--- a/crates/consensus/tests/parts.rs
+++ b/crates/consensus/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Parts by themselves: a voter's file, and rights where answers are lost.
+//! A voter's file, and leases whose responses are lost.
 
 use sillward_consensus::lease::{LeaseGranter, LeaseHolder};
 use sillward_consensus::messages::LeaseRequest;
@@ -9,7 +9,7 @@
 const LOG: u64 = 7;
 
 #[test]
-fn a_file_that_is_torn_or_flipped_at_any_byte_is_as_good_as_lost() {
+fn rejects_a_file_truncated_or_damaged_at_any_byte() {
     let bytes = VoterState::initial(LOG, 2, 5, 0x1234_5678_9abc).encode();
     assert!(VoterState::decode(&bytes, LOG, 2, 5).is_ok());
     for at in 0..bytes.len() {
@@ -27,7 +27,7 @@
     for (log, place, voters) in [(8, 2, 5), (LOG, 3, 5), (LOG, 2, 3)] {
         assert!(
             VoterState::decode(&bytes, log, place, voters).is_err(),
-            "another's"
+            "of another voter or log"
         );
     }
 }
@@ -46,22 +46,22 @@
 }
 
 #[test]
-fn an_answer_that_is_lost_takes_back_no_right_that_an_earlier_one_gave() {
+fn lost_response_leaves_earlier_lease_outstanding() {
     let timing = Timing::default();
     let mut granter: LeaseGranter<u8> = LeaseGranter::new(timing, LOG, 1, ms(0));
     let now = ms(10_000);
     granter.handle_request(now, &1, &request(1, 1));
     granter.on_committed(2);
-    // The node asks again, and does not hear that there is a version 2.
+    // The response with version 2 is lost, and the node sends another request.
     granter.handle_request(now + ms(300), &1, &request(2, 1));
     assert_eq!(granter.consented(now + ms(400)), 1);
     assert_eq!(granter.blocking_leases(now + ms(400)).len(), 1);
     assert_eq!(
         granter.consented(now + timing.grant_duration()),
         2,
-        "by then the first has run out"
+        "the first lease has expired"
     );
-    // Had it heard, it would have said so.
+    // With that response the node would know version 2.
     let mut granter: LeaseGranter<u8> = LeaseGranter::new(timing, LOG, 1, ms(0));
     granter.handle_request(now, &1, &request(1, 1));
     granter.on_committed(2);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn who_gets_no_right_holds_nothing_up_and_a_full_voter_says_so() {
+fn rejects_leases_beyond_the_limit() {
     let timing = Timing {
         max_leases: 2,
         ..Timing::default()
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_right_counts_from_the_asking_of_the_least_recent_of_a_majority() {
+fn lease_counts_from_the_oldest_request_of_a_majority() {
     for (injected_bug, has_lease) in [(None, false), (Some(InjectedBug::LeaseFromArrival), true)] {
         let timing = Timing {
             injected_bug,
--- a/crates/outcome-stats/src/codec.rs
+++ b/crates/outcome-stats/src/codec.rs
@@ -6,7 +6,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most bytes of encoded counts. Backends for which there is no room are added to [`BackendId::OTHERS`].
+/// The most bytes of encoded counts. Backends that do not fit are added to [`BackendId::OTHERS`].
 pub const MAX_COUNTS_BYTES: usize = 4096;
 /// The most classes of encoded counts.
 pub const MAX_CLASSES: usize = 64;
@@ -32,7 +32,7 @@
 
 /// Encodes counts in at most [`MAX_COUNTS_BYTES`].
 ///
-/// Backends for which there is no room are added up, without latencies, so that sums over all backends stay complete.
+/// Backends that do not fit are added up, without latencies, so that sums over all backends stay complete.
 pub fn encode_counts(counts: &Counts) -> Vec<u8> {
     let classes = class_table(counts);
     let place = |class: &ClassId| classes.binary_search(class).ok();
@@ -85,7 +85,7 @@
     }
 }
 
-/// Encodes the backends for which there is room, those with most attempts first. Returns the sum of the others.
+/// Encodes the backends that fit, those with most attempts first. Returns the sum of the others.
 fn put_backends(
     bytes: &mut Vec<u8>,
     backends: BTreeMap<BackendId, ByClass<'_>>,
@@ -103,8 +103,8 @@
     let mut others: BTreeMap<usize, AttemptCounts> = BTreeMap::new();
     for (backend, attempts) in backends {
         let encoded = encode_backend(backend, &attempts);
-        let has_room = bytes.len() + encoded.len() + reserved <= MAX_COUNTS_BYTES;
-        if backend != BackendId::OTHERS && has_room {
+        let fits = bytes.len() + encoded.len() + reserved <= MAX_COUNTS_BYTES;
+        if backend != BackendId::OTHERS && fits {
             bytes.extend(encoded);
             continue;
         }
--- a/crates/outcome-stats/src/config.rs
+++ b/crates/outcome-stats/src/config.rs
@@ -24,7 +24,7 @@
     pub bytes_per_second: f64,
     /// The shortest time between two requests.
     pub min_request_interval: Duration,
-    /// The nodes that are asked in rotation.
+    /// The number of nodes to pull from in rotation.
     pub rotation_size: usize,
     /// A report of this age counts no more.
     pub max_report_age: Duration,
--- a/crates/outcome-stats/src/counts/mod.rs
+++ b/crates/outcome-stats/src/counts/mod.rs
@@ -14,7 +14,7 @@
 pub struct BackendId(pub u32);
 
 impl BackendId {
-    /// All backends for which a report had no room.
+    /// All backends that did not fit into a report.
     pub const OTHERS: BackendId = BackendId(0);
 
     /// The backend with this number in the node.
--- a/crates/outcome-stats/src/estimate/demand.rs
+++ b/crates/outcome-stats/src/estimate/demand.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// What a summary says of a class.
+/// The part of a summary about a class.
 struct ClassReport {
     weight: f64,
     nodes: f64,
@@ -155,7 +155,7 @@
     capped.iter().sum()
 }
 
-/// The error of the calls: nodes that are not heard may differ from the others as much as these differ from each other, counts
+/// The error of the calls: nodes without reports may differ from the others as much as these differ from each other, counts
 /// of few calls vary by chance, and demand has changed since the reports.
 fn error(reports: &[ClassReport], totals: Totals, mean: f64, total: f64) -> f64 {
     let weight = totals.weight;
--- a/crates/outcome-stats/src/exchange/mod.rs
+++ b/crates/outcome-stats/src/exchange/mod.rs
@@ -39,7 +39,7 @@
 const REPORT_OVERHEAD_BYTES: usize = 56;
 /// What a message costs beside its reports, in bytes, at the most.
 const MESSAGE_OVERHEAD_BYTES: usize = 160;
-/// A response with room for fewer bytes is not worth its overhead.
+/// A smaller response does not justify its overhead.
 const MIN_RESPONSE_BYTES: usize = 400;
 /// The most marks of known reports in a request.
 const MAX_MARKS: usize = 256;
--- a/crates/outcome-stats/src/exchange/respond.rs
+++ b/crates/outcome-stats/src/exchange/respond.rs
@@ -96,7 +96,7 @@
         Some(self.send(now, to.clone(), RESPONSE_SLOT, &message))
     }
 
-    /// The most bytes of a response; `None` if they are too few to be worth it.
+    /// The most bytes of a response; `None` if they are too few to justify a message.
     fn response_budget(&mut self, now: Duration, request: &PullRequest) -> Option<usize> {
         let rate = self.config.bytes_per_second;
         let reserved = if request.own_only {
@@ -123,18 +123,18 @@
     ) -> (Vec<ReportMessage>, bool) {
         let marks = request.known.iter().take(2 * MAX_MARKS);
         let known = KnownReports::from_marks(marks.copied());
-        let mut room = max_bytes.saturating_sub(MESSAGE_OVERHEAD_BYTES);
+        let mut remaining = max_bytes.saturating_sub(MESSAGE_OVERHEAD_BYTES);
         let mut reports = Vec::new();
         let mut truncated = false;
         for candidate in self.candidates(to, request) {
             if candidate.name == to || known.contains(candidate.mark()) {
                 continue;
             }
-            if candidate.cost() > room {
+            if candidate.cost() > remaining {
                 truncated = true;
                 continue;
             }
-            room -= candidate.cost();
+            remaining -= candidate.cost();
             reports.push(candidate.to_message(now, self.topology.groups));
         }
         (reports, truncated)
--- a/crates/outcome-stats/src/wire.rs
+++ b/crates/outcome-stats/src/wire.rs
@@ -47,7 +47,7 @@
     /// As `until`, of the groups' reports.
     #[prost(uint64, tag = "5")]
     pub groups_until: u64,
-    /// Whether some reports had no room.
+    /// Whether some reports did not fit.
     #[prost(bool, tag = "6")]
     pub truncated: bool,
     /// As in the request.
--- a/crates/outcome-stats/tests/world/mod.rs
+++ b/crates/outcome-stats/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of books and words on a clock of its own: links that lose, delay and are cut, callers with a rate by node, and
-//! backends that serve so well. What is true is known here, and compared with what nodes read.
+//! A simulated fleet on a clock of its own: a network that loses, delays and is partitioned, clients with a rate for each node,
+//! and backends with a success rate. The truth is known, and compared with what nodes estimate.
 #![allow(dead_code, unreachable_pub)] // each test file uses its own part of this
 
 use rand_pcg::Pcg32;
@@ -29,7 +29,7 @@
 
 /// What happens between nodes.
 #[derive(Clone, Copy, Debug)]
-pub struct Ways {
+pub struct Network {
     /// Of a hundred messages so many are lost.
     pub lost: u32,
     /// And each takes up to so long.
@@ -37,13 +37,13 @@
 }
 
 pub struct Node {
-    pub spread: StatsExchange,
-    pub life: Incarnation,
+    pub exchange: StatsExchange,
+    pub incarnation: Incarnation,
     /// Calls a second that its callers ask, and by how much of that it swings, once in so many seconds.
     pub rate: f64,
     pub swing: (f64, f64),
     /// It tells so many times what it is asked, and each backend as dead.
-    pub lies: f64,
+    pub inflation: f64,
     owed: f64,
     /// Until the next call, in calls of the rate.
     gap: f64,
@@ -51,32 +51,32 @@
 
 type Due = Reverse<(Duration, u64, usize, usize, Incarnation, Vec<u8>)>;
 
-pub struct World {
+pub struct Fleet {
     pub now: Duration,
     pub nodes: Vec<Node>,
     pub backends: usize,
     /// Of a hundred attempts at a backend so many are in time.
     pub good: Vec<u32>,
-    pub ways: Ways,
+    pub network: Network,
     /// Nodes below this number and the others hear nothing of each other.
     pub cut: Option<usize>,
     pub config: StatsConfig,
     under_way: BinaryHeap<Due>,
     numbers: u64,
-    dice: Pcg32,
+    random: Pcg32,
     seed: u64,
     pub bytes: u64,
     pub most_bytes: f64,
 }
 
-impl World {
+impl Fleet {
     pub fn new(count: usize, backends: usize, rate: f64, seed: u64, config: StatsConfig) -> Self {
-        let mut world = World {
+        let mut fleet = Fleet {
             now: ms(10_000),
             nodes: Vec::new(),
             backends,
             good: vec![97; backends],
-            ways: Ways {
+            network: Network {
                 lost: 0,
                 late: ms(2),
             },
@@ -84,31 +84,37 @@
             config,
             under_way: BinaryHeap::new(),
             numbers: 0,
-            dice: Pcg32::seed_from_u64(seed),
+            random: Pcg32::seed_from_u64(seed),
             seed,
             bytes: 0,
             most_bytes: 0.0,
         };
         for number in 0..count {
-            let node = world.fresh(number, 1, rate);
-            world.nodes.push(node);
+            let node = fleet.fresh(number, 1, rate);
+            fleet.nodes.push(node);
         }
-        world
+        fleet
     }
 
     fn fresh(&self, number: usize, epoch: u32, rate: f64) -> Node {
-        let life = Incarnation {
+        let incarnation = Incarnation {
             epoch,
             salt: 1 + number as u32 + 10_000 * epoch,
         };
         let seed = self.seed ^ (number as u64) << 20 ^ u64::from(epoch);
-        let spread = StatsExchange::new(self.config.clone(), name(number), life, seed, self.now);
+        let exchange = StatsExchange::new(
+            self.config.clone(),
+            name(number),
+            incarnation,
+            seed,
+            self.now,
+        );
         Node {
-            spread,
-            life,
+            exchange,
+            incarnation,
             rate,
             swing: (0.0, 1.0),
-            lies: 1.0,
+            inflation: 1.0,
             owed: 0.0,
             gap: 1.0,
         }
@@ -116,12 +122,15 @@
 
     /// A process dies, and another begins under its name.
     pub fn restart(&mut self, number: usize) {
-        let (epoch, rate) = (self.nodes[number].life.epoch + 1, self.nodes[number].rate);
+        let (epoch, rate) = (
+            self.nodes[number].incarnation.epoch + 1,
+            self.nodes[number].rate,
+        );
         self.nodes[number] = self.fresh(number, epoch, rate);
     }
 
     fn chance(&mut self, percent: u32) -> bool {
-        self.dice.next_u32() % 100 < percent
+        self.random.next_u32() % 100 < percent
     }
 
     fn at(&self, number: usize) -> f64 {
@@ -136,15 +145,16 @@
     }
 
     fn calls(&mut self, number: usize) {
-        let lies = self.nodes[number].lies;
-        let mut owed = self.nodes[number].owed + self.at(number) * TICK.as_secs_f64() * lies;
+        let inflation = self.nodes[number].inflation;
+        let mut owed = self.nodes[number].owed + self.at(number) * TICK.as_secs_f64() * inflation;
         // Calls come by chance.
         while owed >= self.nodes[number].gap {
             owed -= self.nodes[number].gap;
-            self.nodes[number].gap = -(1.0 - f64::from(self.dice.next_u32()) / 2f64.powi(32)).ln();
-            let backend = self.dice.next_u32() as usize % self.backends;
+            self.nodes[number].gap =
+                -(1.0 - f64::from(self.random.next_u32()) / 2f64.powi(32)).ln();
+            let backend = self.random.next_u32() as usize % self.backends;
             let good = self.good[backend];
-            let end = if lies > 1.0 || !self.chance(good) {
+            let end = if inflation > 1.0 || !self.chance(good) {
                 AttemptOutcome::Failed
             } else {
                 AttemptOutcome::InTime
@@ -154,7 +164,7 @@
                 backend: BackendId::of(1 + backend as u64),
                 class: class(),
             };
-            let counts = self.nodes[number].spread.counts(now);
+            let counts = self.nodes[number].exchange.counts(now);
             counts.record_call(class(), false);
             counts.record_attempt(cell, Duration::ZERO);
             counts.record_outcome(
@@ -170,20 +180,20 @@
         for Action::Send { to, bytes, .. } in actions {
             self.bytes += bytes.len() as u64 + 64;
             let to = to.as_str()[1..].parse().expect("a node");
-            let lost = self.chance(self.ways.lost);
+            let lost = self.chance(self.network.lost);
             let late = self
-                .ways
+                .network
                 .late
-                .mul_f64(f64::from(self.dice.next_u32()) / 2f64.powi(32));
+                .mul_f64(f64::from(self.random.next_u32()) / 2f64.powi(32));
             self.numbers += 1;
-            let life = self.nodes[from].life;
+            let incarnation = self.nodes[from].incarnation;
             if !lost {
                 self.under_way.push(Reverse((
                     self.now + late + ms(1),
                     self.numbers,
                     from,
                     to,
-                    life,
+                    incarnation,
                     bytes,
                 )));
             }
@@ -204,33 +214,35 @@
                 .peek()
                 .is_some_and(|Reverse((at, ..))| *at <= self.now)
             {
-                let Some(Reverse((at, _, from, to, life, bytes))) = self.under_way.pop() else {
+                let Some(Reverse((at, _, from, to, incarnation, bytes))) = self.under_way.pop()
+                else {
                     break;
                 };
-                if self.apart(from, to) || self.nodes[from].life != life {
+                if self.apart(from, to) || self.nodes[from].incarnation != incarnation {
                     continue;
                 }
-                let actions = self.nodes[to]
-                    .spread
-                    .handle_message(at, &name(from), life, &bytes);
+                let actions =
+                    self.nodes[to]
+                        .exchange
+                        .handle_message(at, &name(from), incarnation, &bytes);
                 self.post(to, actions);
             }
             let living: Vec<(Name, Incarnation)> = self
                 .nodes
                 .iter()
                 .enumerate()
-                .map(|(number, node)| (name(number), node.life))
+                .map(|(number, node)| (name(number), node.incarnation))
                 .collect();
             for number in 0..self.nodes.len() {
                 self.calls(number);
                 let node = &mut self.nodes[number];
-                if node.spread.next_wakeup() <= self.now {
+                if node.exchange.next_wakeup() <= self.now {
                     let others = living
                         .iter()
                         .enumerate()
                         .filter(|(other, _)| *other != number);
-                    let others = others.map(|(_, (name, life))| (name, *life));
-                    let actions = node.spread.tick(self.now, node.life, others);
+                    let others = others.map(|(_, (name, incarnation))| (name, *incarnation));
+                    let actions = node.exchange.tick(self.now, node.incarnation, others);
                     self.post(number, actions);
                 }
             }
@@ -240,7 +252,7 @@
     }
 
     pub fn view(&self, number: usize) -> FleetEstimate {
-        self.nodes[number].spread.estimate(self.now)
+        self.nodes[number].exchange.estimate(self.now)
     }
 
     /// What a node reads that all callers ask a second, and by how much it may be wrong.
@@ -255,9 +267,9 @@
     }
 }
 
-pub fn planted(plant: InjectedBug) -> StatsConfig {
+pub fn with_bug(bug: InjectedBug) -> StatsConfig {
     StatsConfig {
-        injected_bug: Some(plant),
+        injected_bug: Some(bug),
         ..StatsConfig::default()
     }
 }
--- a/crates/outcome-stats/tests/fleet.rs
+++ b/crates/outcome-stats/tests/fleet.rs
@@ -1,20 +1,20 @@
-//! Fleets of words: what is read against what is true, under loss, delay, cuts, restarts and lies.
+//! Estimates of simulated fleets against the truth, under loss, delay, partitions, restarts and false reports.
 
-mod world;
+mod common;
 
+use common::{Fleet, Network, class, ms};
 use sillward_outcome_stats::{BackendClass, BackendId, InjectedBug, StatsConfig};
 use std::time::Duration;
-use world::*;
 
 /// Of all readings of all nodes, once a second for so long, the share within what they say they may be wrong by; and the mean of
 /// how wrong they are, as a share.
-fn right(world: &mut World, seconds: u64) -> (f64, f64) {
+fn accuracy(fleet: &mut Fleet, seconds: u64) -> (f64, f64) {
     let (mut good, mut all, mut off) = (0, 0, 0.0);
     for _ in 0..seconds {
-        world.pass(ms(1000));
-        let truth = world.truth();
-        for number in (0..world.nodes.len()).step_by(world.nodes.len().div_ceil(12)) {
-            let (read, error) = world.read(number);
+        fleet.pass(ms(1000));
+        let truth = fleet.truth();
+        for number in (0..fleet.nodes.len()).step_by(fleet.nodes.len().div_ceil(12)) {
+            let (read, error) = fleet.read(number);
             all += 1;
             good += usize::from((read - truth).abs() <= error);
             off += (read - truth).abs() / truth;
@@ -24,31 +24,31 @@
 }
 
 #[test]
-fn each_node_reads_what_all_are_asked_within_what_it_says() {
+fn estimates_demand_within_the_stated_error() {
     for (seed, lost, late) in [(1, 0, 2), (2, 20, 500), (3, 5, 50)] {
-        let mut world = World::new(12, 8, 40.0, seed, StatsConfig::default());
-        world.nodes[0].rate = 300.0;
-        world.ways = Ways {
+        let mut fleet = Fleet::new(12, 8, 40.0, seed, StatsConfig::default());
+        fleet.nodes[0].rate = 300.0;
+        fleet.network = Network {
             lost,
             late: ms(late),
         };
-        world
+        fleet
             .nodes
             .iter_mut()
             .for_each(|node| node.swing = (0.2, 20.0));
-        world.pass(ms(10_000));
-        let (within, off) = right(&mut world, 20);
+        fleet.pass(ms(10_000));
+        let (within, off) = accuracy(&mut fleet, 20);
         assert!(
             within >= 0.95,
             "{seed}: {within} of the readings are within their error"
         );
         assert!(off < 0.2, "{seed}: {off}");
         assert!(
-            world.most_bytes <= 10_000.0,
+            fleet.most_bytes <= 10_000.0,
             "{seed}: {} bytes a node and second",
-            world.most_bytes
+            fleet.most_bytes
         );
-        let share = world.view(0).coverage;
+        let share = fleet.view(0).coverage;
         assert!(
             share.reporting == 12 && share.age < ms(8_000),
             "{seed}: {share:?}"
@@ -57,13 +57,13 @@
 }
 
 #[test]
-fn one_bad_backend_is_seen_by_nodes_that_never_met_it() {
-    let mut world = World::new(12, 8, 30.0, 4, StatsConfig::default());
-    world.good[3] = 40;
+fn estimates_backends_that_a_node_has_never_used() {
+    let mut fleet = Fleet::new(12, 8, 30.0, 4, StatsConfig::default());
+    fleet.good[3] = 40;
     // Node 11 is asked nothing.
-    world.nodes[11].rate = 0.0;
-    world.pass(ms(15_000));
-    let view = world.view(11);
+    fleet.nodes[11].rate = 0.0;
+    fleet.pass(ms(15_000));
+    let view = fleet.view(11);
     let at = |backend: u64| {
         view.backends[&BackendClass {
             backend: BackendId::of(1 + backend),
@@ -85,15 +85,15 @@
 }
 
 #[test]
-fn a_half_that_is_cut_off_weighs_less_and_less_and_is_there_once_when_it_is_back() {
-    let mut world = World::new(12, 8, 40.0, 5, StatsConfig::default());
-    world.pass(ms(10_000));
-    let before = world.view(0).coverage.weight;
-    world.cut = Some(6);
+fn partitioned_half_fades_and_counts_once_after_recovery() {
+    let mut fleet = Fleet::new(12, 8, 40.0, 5, StatsConfig::default());
+    fleet.pass(ms(10_000));
+    let before = fleet.view(0).coverage.weight;
+    fleet.cut = Some(6);
     let mut weights = vec![before];
     for _ in 0..70 {
-        world.pass(ms(1000));
-        weights.push(world.view(0).coverage.weight);
+        fleet.pass(ms(1000));
+        weights.push(fleet.view(0).coverage.weight);
     }
     // By a straight line, and nothing at once.
     assert!(
@@ -107,42 +107,42 @@
         "{weights:?}"
     );
     // A half stands for the whole, and says how wrong that may be: its own callers ask as the others do.
-    let ((read, error), truth) = (world.read(0), world.truth());
+    let ((read, error), truth) = (fleet.read(0), fleet.truth());
     assert!(
         (read - truth).abs() <= error && error > 0.1 * truth,
         "{read} +- {error} of {truth}"
     );
-    world.cut = None;
-    world.pass(ms(10_000));
-    let (within, _) = right(&mut world, 10);
+    fleet.cut = None;
+    fleet.pass(ms(10_000));
+    let (within, _) = accuracy(&mut fleet, 10);
     assert!(
-        within >= 0.95 && world.view(0).coverage.weight > 0.99,
+        within >= 0.95 && fleet.view(0).coverage.weight > 0.99,
         "{within}"
     );
 }
 
 #[test]
-fn a_restart_neither_doubles_nor_loses_what_a_node_is_asked() {
-    let dip = |plant: Option<InjectedBug>| {
-        let mut world = World::new(
+fn restart_neither_doubles_nor_loses_demand() {
+    let dip = |bug: Option<InjectedBug>| {
+        let mut fleet = Fleet::new(
             12,
             8,
             40.0,
             6,
             StatsConfig {
-                injected_bug: plant,
+                injected_bug: bug,
                 ..StatsConfig::default()
             },
         );
-        world.nodes[1].rate = 300.0;
-        world.pass(ms(10_000));
+        fleet.nodes[1].rate = 300.0;
+        fleet.pass(ms(10_000));
         let (mut least, mut most) = (f64::MAX, 0.0f64);
         for round in 0..30 {
             if round % 3 == 0 {
-                world.restart(1 + round / 3);
+                fleet.restart(1 + round / 3);
             }
-            world.pass(ms(500));
-            let ratio = world.read(0).0 / world.truth();
+            fleet.pass(ms(500));
+            let ratio = fleet.read(0).0 / fleet.truth();
             (least, most) = (least.min(ratio), most.max(ratio));
         }
         (least, most)
@@ -150,30 +150,30 @@
     let (least, most) = dip(None);
     assert!(least > 0.75 && most < 1.25, "{least} to {most}");
     let (_, doubled) = dip(Some(InjectedBug::DoubleCountRestarts));
-    assert!(doubled > 1.25, "the plant is not seen: {doubled}");
+    assert!(doubled > 1.25, "the injected bug has no effect: {doubled}");
 }
 
 #[test]
-fn a_liar_sways_sums_and_judgements_no_further_than_is_stated() {
-    let sway = |plant: Option<InjectedBug>| {
-        let mut world = World::new(
+fn false_reports_have_a_bounded_share_of_estimates() {
+    let sway = |bug: Option<InjectedBug>| {
+        let mut fleet = Fleet::new(
             12,
             8,
             40.0,
             7,
             StatsConfig {
-                injected_bug: plant,
+                injected_bug: bug,
                 ..StatsConfig::default()
             },
         );
-        world.nodes[2].lies = 60.0;
-        world.pass(ms(15_000));
-        let judged = world.view(0).backends[&BackendClass {
+        fleet.nodes[2].inflation = 60.0;
+        fleet.pass(ms(15_000));
+        let judged = fleet.view(0).backends[&BackendClass {
             backend: BackendId::of(1),
             class: class(),
         }]
             .in_time;
-        (world.read(0).0 / world.truth(), judged)
+        (fleet.read(0).0 / fleet.truth(), judged)
     };
     let (sum, judged) = sway(None);
     assert!(
@@ -187,66 +187,66 @@
     let (believed, dead) = sway(Some(InjectedBug::NoShareCap));
     assert!(
         believed > 4.0 && dead < 0.3,
-        "the plant is not seen: {believed} {dead}"
+        "the injected bug has no effect: {believed} {dead}"
     );
 }
 
 #[test]
-fn who_truly_sees_half_of_all_counts_whole() {
-    let mut world = World::new(12, 8, 40.0, 8, StatsConfig::default());
-    world.nodes[0].rate = 440.0;
-    world.pass(ms(15_000));
-    let (read, truth) = (world.read(5).0, world.truth());
+fn node_with_half_of_the_traffic_counts_in_full() {
+    let mut fleet = Fleet::new(12, 8, 40.0, 8, StatsConfig::default());
+    fleet.nodes[0].rate = 440.0;
+    fleet.pass(ms(15_000));
+    let (read, truth) = (fleet.read(5).0, fleet.truth());
     assert!((0.85..1.15).contains(&(read / truth)), "{read} of {truth}");
 }
 
 #[test]
-fn words_that_are_old_do_not_pass_for_new() {
-    let weight = |plant: Option<InjectedBug>| {
-        let mut world = World::new(
+fn old_reports_lose_their_weight() {
+    let weight = |bug: Option<InjectedBug>| {
+        let mut fleet = Fleet::new(
             6,
             4,
             20.0,
             9,
             StatsConfig {
-                injected_bug: plant,
+                injected_bug: bug,
                 ..StatsConfig::default()
             },
         );
-        world.pass(ms(10_000));
+        fleet.pass(ms(10_000));
         // Everything that is said from now on is held up for 15 s, and asks are forgotten before that.
-        world.ways.late = ms(0);
-        world.cut = Some(1);
-        world.pass(ms(40_000));
-        world.view(0).coverage.weight
+        fleet.network.late = ms(0);
+        fleet.cut = Some(1);
+        fleet.pass(ms(40_000));
+        fleet.view(0).coverage.weight
     };
     assert!(weight(None) < 0.6, "five of six are 40 s old");
     assert!(
         weight(Some(InjectedBug::IgnoreAge)) > 0.9,
-        "the plant is not seen"
+        "the injected bug has no effect"
     );
 }
 
 #[test]
-fn loss_and_delay_never_make_a_word_younger_than_it_is() {
-    let mut world = World::new(12, 8, 20.0, 10, StatsConfig::default());
-    world.ways = Ways {
+fn loss_and_delay_never_make_a_report_younger() {
+    let mut fleet = Fleet::new(12, 8, 20.0, 10, StatsConfig::default());
+    fleet.network = Network {
         lost: 20,
         late: ms(1500),
     };
     for _ in 0..30 {
-        world.pass(ms(1000));
+        fleet.pass(ms(1000));
         for number in 0..12 {
-            for ((whose, life), word) in world.nodes[number].spread.reports().iter() {
+            for ((whose, incarnation), word) in fleet.nodes[number].exchange.reports().iter() {
                 let of: usize = whose.as_str()[1..].parse().expect("a node");
-                if world.nodes[of].life != *life {
+                if fleet.nodes[of].incarnation != *incarnation {
                     continue;
                 }
-                // The word's last window ended so long after its life began.
+                // The word's last window ended so long after its incarnation began.
                 let ended = ms(10_000) + Duration::from_secs(word.version);
-                let true_age = world.now.saturating_sub(ended);
+                let true_age = fleet.now.saturating_sub(ended);
                 assert!(
-                    word.age(world.now) + ms(1) >= true_age,
+                    word.age(fleet.now) + ms(1) >= true_age,
                     "{whose} at n{number}"
                 );
             }
@@ -255,24 +255,24 @@
 }
 
 #[test]
-fn a_hundred_nodes_hear_of_each_other_by_groups_within_the_same_rate() {
-    let mut world = World::new(100, 40, 8.0, 11, StatsConfig::default());
-    world.nodes[0].rate = 300.0;
-    world.good[3] = 40;
-    world.ways = Ways {
+fn hundred_nodes_exchange_by_groups_within_the_same_rate() {
+    let mut fleet = Fleet::new(100, 40, 8.0, 11, StatsConfig::default());
+    fleet.nodes[0].rate = 300.0;
+    fleet.good[3] = 40;
+    fleet.network = Network {
         lost: 2,
         late: ms(20),
     };
-    world.pass(ms(30_000));
-    let (within, off) = right(&mut world, 4);
+    fleet.pass(ms(30_000));
+    let (within, off) = accuracy(&mut fleet, 4);
     assert!(within >= 0.95 && off < 0.15, "{within} {off}");
     assert!(
-        world.most_bytes <= 10_000.0,
+        fleet.most_bytes <= 10_000.0,
         "{} bytes a node and second",
-        world.most_bytes
+        fleet.most_bytes
     );
     for number in (0..100).step_by(9) {
-        let view = world.view(number);
+        let view = fleet.view(number);
         assert!(
             view.coverage.reporting >= 97 && view.coverage.age < ms(10_000),
             "n{number} {:?}",
@@ -286,7 +286,7 @@
     }
 }
 
-/// `cargo test --release -p sillward-outcomes --test fleet -- --ignored --nocapture sizes`
+/// `cargo test --release -p sillward-outcome-stats --test fleet -- --ignored --nocapture sizes`
 #[test]
 #[ignore = "a measurement"]
 fn sizes() {
@@ -300,31 +300,31 @@
         .map(|nodes| nodes.parse::<usize>().expect("a number"))
     {
         let backends = (nodes / 2).clamp(8, 147);
-        let mut world = World::new(
+        let mut fleet = Fleet::new(
             nodes,
             backends,
             3100.0 / 734.0 * 2.0,
             1,
             StatsConfig::default(),
         );
-        world.nodes.iter_mut().enumerate().for_each(|(i, node)| {
+        fleet.nodes.iter_mut().enumerate().for_each(|(i, node)| {
             node.rate *= if i % 20 == 0 { 6.0 } else { 0.74 };
             node.swing = (0.2, 60.0);
         });
-        world.ways = Ways {
+        fleet.network = Network {
             lost: 2,
             late: ms(20),
         };
-        world.pass(ms(60_000));
-        world.bytes = 0;
-        let (within, off) = right(&mut world, 10);
-        let bytes = world.bytes as f64 / 10.0 / nodes as f64;
-        let (share, (read, error)) = (world.view(nodes / 2).coverage, world.read(nodes / 2));
+        fleet.pass(ms(60_000));
+        fleet.bytes = 0;
+        let (within, off) = accuracy(&mut fleet, 10);
+        let bytes = fleet.bytes as f64 / 10.0 / nodes as f64;
+        let (share, (read, error)) = (fleet.view(nodes / 2).coverage, fleet.read(nodes / 2));
         println!(
             "| {nodes} | {backends} | {:.1}, {:.1} (fresh for {:.1}) | {:.3} | {:.3} | {bytes:.0} | {:.2} |",
             share.age.as_secs_f64(),
             share.oldest.as_secs_f64(),
-            world.nodes[nodes / 2].spread.fresh_for().as_secs_f64(),
+            fleet.nodes[nodes / 2].exchange.fresh_for().as_secs_f64(),
             within,
             off,
             error / read
--- a/crates/outcome-stats/tests/golden.rs
+++ b/crates/outcome-stats/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden bytes of the statistics that nodes tell each other.
+//! Golden bytes of the statistics that nodes exchange.
 
 use prost::Message;
 use sillward_outcome_stats::codec::{decode_counts, encode_counts};
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn packed_counts_keep_their_bytes() {
+fn encoded_counts_keep_their_bytes() {
     let bytes = encode_counts(&counts());
     assert_eq!(hex(&bytes), include_str!("golden/counts.hex").trim());
     assert_eq!(
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn asks_and_answers_keep_their_bytes() {
+fn requests_and_responses_keep_their_bytes() {
     let ask = PullRequest {
         number: 3,
         since: 4,
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn marks_are_as_they_were() {
+fn report_marks_keep_their_values() {
     let marks = [
         report_mark("n3", 5, 0, 300),
         report_mark("n3", 5, 4, 301),
--- a/crates/outcome-stats/tests/parts.rs
+++ b/crates/outcome-stats/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Counts, sketches and boards add up in any order; whatever is read from others is read or dropped, and never more.
+//! Counts and histograms merge in any order; messages of others are decoded or rejected.
 
 use proptest::prelude::*;
 use sillward_membership::{Incarnation, Name};
@@ -103,14 +103,14 @@
     #![proptest_config(ProptestConfig { cases: 300, ..ProptestConfig::default() })]
 
     #[test]
-    fn counts_add_up_in_any_order_and_grouping(a in counts(8), b in counts(8), c in counts(8)) {
+    fn counts_merge_in_any_order_and_grouping(a in counts(8), b in counts(8), c in counts(8)) {
         let all = merged(&[&a, &b, &c]);
         prop_assert_eq!(&merged(&[&c, &a, &b]), &all);
         prop_assert_eq!(&merged(&[&a, &merged(&[&b, &c])]), &all);
     }
 
     #[test]
-    fn what_is_packed_is_read_back_and_what_has_no_room_is_in_the_sums(counts in counts(300)) {
+    fn decodes_encoded_counts_and_keeps_sums_of_omitted_backends(counts in counts(300)) {
         let bytes = encode_counts(&counts);
         prop_assert!(bytes.len() <= MAX_COUNTS_BYTES, "{}", bytes.len());
         let back = decode_counts(&bytes).expect("its own");
@@ -122,7 +122,7 @@
     }
 
     #[test]
-    fn a_quantile_is_an_eleventh_off_at_the_most(times in prop::collection::vec(2u64..60_000, 1..80), share in 0.0f64..1.0) {
+    fn quantiles_are_within_the_stated_error(times in prop::collection::vec(2u64..60_000, 1..80), share in 0.0f64..1.0) {
         let mut sketch = LatencyHistogram::default();
         times.iter().for_each(|ms| sketch.record(Duration::from_millis(*ms)));
         let mut sorted = times.clone();
@@ -133,14 +133,14 @@
     }
 
     #[test]
-    fn whatever_comes_is_read_or_dropped(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode_counts(&bytes);
-        heard(&bytes);
+        receive(&bytes);
     }
 
     /// Nearer to what there is than noise: one byte changed, or the end cut off.
     #[test]
-    fn a_spoilt_word_is_read_or_dropped(counts in counts(20), at in any::<prop::sample::Index>(), byte in any::<u8>(), cut in any::<prop::sample::Index>()) {
+    fn damaged_reports_are_decoded_or_rejected(counts in counts(20), at in any::<prop::sample::Index>(), byte in any::<u8>(), cut in any::<prop::sample::Index>()) {
         let mut bytes = encode_counts(&counts);
         let place = at.index(bytes.len());
         bytes[place] = byte;
@@ -149,24 +149,24 @@
     }
 }
 
-fn heard(bytes: &[u8]) {
+fn receive(bytes: &[u8]) {
     let (me, other) = (
         Name::new("a").expect("a name"),
         Name::new("b").expect("a name"),
     );
-    let (life, now) = (Incarnation { epoch: 1, salt: 7 }, Duration::from_secs(5));
-    let mut spread = StatsExchange::new(StatsConfig::default(), me, life, 1, now);
-    let _ = spread.tick(now, life, [(&other, life)].into_iter());
-    let _ = spread.handle_message(now, &other, life, bytes);
-    assert!(spread.reports().len() <= 1, "nothing was asked for");
+    let (incarnation, now) = (Incarnation { epoch: 1, salt: 7 }, Duration::from_secs(5));
+    let mut exchange = StatsExchange::new(StatsConfig::default(), me, incarnation, 1, now);
+    let _ = exchange.tick(now, incarnation, [(&other, incarnation)].into_iter());
+    let _ = exchange.handle_message(now, &other, incarnation, bytes);
+    assert!(exchange.reports().len() <= 1, "nothing was asked for");
 }
 
-/// `cargo test --release -p sillward-outcomes --test parts -- --ignored`: a million.
+/// `cargo test --release -p sillward-outcome-stats --test parts -- --ignored`: a million.
 #[test]
 #[ignore = "half a minute"]
-fn a_million_messages_are_read_or_dropped() {
+fn million_damaged_messages_are_decoded_or_rejected() {
     use rand_pcg::rand_core::{RngCore, SeedableRng};
-    let mut dice = rand_pcg::Pcg32::seed_from_u64(1);
+    let mut random = rand_pcg::Pcg32::seed_from_u64(1);
     let mut counts = Counts::default();
     for backend in 1..9 {
         counts.record_attempt(
@@ -182,42 +182,42 @@
         let mut bytes = if round % 2 == 0 {
             whole.clone()
         } else {
-            vec![0; dice.next_u32() as usize % 200]
+            vec![0; random.next_u32() as usize % 200]
         };
         if round % 2 == 1 {
-            dice.fill_bytes(&mut bytes);
+            random.fill_bytes(&mut bytes);
         }
-        for _ in 0..=dice.next_u32() % 4 {
+        for _ in 0..=random.next_u32() % 4 {
             if !bytes.is_empty() {
-                let at = dice.next_u32() as usize % bytes.len();
-                bytes[at] = dice.next_u32() as u8;
+                let at = random.next_u32() as usize % bytes.len();
+                bytes[at] = random.next_u32() as u8;
             }
         }
         let _ = decode_counts(&bytes);
-        heard(&bytes);
+        receive(&bytes);
     }
 }
 
 #[test]
-fn windows_that_are_long_against_the_oldest_word_end_nothing() {
+fn accepts_windows_as_long_as_the_maximum_age() {
     let (me, other) = (
         Name::new("a").expect("a name"),
         Name::new("b").expect("a name"),
     );
-    let (life, now) = (Incarnation { epoch: 1, salt: 7 }, Duration::from_secs(5));
+    let (incarnation, now) = (Incarnation { epoch: 1, salt: 7 }, Duration::from_secs(5));
     let window = Duration::from_secs(10);
-    let mut spread = StatsExchange::new(
+    let mut exchange = StatsExchange::new(
         StatsConfig {
             window,
             max_report_age: window,
             ..StatsConfig::default()
         },
         me,
-        life,
+        incarnation,
         1,
         now,
     );
-    let asked = spread.tick(now, life, [(&other, life)].into_iter());
+    let asked = exchange.tick(now, incarnation, [(&other, incarnation)].into_iter());
     assert_eq!(asked.len(), 1);
     use prost::Message;
     let answer = sillward_outcome_stats::wire::PullResponse {
@@ -228,24 +228,24 @@
         request: None,
         response: Some(answer),
     };
-    spread.handle_message(now, &other, life, &said.encode_to_vec());
-    assert!(spread.fresh_for() <= window && spread.estimate(now).coverage.living == 2);
+    exchange.handle_message(now, &other, incarnation, &said.encode_to_vec());
+    assert!(exchange.fresh_for() <= window && exchange.estimate(now).coverage.living == 2);
 }
 
 #[test]
-fn a_node_alone_asks_nobody_and_reads_what_it_sees_itself() {
-    let (me, life) = (
+fn single_node_estimates_from_its_own_counts() {
+    let (me, incarnation) = (
         Name::new("a").expect("a name"),
         Incarnation { epoch: 1, salt: 7 },
     );
     let mut now = Duration::from_secs(5);
-    let mut spread = StatsExchange::new(StatsConfig::default(), me, life, 1, now);
+    let mut exchange = StatsExchange::new(StatsConfig::default(), me, incarnation, 1, now);
     for _ in 0..100 {
         now += Duration::from_millis(100);
-        spread.counts(now).record_call(ClassId(1), false);
-        assert!(spread.tick(now, life, [].into_iter()).is_empty());
+        exchange.counts(now).record_call(ClassId(1), false);
+        assert!(exchange.tick(now, incarnation, [].into_iter()).is_empty());
     }
-    let view = spread.estimate(now);
+    let view = exchange.estimate(now);
     assert!(
         (8.0..12.0).contains(&view.demand[&ClassId(1)].first),
         "{view:?}"
@@ -254,16 +254,16 @@
 }
 
 #[test]
-fn a_word_that_nobody_asked_for_is_not_believed() {
+fn rejects_reports_that_were_not_requested() {
     use prost::Message;
     use sillward_outcome_stats::wire::{PullResponse, ReportMessage, StatsMessage};
     let (me, other) = (
         Name::new("a").expect("a name"),
         Name::new("b").expect("a name"),
     );
-    let (life, now) = (Incarnation { epoch: 1, salt: 7 }, Duration::from_secs(5));
-    let mut spread = StatsExchange::new(StatsConfig::default(), me, life, 1, now);
-    let asked = spread.tick(now, life, [(&other, life)].into_iter());
+    let (incarnation, now) = (Incarnation { epoch: 1, salt: 7 }, Duration::from_secs(5));
+    let mut exchange = StatsExchange::new(StatsConfig::default(), me, incarnation, 1, now);
+    let asked = exchange.tick(now, incarnation, [(&other, incarnation)].into_iter());
     assert_eq!(asked.len(), 1, "{asked:?}");
     let mut counts = Counts::default();
     counts.record_call(ClassId(1), false);
@@ -291,29 +291,29 @@
         }
         .encode_to_vec()
     };
-    spread.handle_message(now, &other, life, &answer(9, "b"));
-    assert!(spread.reports().is_empty(), "another number");
-    spread.handle_message(now, &other, life, &answer(1, "a"));
+    exchange.handle_message(now, &other, incarnation, &answer(9, "b"));
+    assert!(exchange.reports().is_empty(), "another number");
+    exchange.handle_message(now, &other, incarnation, &answer(1, "a"));
     assert!(
-        spread.reports().is_empty(),
+        exchange.reports().is_empty(),
         "a word of this node's own, from somebody else"
     );
     let mut again = StatsExchange::new(
         StatsConfig::default(),
         Name::new("a").expect("a name"),
-        life,
+        incarnation,
         1,
         now,
     );
-    again.tick(now, life, [(&other, life)].into_iter());
+    again.tick(now, incarnation, [(&other, incarnation)].into_iter());
     let later = now + Duration::from_millis(1500);
-    again.handle_message(later, &other, life, &answer(1, "b"));
+    again.handle_message(later, &other, incarnation, &answer(1, "b"));
     let (_, word) = again.reports().iter().next().expect("what was asked for");
     assert_eq!(
         word.age(later),
         Duration::from_millis(1600),
         "counted from the ask"
     );
-    again.handle_message(later, &other, life, &answer(1, "b"));
+    again.handle_message(later, &other, incarnation, &answer(1, "b"));
     assert_eq!(again.counters().invalid, 1, "an answer counts once");
 }
