--- /dev/null
+++ b/crates/membership/src/anti_entropy/exchange.rs
@@ -0,0 +1,188 @@
+//! The messages of an exchange: digests of all buckets, then of the members in the buckets that differ, then the members
+//! that differ.
+//!
+//! The cost depends on what differs, not on what is known: 256 bytes of bucket digests, then 8 bytes for each member of the
+//! buckets that differ (about a sixty-fourth of the fleet each), then the members themselves.
+
+use crate::digest::name_hash;
+use crate::local::LocalState;
+use crate::members::{BUCKETS, Member, Members};
+use crate::name::Name;
+use crate::update::MemberUpdate;
+use crate::values::Values;
+use crate::wire::{MemberValue, SyncMessage, Update};
+use prost::Message;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Bytes of members and values in one message; what does not fit is left to the next exchange.
+const MAX_DELIVERY_BYTES: usize = 48 * 1024;
+/// At most so many bytes are added to each update or value by its field number and length.
+const FIELD_OVERHEAD_BYTES: usize = 4;
+
+/// The message that begins an exchange.
+pub(crate) fn open(members: &Members, local: &LocalState) -> SyncMessage {
+    SyncMessage {
+        step: SyncMessage::STEP_BUCKET_DIGESTS,
+        digests: bucket_digests(members, local),
+        ..SyncMessage::default()
+    }
+}
+
+/// The answer to a message; `None` if there is none. What the message delivers has been applied before.
+pub(crate) fn answer(
+    members: &Members,
+    local: &LocalState,
+    request: &SyncMessage,
+) -> Option<SyncMessage> {
+    match request.step {
+        SyncMessage::STEP_BUCKET_DIGESTS => answer_bucket_digests(members, local, request),
+        SyncMessage::STEP_MEMBER_DIGESTS => Some(answer_member_digests(members, local, request)),
+        SyncMessage::STEP_DELIVER_AND_REQUEST => answer_request(members, local, request),
+        _ => None,
+    }
+}
+
+fn answer_bucket_digests(
+    members: &Members,
+    local: &LocalState,
+    request: &SyncMessage,
+) -> Option<SyncMessage> {
+    if request.digests.len() != BUCKETS {
+        return None;
+    }
+    let buckets = bucket_digests(members, local)
+        .iter()
+        .zip(&request.digests)
+        .enumerate()
+        .filter(|(_, (own, other))| own != other)
+        .fold(0u64, |buckets, (bucket, _)| buckets | 1 << bucket);
+    if buckets == 0 {
+        return None;
+    }
+    let member_digests = member_digests(members, local, buckets)
+        .into_iter()
+        .flat_map(|(name, digest)| [name, digest])
+        .collect();
+    Some(SyncMessage {
+        step: SyncMessage::STEP_MEMBER_DIGESTS,
+        buckets,
+        member_digests,
+        ..SyncMessage::default()
+    })
+}
+
+fn answer_member_digests(
+    members: &Members,
+    local: &LocalState,
+    request: &SyncMessage,
+) -> SyncMessage {
+    let theirs: BTreeMap<u32, u32> = request
+        .member_digests
+        .chunks_exact(2)
+        .map(|pair| (pair[0], pair[1]))
+        .collect();
+    let own = member_digests(members, local, request.buckets);
+    let delivered = names_that_differ(&own, &theirs);
+    let answer = SyncMessage {
+        step: SyncMessage::STEP_DELIVER_AND_REQUEST,
+        buckets: request.buckets,
+        wanted: names_that_differ(&theirs, &own).into_iter().collect(),
+        ..SyncMessage::default()
+    };
+    deliver(members, local, answer, |name, _| delivered.contains(&name))
+}
+
+fn answer_request(
+    members: &Members,
+    local: &LocalState,
+    request: &SyncMessage,
+) -> Option<SyncMessage> {
+    let wanted: BTreeSet<u32> = request.wanted.iter().copied().collect();
+    // Also what is known better of the members just delivered, such as a death, which no digest shows.
+    let received: BTreeMap<&str, &Update> = request
+        .updates
+        .iter()
+        .map(|update| (update.name.as_str(), update))
+        .collect();
+    let answer = SyncMessage {
+        step: SyncMessage::STEP_DELIVER,
+        buckets: request.buckets,
+        ..SyncMessage::default()
+    };
+    let answer = deliver(members, local, answer, |name, update| {
+        wanted.contains(&name)
+            || received
+                .get(update.name.as_str())
+                .is_some_and(|received| **received != Update::from(update))
+    });
+    (!answer.updates.is_empty()).then_some(answer)
+}
+
+/// Name hashes of `digests` that `other` lacks or has with another digest.
+fn names_that_differ(digests: &BTreeMap<u32, u32>, other: &BTreeMap<u32, u32>) -> BTreeSet<u32> {
+    digests
+        .iter()
+        .filter(|(name, digest)| other.get(name) != Some(digest))
+        .map(|(name, _)| *name)
+        .collect()
+}
+
+/// The digests of all buckets, this node among them.
+fn bucket_digests(members: &Members, local: &LocalState) -> Vec<u32> {
+    let mut digests = members.digests().to_vec();
+    digests[Members::bucket(&local.node.name)] ^= local.digest();
+    digests
+}
+
+/// The digests of the active members in these buckets, this node among them, by the hashes of their names.
+fn member_digests(members: &Members, local: &LocalState, buckets: u64) -> BTreeMap<u32, u32> {
+    let is_within = |name: &Name| buckets & 1 << Members::bucket(name) != 0;
+    let mut digests: BTreeMap<u32, u32> = members
+        .iter()
+        .filter(|member| member.state.is_active() && is_within(&member.name))
+        .map(|member| (name_hash(&member.name), member.digest))
+        .collect();
+    if is_within(&local.node.name) {
+        digests.insert(name_hash(&local.node.name), local.digest());
+    }
+    digests
+}
+
+/// Adds the wanted members with their values to a message, this node last, as far as they fit.
+fn deliver(
+    members: &Members,
+    local: &LocalState,
+    mut message: SyncMessage,
+    is_wanted: impl Fn(u32, &MemberUpdate) -> bool,
+) -> SyncMessage {
+    let mut available = MAX_DELIVERY_BYTES;
+    let others = members
+        .iter()
+        .map(|member: &Member| (member.update(), &member.values));
+    for (update, values) in others.chain([(local.update(), &local.values)]) {
+        if !is_wanted(name_hash(&update.name), &update) {
+            continue;
+        }
+        let wire_update = Update::from(&update);
+        let wire_values = wire_values(&update, values);
+        let values_bytes: usize = wire_values
+            .iter()
+            .map(|value| value.encoded_len() + FIELD_OVERHEAD_BYTES)
+            .sum();
+        let bytes = wire_update.encoded_len() + values_bytes + FIELD_OVERHEAD_BYTES;
+        if bytes > available {
+            break;
+        }
+        available -= bytes;
+        message.updates.push(wire_update);
+        message.values.extend(wire_values);
+    }
+    message
+}
+
+fn wire_values(update: &MemberUpdate, values: &Values) -> Vec<MemberValue> {
+    values
+        .iter()
+        .map(|value| MemberValue::new(&update.name, update.incarnation, value))
+        .collect()
+}
--- /dev/null
+++ b/crates/membership/src/failure_detector.rs
@@ -0,0 +1,413 @@
+//! SWIM's failure detector: periodic probes, indirect probes by way of other members, and suspicions that are refuted or
+//! expire.
+
+mod probes;
+mod schedule;
+mod suspicion;
+
+use crate::digest::name_hash;
+use crate::members::{Change, Member};
+use crate::name::Name;
+use crate::node::Node;
+use crate::settings::InjectedBug;
+use crate::update::{MemberState, MemberUpdate};
+use crate::wire::{Frame, FrameKind, Update};
+use probes::{Probe, ProbeTable, RelayedPing};
+use schedule::ProbeSchedule;
+use std::time::Duration;
+
+/// A timer that fires so late shows that this node is slow itself.
+const LATE_TIMER: Duration = Duration::from_millis(100);
+/// A probe fails after so many ack timeouts; indirect probes begin after the first.
+const PROBE_TIMEOUTS: u32 = 3;
+/// Urgent probes that are begun at a time.
+const URGENT_PROBES: usize = 4;
+/// Suspects of this node that are scheduled for another probe at a time.
+const REPROBED_SUSPECTS: usize = URGENT_PROBES * 4;
+/// About so many of the members that learn of a suspicion probe the suspect at once.
+const VOLUNTEERS: u32 = 6;
+
+/// Where an update comes from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Source {
+    /// A frame, or this node's own failure detector: the update is gossiped on.
+    Gossip,
+    /// An anti-entropy exchange: whoever else lacks the update finds it the same way.
+    AntiEntropy,
+}
+
+/// The failure detector.
+pub(crate) struct FailureDetector {
+    probes: ProbeTable,
+    schedule: ProbeSchedule,
+    /// Members that are suspected by any member, in the order of their suspicions.
+    suspects: Vec<Name>,
+}
+
+impl FailureDetector {
+    pub(crate) fn new(now: Duration) -> Self {
+        FailureDetector {
+            probes: ProbeTable::default(),
+            schedule: ProbeSchedule::new(now),
+            suspects: Vec::new(),
+        }
+    }
+
+    /// Begins anew with an incarnation of this node. Suspicion timeouts that ran while the node was paused begin anew too.
+    pub(crate) fn restart(&mut self, node: &mut Node, now: Duration) {
+        self.schedule.restart(now + node.settings.probe_interval);
+        self.probes.clear();
+        for name in &self.suspects {
+            suspicion::restart_timeout(node, name, now);
+        }
+    }
+
+    /// When a regular probe, or the timeout of one, is due.
+    pub(crate) fn next_deadline(&self) -> Duration {
+        let next = self.schedule.next_probe();
+        self.probes
+            .next_deadline()
+            .map_or(next, |deadline| next.min(deadline))
+    }
+
+    /// Whether members wait for an urgent probe.
+    pub(crate) fn has_urgent_probes(&self) -> bool {
+        self.schedule.has_urgent()
+    }
+
+    /// Sends the probes that are due and handles those that have timed out.
+    pub(crate) fn tick(&mut self, node: &mut Node, now: Duration) {
+        self.send_regular_probe(node, now);
+        self.send_urgent_probes(node, now);
+        self.send_indirect_probes(node, now);
+        self.send_nacks(node, now);
+        for probe in self.probes.take_expired(now) {
+            self.handle_failed_probe(node, &probe, now);
+        }
+        self.schedule_own_suspects(node);
+    }
+
+    /// Declares members dead whose suspicion has expired. Must be called only by a node that has joined.
+    pub(crate) fn expire_suspicions(&mut self, node: &mut Node, now: Duration) {
+        if self.suspects.is_empty() || node.is_isolated(now) {
+            return;
+        }
+        let expired = suspicion::expired(node, &self.suspects, now);
+        for name in expired.heard_since {
+            suspicion::restart_timeout(node, &name, now);
+            self.schedule.add_urgent_first(name);
+        }
+        for update in expired.dead {
+            node.counters.declared_dead += 1;
+            self.apply_update(node, &update, now, Source::Gossip);
+        }
+    }
+
+    /// Applies an update about another member to the member table, the probe schedule and the suspects.
+    pub(crate) fn apply_update(
+        &mut self,
+        node: &mut Node,
+        update: &MemberUpdate,
+        now: Duration,
+        source: Source,
+    ) {
+        let before = node.members.state(&update.name);
+        let change = node.members.apply(update, now);
+        match change {
+            Change::Unchanged => return,
+            Change::Rejected => {
+                node.counters.capacity_rejections += 1;
+                return;
+            }
+            Change::Added | Change::NewIncarnation | Change::Updated => {}
+        }
+        let after = node.members.state(&update.name);
+        let is_new_suspect = before != after && after == Some(MemberState::Suspect);
+        self.suspects.retain(|name| *name != update.name);
+        if after == Some(MemberState::Suspect) {
+            self.suspects.push(update.name.clone());
+        }
+        if source == Source::Gossip {
+            node.dissemination.queue_member(update.name.clone());
+        }
+        if after.is_some_and(MemberState::is_active) {
+            self.note_arrival(node, update, change);
+        } else if before != after {
+            log_departure(node, update, after);
+        }
+        if source == Source::Gossip && is_new_suspect {
+            self.volunteer(node, &update.name);
+        }
+    }
+
+    /// Logs an active member that is new or in a new incarnation, and takes it into the order of probes.
+    fn note_arrival(&mut self, node: &mut Node, update: &MemberUpdate, change: Change) {
+        let arrival = match change {
+            Change::Added => "joined",
+            Change::NewIncarnation => "rejoined",
+            Change::Updated | Change::Unchanged | Change::Rejected => return,
+        };
+        node.log(format_args!(
+            "{} {arrival} in incarnation {}",
+            update.name, update.incarnation
+        ));
+        self.schedule.insert(&mut node.random, update.name.clone());
+    }
+
+    /// Probes a new suspect at once, by chance: the sooner several members have probed it, the sooner the suspicion is
+    /// refuted or confirmed.
+    fn volunteer(&mut self, node: &mut Node, suspect: &Name) {
+        let active = node.members.active().len() as u32;
+        if node.random.next_u32() % active.max(1) < VOLUNTEERS {
+            self.schedule.add_urgent(suspect.clone());
+        }
+    }
+
+    // ---- Probes of this node ----------------------------------------------------------------------
+
+    fn send_regular_probe(&mut self, node: &mut Node, now: Duration) {
+        let due = self.schedule.next_probe();
+        if now < due {
+            return;
+        }
+        if now.saturating_sub(due) > LATE_TIMER {
+            node.health.degrade(1);
+        }
+        let interval = node.settings.probe_interval * (node.health.score() + 1);
+        self.schedule.set_next_probe(now + interval);
+        if let Some(target) = self.schedule.next_target(&node.members, &mut node.random) {
+            self.probe(node, &target, now);
+        }
+    }
+
+    fn send_urgent_probes(&mut self, node: &mut Node, now: Duration) {
+        for _ in 0..URGENT_PROBES {
+            let Some(target) = self.schedule.next_urgent() else {
+                return;
+            };
+            if node.members.state(&target) == Some(MemberState::Suspect) {
+                self.probe(node, &target, now);
+            }
+        }
+    }
+
+    fn probe(&mut self, node: &mut Node, target: &Name, now: Duration) {
+        let timeout = node.health.ack_timeout();
+        let Some(member) = node.members.get_mut(target) else {
+            return;
+        };
+        member.probes.sent += 1;
+        let probe = Probe {
+            target: target.clone(),
+            incarnation: member.incarnation,
+            sent_at: now,
+            indirect_at: now + timeout,
+            expires_at: now + timeout * PROBE_TIMEOUTS,
+            helpers: 0,
+            nacks: 0,
+        };
+        if let Some(sequence) = self.probes.begin(probe) {
+            send_ping(node, target, sequence);
+        }
+    }
+
+    fn send_indirect_probes(&mut self, node: &mut Node, now: Duration) {
+        for (sequence, target) in self.probes.due_for_indirect_probes(now) {
+            if node.injects(InjectedBug::NoIndirectProbes) {
+                continue;
+            }
+            let Some(update) = node.members.get(&target).map(Member::update) else {
+                continue;
+            };
+            let helpers = node.random_members(node.settings.indirect_probes, Some(&target));
+            self.probes.set_helpers(sequence, helpers.len());
+            for helper in &helpers {
+                let request = Frame {
+                    kind: FrameKind::IndirectPing as i32,
+                    sequence,
+                    target: Some(Update::from(&update)),
+                    ..Frame::default()
+                };
+                node.send(helper, request);
+            }
+            // The first ping may only have been lost.
+            send_ping(node, &target, sequence);
+        }
+    }
+
+    /// A probe had neither an ack nor an indirect ack in time: suspects its target.
+    fn handle_failed_probe(&mut self, node: &mut Node, probe: &Probe, now: Duration) {
+        // Lifeguard: not even the helpers were heard, so this node may be slow or cut off.
+        if probe.nacks == 0 && probe.helpers > 0 {
+            node.health.degrade(1);
+        }
+        let suspected_by = name_hash(&node.local.node.name);
+        let Some(member) = node.members.get_mut(&probe.target) else {
+            return;
+        };
+        member.probes.unanswered += 1;
+        if member.incarnation != probe.incarnation || !member.state.is_active() {
+            return;
+        }
+        let mut update = member.update();
+        update.suspected_by = suspected_by;
+        if node.injects(InjectedBug::NoIndirectProbes) {
+            update.state = MemberState::Dead;
+            self.apply_update(node, &update, now, Source::Gossip);
+            return;
+        }
+        // A node that hears nobody is more likely at fault itself, and must not end the whole fleet.
+        if node.is_isolated(now) {
+            return;
+        }
+        if update.state == MemberState::Alive {
+            node.counters.suspected += 1;
+        }
+        update.state = MemberState::Suspect;
+        self.apply_update(node, &update, now, Source::Gossip);
+    }
+
+    /// Schedules the members that this node suspects for another probe, which also tells them of the suspicion.
+    fn schedule_own_suspects(&mut self, node: &Node) {
+        if self.schedule.has_urgent() {
+            return;
+        }
+        let own_hash = name_hash(&node.local.node.name);
+        let own_suspects = self
+            .suspects
+            .iter()
+            .filter(|name| suspicion::is_suspected_by(&node.members, name, own_hash))
+            .take(REPROBED_SUSPECTS)
+            .cloned();
+        self.schedule.set_urgent(own_suspects.collect());
+    }
+
+    // ---- Frames -----------------------------------------------------------------------------------
+
+    /// An ack, of a probe of this node or of a ping that it relayed.
+    pub(crate) fn handle_ack(
+        &mut self,
+        node: &mut Node,
+        now: Duration,
+        from: &Name,
+        sequence: u64,
+    ) {
+        if let Some(relayed) = self.probes.take_relayed(sequence) {
+            send_reply(node, &relayed.requester, FrameKind::Ack, relayed.sequence);
+            return;
+        }
+        let Some(probe) = self.probes.take_finished(sequence) else {
+            self.handle_late_ack(node, now, from, sequence);
+            return;
+        };
+        node.health.recover();
+        if probe.target == *from {
+            record_round_trip(node, from, now.saturating_sub(probe.sent_at));
+        } else if let Some(member) = node.members.get_mut(&probe.target) {
+            member.probes.unanswered += 1; // the ack came by way of a helper
+        }
+    }
+
+    /// An ack that is too late for its probe still measures the round trip.
+    fn handle_late_ack(&mut self, node: &mut Node, now: Duration, from: &Name, sequence: u64) {
+        let Some((target, sent_at)) = self.probes.take_late(sequence) else {
+            return;
+        };
+        if target == *from {
+            record_round_trip(node, from, now.saturating_sub(sent_at));
+        }
+    }
+
+    /// A helper has no ack of an indirect probe.
+    pub(crate) fn handle_nack(&mut self, sequence: u64) {
+        self.probes.count_nack(sequence);
+    }
+
+    /// Pings a member on behalf of another.
+    pub(crate) fn handle_indirect_ping(
+        &mut self,
+        node: &mut Node,
+        now: Duration,
+        requester: &Name,
+        frame: &Frame,
+    ) {
+        let target = frame.target.as_ref().and_then(Update::to_member_update);
+        let Some(target) = target else {
+            node.counters.invalid += 1;
+            return;
+        };
+        if node.local.is_named(&target.name) {
+            return;
+        }
+        self.apply_update(node, &target, now, Source::Gossip);
+        let relayed = RelayedPing {
+            requester: requester.clone(),
+            sequence: frame.sequence,
+            expires_at: now + node.health.ack_timeout(),
+        };
+        if let Some(sequence) = self.probes.begin_relayed(relayed) {
+            send_ping(node, &target.name, sequence);
+        }
+    }
+
+    /// Answers the requesters of indirect pings that had no ack.
+    fn send_nacks(&mut self, node: &mut Node, now: Duration) {
+        for relayed in self.probes.take_expired_relayed(now) {
+            send_reply(node, &relayed.requester, FrameKind::Nack, relayed.sequence);
+        }
+    }
+}
+
+/// Answers a ping.
+pub(crate) fn send_ack(node: &mut Node, to: &Name, sequence: u64) {
+    send_reply(node, to, FrameKind::Ack, sequence);
+}
+
+fn send_reply(node: &mut Node, to: &Name, kind: FrameKind, sequence: u64) {
+    let frame = Frame {
+        kind: kind as i32,
+        sequence,
+        ..Frame::default()
+    };
+    node.send(to, frame);
+}
+
+/// Pings a member. One that is suspected is told so before all other gossip, so that it can refute.
+fn send_ping(node: &mut Node, target: &Name, sequence: u64) {
+    let suspicion = node
+        .members
+        .get(target)
+        .filter(|member| member.state == MemberState::Suspect)
+        .map(|member| Update::from(&member.update()));
+    let frame = Frame {
+        kind: FrameKind::Ping as i32,
+        sequence,
+        updates: suspicion.into_iter().collect(),
+        ..Frame::default()
+    };
+    node.send(target, frame);
+}
+
+fn record_round_trip(node: &mut Node, name: &Name, round_trip: Duration) {
+    node.health.record_round_trip(round_trip);
+    if let Some(member) = node.members.get_mut(name) {
+        let smoothed = member.round_trip;
+        member.round_trip =
+            Some(smoothed.map_or(round_trip, |smoothed| (smoothed * 7 + round_trip) / 8));
+    }
+}
+
+fn log_departure(node: &mut Node, update: &MemberUpdate, state: Option<MemberState>) {
+    let departure = if state == Some(MemberState::Left) {
+        "left"
+    } else {
+        "is dead"
+    };
+    node.log(format_args!(
+        "{} {departure} in incarnation {}",
+        update.name, update.incarnation
+    ));
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,28 +1,49 @@
-//! Who else is in the fleet: alive, suspected, gone, in which incarnation; and the small values that each tells of itself.
-//! No I/O, no clock and no dice of its own: events with times in, frames and news out, the same for the same seed.
+//! Group membership of the fleet: which members are alive, suspected, departed or dead, in which incarnation, and the
+//! small values that each member publishes about itself.
 //!
-//! The ways are SWIM's (random probes, helpers, rumours on frames that go out anyway) with Lifeguard's three lessons: who
-//! is slow itself waits longer before it accuses, the accused is told first, and the more accuse the shorter the wait.
-//! What is said here beyond them, and why, stands in `docs/design/fleet.md`.
+//! The protocol is SWIM (random probes, indirect probes, gossip piggybacked on frames) with the extensions of Lifeguard:
+//! a node that is slow itself waits longer before it suspects others, a suspected member is told first, and a suspicion
+//! that several members confirm expires sooner. Divergence that gossip leaves behind is repaired by anti-entropy.
+//! Deviations from SWIM and their reasons are described in `docs/design/fleet.md`.
+//!
+//! The crate does no I/O and reads neither a clock nor a random device: [`Membership`] takes timed [`Event`]s and returns
+//! [`Action`]s, and the same seed and events give the same actions.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
+mod anti_entropy;
+mod counters;
+mod digest;
+mod dissemination;
+mod event;
+mod failure_detector;
 mod incarnation;
+mod joining;
+mod local;
 mod local_health;
-mod machine;
 mod members;
-mod probes;
-mod rumours;
-mod sync;
+mod membership;
+mod metadata;
+mod name;
+mod node;
+mod own_incarnation;
+mod random;
+
+mod settings;
+mod status;
+mod update;
 mod values;
 pub mod wire;
 
-pub use incarnation::{Incarnation, MemberState, MemberUpdate, Name, NodeMetadata};
+pub use counters::Counters;
+pub use event::{Action, Event, SyncStep};
+pub use incarnation::Incarnation;
+pub use local::LocalNode;
 pub use local_health::LocalHealth;
-pub use machine::{
-    Action, Counters, Event, InjectedBug, LocalNode, Membership, MembershipSettings,
-    MembershipStatus,
-};
 pub use members::{Member, ProbeCounts};
-pub use sync::SyncStep;
-pub use values::{MAX_KEY_BYTES, MAX_VALUE_BYTES, MAX_VALUES, Value};
+pub use membership::Membership;
+pub use metadata::NodeMetadata;
+pub use name::Name;
+pub use settings::{InjectedBug, MembershipSettings};
+pub use status::MembershipStatus;
+pub use update::{MemberState, MemberUpdate};
+pub use values::{MAX_KEY_BYTES, MAX_VALUE_BYTES, MAX_VALUES, PublishError, Value};
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,22 +1,42 @@
-//! The members that are known, and what of them is known in common.
+//! The table of the other members, and the digests of what it holds.
 
-use crate::incarnation::{Incarnation, MemberState, MemberUpdate, Name, NodeMetadata};
-use crate::values::{self, Value, Values};
-use crate::wire::MetadataMessage;
+use crate::digest::{member_digest, name_hash};
+use crate::incarnation::Incarnation;
+use crate::metadata::NodeMetadata;
+use crate::name::Name;
+use crate::update::{MemberState, MemberUpdate};
+use crate::values::{Value, Values};
+use crate::wire::{METADATA_KEY, MemberValue, MetadataMessage};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Parts of the fleet by the hash of a name, so that two members find what differs without telling all they know.
-pub const BUCKETS: usize = 64;
+/// Buckets that members fall into by the hash of their name, so that two members find where they differ without exchanging
+/// all that they know. A bucket is a bit of a `u64`.
+pub(crate) const BUCKETS: usize = 64;
+/// Suspecting members that are remembered of one suspicion.
+const MAX_SUSPECTED_BY: usize = 8;
 
-/// A suspicion that is not settled.
+/// A suspicion that is neither refuted nor expired.
 #[derive(Clone, Debug)]
-pub struct Suspicion {
-    /// When it was first heard.
-    pub since: Duration,
-    /// Who suspects, by hashes of names; bounded by the number that counts.
-    pub by: Vec<u32>,
+pub(crate) struct Suspicion {
+    /// When the timeout began.
+    pub(crate) since: Duration,
+    /// Hashes of the names of the members that suspect; at most [`MAX_SUSPECTED_BY`].
+    pub(crate) by: Vec<u32>,
+}
+
+impl Suspicion {
+    /// Adds an independent suspicion; returns whether it was new.
+    fn confirm(&mut self, suspected_by: u32) -> bool {
+        let is_new = self.by.len() < MAX_SUSPECTED_BY
+            && suspected_by != 0
+            && !self.by.contains(&suspected_by);
+        if is_new {
+            self.by.push(suspected_by);
+        }
+        is_new
+    }
 }
 
 /// Probes of a member.
@@ -24,32 +44,32 @@
 pub struct ProbeCounts {
     /// Probes sent to it.
     pub sent: u32,
-    /// Probes that it did not answer itself.
+    /// Probes that it did not answer directly.
     pub unanswered: u32,
 }
 
-/// A member.
+/// Another member.
 #[derive(Clone, Debug)]
 pub struct Member {
     /// Its name.
     pub name: Name,
     /// Where it is reached.
     pub address: SocketAddr,
-    /// Its incarnation.
+    /// Its newest known incarnation.
     pub incarnation: Incarnation,
-    /// Its newest refutation against a suspicion.
+    /// Its newest known refutation of a suspicion.
     pub refutation: u32,
-    /// What it is held to be.
+    /// Its state.
     pub state: MemberState,
-    /// Since when it is.
+    /// When it entered that state.
     pub state_since: Duration,
-    /// When a frame of its own last came, and was fresh.
+    /// When the last frame of its present incarnation arrived.
     pub last_heard: Option<Duration>,
     /// The smoothed round trip to it.
     pub round_trip: Option<Duration>,
-    /// Probes of it, and how many of them it did not answer itself.
+    /// Probes of it.
     pub probes: ProbeCounts,
-    /// What it tells of itself.
+    /// Its metadata.
     pub metadata: NodeMetadata,
     pub(crate) values: Values,
     pub(crate) suspicion: Option<Suspicion>,
@@ -57,223 +77,280 @@
 }
 
 impl Member {
-    pub(crate) fn claim(&self) -> MemberUpdate {
+    /// A member that was unknown.
+    fn new(update: &MemberUpdate, now: Duration) -> Self {
+        Member {
+            name: update.name.clone(),
+            address: update.address,
+            incarnation: update.incarnation,
+            refutation: update.refutation,
+            state: update.state,
+            state_since: now,
+            last_heard: None,
+            round_trip: None,
+            probes: ProbeCounts::default(),
+            metadata: NodeMetadata::default(),
+            values: Values::default(),
+            suspicion: None,
+            digest: 0,
+        }
+    }
+
+    /// What is known of the member, as an update for others.
+    pub(crate) fn update(&self) -> MemberUpdate {
+        let suspected_by = self
+            .suspicion
+            .as_ref()
+            .and_then(|suspicion| suspicion.by.last().copied());
         MemberUpdate {
             name: self.name.clone(),
             address: self.address,
             incarnation: self.incarnation,
             refutation: self.refutation,
             state: self.state,
-            suspected_by: self
-                .suspicion
-                .as_ref()
-                .and_then(|s| s.by.last().copied())
-                .unwrap_or_default(),
+            suspected_by: suspected_by.unwrap_or_default(),
         }
     }
 
-    /// A value that it tells of itself.
+    /// A value that it publishes.
     pub fn value(&self, key: &str) -> Option<&Value> {
         self.values.get(key)
     }
+
+    /// One of its values, for the wire.
+    pub(crate) fn wire_value(&self, key: &str) -> Option<MemberValue> {
+        let value = self.values.get(key)?;
+        Some(MemberValue::new(&self.name, self.incarnation, value))
+    }
+
+    /// Whether that incarnation of the member has ended: a newer one is known, or it has left or died.
+    pub(crate) fn has_ended(&self, incarnation: Incarnation) -> bool {
+        self.incarnation > incarnation
+            || (self.incarnation == incarnation && !self.state.is_active())
+    }
+
+    /// Takes over an update that supersedes what is known.
+    fn supersede(&mut self, update: &MemberUpdate, now: Duration) -> Change {
+        let is_new_incarnation = update.incarnation != self.incarnation;
+        if is_new_incarnation {
+            self.values = Values::default();
+            self.metadata = NodeMetadata::default();
+            self.last_heard = None;
+        }
+        if self.state != update.state || is_new_incarnation {
+            self.state_since = now;
+        }
+        self.address = update.address;
+        self.incarnation = update.incarnation;
+        self.refutation = update.refutation;
+        self.state = update.state;
+        if !update.state.is_active() {
+            self.values = Values::default();
+        }
+        if is_new_incarnation {
+            Change::NewIncarnation
+        } else {
+            Change::Updated
+        }
+    }
+
+    /// Counts an independent suspicion of a member that is suspected already.
+    fn confirm_suspicion(&mut self, update: &MemberUpdate) -> Change {
+        let is_same_suspicion = self.state == MemberState::Suspect
+            && update.state == MemberState::Suspect
+            && update.incarnation == self.incarnation
+            && update.refutation == self.refutation;
+        let is_confirmed = is_same_suspicion
+            && self
+                .suspicion
+                .as_mut()
+                .is_some_and(|suspicion| suspicion.confirm(update.suspected_by));
+        if is_confirmed {
+            Change::Updated
+        } else {
+            Change::Unchanged
+        }
+    }
 }
 
-/// What a claim changed.
+/// What an update changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
-    /// Nothing that was not known.
-    Nothing,
-    /// A member that was not there is.
-    Born,
+pub(crate) enum Change {
+    /// Nothing.
+    Unchanged,
+    /// An active member was added.
+    Added,
     /// A member is in a new incarnation.
-    Reborn,
-    /// Its refutation or its state is another.
+    NewIncarnation,
+    /// A member's state, refutation or suspicion changed.
     Updated,
-    /// There is no room for one more member.
-    NoRoom,
+    /// The table is full.
+    Rejected,
 }
 
-/// All of them but this node itself.
+/// All known members but this node itself.
 #[derive(Default)]
-pub struct Members {
-    all: BTreeMap<Name, Member>,
-    /// Names of the living, in no order, to draw from.
-    living: Vec<Name>,
+pub(crate) struct Members {
+    by_name: BTreeMap<Name, Member>,
+    /// Names of the active members, to draw from; their order carries no meaning but has to be reproducible.
+    active: Vec<Name>,
     digests: Vec<u32>,
-    most: usize,
+    max_members: usize,
 }
 
 impl Members {
-    /// At most so many, the gone among them.
-    pub fn new(most: usize) -> Self {
+    /// An empty table of at most `max_members`, including those that left or died.
+    pub(crate) fn new(max_members: usize) -> Self {
         Members {
-            most,
+            max_members,
             digests: vec![0; BUCKETS],
             ..Members::default()
         }
     }
 
-    pub fn get(&self, name: &Name) -> Option<&Member> {
-        self.all.get(name)
+    pub(crate) fn get(&self, name: &Name) -> Option<&Member> {
+        self.by_name.get(name)
+    }
+
+    pub(crate) fn get_mut(&mut self, name: &Name) -> Option<&mut Member> {
+        self.by_name.get_mut(name)
     }
 
-    pub fn get_mut(&mut self, name: &Name) -> Option<&mut Member> {
-        self.all.get_mut(name)
+    /// All members, by name.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &Member> {
+        self.by_name.values()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = &Member> {
-        self.all.values()
+    /// The state of a member, if it is known.
+    pub(crate) fn state(&self, name: &Name) -> Option<MemberState> {
+        self.get(name).map(|member| member.state)
     }
 
-    /// The living, in no order that means anything.
-    pub fn living(&self) -> &[Name] {
-        &self.living
+    /// The active members, in no meaningful order.
+    pub(crate) fn active(&self) -> &[Name] {
+        &self.active
     }
 
-    /// The digests of all parts, of the living.
-    pub fn digests(&self) -> &[u32] {
+    /// The digests of all buckets, over the active members.
+    pub(crate) fn digests(&self) -> &[u32] {
         &self.digests
     }
 
-    /// Which part a name stands in.
-    pub fn bucket(name: &Name) -> usize {
-        values::hash(&[name.as_str().as_bytes()]) as usize % BUCKETS
+    /// The digest over all active members.
+    pub(crate) fn digest(&self) -> u32 {
+        self.digests.iter().fold(0, |all, digest| all ^ digest)
+    }
+
+    /// The bucket of a name.
+    pub(crate) fn bucket(name: &Name) -> usize {
+        name_hash(name) as usize % BUCKETS
     }
 
-    /// Takes a claim about another member in.
-    pub fn take(&mut self, claim: &MemberUpdate, now: Duration) -> Change {
-        let Some(member) = self.all.get_mut(&claim.name) else {
-            if self.all.len() >= self.most && !self.make_room() {
-                return Change::NoRoom;
+    /// Applies an update about another member.
+    pub(crate) fn apply(&mut self, update: &MemberUpdate, now: Duration) -> Change {
+        let change = match self.by_name.get_mut(&update.name) {
+            None => return self.add(update, now),
+            Some(member)
+                if update.supersedes(member.incarnation, member.refutation, member.state) =>
+            {
+                member.supersede(update, now)
             }
-            // What is unknown here and gone already is told by nobody who means this node: it is only noted.
-            let member = Member {
-                name: claim.name.clone(),
-                address: claim.address,
-                incarnation: claim.incarnation,
-                refutation: claim.refutation,
-                state: claim.state,
-                state_since: now,
-                last_heard: None,
-                round_trip: None,
-                probes: ProbeCounts::default(),
-                metadata: NodeMetadata::default(),
-                values: Values::default(),
-                suspicion: None,
-                digest: 0,
-            };
-            self.all.insert(claim.name.clone(), member);
-            self.placed(&claim.name, claim, now);
-            return if claim.state.is_active() {
-                Change::Born
-            } else {
-                Change::Updated
-            };
+            Some(member) => return member.confirm_suspicion(update),
         };
-        if !claim.supersedes(member.incarnation, member.refutation, member.state) {
-            // One more who suspects what is suspected: told on, as it shortens the wait.
-            let same = (claim.incarnation, claim.refutation, claim.state)
-                == (member.incarnation, member.refutation, MemberState::Suspect);
-            if let (true, Some(suspicion)) = (
-                same && member.state == MemberState::Suspect,
-                &mut member.suspicion,
-            ) {
-                if suspicion.by.len() < 8
-                    && claim.suspected_by != 0
-                    && !suspicion.by.contains(&claim.suspected_by)
-                {
-                    suspicion.by.push(claim.suspected_by);
-                    return Change::Updated;
-                }
-            }
-            return Change::Nothing;
-        }
-        let reborn = claim.incarnation != member.incarnation;
-        if reborn {
-            member.values = Values::default();
-            member.metadata = NodeMetadata::default();
-            member.last_heard = None;
-        }
-        if member.state != claim.state || reborn {
-            member.state_since = now;
-        }
-        (member.address, member.incarnation) = (claim.address, claim.incarnation);
-        (member.refutation, member.state) = (claim.refutation, claim.state);
-        if !claim.state.is_active() {
-            member.values = Values::default(); // dropped with the member
+        self.refresh(update, now);
+        change
+    }
+
+    /// Adds an unknown member. One that has left or died already is stored, but does not count as added.
+    fn add(&mut self, update: &MemberUpdate, now: Duration) -> Change {
+        if self.by_name.len() >= self.max_members && !self.evict_oldest_inactive() {
+            return Change::Rejected;
         }
-        let name = claim.name.clone();
-        self.placed(&name, claim, now);
-        if reborn {
-            Change::Reborn
+        self.by_name
+            .insert(update.name.clone(), Member::new(update, now));
+        self.refresh(update, now);
+        if update.state.is_active() {
+            Change::Added
         } else {
             Change::Updated
         }
     }
 
-    /// Brings what is derived from a member in line with it.
-    fn placed(&mut self, name: &Name, claim: &MemberUpdate, now: Duration) {
-        let Some(member) = self.all.get_mut(name) else {
+    /// Recomputes what is derived from a member after an update.
+    fn refresh(&mut self, update: &MemberUpdate, now: Duration) {
+        let name = &update.name;
+        let Some(member) = self.by_name.get_mut(name) else {
             return;
         };
         member.suspicion = (member.state == MemberState::Suspect).then(|| Suspicion {
             since: now,
-            by: vec![claim.suspected_by],
+            by: vec![update.suspected_by],
         });
+        let is_active = member.state.is_active();
+        let index = self.active.iter().position(|other| other == name);
+        match (is_active, index) {
+            (true, None) => self.active.push(name.clone()),
+            (false, Some(index)) => drop(self.active.swap_remove(index)),
+            _ => {}
+        }
+        self.refresh_digest(name);
+    }
+
+    fn refresh_digest(&mut self, name: &Name) {
+        let Some(member) = self.by_name.get_mut(name) else {
+            return;
+        };
         let digest = if member.state.is_active() {
-            values::digest(name, member.incarnation, &member.values)
+            member_digest(name, member.incarnation, &member.values)
         } else {
             0
         };
         self.digests[Self::bucket(name)] ^= member.digest ^ digest;
         member.digest = digest;
-        let living = member.state.is_active();
-        let place = self.living.iter().position(|other| other == name);
-        match (living, place) {
-            (true, None) => self.living.push(name.clone()),
-            (false, Some(place)) => drop(self.living.swap_remove(place)),
-            _ => {}
-        }
     }
 
-    /// Takes a value in, if it is of the incarnation that is known and newer. True if it was news.
-    pub fn take_value(&mut self, name: &Name, incarnation: Incarnation, value: Value) -> bool {
-        let Some(member) = self.all.get_mut(name) else {
+    /// Stores a value if it is of the known incarnation of an active member, and newer; returns whether it was stored.
+    pub(crate) fn store_value(
+        &mut self,
+        name: &Name,
+        incarnation: Incarnation,
+        value: Value,
+    ) -> bool {
+        let Some(member) = self.by_name.get_mut(name) else {
             return false;
         };
-        if member.incarnation != incarnation
-            || !member.state.is_active()
-            || !member.values.take(value)
-        {
+        let is_current = member.incarnation == incarnation && member.state.is_active();
+        if !is_current || !member.values.store(value) {
             return false;
         }
-        if let Some(about) = member
+        let metadata = member
             .values
-            .get("about")
-            .and_then(|value| MetadataMessage::parse(&value.bytes))
-        {
-            member.metadata = about;
+            .get(METADATA_KEY)
+            .and_then(|value| MetadataMessage::parse(&value.bytes));
+        if let Some(metadata) = metadata {
+            member.metadata = metadata;
         }
-        let digest = values::digest(name, incarnation, &member.values);
-        self.digests[Self::bucket(name)] ^= member.digest ^ digest;
-        member.digest = digest;
+        self.refresh_digest(name);
         true
     }
 
-    /// Forgets those that ended before `before`; returns how many.
-    pub fn forget(&mut self, before: Duration) -> usize {
-        let count = self.all.len();
-        self.all
+    /// Removes members that left or died before `before`.
+    pub(crate) fn remove_inactive_since(&mut self, before: Duration) {
+        self.by_name
             .retain(|_, member| member.state.is_active() || member.state_since >= before);
-        count - self.all.len()
     }
 
-    /// Forgets the one that ended first, if any did.
-    fn make_room(&mut self) -> bool {
-        let ended = self.all.values().filter(|member| !member.state.is_active());
-        let first = ended
+    /// Removes the member that left or died first; returns whether there was one.
+    fn evict_oldest_inactive(&mut self) -> bool {
+        let oldest = self
+            .by_name
+            .values()
+            .filter(|member| !member.state.is_active())
             .min_by_key(|member| member.state_since)
             .map(|member| member.name.clone());
-        first.is_some_and(|name| self.all.remove(&name).is_some())
+        oldest.is_some_and(|name| self.by_name.remove(&name).is_some())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/membership/src/random.rs
@@ -0,0 +1,28 @@
+//! Seeded random draws. Their order is part of the behaviour: a run is repeated exactly from its seed.
+
+use rand_pcg::Pcg32;
+use rand_pcg::rand_core::{RngCore, SeedableRng};
+use std::time::Duration;
+
+/// A seeded generator.
+pub(crate) struct Random(Pcg32);
+
+impl Random {
+    pub(crate) fn new(seed: u64) -> Self {
+        Random(Pcg32::seed_from_u64(seed))
+    }
+
+    pub(crate) fn next_u32(&mut self) -> u32 {
+        self.0.next_u32()
+    }
+
+    /// A number below `bound`, which must not be 0.
+    pub(crate) fn below(&mut self, bound: usize) -> usize {
+        ((u64::from(self.0.next_u32()) * bound as u64) >> 32) as usize
+    }
+
+    /// Between half of `time` and one and a half times `time`.
+    pub(crate) fn jitter(&mut self, time: Duration) -> Duration {
+        time / 2 + time * (self.0.next_u32() >> 16) / 65536
+    }
+}
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,67 +1,73 @@
-//! What goes over the wire, as protobuf messages: a reader skips fields that it does not know and takes those that are
-//! missing as 0 or empty, so that an older and a newer build understand each other. Numbers of fields are never reused.
+//! Messages between members, as protobuf: a reader skips fields that it does not know and reads missing ones as 0 or
+//! empty, so that older and newer builds understand each other. Field numbers are never reused.
 
-use crate::incarnation::{Incarnation, MemberState, MemberUpdate, Name, NodeMetadata};
+use crate::incarnation::Incarnation;
+use crate::metadata::NodeMetadata;
+use crate::name::Name;
+use crate::update::{MemberState, MemberUpdate};
 use crate::values::{MAX_KEY_BYTES, MAX_VALUE_BYTES, Value};
 use prost::Message;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
-/// What a frame is for.
+/// The key under which a member publishes its [`MetadataMessage`].
+pub(crate) const METADATA_KEY: &str = "about";
+
+/// The purpose of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum FrameKind {
-    /// Rumours alone.
+    /// Carries gossip only.
     Gossip = 0,
-    /// Asks for an [`FrameKind::Ack`] of the same number.
+    /// Requests a [`FrameKind::Ack`] of the same sequence number.
     Ping = 1,
     /// Answers a ping.
     Ack = 2,
-    /// Asks a helper to ping the one that it names.
+    /// Requests the receiver to ping the frame's target.
     IndirectPing = 3,
-    /// The helper had no answer: it is up itself, the target may not be.
+    /// Answers an indirect ping: the receiver is up, but the target did not answer it.
     Nack = 4,
-    /// Asks, as a stranger, who is there.
+    /// Asks to join, without knowledge of the receiver's incarnation.
     Join = 5,
-    /// Answers a stranger, or one that was addressed in an earlier incarnation.
+    /// Answers a join, or a frame to an earlier incarnation.
     Welcome = 6,
 }
 
-/// What is said of one member.
+/// An assertion about the state of a member; see [`MemberUpdate`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Update {
-    /// Its name.
+    /// The member's name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Its address: 6 or 18 bytes, the port last, most significant byte first.
+    /// The member's address: 4 or 16 bytes of IP address and 2 of port, most significant byte first.
     #[prost(bytes = "vec", tag = "2")]
     pub address: Vec<u8>,
-    /// Its incarnation's epoch.
+    /// The epoch of the member's incarnation.
     #[prost(uint32, tag = "3")]
     pub epoch: u32,
-    /// Its incarnation's salt.
+    /// The salt of the member's incarnation.
     #[prost(fixed32, tag = "4")]
     pub salt: u32,
-    /// Its own refutation against suspicions.
+    /// The member's counter of refutations.
     #[prost(uint32, tag = "5")]
     pub refutation: u32,
-    /// 0 alive, 1 suspected, 2 left, 3 gone.
+    /// 0 alive, 1 suspect, 2 left, 3 dead.
     #[prost(uint32, tag = "6")]
     pub state: u32,
-    /// Who suspects.
+    /// The hash of the name of the member that suspects; 0 otherwise.
     #[prost(fixed32, tag = "7")]
     pub suspected_by: u32,
 }
 
-/// A value that a member tells of itself.
+/// A value that a member publishes about itself.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct MemberValue {
-    /// Whose.
+    /// The member's name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Its incarnation's epoch.
+    /// The epoch of the member's incarnation.
     #[prost(uint32, tag = "2")]
     pub epoch: u32,
-    /// Its incarnation's salt.
+    /// The salt of the member's incarnation.
     #[prost(fixed32, tag = "3")]
     pub salt: u32,
     /// The key.
@@ -78,90 +84,91 @@
 /// A frame between two members, within its envelope.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Frame {
-    /// What it is for.
+    /// Its purpose: a [`FrameKind`].
     #[prost(enumeration = "FrameKind", tag = "1")]
     pub kind: i32,
-    /// A ping's own number, given back by its ack or nack.
+    /// The number of a ping, returned by its ack or nack.
     #[prost(uint64, tag = "2")]
     pub sequence: u64,
-    /// Whom a favour is about.
+    /// The target of an indirect ping.
     #[prost(message, optional, tag = "3")]
     pub target: Option<Update>,
-    /// Rumours of members.
+    /// Gossip about members.
     #[prost(message, repeated, tag = "4")]
     pub updates: Vec<Update>,
-    /// Rumours of values.
+    /// Gossip about values.
     #[prost(message, repeated, tag = "5")]
     pub values: Vec<MemberValue>,
-    /// A digest of all that the sender knows of the living.
+    /// The digest of all that the sender knows of the active members; 0 if it sends none.
     #[prost(fixed32, tag = "6")]
     pub digest: u32,
 }
 
-/// A step of two members' bringing each other up to date.
+/// A message of an anti-entropy exchange.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SyncMessage {
-    /// 1 asks, 2 says what stands in the parts that differ, 3 gives and wants, 4 gives. A higher one is of a newer build and
-    /// is skipped.
+    /// One of the `STEP_` constants. A higher one is from a newer build and is ignored.
     #[prost(uint32, tag = "1")]
     pub step: u32,
-    /// Prints of the sender's parts.
+    /// The digests of the sender's buckets.
     #[prost(fixed32, repeated, tag = "2")]
     pub digests: Vec<u32>,
-    /// Which parts this is about: a bit each.
+    /// The buckets that the message is about, one bit each.
     #[prost(fixed64, tag = "3")]
     pub buckets: u64,
-    /// Members of those parts.
+    /// Members of those buckets.
     #[prost(message, repeated, tag = "4")]
     pub updates: Vec<Update>,
     /// Their values.
     #[prost(message, repeated, tag = "5")]
     pub values: Vec<MemberValue>,
-    /// Of each member of those parts the hash of its name, and its digest.
+    /// For each active member of those buckets the hash of its name, then its digest.
     #[prost(fixed32, repeated, tag = "6")]
     pub member_digests: Vec<u32>,
-    /// Hashes of names of members that the sender lacks, or knows otherwise.
+    /// Hashes of the names of members that the sender lacks or knows otherwise.
     #[prost(fixed32, repeated, tag = "7")]
     pub wanted: Vec<u32>,
 }
 
-/// What a member tells of itself at the start of a incarnation: the value under the key `about`.
+impl SyncMessage {
+    /// Opens an exchange with the digests of all buckets.
+    pub const STEP_BUCKET_DIGESTS: u32 = 1;
+    /// Answers with the digests of the members in the buckets that differ.
+    pub const STEP_MEMBER_DIGESTS: u32 = 2;
+    /// Delivers the members that the receiver lacks and requests those that the sender lacks.
+    pub const STEP_DELIVER_AND_REQUEST: u32 = 3;
+    /// Delivers the requested members.
+    pub const STEP_DELIVER: u32 = 4;
+}
+
+/// A node's metadata: the value under the key `about`.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct MetadataMessage {
-    /// Its zone.
+    /// The zone.
     #[prost(string, tag = "1")]
     pub zone: String,
-    /// Its region.
+    /// The region.
     #[prost(string, tag = "2")]
     pub region: String,
-    /// Its build.
+    /// The build.
     #[prost(string, tag = "3")]
     pub build: String,
-    /// What it capabilities.
+    /// The supported protocols.
     #[prost(string, repeated, tag = "4")]
     pub capabilities: Vec<String>,
 }
 
-impl From<&MemberUpdate> for Update {
-    fn from(claim: &MemberUpdate) -> Self {
-        let mut address = match claim.address.ip() {
-            IpAddr::V4(ip) => ip.octets().to_vec(),
-            IpAddr::V6(ip) => ip.octets().to_vec(),
-        };
-        address.extend(claim.address.port().to_be_bytes());
-        Update {
-            name: claim.name.as_str().to_owned(),
-            address,
-            epoch: claim.incarnation.epoch,
-            salt: claim.incarnation.salt,
-            refutation: claim.refutation,
-            state: claim.state as u32,
-            suspected_by: claim.suspected_by,
-        }
-    }
+/// The wire form of an address: the IP address, then the port, most significant byte first.
+pub fn encode_address(address: SocketAddr) -> Vec<u8> {
+    let mut bytes = match address.ip() {
+        IpAddr::V4(ip) => ip.octets().to_vec(),
+        IpAddr::V6(ip) => ip.octets().to_vec(),
+    };
+    bytes.extend(address.port().to_be_bytes());
+    bytes
 }
 
-/// An address from its bytes; `None` if it is none that anybody could be reached at.
+/// Reads an address; `None` if it is malformed or nobody can be reached at it.
 pub fn decode_address(bytes: &[u8]) -> Option<SocketAddr> {
     let ip: IpAddr = match bytes.len() {
         6 => Ipv4Addr::from(<[u8; 4]>::try_from(&bytes[..4]).ok()?).into(),
@@ -169,11 +176,26 @@
         _ => return None,
     };
     let port = u16::from_be_bytes(bytes[bytes.len() - 2..].try_into().ok()?);
-    (port != 0 && !ip.is_unspecified() && !ip.is_multicast()).then(|| SocketAddr::new(ip, port))
+    let is_reachable = port != 0 && !ip.is_unspecified() && !ip.is_multicast();
+    is_reachable.then(|| SocketAddr::new(ip, port))
+}
+
+impl From<&MemberUpdate> for Update {
+    fn from(update: &MemberUpdate) -> Self {
+        Update {
+            name: update.name.as_str().to_owned(),
+            address: encode_address(update.address),
+            epoch: update.incarnation.epoch,
+            salt: update.incarnation.salt,
+            refutation: update.refutation,
+            state: update.state as u32,
+            suspected_by: update.suspected_by,
+        }
+    }
 }
 
 impl Update {
-    /// The claim that it makes; `None` if it makes no sense, as of a state that a newer build has.
+    /// Validates the update; `None` if it is invalid, for example of a state that only a newer build knows.
     pub fn to_member_update(&self) -> Option<MemberUpdate> {
         let state = match self.state {
             0 => MemberState::Alive,
@@ -186,7 +208,9 @@
             epoch: self.epoch,
             salt: self.salt,
         };
-        (incarnation.epoch > 0 && incarnation.salt > 0).then_some(())?;
+        if !incarnation.is_valid() {
+            return None;
+        }
         Some(MemberUpdate {
             name: Name::new(&self.name)?,
             address: decode_address(&self.address)?,
@@ -199,7 +223,7 @@
 }
 
 impl MemberValue {
-    /// A member's value, to be told.
+    /// The wire form of a member's value.
     pub fn new(name: &Name, incarnation: Incarnation, value: &Value) -> Self {
         MemberValue {
             name: name.as_str().to_owned(),
@@ -211,53 +235,47 @@
         }
     }
 
-    /// Whose value it is, of which incarnation; `None` if it is over the bounds.
+    /// The member, its incarnation and the value; `None` if a bound is exceeded.
     pub fn to_value(&self) -> Option<(Name, Incarnation, Value)> {
-        let fits = !self.key.is_empty()
+        let is_within_bounds = !self.key.is_empty()
             && self.key.len() <= MAX_KEY_BYTES
             && self.value.len() <= MAX_VALUE_BYTES;
-        let value = fits.then(|| Value {
+        if !is_within_bounds {
+            return None;
+        }
+        let incarnation = Incarnation {
+            epoch: self.epoch,
+            salt: self.salt,
+        };
+        let value = Value {
             key: self.key.as_str().into(),
             version: self.version,
             bytes: self.value.as_slice().into(),
-        })?;
-        Some((
-            Name::new(&self.name)?,
-            Incarnation {
-                epoch: self.epoch,
-                salt: self.salt,
-            },
-            value,
-        ))
+        };
+        Some((Name::new(&self.name)?, incarnation, value))
     }
 }
 
 impl From<&NodeMetadata> for MetadataMessage {
-    fn from(about: &NodeMetadata) -> Self {
+    fn from(metadata: &NodeMetadata) -> Self {
         MetadataMessage {
-            zone: about.zone.clone(),
-            region: about.region.clone(),
-            build: about.build.clone(),
-            capabilities: about.capabilities.clone(),
+            zone: metadata.zone.clone(),
+            region: metadata.region.clone(),
+            build: metadata.build.clone(),
+            capabilities: metadata.capabilities.clone(),
         }
     }
 }
 
 impl MetadataMessage {
-    /// Reads a value under the key `about`.
+    /// Reads the value under the key `about`; `None` if it is no such message.
     pub fn parse(bytes: &[u8]) -> Option<NodeMetadata> {
-        let words = MetadataMessage::decode(bytes).ok()?;
-        let MetadataMessage {
-            zone,
-            region,
-            build,
-            capabilities,
-        } = words;
+        let message = MetadataMessage::decode(bytes).ok()?;
         Some(NodeMetadata {
-            zone,
-            region,
-            build,
-            capabilities,
+            zone: message.zone,
+            region: message.region,
+            build: message.build,
+            capabilities: message.capabilities,
         })
     }
 }
--- /dev/null
+++ b/crates/membership/tests/characterization.rs
@@ -0,0 +1,99 @@
+//! Runs of whole fleets, repeated exactly: the order of random draws, of actions and of messages is part of the behaviour.
+//!
+//! `CHARACTERIZATION_WRITE=1` prints the fixture instead of comparing with it.
+
+mod common;
+
+use common::{Fleet, MS, SECOND, name};
+use sillward_membership::{Event, Membership};
+
+const FIXTURE: &str = include_str!("fixtures/run-digests.txt");
+const SEEDS: std::ops::Range<u64> = 0..24;
+
+/// A run with every kind of fault: its seed, and the digest of all actions and deadlines.
+fn line(seed: u64) -> String {
+    let mut fleet = Fleet::new(9, 5_000 + seed);
+    fleet.loss = 10;
+    fleet.duplicates = 10;
+    fleet.delay = (1, 40);
+    fleet.run(SECOND * 8);
+    publish_values(&mut fleet, seed);
+    fleet.kill(2);
+    fleet.run(SECOND * 6);
+    fleet.start(2);
+    fleet.nodes[3].paused = true;
+    fleet.run(SECOND * 4);
+    fleet.resume(3);
+    fleet.run(SECOND * 4);
+    cut_off(&mut fleet, 4);
+    fleet.cuts.insert((6, 7));
+    fleet.run(SECOND * 12);
+    fleet.cuts.clear();
+    fleet.slow = Some((5, 700));
+    fleet.run(SECOND * 10);
+    fleet.slow = None;
+    leave(&mut fleet, 6);
+    fleet.nodes[7].name = name(8);
+    fleet.incarnations.clear();
+    fleet.start(7);
+    fleet.run(SECOND * 20);
+    format!("{seed} {:016x}", fleet.trace_digest())
+}
+
+fn publish_values(fleet: &mut Fleet, seed: u64) {
+    let now = fleet.now;
+    for i in 0..5 {
+        let value = seed.to_be_bytes();
+        let published = fleet.membership_mut(i).publish("load", &value, now);
+        published.expect("a value within bounds");
+    }
+}
+
+/// Cuts a node off from the first three others.
+fn cut_off(fleet: &mut Fleet, i: usize) {
+    for other in 0..3 {
+        fleet.cuts.extend([(i, other), (other, i)]);
+    }
+}
+
+fn leave(fleet: &mut Fleet, i: usize) {
+    let now = fleet.now;
+    let actions = fleet.membership_mut(i).handle(now, Event::Leave);
+    fleet.carry_out(i, actions);
+    fleet.kill(i);
+    fleet.run(MS * 300);
+}
+
+#[test]
+fn runs_have_the_recorded_digests() {
+    let lines: Vec<String> = SEEDS.map(line).collect();
+    if std::env::var_os("CHARACTERIZATION_WRITE").is_some() {
+        println!("{}", lines.join("\n"));
+        return;
+    }
+    let recorded: Vec<&str> = FIXTURE.lines().collect();
+    assert_eq!(lines, recorded);
+}
+
+#[test]
+fn equal_seeds_give_equal_runs() {
+    let played = || {
+        let mut fleet = Fleet::new(9, 15);
+        fleet.loss = 20;
+        fleet.duplicates = 10;
+        fleet.run(SECOND * 20);
+        fleet.kill(2);
+        fleet.run(SECOND * 10);
+        fleet
+            .nodes
+            .iter()
+            .map(|node| {
+                (
+                    node.sent,
+                    node.membership.as_ref().map(Membership::incarnation),
+                )
+            })
+            .collect::<Vec<_>>()
+    };
+    assert_eq!(played(), played());
+}
--- /dev/null
+++ b/crates/membership/tests/common/mod.rs
@@ -0,0 +1,462 @@
+//! Simulated fleets of [`Membership`] on a clock and a network of the test's own: loss, delay, duplicates, one-way cuts,
+//! pauses and restarts. Checks compare what was done to a member with what the others believe of it.
+#![allow(dead_code, unreachable_pub)]
+
+use prost::Message;
+use rand_pcg::Pcg32;
+use rand_pcg::rand_core::{RngCore, SeedableRng};
+use sillward_membership::wire::{Frame, SyncMessage};
+use sillward_membership::{
+    Action, Event, Incarnation, LocalNode, MemberState, Membership, MembershipSettings,
+    MembershipStatus, Name, NodeMetadata, SyncStep,
+};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::time::Duration;
+use xxhash_rust::xxh3::Xxh3;
+
+pub const MS: Duration = Duration::from_millis(1);
+pub const SECOND: Duration = Duration::from_secs(1);
+
+/// What is on its way to a node.
+#[derive(Clone)]
+pub enum Packet {
+    Frame {
+        name: Name,
+        from: SocketAddr,
+        incarnation: Incarnation,
+        to: u32,
+        frame: Frame,
+    },
+    Sync {
+        name: Name,
+        incarnation: Incarnation,
+        to_incarnation: Incarnation,
+        message: SyncMessage,
+    },
+}
+
+/// A node; its process may be down.
+pub struct Node {
+    pub membership: Option<Membership>,
+    pub name: Name,
+    pub address: SocketAddr,
+    /// The epoch in its state directory.
+    pub stored_epoch: u32,
+    pub paused: bool,
+    received_while_paused: Vec<Packet>,
+    /// How often its process was started.
+    runs: u64,
+    /// Frames sent.
+    pub sent: usize,
+}
+
+/// A simulated fleet.
+pub struct Fleet {
+    pub now: Duration,
+    pub nodes: Vec<Node>,
+    /// By time of arrival, then by order of sending: the receiver and the packet.
+    pub in_flight: BTreeMap<(Duration, u64), (usize, Packet)>,
+    packets_sent: u64,
+    random: Pcg32,
+    pub settings: MembershipSettings,
+    seeds: Vec<SocketAddr>,
+    /// Frames lost, in percent.
+    pub loss: u32,
+    /// Frames delivered twice, in percent.
+    pub duplicates: u32,
+    /// The shortest and the longest delay, in milliseconds.
+    pub delay: (u32, u32),
+    /// Pairs of a sender and a receiver between which nothing passes.
+    pub cuts: BTreeSet<(usize, usize)>,
+    /// A node and the milliseconds by which everything reaches it later.
+    pub slow: Option<(usize, u32)>,
+    /// The run of each incarnation that any process was in.
+    pub incarnations: BTreeMap<Name, BTreeMap<Incarnation, u64>>,
+    /// Pairs of a node and a running member that it believes dead, and since when.
+    false_deaths: BTreeMap<(usize, usize), Duration>,
+    pub longest_false_death: Duration,
+    pub false_death_count: usize,
+    /// The digest of all actions and deadlines so far.
+    trace: Xxh3,
+}
+
+pub fn name(i: usize) -> Name {
+    Name::new(&format!("n{i}")).expect("a name")
+}
+
+pub fn address(i: usize) -> SocketAddr {
+    SocketAddr::from(([127, 9, (i / 200) as u8, (i % 200) as u8 + 1], 7000))
+}
+
+impl Fleet {
+    pub fn new(count: usize, seed: u64) -> Self {
+        let node = |i| Node {
+            membership: None,
+            name: name(i),
+            address: address(i),
+            stored_epoch: 0,
+            paused: false,
+            received_while_paused: Vec::new(),
+            runs: 0,
+            sent: 0,
+        };
+        let mut fleet = Fleet {
+            now: SECOND,
+            nodes: (0..count).map(node).collect(),
+            in_flight: BTreeMap::new(),
+            packets_sent: 0,
+            random: Pcg32::seed_from_u64(seed),
+            settings: MembershipSettings::default(),
+            seeds: vec![address(0), address(1)],
+            loss: 0,
+            duplicates: 0,
+            delay: (1, 3),
+            cuts: BTreeSet::new(),
+            slow: None,
+            incarnations: BTreeMap::new(),
+            false_deaths: BTreeMap::new(),
+            longest_false_death: Duration::ZERO,
+            false_death_count: 0,
+            trace: Xxh3::new(),
+        };
+        (0..count).for_each(|i| fleet.start(i));
+        fleet
+    }
+
+    pub fn start(&mut self, i: usize) {
+        let node = &mut self.nodes[i];
+        node.runs += 1;
+        node.received_while_paused.clear();
+        let metadata = NodeMetadata {
+            zone: format!("z{}", i % 3),
+            ..NodeMetadata::default()
+        };
+        let local = LocalNode {
+            name: node.name.clone(),
+            address: node.address,
+            metadata,
+            seeds: self.seeds.clone(),
+        };
+        let seed = u64::from(self.random.next_u32()) << 32 | u64::from(self.random.next_u32());
+        self.nodes[i].membership = Some(Membership::new(
+            self.settings.clone(),
+            local,
+            self.nodes[i].stored_epoch,
+            seed,
+            self.now,
+        ));
+        self.tick(i);
+    }
+
+    /// The membership of a node that runs.
+    pub fn membership(&self, i: usize) -> &Membership {
+        self.nodes[i].membership.as_ref().expect("the node runs")
+    }
+
+    /// See [`Fleet::membership`].
+    pub fn membership_mut(&mut self, i: usize) -> &mut Membership {
+        self.nodes[i].membership.as_mut().expect("the node runs")
+    }
+
+    /// The digest of all actions, in their order, and of all deadlines.
+    pub fn trace_digest(&self) -> u64 {
+        self.trace.digest()
+    }
+
+    pub fn kill(&mut self, i: usize) {
+        self.nodes[i].membership = None;
+        self.false_deaths.retain(|(_, of), _| *of != i);
+        self.false_deaths.retain(|(by, _), _| *by != i);
+    }
+
+    fn tick(&mut self, i: usize) {
+        let now = self.now;
+        let actions = self.nodes[i]
+            .membership
+            .as_mut()
+            .map(|membership| membership.handle(now, Event::Tick));
+        self.carry_out(i, actions.unwrap_or_default());
+    }
+
+    pub fn draw(&mut self, bound: u32) -> u32 {
+        self.random.next_u32() % bound.max(1)
+    }
+
+    /// Adds an action to the trace. Of log lines only the numbers count.
+    fn trace_action(&mut self, i: usize, action: &Action) {
+        let (header, content) = match action {
+            Action::Send { to, salt, frame } => {
+                (format!("send {to} {salt}"), frame.encode_to_vec())
+            }
+            Action::Sync {
+                to,
+                address,
+                message,
+            } => (format!("sync {to} {address}"), message.encode_to_vec()),
+            Action::StoreIncarnation(incarnation) => (format!("store {incarnation}"), Vec::new()),
+            Action::Log(line) => {
+                let digits = line.bytes().filter(u8::is_ascii_digit).collect();
+                ("log".to_owned(), digits)
+            }
+        };
+        let deadline = self.membership(i).next_deadline();
+        let entry = format!("{i} {:?} {deadline:?} {header} ", self.now);
+        self.trace.update(entry.as_bytes());
+        self.trace.update(&content);
+    }
+
+    fn transmit(&mut self, from: usize, to: SocketAddr, packet: Packet, reliable: bool) {
+        let Some(to) = self.nodes.iter().position(|node| node.address == to) else {
+            return;
+        };
+        if self.cuts.contains(&(from, to)) || (!reliable && self.draw(100) < self.loss) {
+            return;
+        }
+        let copies = if !reliable && self.draw(100) < self.duplicates {
+            2
+        } else {
+            1
+        };
+        for _ in 0..copies {
+            let extra_delay = self
+                .slow
+                .filter(|(node, _)| *node == to)
+                .map_or(0, |(_, delay)| delay);
+            let delay = extra_delay + self.delay.0 + self.draw(self.delay.1 - self.delay.0 + 1);
+            self.packets_sent += 1;
+            self.in_flight.insert(
+                (self.now + MS * delay, self.packets_sent),
+                (to, packet.clone()),
+            );
+        }
+    }
+
+    pub fn carry_out(&mut self, i: usize, actions: Vec<Action>) {
+        for action in actions {
+            self.trace_action(i, &action);
+            let name = self.nodes[i].name.clone();
+            let incarnation = self.membership(i).incarnation();
+            match action {
+                Action::Send { to, salt, frame } => {
+                    self.nodes[i].sent += 1;
+                    let bytes = frame.encoded_len();
+                    let fits = frame.updates.len() <= 1 || bytes <= self.settings.max_frame_bytes;
+                    assert!(fits, "a frame of {bytes} bytes");
+                    let packet = Packet::Frame {
+                        name,
+                        from: self.nodes[i].address,
+                        incarnation,
+                        to: salt,
+                        frame,
+                    };
+                    self.transmit(i, to, packet, false);
+                }
+                Action::Sync {
+                    to,
+                    address,
+                    message,
+                } => {
+                    let to_incarnation = self.nodes.iter().find(|node| node.name == to);
+                    let to_incarnation = to_incarnation
+                        .and_then(|node| node.membership.as_ref())
+                        .map(Membership::incarnation);
+                    if let Some(to_incarnation) = to_incarnation {
+                        self.transmit(
+                            i,
+                            address,
+                            Packet::Sync {
+                                name,
+                                incarnation,
+                                to_incarnation,
+                                message,
+                            },
+                            true,
+                        );
+                    }
+                }
+                Action::StoreIncarnation(incarnation) => {
+                    self.nodes[i].stored_epoch = incarnation.epoch;
+                    let run = self.nodes[i].runs;
+                    let before = self
+                        .incarnations
+                        .entry(name.clone())
+                        .or_default()
+                        .insert(incarnation, run);
+                    assert!(
+                        before.is_none(),
+                        "{name} has been in incarnation {incarnation} before"
+                    );
+                }
+                Action::Log(_) => {}
+            }
+        }
+    }
+
+    pub fn deliver(&mut self, to: usize, packet: Packet) {
+        if self.nodes[to].paused {
+            self.nodes[to].received_while_paused.push(packet);
+            return;
+        }
+        let now = self.now;
+        let Some(membership) = self.nodes[to].membership.as_mut() else {
+            return;
+        };
+        let event = match packet {
+            Packet::Frame {
+                name,
+                from,
+                incarnation,
+                to,
+                frame,
+            } => Event::Frame {
+                name,
+                address: from,
+                incarnation,
+                to_salt: to,
+                frame,
+            },
+            Packet::Sync {
+                name,
+                incarnation,
+                to_incarnation,
+                message,
+            } if to_incarnation == membership.incarnation() => Event::Sync(SyncStep {
+                name,
+                incarnation,
+                message,
+            }),
+            Packet::Sync { .. } => return,
+        };
+        let actions = membership.handle(now, event);
+        self.carry_out(to, actions);
+    }
+
+    pub fn resume(&mut self, i: usize) {
+        self.nodes[i].paused = false;
+        for packet in std::mem::take(&mut self.nodes[i].received_while_paused) {
+            self.deliver(i, packet);
+        }
+        self.tick(i);
+    }
+
+    pub fn run(&mut self, time: Duration) {
+        let end = self.now + time;
+        let mut next_observation = self.now;
+        loop {
+            let running = self
+                .nodes
+                .iter()
+                .enumerate()
+                .filter(|(_, node)| !node.paused);
+            let ticks = running
+                .filter_map(|(i, node)| Some((node.membership.as_ref()?.next_deadline(), i)));
+            let tick = ticks.min();
+            let arrival = self.in_flight.keys().next().map(|(at, _)| *at);
+            let next = tick
+                .map(|(at, _)| at)
+                .into_iter()
+                .chain(arrival)
+                .min()
+                .unwrap_or(end);
+            if next > end {
+                self.now = end;
+                return;
+            }
+            self.now = self.now.max(next);
+            if self.now >= next_observation {
+                self.observe();
+                next_observation = self.now + MS * 50;
+            }
+            if arrival == Some(next) {
+                let ((_, _), (to, packet)) = self.in_flight.pop_first().expect("a packet");
+                self.deliver(to, packet);
+            } else if let Some((_, i)) = tick {
+                self.tick(i);
+            }
+        }
+    }
+
+    /// Notes which running members are believed dead, by whom, and for how long.
+    fn observe(&mut self) {
+        let incarnations: Vec<_> = self
+            .nodes
+            .iter()
+            .map(|n| {
+                n.membership
+                    .as_ref()
+                    .filter(|_| !n.paused)
+                    .map(Membership::incarnation)
+            })
+            .collect();
+        for (by, node) in self.nodes.iter().enumerate() {
+            let Some(membership) = node.membership.as_ref().filter(|_| !node.paused) else {
+                continue;
+            };
+            for (of, incarnation) in incarnations
+                .iter()
+                .enumerate()
+                .filter(|(of, incarnation)| *of != by && incarnation.is_some())
+            {
+                let is_false_death = membership.member(&name(of)).is_some_and(|m| {
+                    m.state == MemberState::Dead && Some(m.incarnation) == *incarnation
+                });
+                if !is_false_death {
+                    self.false_deaths.remove(&(by, of));
+                } else if let Some(since) = self.false_deaths.get(&(by, of)) {
+                    self.longest_false_death = self.longest_false_death.max(self.now - *since);
+                } else {
+                    self.false_deaths.insert((by, of), self.now);
+                    self.false_death_count += 1;
+                }
+            }
+        }
+    }
+
+    pub fn state_of(&self, by: usize, of: usize) -> Option<MemberState> {
+        self.nodes[by]
+            .membership
+            .as_ref()?
+            .member(&name(of))
+            .map(|member| member.state)
+    }
+
+    /// Whether all running nodes believe each other alive in their present incarnations, and nobody else active.
+    pub fn check_agreement(&self) -> Result<(), String> {
+        for (by, node) in self.nodes.iter().enumerate() {
+            let Some(membership) = &node.membership else {
+                continue;
+            };
+            if membership.status(self.now) != MembershipStatus::Joined && self.nodes.len() > 1 {
+                return Err(format!("n{by} is {:?}", membership.status(self.now)));
+            }
+            for (of, other) in self.nodes.iter().enumerate().filter(|(of, _)| *of != by) {
+                let believed = membership
+                    .member(&name(of))
+                    .map(|member| (member.state, member.incarnation));
+                let is_right = match &other.membership {
+                    Some(other) => believed == Some((MemberState::Alive, other.incarnation())),
+                    None => believed.is_none_or(|(state, _)| !state.is_active()),
+                };
+                if !is_right {
+                    return Err(format!("n{by} believes {believed:?} of n{of}"));
+                }
+            }
+        }
+        Ok(())
+    }
+
+    /// Runs until all agree, at most `limit`; returns how long that took.
+    pub fn run_until_agreed(&mut self, limit: Duration) -> Duration {
+        let start = self.now;
+        while let Err(disagreement) = self.check_agreement() {
+            assert!(
+                self.now - start < limit,
+                "after {:?}: {disagreement}",
+                self.now - start
+            );
+            self.run(MS * 100);
+        }
+        self.now - start
+    }
+}
--- /dev/null
+++ b/crates/membership/tests/partitions.rs
@@ -0,0 +1,142 @@
+//! Partitions: what a cut-off node or part believes, and what healing costs.
+
+mod common;
+
+use common::{Fleet, SECOND};
+use sillward_membership::{MemberState, MembershipStatus};
+use std::time::Duration;
+
+#[test]
+fn halves_agree_again_after_a_partition_without_a_burst_of_frames() {
+    let mut fleet = Fleet::new(12, 3);
+    fleet.run_until_agreed(SECOND * 10);
+    let calm = frames_sent_in(&mut fleet, SECOND * 10);
+    for a in 0..4 {
+        for b in 4..12 {
+            fleet.cuts.extend([(a, b), (b, a)]);
+        }
+    }
+    fleet.run(SECOND * 20);
+    assert_eq!(fleet.state_of(0, 5), Some(MemberState::Dead));
+    assert_eq!(fleet.state_of(5, 0), Some(MemberState::Dead));
+    assert_eq!(
+        fleet.state_of(5, 6),
+        Some(MemberState::Alive),
+        "both halves go on"
+    );
+    fleet.cuts.clear();
+    let before: usize = fleet.nodes.iter().map(|node| node.sent).sum();
+    let took = fleet.run_until_agreed(SECOND * 15);
+    fleet.run(SECOND * 15 - took);
+    let after: usize = fleet.nodes.iter().map(|node| node.sent).sum();
+    assert!(
+        (after - before) * 10 < calm * 15 * 6,
+        "{} in 15 s against {calm} in 10 s",
+        after - before
+    );
+}
+
+fn frames_sent_in(fleet: &mut Fleet, time: Duration) -> usize {
+    let before: usize = fleet.nodes.iter().map(|node| node.sent).sum();
+    fleet.run(time);
+    fleet.nodes.iter().map(|node| node.sent).sum::<usize>() - before
+}
+
+#[test]
+fn single_survivor_is_isolated_and_declares_nobody_dead() {
+    let mut fleet = Fleet::new(8, 5);
+    fleet.run_until_agreed(SECOND * 10);
+    (1..8).for_each(|i| fleet.kill(i));
+    fleet.run(SECOND * 30);
+    let membership = fleet.membership(0);
+    assert_eq!(membership.status(fleet.now), MembershipStatus::Isolated);
+    assert!(
+        membership
+            .members()
+            .all(|member| member.state != MemberState::Dead)
+    );
+    // The seeds stay dead; the others come back and are known all the same.
+    (2..8).for_each(|i| fleet.start(i));
+    fleet.run(SECOND * 10);
+    let known = |by: usize| {
+        let membership = fleet.membership(by);
+        membership
+            .members()
+            .filter(|member| member.state == MemberState::Alive)
+            .count()
+    };
+    assert!(
+        (2..8).all(|i| known(i) == 6),
+        "{:?}",
+        (2..8).map(known).collect::<Vec<_>>()
+    );
+}
+
+/// Guards against a node that can send but not receive, and declares all others dead.
+#[test]
+fn node_that_receives_nothing_declares_nobody_dead() {
+    (8..18).for_each(check_receiving_nothing);
+}
+
+fn check_receiving_nothing(seed: u64) {
+    let mut fleet = Fleet::new(8, seed);
+    fleet.run_until_agreed(SECOND * 10);
+    for other in 0..8 {
+        fleet.cuts.insert((other, 6));
+    }
+    fleet.run(SECOND * 30);
+    let incarnations = |fleet: &Fleet| {
+        fleet
+            .nodes
+            .iter()
+            .map(|n| {
+                n.membership
+                    .as_ref()
+                    .expect("it runs")
+                    .counters()
+                    .incarnations
+            })
+            .sum::<u64>()
+    };
+    assert_eq!(
+        incarnations(&fleet) - fleet.membership(6).counters().incarnations,
+        7
+    );
+    assert_eq!(
+        fleet.membership(6).status(fleet.now),
+        MembershipStatus::Isolated
+    );
+    for by in (0..8).filter(|i| *i != 6) {
+        for of in (0..8).filter(|i| *i != 6 && *i != by) {
+            assert_eq!(fleet.state_of(by, of), Some(MemberState::Alive));
+        }
+    }
+}
+
+/// However much there is to disseminate, each node sends at a bounded rate.
+#[test]
+fn healing_of_a_large_partition_is_rate_limited() {
+    let mut fleet = Fleet::new(60, 31);
+    fleet.run_until_agreed(SECOND * 30);
+    for a in 0..20 {
+        for b in 20..60 {
+            fleet.cuts.extend([(a, b), (b, a)]);
+        }
+    }
+    fleet.run(SECOND * 20);
+    fleet.cuts.clear();
+    let before: Vec<usize> = fleet.nodes.iter().map(|node| node.sent).collect();
+    fleet.run(SECOND * 10);
+    let max_sent = fleet
+        .nodes
+        .iter()
+        .zip(&before)
+        .map(|(node, before)| node.sent - before)
+        .max();
+    println!("{max_sent:?} frames in 10 s after a cut of 20 of 60");
+    assert!(
+        max_sent.is_some_and(|sent| sent <= 300),
+        "{max_sent:?} frames in 10 s"
+    );
+    fleet.run_until_agreed(SECOND * 60);
+}
--- a/crates/peer-transport/src/lib.rs
+++ b/crates/peer-transport/src/lib.rs
@@ -250,7 +250,7 @@
         let mut buffer = vec![0; 2048];
         let mut reads_from: Option<Instant> = None;
         loop {
-            let due = self.clock.instant(self.peers.borrow().next());
+            let due = self.clock.instant(self.peers.borrow().next_deadline());
             let due = reads_from.map_or(due, |from| due.min(from));
             tokio::select! {
                 biased;
@@ -499,7 +499,11 @@
     ///
     /// # Errors
     /// It is over the bounds.
-    pub fn publish(&self, key: &str, bytes: &[u8]) -> Result<(), &'static str> {
+    pub fn publish(
+        &self,
+        key: &str,
+        bytes: &[u8],
+    ) -> Result<(), sillward_membership::PublishError> {
         let told = self
             .peers
             .borrow_mut()
