--- a/crates/app/src/fleet.rs
+++ b/crates/app/src/fleet.rs
@@ -137,7 +137,9 @@
     fleet: &FleetTerms,
     stop: impl Future<Output = ()> + 'static,
 ) -> Result<Rc<PeerTransport>, String> {
-    let (fleet, listening) = PeerTransport::start(terms(config, fleet)?, clock).await?;
+    let (fleet, listening) = PeerTransport::start(terms(config, fleet)?, clock)
+        .await
+        .map_err(|e| e.to_string())?;
     log(format_args!(
         "{} listens for its fleet on {}",
         config.name, listening.address
--- a/crates/peer-transport/src/envelope.rs
+++ b/crates/peer-transport/src/envelope.rs
@@ -1,47 +1,50 @@
-//! A frame's envelope: the fleet's name, who sends it in which incarnation, to which incarnation, a number, and a keyed hash of it all.
-//! No I/O.
+//! The envelope of a datagram: the fleet's name, the sender with its incarnation, the receiver's incarnation, a sequence
+//! number, and a message authentication code over all of it. No I/O.
 //!
-//! Wire: the version (1 byte), the hash (16 bytes), then the protobuf message `EnvelopeMessage`. The hash is BLAKE3's keyed one under
-//! a key derived from the fleet's, cut to 16 bytes: who does not have the key guesses one in 2^128.
+//! Wire: the version (1 byte), the code (16 bytes), then the protobuf message [`EnvelopeMessage`]. The code is BLAKE3's
+//! keyed hash under a key derived from the fleet's, truncated to 16 bytes.
 
+use crate::mac::{self, MAC_BYTES, Mac};
 use prost::Message;
-use sillward_membership::wire::{self, Frame};
+use sillward_membership::wire::{Frame, decode_address, encode_address};
 use sillward_membership::{Incarnation, Name};
-use std::net::{IpAddr, SocketAddr};
+use std::net::SocketAddr;
 
-/// The version of the envelope. Another one is counted and dropped; what is added within one is skipped by who does not
-/// know it.
+/// The version of the envelope. Datagrams of another version are rejected; fields that are added within one are skipped by
+/// builds that do not know them.
 const VERSION: u8 = 1;
-const MAC: usize = 16;
-/// The longest datagram that carries another part's word, in bytes, with all that is around it: what passes any way whole.
+/// The version and the code.
+const HEADER_BYTES: usize = 1 + MAC_BYTES;
+/// The longest datagram that carries a payload, in bytes with its envelope: it passes any network unfragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// The longest name of a fleet, in bytes.
 pub const MAX_FLEET_NAME_BYTES: usize = 16;
 
-/// The fleet's key, by what it is used for.
+/// The fleet's key, by its use.
 #[derive(Clone)]
 pub struct Keys {
-    frames: [u8; 32],
+    datagrams: [u8; 32],
     pub(crate) connections: [u8; 32],
 }
 
 impl Keys {
-    /// Keys from the secret that the key file holds.
+    /// Derives the keys from the secret in the key file.
     pub fn derive(secret: &[u8]) -> Self {
         Keys {
-            frames: blake3::derive_key("sillward 2026-12-01 fleet frames", secret),
+            datagrams: blake3::derive_key("sillward 2026-12-01 fleet frames", secret),
             connections: blake3::derive_key("sillward 2026-12-01 fleet links", secret),
         }
     }
 }
 
-/// Keys are never printed.
+/// Keys are never shown.
 impl std::fmt::Debug for Keys {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Keys")
     }
 }
 
+/// The authenticated part of a datagram.
 #[derive(Clone, PartialEq, prost::Message)]
 struct EnvelopeMessage {
     #[prost(string, tag = "1")]
@@ -55,18 +58,18 @@
     #[prost(fixed32, tag = "5")]
     salt: u32,
     #[prost(uint64, tag = "6")]
-    number: u64,
+    sequence: u64,
     #[prost(fixed32, tag = "7")]
-    to: u32,
+    to_salt: u32,
     #[prost(message, optional, tag = "8")]
     frame: Option<Frame>,
     #[prost(uint32, tag = "9")]
     topic: u32,
     #[prost(bytes = "vec", tag = "10")]
-    word: Vec<u8>,
+    payload: Vec<u8>,
 }
 
-/// A frame with what its envelope says.
+/// The content of a datagram: a frame of membership, or a payload of another part of the node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Envelope {
     /// The sender.
@@ -75,41 +78,41 @@
     pub address: SocketAddr,
     /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// Rises from frame to frame of a incarnation.
+    /// Rises from datagram to datagram of an incarnation.
     pub sequence: u64,
-    /// The salt of the incarnation that it is for; 0 for a stranger's.
+    /// The salt of the receiver's incarnation; 0 if the sender does not know it.
     pub to_salt: u32,
-    /// The frame; nothing in it where there is a topic.
+    /// The frame; empty where there is a topic.
     pub frame: Frame,
-    /// Another part's word, of that topic; 0 for a frame.
+    /// The topic of the payload; 0 for a frame.
     pub topic: u32,
-    /// See there.
+    /// The payload; empty for a frame.
     pub payload: Vec<u8>,
 }
 
-/// Why something that came is not read.
+/// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectReason {
-    /// Shorter or longer than any frame.
+    /// Shorter or longer than any datagram of the fleet.
     Length,
     /// Another version of the envelope.
     Version,
-    /// The hash is not the one under this key: another key, a forgery, or spoilt on the way.
+    /// The code is wrong: another key, a forgery, or corrupted on the way.
     Authentication,
     /// Another fleet's, under the same key.
     Fleet,
-    /// No message, or one without a name, address or incarnation.
+    /// No valid message, or one without a name, address or incarnation.
     Malformed,
-    /// The number has been seen, or is too old to tell.
+    /// The sequence number was seen, or is too old to tell.
     Replayed,
-    /// Too many of one member's.
+    /// Too many of one member.
     RateLimited,
-    /// More than this node reads of all.
+    /// More than this node reads of all members.
     Overload,
 }
 
 impl RejectReason {
-    /// All there are.
+    /// All reasons.
     pub const ALL: [RejectReason; 8] = [
         RejectReason::Length,
         RejectReason::Version,
@@ -121,7 +124,7 @@
         RejectReason::Overload,
     ];
 
-    /// As operators read it.
+    /// The reason as admin pages show it.
     pub fn as_str(self) -> &'static str {
         match self {
             RejectReason::Length => "length",
@@ -136,130 +139,138 @@
     }
 }
 
+/// The field of an unknown newer build, for tests.
+#[cfg(feature = "faults")]
+const UNKNOWN_FIELD: u32 = 60;
+
 #[cfg(not(feature = "faults"))]
-fn newer(_: &mut Vec<u8>) {}
+fn imitate_other_build(_: &mut Vec<u8>) {}
 
-/// A newer build, as the ground plays it, has a field that this one does not know; an unreadable one another version.
+/// Imitates a newer build, which has a field that this one does not know, or an incompatible one of another version.
 #[cfg(feature = "faults")]
-fn newer(bytes: &mut Vec<u8>) {
+fn imitate_other_build(bytes: &mut Vec<u8>) {
     match sillward_runtime::told("SILLWARD_FAULT_BUILD").as_deref() {
-        Some("newer") => prost::encoding::string::encode(60, &"a newer build's".to_owned(), bytes),
+        Some("newer") => {
+            prost::encoding::string::encode(UNKNOWN_FIELD, &"a newer build's".to_owned(), bytes);
+        }
         Some("unreadable") => bytes[0] = VERSION + 1,
         _ => {}
     }
 }
 
-/// Makes envelopes, and opens them.
+/// Seals and opens the envelopes of a fleet.
 pub struct EnvelopeCodec {
     keys: Keys,
     fleet: String,
-    most: usize,
+    max_frame_bytes: usize,
 }
 
 impl EnvelopeCodec {
-    /// For a fleet; `most` is the most bytes of an envelope with its frame.
-    pub fn new(keys: Keys, fleet: &str, most: usize) -> Self {
+    /// A fleet's codec; `max_frame_bytes` is the longest envelope that carries a frame, in bytes.
+    pub fn new(keys: Keys, fleet: &str, max_frame_bytes: usize) -> Self {
         EnvelopeCodec {
             keys,
             fleet: fleet.to_owned(),
-            most,
+            max_frame_bytes,
         }
     }
 
-    /// What is left for a frame of that sender's, in bytes, at the worst.
+    /// The bytes that the longest envelope of a sender leaves for its frame.
     pub fn frame_capacity(&self, name: &Name, address: SocketAddr) -> usize {
-        let address = if address.is_ipv4() { 6 } else { 18 };
-        let words =
-            2 + self.fleet.len() + 2 + name.as_str().len() + 2 + address + 6 + 5 + 11 + 5 + 3;
-        self.most.saturating_sub(1 + MAC + words)
+        let address_bytes = if address.is_ipv4() { 6 } else { 18 };
+        // Each of these has a byte for its field number and one for its length.
+        let texts = 2 + self.fleet.len() + 2 + name.as_str().len() + 2 + address_bytes;
+        let (epoch, salt, sequence, to_salt, frame_header) = (6, 5, 11, 5, 3);
+        let fields = texts + epoch + salt + sequence + to_salt + frame_header;
+        self.max_frame_bytes.saturating_sub(HEADER_BYTES + fields)
     }
 
-    /// The bytes of a frame in its envelope.
-    pub fn seal(&self, sealed: &Envelope) -> Vec<u8> {
-        let mut address = match sealed.address.ip() {
-            IpAddr::V4(ip) => ip.octets().to_vec(),
-            IpAddr::V6(ip) => ip.octets().to_vec(),
-        };
-        address.extend(sealed.address.port().to_be_bytes());
+    /// The datagram of an envelope.
+    pub fn seal(&self, envelope: &Envelope) -> Vec<u8> {
         let message = EnvelopeMessage {
             fleet: self.fleet.clone(),
-            name: sealed.name.as_str().to_owned(),
-            address,
-            epoch: sealed.incarnation.epoch,
-            salt: sealed.incarnation.salt,
-            number: sealed.sequence,
-            to: sealed.to_salt,
-            frame: (sealed.topic == 0).then(|| sealed.frame.clone()),
-            topic: sealed.topic,
-            word: sealed.payload.clone(),
+            name: envelope.name.as_str().to_owned(),
+            address: encode_address(envelope.address),
+            epoch: envelope.incarnation.epoch,
+            salt: envelope.incarnation.salt,
+            sequence: envelope.sequence,
+            to_salt: envelope.to_salt,
+            frame: (envelope.topic == 0).then(|| envelope.frame.clone()),
+            topic: envelope.topic,
+            payload: envelope.payload.clone(),
         };
         let mut bytes = vec![VERSION];
-        bytes.resize(1 + MAC, 0);
+        bytes.resize(HEADER_BYTES, 0);
         message.encode_raw(&mut bytes);
-        newer(&mut bytes);
+        imitate_other_build(&mut bytes);
         let mac = self.mac(&bytes);
-        bytes[1..=MAC].copy_from_slice(&mac);
+        bytes[1..HEADER_BYTES].copy_from_slice(&mac);
         bytes
     }
 
-    fn mac(&self, bytes: &[u8]) -> [u8; MAC] {
-        let mut hasher = blake3::Hasher::new_keyed(&self.keys.frames);
-        hasher.update(&bytes[..1]).update(&bytes[1 + MAC..]);
-        let hash = hasher.finalize();
-        let mut mac = [0; MAC];
-        mac.copy_from_slice(&hash.as_bytes()[..MAC]);
-        mac
-    }
-
-    /// What stands in an envelope. Cheap checks come first; nothing that came is looked into before its hash was good.
+    /// Opens a datagram. Cheap checks come first, and nothing is parsed before its code is verified.
     ///
     /// # Errors
-    /// Why it is not read.
+    /// Why the datagram is rejected.
     pub fn open(&self, bytes: &[u8]) -> Result<Envelope, RejectReason> {
-        if bytes.len() <= 1 + MAC || bytes.len() > self.most.max(MAX_DATAGRAM_BYTES) {
+        self.authenticate(bytes)?;
+        let message =
+            EnvelopeMessage::decode(&bytes[HEADER_BYTES..]).map_err(|_| RejectReason::Malformed)?;
+        if message.topic == 0 && bytes.len() > self.max_frame_bytes {
+            return Err(RejectReason::Length);
+        }
+        if message.fleet != self.fleet {
+            return Err(RejectReason::Fleet);
+        }
+        message.into_envelope().ok_or(RejectReason::Malformed)
+    }
+
+    /// Checks the length, the version and the code.
+    fn authenticate(&self, bytes: &[u8]) -> Result<(), RejectReason> {
+        let longest = self.max_frame_bytes.max(MAX_DATAGRAM_BYTES);
+        if bytes.len() <= HEADER_BYTES || bytes.len() > longest {
             return Err(RejectReason::Length);
         }
         if bytes[0] != VERSION {
             return Err(RejectReason::Version);
         }
-        // In constant time: how long a comparison takes must not tell how much of a guess was right.
-        let differs = self
-            .mac(bytes)
-            .iter()
-            .zip(&bytes[1..=MAC])
-            .fold(0, |all, (a, b)| all | (a ^ b));
-        if differs != 0 {
+        if !mac::is_equal(&self.mac(bytes), &bytes[1..HEADER_BYTES]) {
             return Err(RejectReason::Authentication);
         }
-        let message =
-            EnvelopeMessage::decode(&bytes[1 + MAC..]).map_err(|_| RejectReason::Malformed)?;
-        if message.topic == 0 && bytes.len() > self.most {
-            return Err(RejectReason::Length);
-        }
-        if message.fleet != self.fleet {
-            return Err(RejectReason::Fleet);
-        }
+        Ok(())
+    }
+
+    fn mac(&self, bytes: &[u8]) -> Mac {
+        let mut hasher = blake3::Hasher::new_keyed(&self.keys.datagrams);
+        hasher.update(&bytes[..1]).update(&bytes[HEADER_BYTES..]);
+        mac::finalize(&hasher)
+    }
+}
+
+impl EnvelopeMessage {
+    /// Validates the message; `None` if it is invalid.
+    fn into_envelope(self) -> Option<Envelope> {
         let incarnation = Incarnation {
-            epoch: message.epoch,
-            salt: message.salt,
+            epoch: self.epoch,
+            salt: self.salt,
         };
-        let good = incarnation.epoch > 0 && incarnation.salt > 0;
-        let read = || {
-            Some(Envelope {
-                name: Name::new(&message.name)?,
-                address: wire::decode_address(&message.address)?,
-                incarnation,
-                sequence: message.number,
-                to_salt: message.to,
-                frame: if message.topic == 0 {
-                    message.frame?
-                } else {
-                    Frame::default()
-                },
-                topic: message.topic,
-                payload: message.word,
-            })
+        if !incarnation.is_valid() {
+            return None;
+        }
+        let frame = if self.topic == 0 {
+            self.frame?
+        } else {
+            Frame::default()
         };
-        good.then(read).flatten().ok_or(RejectReason::Malformed)
+        Some(Envelope {
+            name: Name::new(&self.name)?,
+            address: decode_address(&self.address)?,
+            incarnation,
+            sequence: self.sequence,
+            to_salt: self.to_salt,
+            frame,
+            topic: self.topic,
+            payload: self.payload,
+        })
     }
 }
--- a/crates/peer-transport/src/inbound_filter.rs
+++ b/crates/peer-transport/src/inbound_filter.rs
@@ -1,169 +1,134 @@
-//! What a node lets in: each number of a incarnation once, so much of each member, so much of all. No I/O, bounded memory.
+//! What a node accepts: each sequence number of an incarnation once, a rate of frames per member, and a rate of datagrams
+//! in all. No I/O; memory is bounded.
 
 use crate::envelope::RejectReason;
+use crate::replay_window::ReplayWindow;
+use crate::token_bucket::TokenBucket;
 use sillward_membership::{Incarnation, Name};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Frames of one member, a second, and at once.
-const RATE: f64 = 400.0;
-const BURST: f64 = 800.0;
-/// Datagrams of all that are read, a second, and at once. What comes beyond that stays with the system, which drops it: at
+/// Frames of one member, a second and at once.
+const MEMBER_RATE: f64 = 400.0;
+const MEMBER_BURST: f64 = 800.0;
+/// Datagrams of all senders, a second and at once. What comes beyond that stays in the system's buffer, which drops it: at
 /// about 3 us each they take no more than 3 % of the node's core.
-const READS: f64 = 10_000.0;
-const READ_BURST: f64 = 2_000.0;
+const TOTAL_RATE: f64 = 10_000.0;
+const TOTAL_BURST: f64 = 2_000.0;
 
-/// So much a second, and so much at once.
-#[derive(Clone, Copy, Debug)]
-pub struct TokenBucket {
-    left: f64,
-    at: Duration,
-    rate: f64,
-    burst: f64,
-}
-
-impl TokenBucket {
-    /// A full one.
-    pub fn new(rate: f64, burst: f64, now: Duration) -> Self {
-        TokenBucket {
-            left: burst,
-            at: now,
-            rate,
-            burst,
-        }
-    }
-
-    /// Takes one, if there is one.
-    pub fn take(&mut self, now: Duration) -> bool {
-        let passed = now.saturating_sub(self.at);
-        self.at = self.at.max(now);
-        self.left = (self.left + passed.as_secs_f64() * self.rate).min(self.burst);
-        let taken = self.left >= 1.0;
-        self.left -= f64::from(u8::from(taken));
-        taken
-    }
-}
-
-/// The numbers of a incarnation that were seen: the highest, and which of the 127 before it.
-struct Window {
+/// What is remembered of a sender.
+struct Sender {
     incarnation: Incarnation,
-    highest: u64,
-    seen: u128,
+    replay_window: ReplayWindow,
     bucket: TokenBucket,
-    used: Duration,
+    last_used: Duration,
 }
 
-/// The guard.
+/// The filter.
 pub struct InboundFilter {
-    windows: BTreeMap<Name, Window>,
-    most: usize,
-    reads: TokenBucket,
+    senders: BTreeMap<Name, Sender>,
+    max_senders: usize,
+    datagrams: TokenBucket,
     rejected: BTreeMap<RejectReason, u64>,
     accepted: u64,
 }
 
 impl InboundFilter {
-    /// For at most so many members.
-    pub fn new(most: usize, now: Duration) -> Self {
-        let reads = TokenBucket::new(READS, READ_BURST, now);
+    /// A filter that remembers at most `max_senders`.
+    pub fn new(max_senders: usize, now: Duration) -> Self {
         InboundFilter {
-            windows: BTreeMap::new(),
-            most,
-            reads,
+            senders: BTreeMap::new(),
+            max_senders,
+            datagrams: TokenBucket::new(TOTAL_RATE, TOTAL_BURST, now),
             rejected: BTreeMap::new(),
             accepted: 0,
         }
     }
 
-    /// Whether one more datagram is looked at.
+    /// Whether one more datagram may be read.
     pub fn allow_read(&mut self, now: Duration) -> bool {
-        self.reads.take(now)
+        self.datagrams.try_take(now)
     }
 
-    /// Counts what was dropped.
-    pub fn record_rejection(&mut self, why: RejectReason) {
-        *self.rejected.entry(why).or_default() += 1;
+    /// Counts a rejected datagram.
+    pub fn record_rejection(&mut self, reason: RejectReason) {
+        *self.rejected.entry(reason).or_default() += 1;
     }
 
-    /// How often something was dropped for that reason.
-    pub fn rejected(&self, why: RejectReason) -> u64 {
-        self.rejected.get(&why).copied().unwrap_or_default()
+    /// Datagrams rejected for that reason.
+    pub fn rejected(&self, reason: RejectReason) -> u64 {
+        self.rejected.get(&reason).copied().unwrap_or_default()
     }
 
-    /// How many frames were let in.
+    /// Frames accepted.
     pub fn accepted(&self) -> u64 {
         self.accepted
     }
 
-    /// Lets a frame in, whose hash was good, or says why not.
+    /// Accepts an authentic frame, or tells why not.
     ///
     /// # Errors
-    /// Its number was seen, or its sender sends too much.
+    /// Its sequence number was seen or is too old, or its sender sends too much.
     pub fn admit(
         &mut self,
         now: Duration,
         name: &Name,
         incarnation: Incarnation,
-        number: u64,
+        sequence: u64,
     ) -> Result<(), RejectReason> {
-        if !self.windows.contains_key(name) {
-            if self.windows.len() >= self.most {
-                let oldest = self.windows.iter().min_by_key(|(_, window)| window.used);
-                if let Some(name) = oldest.map(|(name, _)| name.clone()) {
-                    self.windows.remove(&name);
-                }
-            }
-            let bucket = TokenBucket::new(RATE, BURST, now);
-            self.windows.insert(
-                name.clone(),
-                Window {
-                    incarnation,
-                    highest: 0,
-                    seen: 0,
-                    bucket,
-                    used: now,
-                },
-            );
+        if !self.senders.contains_key(name) {
+            self.add_sender(name, incarnation, now);
         }
-        let Some(window) = self.windows.get_mut(name) else {
+        let Some(sender) = self.senders.get_mut(name) else {
             return Err(RejectReason::RateLimited);
         };
-        window.used = now;
-        if !window.bucket.take(now) {
+        sender.last_used = now;
+        if !sender.bucket.try_take(now) {
             return Err(RejectReason::RateLimited);
         }
-        if incarnation < window.incarnation {
-            // Of an ended incarnation: its sender is told so at most, and nothing that it says is believed.
-            self.accepted += 1;
-            return Ok(());
-        }
-        if incarnation > window.incarnation {
-            (window.incarnation, window.highest, window.seen) = (incarnation, 0, 0);
+        if incarnation > sender.incarnation {
+            sender.incarnation = incarnation;
+            sender.replay_window = ReplayWindow::default();
         }
-        if number > window.highest {
-            let by = number - window.highest;
-            window.seen = if by < 128 { window.seen << by | 1 } else { 1 };
-            window.highest = number;
-        } else {
-            let back = window.highest - number;
-            if back >= 128 || window.seen & 1 << back != 0 {
-                return Err(RejectReason::Replayed);
-            }
-            window.seen |= 1 << back;
+        // A frame of an ended incarnation is never believed, only answered by a notice; so it may be a replay.
+        let is_ended = incarnation < sender.incarnation;
+        if !is_ended && !sender.replay_window.accept(sequence) {
+            return Err(RejectReason::Replayed);
         }
         self.accepted += 1;
         Ok(())
     }
 
-    /// Whether that is the newest incarnation which was seen of a member.
+    /// Whether that is the newest incarnation that was seen of a member.
     pub fn is_current_incarnation(&self, name: &Name, incarnation: Incarnation) -> bool {
-        self.windows
+        self.senders
             .get(name)
-            .is_some_and(|window| window.incarnation == incarnation)
+            .is_some_and(|sender| sender.incarnation == incarnation)
     }
 
-    /// Members whose numbers are remembered.
+    /// Members whose sequence numbers are remembered.
     pub fn tracked_members(&self) -> usize {
-        self.windows.len()
+        self.senders.len()
+    }
+
+    /// Remembers a sender, in the place of the one that was idle longest if there are too many.
+    fn add_sender(&mut self, name: &Name, incarnation: Incarnation, now: Duration) {
+        if self.senders.len() >= self.max_senders {
+            let idle = self
+                .senders
+                .iter()
+                .min_by_key(|(_, sender)| sender.last_used)
+                .map(|(name, _)| name.clone());
+            if let Some(idle) = idle {
+                self.senders.remove(&idle);
+            }
+        }
+        let sender = Sender {
+            incarnation,
+            replay_window: ReplayWindow::default(),
+            bucket: TokenBucket::new(MEMBER_RATE, MEMBER_BURST, now),
+            last_used: now,
+        };
+        self.senders.insert(name.clone(), sender);
     }
 }
--- a/crates/peer-transport/src/send_queue.rs
+++ b/crates/peer-transport/src/send_queue.rs
@@ -1,18 +1,19 @@
-//! What waits to go out over a link: whoever is slow gets the newest of each kind, never a growing queue. No I/O.
+//! Messages that wait to be sent over a connection. A slow receiver gets the newest message of each slot, never a growing
+//! queue. No I/O.
 
 use std::collections::VecDeque;
 
-/// Bytes that may wait for one peer.
+/// Bytes that may wait for one member.
 pub const MAX_BYTES: usize = 128 * 1024;
 
-/// A message: its topic, and what it supersedes within that.
+/// A message to another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutboundMessage {
-    /// Whose it is.
+    /// The topic, which selects the receiver's handler.
     pub topic: u32,
-    /// A later message of the same topic and slot takes the place of an earlier one that still waits.
+    /// A later message of the same topic and slot replaces an earlier one that still waits.
     pub slot: u32,
-    /// What.
+    /// The content.
     pub bytes: Vec<u8>,
 }
 
@@ -21,47 +22,50 @@
 pub struct SendQueue {
     waiting: VecDeque<OutboundMessage>,
     bytes: usize,
-    /// Messages that were superseded while they waited, and those that there was no room for.
+    /// Messages that were replaced while they waited.
     pub superseded: u64,
-    /// See there.
+    /// Messages that did not fit.
     pub dropped: u64,
 }
 
 impl SendQueue {
-    /// Takes a message, in the place of the one that it supersedes.
-    pub fn push(&mut self, posted: OutboundMessage) {
-        let same =
-            |other: &OutboundMessage| (other.topic, other.slot) == (posted.topic, posted.slot);
-        if let Some(old) = self.waiting.iter_mut().find(|other| same(other)) {
-            let room = self.bytes - old.bytes.len() + posted.bytes.len() <= MAX_BYTES;
-            self.superseded += 1;
-            if room {
-                self.bytes = self.bytes - old.bytes.len() + posted.bytes.len();
-                *old = posted;
-            } else {
-                // The old one is no use to anybody either.
-                self.bytes -= old.bytes.len();
-                self.waiting.retain(|other| !same(other));
-                self.dropped += 1;
+    /// Adds a message, in the place of the one that it replaces.
+    pub fn push(&mut self, message: OutboundMessage) {
+        let index = self
+            .waiting
+            .iter()
+            .position(|other| (other.topic, other.slot) == (message.topic, message.slot));
+        match index {
+            Some(index) => self.replace(index, message),
+            None if self.bytes + message.bytes.len() > MAX_BYTES => self.dropped += 1,
+            None => {
+                self.bytes += message.bytes.len();
+                self.waiting.push_back(message);
             }
-            return;
         }
-        if self.bytes + posted.bytes.len() > MAX_BYTES {
+    }
+
+    /// Replaces a message. Where the new one does not fit, both go: the old one is outdated.
+    fn replace(&mut self, index: usize, message: OutboundMessage) {
+        self.superseded += 1;
+        self.bytes -= self.waiting[index].bytes.len();
+        if self.bytes + message.bytes.len() <= MAX_BYTES {
+            self.bytes += message.bytes.len();
+            self.waiting[index] = message;
+        } else {
+            self.waiting.remove(index);
             self.dropped += 1;
-            return;
         }
-        self.bytes += posted.bytes.len();
-        self.waiting.push_back(posted);
     }
 
-    /// The next that goes out.
+    /// Removes the next message.
     pub fn pop(&mut self) -> Option<OutboundMessage> {
-        let posted = self.waiting.pop_front()?;
-        self.bytes -= posted.bytes.len();
-        Some(posted)
+        let message = self.waiting.pop_front()?;
+        self.bytes -= message.bytes.len();
+        Some(message)
     }
 
-    /// Whether nothing waits.
+    /// Whether no message waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
--- a/testing/simulation/src/fleet.rs
+++ b/testing/simulation/src/fleet.rs
@@ -110,7 +110,9 @@
         self.net.with(member.host, |machine| machine.dying = false);
         let (slot, net) = (member.fleet.clone(), self.net.clone());
         let program = async move {
-            let (fleet, listening) = PeerTransport::start(terms, Clock::start()).await?;
+            let (fleet, listening) = PeerTransport::start(terms, Clock::start())
+                .await
+                .map_err(|e| e.to_string())?;
             *slot.borrow_mut() = Some(fleet.clone());
             fleet.run(listening, std::future::pending()).await;
             Ok(())
@@ -193,11 +195,11 @@
     fn posted(&self) -> (u64, u64) {
         let posted = self.members.iter().enumerate().map(|(number, member)| {
             let (frames, bytes) = self.net.posted(member.host);
-            let [_, _, messages, longs] = self
+            let sent = self
                 .fleet(number)
                 .map(|fleet| fleet.sent())
                 .unwrap_or_default();
-            (frames + messages, bytes + longs)
+            (frames + sent.messages, bytes + sent.message_bytes)
         });
         posted.fold((0, 0), |(a, b), (c, d)| (a + c, b + d))
     }
