--- a/crates/app/src/fronts.rs
+++ b/crates/app/src/fronts.rs
@@ -1,13 +1,13 @@
 //! The listeners: clients' over HTTP, callers' over Thrift, operators'.
 
-use crate::handover::{Handover, Holders};
+use crate::hot_restart::{HotRestart, ResourceUsers};
 use crate::{agreement, control, outcomes, pages};
 use hyper::Method;
 use sillward_admin::{Admin, Posted, Reply, Route};
 use sillward_consensus_io::Council;
 use sillward_endpoints::MergedEndpoints;
 use sillward_forwarding::{LiveSettings, MemoryBudget, Message, NodeHandle};
-use sillward_hot_restart::Holding;
+use sillward_hot_restart::Resources;
 use sillward_listener::{ConnectionManager, ListenerOwnership, SharedLifecycle};
 use sillward_logging::log;
 use sillward_metrics::Counters;
@@ -49,19 +49,19 @@
         if self.config.listen_fd.is_none() {
             return;
         }
-        let alone = Holding {
-            clients: self.config.client_connections - self.thrift_connections,
-            backends: self.config.backend_connections,
-            bytes: self.config.body_bytes,
+        let alone = Resources {
+            client_connections: self.config.client_connections - self.thrift_connections,
+            backend_connections: self.config.backend_connections,
+            body_bytes: self.config.body_bytes,
         };
-        let holders = Holders {
+        let users = ResourceUsers {
             client_connections: self.client_connections.clone(),
-            sockets: self.sockets.clone(),
-            budget: self.budget.clone(),
+            backend_connections: self.sockets.clone(),
+            body_bytes: self.budget.clone(),
         };
-        if let Some(handover) = Handover::start(self.config.folder.as_deref(), alone, holders).await
-        {
-            spawn_local(handover.run(self.told_to_stop()));
+        let folder = self.config.folder.as_deref();
+        if let Some(hot_restart) = HotRestart::start(folder, alone, users).await {
+            spawn_local(hot_restart.run(self.told_to_stop()));
         }
     }
 
--- a/crates/app/src/lib.rs
+++ b/crates/app/src/lib.rs
@@ -7,7 +7,7 @@
 mod control;
 mod fleet;
 mod fronts;
-mod handover;
+mod hot_restart;
 mod outcomes;
 mod pages;
 mod sources;
