--- a/crates/app/src/fronts.rs
+++ b/crates/app/src/fronts.rs
@@ -59,7 +59,7 @@
             backend_connections: self.sockets.clone(),
             body_bytes: self.budget.clone(),
         };
-        let folder = self.config.folder.as_deref();
+        let folder = self.config.temp_dir.as_deref();
         if let Some(hot_restart) = HotRestart::start(folder, alone, users).await {
             spawn_local(hot_restart.run(self.told_to_stop()));
         }
--- a/crates/app/src/lib.rs
+++ b/crates/app/src/lib.rs
@@ -172,8 +172,8 @@
     let fleet_connections = fleet_connections(&config, &operator);
     let budget = MemoryBudget::new(config.body_bytes - fleet_bytes.min(config.body_bytes / 2));
     let sockets = ConnectionLimit::new(config.backend_connections);
-    let (counters, live) = (Counters::new(), LiveSettings::new(config.site.clone()));
-    counters.register_classes(&config.site.class_names);
+    let (counters, live) = (Counters::new(), LiveSettings::new(config.platform.clone()));
+    counters.register_classes(&config.platform.class_names);
     let mut protocols = backends(
         clock,
         &config,
@@ -220,9 +220,9 @@
     };
     if let Some(council) = &council {
         // Nothing is acted on that was not asked for: the careful reading holds from the first call on.
-        let readings = council.readings(&agreement::keys(&config.site));
-        live.set(Rc::new(agreement::called(&config.site, &readings)));
-        lapse.set_fallback(Rc::new(agreement::laid_over(&config.site, &readings)));
+        let readings = council.readings(&agreement::keys(&config.platform));
+        live.set(Rc::new(agreement::called(&config.platform, &readings)));
+        lapse.set_fallback(Rc::new(agreement::laid_over(&config.platform, &readings)));
     }
     let sources = sources::start(clock, &config, operator.etcd, &messages, &live);
     let node = Node::new(
@@ -257,7 +257,7 @@
     let mut discovery = spawn_local(sources.discovery.run(discovery_orders, moved));
     let reloading = Reloading {
         running: config.clone(),
-        file: Rc::new(config.site.clone()),
+        file: Rc::new(config.platform.clone()),
         council: council.clone(),
         changed,
         lapse,
@@ -329,7 +329,7 @@
     counters: &Rc<Counters>,
     live: &Rc<LiveSettings>,
 ) -> Rc<dyn BackendProtocol> {
-    let terms = PoolTimeouts::from_settings(&config.site);
+    let terms = PoolTimeouts::from_settings(&config.platform);
     let reports = LoadReportParser::new(live.clone());
     let pool = Pool::start(clock, sillward_http1::Http1, terms, sockets.clone());
     let http =
@@ -442,8 +442,12 @@
     /// Takes all of it or nothing.
     async fn take(&mut self, new: Config) -> Result<(), String> {
         let old = self.file.clone();
-        self.file = Rc::new(self.running.followed_by(&new, &old)?);
-        let fixed = self.running.fixed_that_differ(&new).join(", ");
+        self.file = Rc::new(
+            self.running
+                .reloaded_settings(&new, &old)
+                .map_err(|error| error.to_string())?,
+        );
+        let fixed = self.running.restart_only_differences(&new).join(", ");
         if !fixed.is_empty() {
             log(format_args!(
                 "changed in the configuration, but only a restart takes it in: {fixed}"
--- a/crates/app/src/sources.rs
+++ b/crates/app/src/sources.rs
@@ -39,7 +39,7 @@
     let discovery = DiscoveryClient::new(
         config.discovery,
         live.clone(),
-        config.known.clone(),
+        config.known_endpoints.clone(),
         seed,
         discovery_messages,
     );
--- a/src/main.rs
+++ b/src/main.rs
@@ -99,9 +99,14 @@
     )
 }
 
+/// The configuration, with its fault as operators read it.
+fn read_config() -> Result<Config, String> {
+    Config::from_env().map_err(|error| error.to_string())
+}
+
 fn found(operator: &Path) -> Result<String, String> {
-    let config = Config::from_env()?;
-    let operator = read_operator(Some(operator), Some(&config.site))?;
+    let config = read_config()?;
+    let operator = read_operator(Some(operator), Some(&config.platform))?;
     sillward_app::found(&config, &operator)
 }
 
@@ -119,8 +124,11 @@
 }
 
 fn check(operator: Option<&Path>) -> ExitCode {
-    let config = Config::from_env();
-    let operator = read_operator(operator, config.as_ref().ok().map(|config| &config.site));
+    let config = read_config();
+    let operator = read_operator(
+        operator,
+        config.as_ref().ok().map(|config| &config.platform),
+    );
     let fit = config
         .as_ref()
         .ok()
@@ -149,15 +157,15 @@
         listen(SignalKind::terminate())?,
         listen(SignalKind::interrupt())?,
     );
-    let config = Config::from_env()?;
-    let operator = read_operator(operator, Some(&config.site))?;
+    let config = read_config()?;
+    let operator = read_operator(operator, Some(&config.platform))?;
     let (again, reload) = mpsc::channel(1);
     let (end, stop) = watch::channel(false);
     spawn_local(reloads(hang_up, again));
     spawn_local(ends(terminate, interrupt, end));
     let controls = Controls {
         reload,
-        read: Box::new(Config::from_env),
+        read: Box::new(read_config),
         stop,
     };
     sillward_app::run(config, operator, controls, None, drop).await
--- a/testing/simulation/src/parties/nodes.rs
+++ b/testing/simulation/src/parties/nodes.rs
@@ -324,7 +324,7 @@
             script.nodes[node].zone,
             script.idle_close_ms,
         );
-        Config::parse(&text)
+        Config::parse(&text).map_err(|error| error.to_string())
     }
 
     fn operator(&self, node: usize, config: &Config) -> Result<Operator, String> {
@@ -378,7 +378,7 @@
                  keep_alive_ms = 900\nfirst_pause_ms = 20\nlongest_pause_ms = 400\nresync_ms = 5000"
             );
         }
-        sillward_operator_config::parse("operator.toml", &text, Some(&config.site)).map_err(
+        sillward_operator_config::parse("operator.toml", &text, Some(&config.platform)).map_err(
             |faults| {
                 let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
                 faults.join("; ")
