--- a/crates/app/src/agreement.rs
+++ b/crates/app/src/agreement.rs
@@ -61,7 +61,7 @@
 #[cfg(feature = "faults")]
 fn planted(times: Times) -> Times {
     use sillward_consensus::Plant;
-    let plant = match sillward_runtime::told("SILLWARD_FAULT_PLANT").as_deref() {
+    let plant = match sillward_runtime::fault_variable("SILLWARD_FAULT_PLANT").as_deref() {
         Some("from-arrival") => Some(Plant::FromArrival),
         Some("no-sync") => Some(Plant::NoSync),
         Some("skip-wait") => Some(Plant::SkipWait),
--- a/crates/app/src/fleet.rs
+++ b/crates/app/src/fleet.rs
@@ -52,7 +52,7 @@
         ));
     }
     let file = fleet.key_file.display();
-    let secret = files::secret(&fleet.key_file, *KEY.end() as u64 + 1);
+    let secret = files::read_secret(&fleet.key_file, *KEY.end() as u64 + 1);
     let secret = secret
         .map_err(|e| faults.push(format!("fleet.key_file: cannot use {file}: {e}")))
         .ok();
@@ -106,7 +106,7 @@
 /// The ground tells one build from another by this.
 #[cfg(feature = "faults")]
 fn build() -> String {
-    sillward_runtime::told("SILLWARD_FAULT_BUILD")
+    sillward_runtime::fault_variable("SILLWARD_FAULT_BUILD")
         .unwrap_or_else(|| env!("CARGO_PKG_VERSION").to_owned())
 }
 
@@ -115,7 +115,7 @@
     peers: sillward_membership::MembershipSettings,
 ) -> sillward_membership::MembershipSettings {
     use sillward_membership::InjectedBug;
-    let injected_bug = match sillward_runtime::told("SILLWARD_FAULT_PLANT").as_deref() {
+    let injected_bug = match sillward_runtime::fault_variable("SILLWARD_FAULT_PLANT").as_deref() {
         Some("no-incarnation") => Some(InjectedBug::ReusedIncarnation),
         Some("one-way-blind") => Some(InjectedBug::NoIndirectProbes),
         Some("never-forget") => Some(InjectedBug::DeadKeptForever),
--- a/crates/consensus-io/src/lib.rs
+++ b/crates/consensus-io/src/lib.rs
@@ -91,7 +91,7 @@
         .ok_or("agreement.folder: is missing, and a voter needs one")?;
     let path = folder.join(FILE);
     let wrong = |e: std::io::Error| format!("cannot use {}: {e}", path.display());
-    files::folder(folder).map_err(wrong)?;
+    files::create_folder(folder).map_err(wrong)?;
     if files::read(&path, 1).map_err(wrong)?.is_some() {
         return Err(format!(
             "{} is there already: nothing was changed",
@@ -100,7 +100,7 @@
     }
     let stamp = random::entropy().map_err(wrong)?;
     let kept = Kept::founded(terms.number(), place as u64, terms.voters.len(), stamp);
-    files::keep(&path, &kept.bytes()).map_err(wrong)?;
+    files::write_atomic(&path, &kept.bytes()).map_err(wrong)?;
     Ok(format!(
         "voter {} of log {:?} is founded in {}",
         name.as_str(),
@@ -399,7 +399,8 @@
                         self.terms.folder.clone().unwrap_or_default(),
                     );
                     spawn_local(async move {
-                        let done = files::keep_aside(&folder.join(FILE), bytes).await;
+                        let done =
+                            files::write_atomic_in_background(&folder.join(FILE), bytes).await;
                         if let Err(e) = &done {
                             log(format_args!(
                                 "cannot keep the agreement in {}: {e}",
--- a/crates/http1/src/front.rs
+++ b/crates/http1/src/front.rs
@@ -273,7 +273,7 @@
 impl ConnectionHandler for Frontend {
     async fn serve(self: Rc<Self>, stream: Stream, client: Rc<ClientConnection>) {
         let (heads, ahead) = (Rc::<Heads>::default(), Ahead::new(self.budget.clone()));
-        let kept = stream.again();
+        let kept = stream.share();
         let service =
             service_fn(|request| self.clone().respond(client.clone(), heads.clone(), request));
         let inlet = Inlet {
--- a/crates/http1/src/socket.rs
+++ b/crates/http1/src/socket.rs
@@ -99,6 +99,6 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(self.0.shut_write())
+        Poll::Ready(self.0.shutdown_write())
     }
 }
--- a/crates/listener/src/connection.rs
+++ b/crates/listener/src/connection.rs
@@ -90,7 +90,7 @@
 
     /// No request is open any more: the connection waits for the next one.
     pub(crate) fn become_idle(&self) {
-        self.socket.listen_anew();
+        self.socket.reset_first_received();
         self.state.set(ConnectionState::Idle {
             since: Instant::now(),
         });
@@ -98,7 +98,7 @@
 
     /// No request is open any more: the connection is to end.
     pub(crate) fn become_closing(&self) {
-        self.socket.listen_anew();
+        self.socket.reset_first_received();
         self.set_closing();
     }
 
@@ -115,7 +115,7 @@
     /// Whether the client is still connected, as far as it shows without reading. One that has shut down its sending side
     /// counts as disconnected.
     fn is_connected(&self) -> bool {
-        !self.socket.has_ended()
+        !self.socket.has_peer_closed()
     }
 
     /// A check whether the client is still connected, for callers that know nothing of connections.
@@ -131,7 +131,8 @@
             ConnectionState::Idle { since } => IdleSince::LastRequest(since),
             ConnectionState::RequestOpen | ConnectionState::Closing { .. } => return None,
         };
-        let unused = self.socket.heard().is_none() && self.socket.blocked().is_none();
+        let unused = self.socket.first_received_at().is_none()
+            && self.socket.write_blocked_since().is_none();
         unused.then_some(idle_since)
     }
 
@@ -145,7 +146,7 @@
 
     /// Whether bytes wait to be written that the client does not take.
     pub(crate) fn is_write_blocked(&self) -> bool {
-        self.socket.blocked().is_some()
+        self.socket.write_blocked_since().is_some()
     }
 
     /// Closes the connection if a timeout has passed.
@@ -162,7 +163,7 @@
     }
 
     fn expired_timeout(&self, now: Instant) -> Option<ExpiredTimeout> {
-        let blocked = self.socket.blocked();
+        let blocked = self.socket.write_blocked_since();
         if blocked.is_some_and(|since| now > since + WRITE_TIMEOUT) {
             return Some(ExpiredTimeout::Write);
         }
@@ -176,7 +177,7 @@
                 self.expired_while_waiting(now, Some(self.accepted), self.accepted)
             }
             ConnectionState::Idle { since } => {
-                self.expired_while_waiting(now, self.socket.heard(), since)
+                self.expired_while_waiting(now, self.socket.first_received_at(), since)
             }
         }
     }
@@ -227,7 +228,7 @@
     /// the last response.
     pub async fn lingering_close(&self, stream: &Stream) {
         self.set_closing();
-        let _ = stream.shut_write(); // it may be shut already, or broken
+        let _ = stream.shutdown_write(); // it may be shut already, or broken
         let until = Instant::now() + LINGER_TIMEOUT;
         let mut buffer = vec![0; DISCARD_BUFFER];
         let mut discarded = 0;
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -50,7 +50,7 @@
 /// A line about this node.
 pub fn log(text: impl Display) {
     if let Some(world) = world::current() {
-        return world.logged(&text.to_string());
+        return world.log_line(&text.to_string());
     }
     if let Some(writer) = writer() {
         let _ = writer.try_send(Entry::Line(text.to_string()));
--- a/crates/peer-transport/src/envelope.rs
+++ b/crates/peer-transport/src/envelope.rs
@@ -142,7 +142,7 @@
 /// A newer build, as the ground plays it, has a field that this one does not know; an unreadable one another version.
 #[cfg(feature = "faults")]
 fn newer(bytes: &mut Vec<u8>) {
-    match sillward_runtime::told("SILLWARD_FAULT_BUILD").as_deref() {
+    match sillward_runtime::fault_variable("SILLWARD_FAULT_BUILD").as_deref() {
         Some("newer") => prost::encoding::string::encode(60, &"a newer build's".to_owned(), bytes),
         Some("unreadable") => bytes[0] = VERSION + 1,
         _ => {}
--- a/crates/peer-transport/src/lib.rs
+++ b/crates/peer-transport/src/lib.rs
@@ -155,7 +155,7 @@
                 let wrong = |e: std::io::Error| {
                     format!("cannot use the fleet's folder {}: {e}", folder.display())
                 };
-                files::folder(folder).map_err(wrong)?;
+                files::create_folder(folder).map_err(wrong)?;
                 let bytes = files::read(
                     &folder.join(incarnation_file::FILE_NAME),
                     incarnation_file::MAX_BYTES,
@@ -547,8 +547,11 @@
             incarnation = newer;
         }
         let text = incarnation_file::encode(&name, incarnation.epoch);
-        let done =
-            files::keep_aside(&folder.join(incarnation_file::FILE_NAME), text.into_bytes()).await;
+        let done = files::write_atomic_in_background(
+            &folder.join(incarnation_file::FILE_NAME),
+            text.into_bytes(),
+        )
+        .await;
         if let Err(e) = &done {
             log(format_args!(
                 "cannot keep incarnation {incarnation} in {}: {e}",
--- a/crates/pool/src/pool/dial.rs
+++ b/crates/pool/src/pool/dial.rs
@@ -91,8 +91,8 @@
                 if self.limit.is_over_half() {
                     return;
                 }
-                let patience = self.timeouts.get().connect_timeout * LATE_DIAL_FACTOR;
-                if let Ok(Ok(late)) = timeout(patience, connecting).await {
+                let late_timeout = self.timeouts.get().connect_timeout * LATE_DIAL_FACTOR;
+                if let Ok(Ok(late)) = timeout(late_timeout, connecting).await {
                     self.release_unused(late);
                 }
             }
--- a/crates/pool/src/pool/tests.rs
+++ b/crates/pool/src/pool/tests.rs
@@ -90,11 +90,11 @@
             endpoint: entry,
             address: listener.local_addr().expect("its address"),
         };
-        let news = BackendUpdate {
+        let update = BackendUpdate {
             kind: EndpointUpdate::Full,
             backends: vec![backend],
         };
-        pool.update_backends(&news, pool.clock.now());
+        pool.update_backends(&update, pool.clock.now());
         test(pool, listener).await;
     })
     .expect("a runtime");
@@ -226,7 +226,7 @@
     with_pool(async |pool, _listener| {
         let first = pool.acquire(SERVER).await.expect("a connection");
         let used = first.session.0;
-        let answered = pool.clock.now();
+        let responded_at = pool.clock.now();
         pool.release(first);
         let again = pool.acquire(SERVER).await.expect("a connection");
         assert_eq!(
@@ -235,7 +235,7 @@
             "it costs no handshake"
         );
         assert!(
-            pool.clock.now() >= answered + REUSE_DELAY,
+            pool.clock.now() >= responded_at + REUSE_DELAY,
             "a late second response would be read as the next one"
         );
         // An unused connection is reusable at once.
@@ -259,7 +259,7 @@
             assert_eq!(pool.limit.open(), 0);
             let mut taking = Box::pin(pool.acquire(SERVER));
             let mut most = 0;
-            let beside = async {
+            let hedged = async {
                 while pool.limit.open() < 2 {
                     sleep(Duration::from_millis(1)).await;
                 }
@@ -267,7 +267,7 @@
             tokio::select! {
                 biased;
                 _ = &mut taking => panic!("no dial has been up yet"),
-                () = beside => most = most.max(pool.limit.open()),
+                () = hedged => most = most.max(pool.limit.open()),
             }
             assert_eq!(most, 2);
             pool.protocol.0.notify_one();
@@ -292,14 +292,14 @@
             pool.protocol.0.notify_one();
             let first = pool.acquire(SERVER).await.expect("a connection");
             let mut second = Box::pin(pool.acquire(SERVER));
-            let answered = pool.clock.now();
+            let responded_at = pool.clock.now();
             tokio::select! {
                 biased;
                 _ = &mut second => panic!("the dial has not been up yet"),
                 () = std::future::ready(()) => pool.release(first),
             }
             assert!(second.await.is_ok(), "the dial never comes up");
-            assert!(pool.clock.now() >= answered + REUSE_DELAY);
+            assert!(pool.clock.now() >= responded_at + REUSE_DELAY);
         },
     );
 }
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -1,8 +1,10 @@
+//! The node's clock.
+
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The one clock: Unix time as it was at the start, carried on by the monotonic clock, so that a backend's
-/// `since_ms` and the times of events are on one scale that never runs backwards.
+/// The node's clock: the Unix time of its start, advanced by the monotonic clock. So a backend's `since_ms` and the
+/// times of events are on one scale, which never runs backwards.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
@@ -12,25 +14,25 @@
 }
 
 impl Clock {
-    /// A clock that takes the time of day as it is now.
+    /// A clock that starts at the present time of day.
     pub fn start() -> Self {
         let system = || {
             std::time::SystemTime::now()
                 .duration_since(std::time::UNIX_EPOCH)
                 .unwrap_or_default()
         };
-        let unix = crate::world::current().map_or_else(system, |world| world.unix());
+        let unix = crate::world::current().map_or_else(system, |world| world.unix_time());
         Clock {
             started: Instant::now(),
             unix,
             #[cfg(feature = "faults")]
-            fault: faults::Fault::told(),
+            fault: faults::Fault::from_environment(),
         }
     }
 
     /// The time since 1970.
     pub fn now(self) -> Duration {
-        self.unix + self.run(self.started.elapsed())
+        self.unix + self.shown(self.started.elapsed())
     }
 
     /// The moment at which [`Clock::now`] is `at`.
@@ -39,7 +41,7 @@
     }
 
     #[cfg(not(feature = "faults"))]
-    fn run(self, elapsed: Duration) -> Duration {
+    fn shown(self, elapsed: Duration) -> Duration {
         elapsed
     }
 
@@ -49,7 +51,7 @@
     }
 
     #[cfg(feature = "faults")]
-    fn run(self, elapsed: Duration) -> Duration {
+    fn shown(self, elapsed: Duration) -> Duration {
         self.fault.shown(elapsed)
     }
 
@@ -59,44 +61,46 @@
     }
 }
 
-/// A clock that runs wrong.
+/// Injected fault: a clock that runs wrong.
 #[cfg(feature = "faults")]
 mod faults {
     use std::time::Duration;
 
     /// Runs at another rate, and jumps ahead once.
     #[derive(Clone, Copy)]
-    pub struct Fault {
+    pub(super) struct Fault {
         rate: f64,
         jump: Duration,
-        at: Duration,
+        /// When it jumps, in true time since the start.
+        jump_at: Duration,
     }
 
     impl Fault {
-        /// As the environment tells: `SILLWARD_FAULT_CLOCK_RATE` (1 is right), `SILLWARD_FAULT_CLOCK_JUMP` (`MS@MS`: so far,
-        /// when so much time has passed since the start). What is no number is taken for none.
-        pub fn told() -> Self {
-            let told = |name| std::env::var(name).ok();
-            let rate = told("SILLWARD_FAULT_CLOCK_RATE").and_then(|rate| rate.parse().ok());
-            let jump = told("SILLWARD_FAULT_CLOCK_JUMP").and_then(|jump| {
-                let (far, at) = jump.split_once('@')?;
+        /// Reads `SILLWARD_FAULT_CLOCK_RATE` (1 is right) and `SILLWARD_FAULT_CLOCK_JUMP` (`MS@MS`: how far, and when since
+        /// the start). A value that is no number is ignored.
+        pub(super) fn from_environment() -> Self {
+            let variable = |name| std::env::var(name).ok();
+            let rate = variable("SILLWARD_FAULT_CLOCK_RATE").and_then(|rate| rate.parse().ok());
+            let jump = variable("SILLWARD_FAULT_CLOCK_JUMP").and_then(|jump| {
+                let (distance, at) = jump.split_once('@')?;
                 Some((
-                    Duration::from_millis(far.parse().ok()?),
+                    Duration::from_millis(distance.parse().ok()?),
                     Duration::from_millis(at.parse().ok()?),
                 ))
             });
-            let (jump, at) = jump.unwrap_or_default();
+            let (jump, jump_at) = jump.unwrap_or_default();
             Fault {
                 rate: rate
                     .filter(|rate| (0.1..10.0).contains(rate))
                     .unwrap_or(1.0),
                 jump,
-                at,
+                jump_at,
             }
         }
 
-        pub fn shown(self, elapsed: Duration) -> Duration {
-            let jumped = if !self.jump.is_zero() && elapsed >= self.at {
+        /// What the clock shows when so much time has passed.
+        pub(super) fn shown(self, elapsed: Duration) -> Duration {
+            let jumped = if !self.jump.is_zero() && elapsed >= self.jump_at {
                 self.jump
             } else {
                 Duration::ZERO
@@ -104,13 +108,14 @@
             elapsed.mul_f64(self.rate) + jumped
         }
 
-        pub fn elapsed(self, shown: Duration) -> Duration {
-            let before = self.at.mul_f64(self.rate);
+        /// How much time has passed when the clock shows that.
+        pub(super) fn elapsed(self, shown: Duration) -> Duration {
+            let before = self.jump_at.mul_f64(self.rate);
             if self.jump.is_zero() || shown <= before {
                 return shown.div_f64(self.rate);
             }
-            // Within what was jumped over nothing ever is: it is the moment of the jump.
-            self.at
+            // A time within the jump is shown at the moment of the jump.
+            self.jump_at
                 .max(shown.saturating_sub(self.jump).div_f64(self.rate))
         }
     }
--- a/crates/runtime/src/local.rs
+++ b/crates/runtime/src/local.rs
@@ -1,5 +1,6 @@
-//! Sockets between processes of one machine, by a path of the file system. No world stands beneath: what uses them is on
-//! only where the platform replaces processes.
+//! Sockets between processes of one machine, by a path of the file system.
+//!
+//! They have no counterpart in a simulated world: they are used only where the platform replaces processes.
 
 use std::io;
 use std::path::Path;
@@ -10,24 +11,25 @@
 pub struct LocalListener(UnixListener);
 
 impl LocalListener {
-    /// Listens at a path, in the place of whatever stands there: whoever connected to that keeps what they have.
+    /// Listens at a path, in place of what is there. Connections to that listener stay open.
     ///
     /// # Errors
-    /// The system's.
+    /// The system's error.
     pub fn replace(path: &Path) -> io::Result<Self> {
-        let beside = path.with_extension(std::process::id().to_string());
-        let _ = std::fs::remove_file(&beside); // a dead process of the same number left it
-        let listener = UnixListener::bind(&beside)?;
-        std::fs::rename(&beside, path)?;
+        let temporary = path.with_extension(std::process::id().to_string());
+        let _ = std::fs::remove_file(&temporary); // left by an ended process with the same id
+        let listener = UnixListener::bind(&temporary)?;
+        std::fs::rename(&temporary, path)?;
         Ok(LocalListener(listener))
     }
 
-    /// The next connection.
+    /// The next connection. Cancellation safe.
     ///
     /// # Errors
-    /// The system's.
+    /// The system's error.
     pub async fn accept(&self) -> io::Result<LocalStream> {
-        Ok(LocalStream(self.0.accept().await?.0))
+        let (stream, _) = self.0.accept().await?;
+        Ok(LocalStream(stream))
     }
 }
 
@@ -35,10 +37,10 @@
 pub struct LocalStream(UnixStream);
 
 impl LocalStream {
-    /// Connects to whoever listens at a path.
+    /// Connects to the listener at a path.
     ///
     /// # Errors
-    /// Nobody does.
+    /// Nobody listens there.
     pub async fn connect(path: &Path) -> io::Result<Self> {
         Ok(LocalStream(UnixStream::connect(path).await?))
     }
@@ -51,19 +53,19 @@
         UnixStream::pair().map(|(one, other)| (LocalStream(one), LocalStream(other)))
     }
 
-    /// Reads what is there; 0 at the end. Dropped while it waits, it loses nothing.
+    /// Reads what is available; 0 at the end of the stream. Cancellation safe.
     ///
     /// # Errors
     /// The connection is broken.
-    pub async fn read(&mut self, to: &mut [u8]) -> io::Result<usize> {
-        self.0.read(to).await
+    pub async fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
+        self.0.read(buffer).await
     }
 
-    /// Writes what there is room for, and says how much. Dropped while it waits, it has written nothing.
+    /// Writes as many bytes as fit, and returns how many. Cancellation safe: if dropped, it has written nothing.
     ///
     /// # Errors
     /// The connection is broken.
-    pub async fn write(&mut self, from: &[u8]) -> io::Result<usize> {
-        self.0.write(from).await
+    pub async fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
+        self.0.write(bytes).await
     }
 }
--- /dev/null
+++ b/crates/runtime/src/net/tcp_stream.rs
@@ -0,0 +1,190 @@
+//! TCP connections.
+
+use crate::world::{self, Socket};
+use socket2::SockRef;
+use std::io::{self, ErrorKind, IoSlice};
+use std::mem::MaybeUninit;
+use std::net::{IpAddr, SocketAddr};
+use std::pin::{Pin, pin};
+use std::task::{Context, Poll, Waker, ready};
+use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
+
+/// A connection.
+pub struct TcpStream(Inner);
+
+enum Inner {
+    System(tokio::net::TcpStream),
+    Simulated(Box<dyn Socket>),
+}
+
+impl TcpStream {
+    /// Opens a connection.
+    ///
+    /// # Errors
+    /// The system's error.
+    pub async fn connect(address: SocketAddr) -> io::Result<Self> {
+        Ok(match world::current() {
+            None => Self::from_system(tokio::net::TcpStream::connect(address).await?),
+            Some(world) => Self::from_simulated(world.connect(address).await?),
+        })
+    }
+
+    /// Opens a connection from an address of this machine.
+    ///
+    /// # Errors
+    /// The system's error.
+    pub async fn connect_from(from: IpAddr, address: SocketAddr) -> io::Result<Self> {
+        if let Some(world) = world::current() {
+            return Ok(Self::from_simulated(world.connect(address).await?));
+        }
+        let socket = match from {
+            IpAddr::V4(_) => tokio::net::TcpSocket::new_v4()?,
+            IpAddr::V6(_) => tokio::net::TcpSocket::new_v6()?,
+        };
+        socket.bind(SocketAddr::new(from, 0))?;
+        Ok(Self::from_system(socket.connect(address).await?))
+    }
+
+    /// Sends what is written without delay: bytes that the kernel holds back are lost when a connection is reset.
+    pub(super) fn from_system(stream: tokio::net::TcpStream) -> Self {
+        let _ = stream.set_nodelay(true); // fails only if the peer has closed it already
+        TcpStream(Inner::System(stream))
+    }
+
+    pub(super) fn from_simulated(socket: Box<dyn Socket>) -> Self {
+        TcpStream(Inner::Simulated(socket))
+    }
+
+    /// Whether the peer has closed its sending side or reset the connection, as far as the kernel and the runtime know
+    /// without reading: behind unread bytes, only the runtime knows of it.
+    pub(crate) fn has_peer_closed(&self) -> bool {
+        let stream = match &self.0 {
+            Inner::System(stream) => stream,
+            Inner::Simulated(socket) => return socket.has_peer_closed(),
+        };
+        match SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
+            Ok(0) => true,
+            Ok(_) => {
+                let readiness = pin!(stream.ready(Interest::READABLE));
+                let readiness = readiness.poll(&mut Context::from_waker(Waker::noop()));
+                matches!(readiness, Poll::Ready(Ok(ready)) if ready.is_read_closed())
+            }
+            Err(error) => error.kind() != ErrorKind::WouldBlock,
+        }
+    }
+
+    /// Limits the bytes that the kernel accepts before the peer has received them.
+    pub(crate) fn limit_unsent(&self, bytes: usize) {
+        match &self.0 {
+            Inner::System(stream) => {
+                let _ = SockRef::from(stream).set_send_buffer_size(bytes); // else it stays as it is
+            }
+            Inner::Simulated(socket) => socket.limit_unsent(bytes),
+        }
+    }
+
+    /// Whether it is open and has nothing to read. Asks the kernel: what the runtime knows may be out of date.
+    pub(crate) fn is_quiet(&self) -> bool {
+        match &self.0 {
+            Inner::System(stream) => {
+                let peeked = SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
+                peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
+            }
+            Inner::Simulated(socket) => socket.is_quiet(),
+        }
+    }
+
+    /// As [`AsyncRead::poll_read`], by a shared reference.
+    pub(crate) fn poll_read_shared(
+        &self,
+        cx: &mut Context<'_>,
+        buffer: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
+        let stream = match &self.0 {
+            Inner::System(stream) => stream,
+            Inner::Simulated(socket) => return socket.poll_read(cx, buffer),
+        };
+        loop {
+            ready!(stream.poll_read_ready(cx))?;
+            match stream.try_read(buffer) {
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {}
+                done => return Poll::Ready(done),
+            }
+        }
+    }
+
+    /// As [`AsyncWrite::poll_write_vectored`], by a shared reference.
+    pub(crate) fn poll_write_shared(
+        &self,
+        cx: &mut Context<'_>,
+        bytes: &[IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        let stream = match &self.0 {
+            Inner::System(stream) => stream,
+            Inner::Simulated(socket) => {
+                let first = bytes.iter().find(|slice| !slice.is_empty());
+                return socket.poll_write(cx, first.map_or(&[][..], |slice| slice));
+            }
+        };
+        loop {
+            ready!(stream.poll_write_ready(cx))?;
+            match stream.try_write_vectored(bytes) {
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {}
+                done => return Poll::Ready(done),
+            }
+        }
+    }
+
+    /// Closes the sending side.
+    pub(crate) fn shutdown_write(&self) -> io::Result<()> {
+        match &self.0 {
+            Inner::System(stream) => SockRef::from(stream).shutdown(std::net::Shutdown::Write),
+            Inner::Simulated(socket) => socket.shutdown_write(),
+        }
+    }
+}
+
+// For libraries that read and write the stream themselves.
+impl AsyncRead for TcpStream {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        match &mut self.get_mut().0 {
+            Inner::System(stream) => Pin::new(stream).poll_read(cx, buffer),
+            Inner::Simulated(socket) => {
+                let count = ready!(socket.poll_read(cx, buffer.initialize_unfilled()))?;
+                buffer.advance(count);
+                Poll::Ready(Ok(()))
+            }
+        }
+    }
+}
+
+impl AsyncWrite for TcpStream {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        match &mut self.get_mut().0 {
+            Inner::System(stream) => Pin::new(stream).poll_write(cx, bytes),
+            Inner::Simulated(socket) => socket.poll_write(cx, bytes),
+        }
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(Ok(())) // nothing is buffered here
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        match &mut self.get_mut().0 {
+            Inner::System(stream) => Pin::new(stream).poll_shutdown(cx),
+            Inner::Simulated(socket) => Poll::Ready(socket.shutdown_write()),
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/runtime/src/stream.rs
+++ b/crates/runtime/src/stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream, and a handle by which whoever keeps the connection can still look at it.
+//! A TCP stream, and a handle that shows its state to whoever manages the connection.
 
 use crate::net::TcpStream;
 use std::cell::Cell;
@@ -7,48 +7,50 @@
 use std::task::{Context, Poll, ready};
 use tokio::time::Instant;
 
-/// The stream.
+/// A TCP stream.
 pub struct Stream(Rc<Shared>);
 
-/// Looks at the stream, but does not keep it open.
+/// Shows the state of a stream without keeping it open.
 #[derive(Clone)]
 pub struct Handle(Weak<Shared>);
 
 struct Shared {
     stream: TcpStream,
-    /// When the first bytes came since `Handle::listen_anew`.
-    heard: Cell<Option<Instant>>,
-    /// Since when the peer has taken nothing of what waits to be written.
-    blocked: Cell<Option<Instant>>,
+    /// When the first bytes were received since [`Handle::reset_first_received`].
+    first_received_at: Cell<Option<Instant>>,
+    /// Since when the peer has received nothing of what waits to be written.
+    write_blocked_since: Cell<Option<Instant>>,
 }
 
 impl Handle {
-    /// When the first bytes came since [`Handle::listen_anew`]; `None` if none did or the stream is closed.
-    pub fn heard(&self) -> Option<Instant> {
-        self.0.upgrade()?.heard.get()
+    /// When the first bytes were received since [`Handle::reset_first_received`]; `None` if there were none or the
+    /// stream is closed.
+    pub fn first_received_at(&self) -> Option<Instant> {
+        self.0.upgrade()?.first_received_at.get()
     }
 
-    /// Since when the peer has taken nothing of what waits to be written; `None` if nothing waits.
-    pub fn blocked(&self) -> Option<Instant> {
-        self.0.upgrade()?.blocked.get()
+    /// Since when the peer has received nothing of what waits to be written; `None` if nothing waits or the stream is
+    /// closed.
+    pub fn write_blocked_since(&self) -> Option<Instant> {
+        self.0.upgrade()?.write_blocked_since.get()
     }
 
-    /// Forgets when bytes came.
-    pub fn listen_anew(&self) {
+    /// Forgets when bytes were received.
+    pub fn reset_first_received(&self) {
         if let Some(shared) = self.0.upgrade() {
-            shared.heard.set(None);
+            shared.first_received_at.set(None);
         }
     }
 
-    /// Whether the peer has ended its sending, or either side the connection, as far as it shows without reading.
-    pub fn has_ended(&self) -> bool {
+    /// Whether the peer has closed its sending side, or either side the connection, as far as can be seen without
+    /// reading.
+    pub fn has_peer_closed(&self) -> bool {
         self.0
             .upgrade()
-            .is_none_or(|shared| shared.stream.has_ended())
+            .is_none_or(|shared| shared.stream.has_peer_closed())
     }
 
-    /// Whether it is open and has nothing to read. Asks the kernel: what the runtime has heard of it may be a
-    /// turn of the loop old.
+    /// Whether it is open and has nothing to read. Asks the kernel: what the runtime knows may be out of date.
     pub fn is_quiet(&self) -> bool {
         self.0
             .upgrade()
@@ -57,78 +59,80 @@
 }
 
 impl Stream {
-    /// Takes a stream over.
+    /// Wraps a TCP stream.
     pub fn new(stream: TcpStream) -> (Self, Handle) {
         let shared = Rc::new(Shared {
             stream,
-            heard: Cell::default(),
-            blocked: Cell::default(),
+            first_received_at: Cell::default(),
+            write_blocked_since: Cell::default(),
         });
         let handle = Handle(Rc::downgrade(&shared));
         (Stream(shared), handle)
     }
 
-    /// The same stream once more: it closes when both are dropped.
-    pub fn again(&self) -> Stream {
+    /// Another owner of the same stream: it is closed when all are dropped.
+    pub fn share(&self) -> Stream {
         Stream(self.0.clone())
     }
 
-    /// Bounds the bytes that the kernel takes before the peer does. It counts them in its own way, and has a least.
-    pub fn bound_unsent(&self, bytes: usize) {
-        self.0.stream.bound_unsent(bytes);
+    /// Limits the bytes that the kernel accepts before the peer has received them. The kernel counts them in its own
+    /// way, and has a minimum.
+    pub fn limit_unsent(&self, bytes: usize) {
+        self.0.stream.limit_unsent(bytes);
     }
 
-    /// Reads what is there, at most `to`'s length; 0 at the end of the stream.
+    /// Reads what is available, at most the length of `buffer`; 0 at the end of the stream.
     ///
     /// # Errors
     /// The connection is broken.
-    pub fn poll_read(&self, cx: &mut Context<'_>, to: &mut [u8]) -> Poll<io::Result<usize>> {
-        let count = ready!(self.0.stream.poll_take(cx, to))?;
-        if self.0.heard.get().is_none() && count > 0 {
-            self.0.heard.set(Some(Instant::now()));
+    pub fn poll_read(&self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
+        let count = ready!(self.0.stream.poll_read_shared(cx, buffer))?;
+        if self.0.first_received_at.get().is_none() && count > 0 {
+            self.0.first_received_at.set(Some(Instant::now()));
         }
         Poll::Ready(Ok(count))
     }
 
-    /// Hands the kernel as many of these bytes as it takes, and says how many.
+    /// Hands the kernel as many of these bytes as it accepts, and returns how many.
     ///
     /// # Errors
-    /// The connection is broken; none of these bytes were taken.
+    /// The connection is broken; none of these bytes were accepted.
     pub fn poll_write(
         &self,
         cx: &mut Context<'_>,
-        from: &[io::IoSlice<'_>],
+        bytes: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let given = self.0.stream.poll_give(cx, from);
-        let blocked = match &given {
-            Poll::Pending => self.0.blocked.get().or_else(|| Some(Instant::now())),
-            Poll::Ready(_) => None,
-        };
-        self.0.blocked.set(blocked);
-        given
+        let written = self.0.stream.poll_write_shared(cx, bytes);
+        let blocked_since = &self.0.write_blocked_since;
+        if written.is_ready() {
+            blocked_since.set(None);
+        } else if blocked_since.get().is_none() {
+            blocked_since.set(Some(Instant::now()));
+        }
+        written
     }
 
-    /// Says to the peer that nothing more will come.
+    /// Closes the sending side.
     ///
     /// # Errors
     /// The connection is closed already.
-    pub fn shut_write(&self) -> io::Result<()> {
-        self.0.stream.shut()
+    pub fn shutdown_write(&self) -> io::Result<()> {
+        self.0.stream.shutdown_write()
     }
 
-    /// As [`Stream::poll_read`].
+    /// As [`Stream::poll_read`]. Cancellation safe.
     ///
     /// # Errors
     /// As there.
-    pub async fn read(&self, to: &mut [u8]) -> io::Result<usize> {
-        std::future::poll_fn(|cx| self.poll_read(cx, to)).await
+    pub async fn read(&self, buffer: &mut [u8]) -> io::Result<usize> {
+        std::future::poll_fn(|cx| self.poll_read(cx, buffer)).await
     }
 
-    /// As [`Stream::poll_write`], of one piece.
+    /// As [`Stream::poll_write`], of one slice. Cancellation safe: if dropped, it has written nothing.
     ///
     /// # Errors
     /// As there.
-    pub async fn write(&self, from: &[u8]) -> io::Result<usize> {
-        std::future::poll_fn(|cx| self.poll_write(cx, &[io::IoSlice::new(from)])).await
+    pub async fn write(&self, bytes: &[u8]) -> io::Result<usize> {
+        std::future::poll_fn(|cx| self.poll_write(cx, &[io::IoSlice::new(bytes)])).await
     }
 }
--- a/crates/runtime/src/task.rs
+++ b/crates/runtime/src/task.rs
@@ -1,44 +1,45 @@
-//! Tasks of the one thread that all run on.
+//! Tasks of the single thread that everything runs on.
 
 use crate::world::{self, World};
 use std::future::Future;
+use std::io;
 use std::pin::pin;
 use std::rc::Rc;
 pub use tokio::task::{AbortHandle, JoinHandle, LocalSet, yield_now};
 
-/// Tells a world of a task's end, also of one that is dropped.
-struct Counted(Rc<dyn World>);
+/// Notifies a simulated world of the start of a task, and of its end when dropped.
+struct TaskGuard(Rc<dyn World>);
 
-impl Counted {
+impl TaskGuard {
     fn start() -> Option<Self> {
         let world = world::current()?;
-        world.started();
-        Some(Counted(world))
+        world.task_started();
+        Some(TaskGuard(world))
     }
 }
 
-impl Drop for Counted {
+impl Drop for TaskGuard {
     fn drop(&mut self) {
-        self.0.ended();
+        self.0.task_ended();
     }
 }
 
 /// Starts a task.
 pub fn spawn_local<F: Future<Output: 'static> + 'static>(work: F) -> JoinHandle<F::Output> {
-    match Counted::start() {
+    match TaskGuard::start() {
         None => tokio::task::spawn_local(work),
-        Some(counted) => tokio::task::spawn_local(async move {
-            let _counted = counted;
+        Some(guard) => tokio::task::spawn_local(async move {
+            let _guard = guard;
             work.await
         }),
     }
 }
 
-/// Tasks whose ends are waited for together; those that are left are dropped with it.
+/// Tasks whose ends are waited for together. Dropping it aborts those that run.
 pub struct JoinSet<T>(tokio::task::JoinSet<T>);
 
 impl<T: 'static> JoinSet<T> {
-    /// None yet.
+    /// A set without tasks.
     #[expect(
         clippy::new_without_default,
         reason = "a set without tasks is nothing to default to"
@@ -47,38 +48,38 @@
         JoinSet(tokio::task::JoinSet::new())
     }
 
-    /// Starts one.
+    /// Starts a task.
     pub fn spawn_local(&mut self, work: impl Future<Output = T> + 'static) {
-        match Counted::start() {
+        match TaskGuard::start() {
             None => self.0.spawn_local(work),
-            Some(counted) => self.0.spawn_local(async move {
-                let _counted = counted;
+            Some(guard) => self.0.spawn_local(async move {
+                let _guard = guard;
                 work.await
             }),
         };
     }
 
-    /// Whether there is none.
+    /// Whether there is no task.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// How many there are.
+    /// The number of tasks.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// What the next one that ends came to; `None` if there is none. Dropped while it waits, it loses nothing.
+    /// The result of the next task that ends; `None` if there is no task. Cancellation safe.
     pub async fn join_next(&mut self) -> Option<Result<T, tokio::task::JoinError>> {
         self.0.join_next().await
     }
 }
 
-/// Runs `main` and the tasks it starts to its end.
+/// Runs `main` and the tasks that it starts, until `main` ends.
 ///
 /// # Errors
 /// The runtime could not be started.
-pub fn block_on<T>(main: impl Future<Output = T>) -> std::io::Result<T> {
+pub fn block_on<T>(main: impl Future<Output = T>) -> io::Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
--- a/testing/simulation/src/net.rs
+++ b/testing/simulation/src/net.rs
@@ -11,7 +11,7 @@
 use crate::dice::Dice;
 use crate::trace::Trace;
 use sillward_runtime::time::{Instant, sleep_until};
-use sillward_runtime::world::{self, Dial, World};
+use sillward_runtime::world::{self, ConnectFuture, World};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{self, ErrorKind};
@@ -991,7 +991,7 @@
         given
     }
 
-    fn shut_write(&self) -> io::Result<()> {
+    fn shutdown_write(&self) -> io::Result<()> {
         let mut inner = self.net.inner.borrow_mut();
         let now = self.net.now();
         let conn = inner
@@ -1021,12 +1021,12 @@
         self.is_silent()
     }
 
-    fn has_ended(&self) -> bool {
+    fn has_peer_closed(&self) -> bool {
         self.with(|conn, end| conn.ends[end].ended || conn.ends[end].reset)
             .unwrap_or(true)
     }
 
-    fn bound_unsent(&self, bytes: usize) {
+    fn limit_unsent(&self, bytes: usize) {
         self.with(|conn, end| conn.ends[1 - end].room = bytes.max(4096));
     }
 }
@@ -1125,11 +1125,11 @@
 }
 
 impl World for Seen {
-    fn unix(&self) -> Duration {
+    fn unix_time(&self) -> Duration {
         self.unix + self.net.now()
     }
 
-    fn dial(&self, to: SocketAddr) -> Dial {
+    fn connect(&self, to: SocketAddr) -> ConnectFuture {
         let (net, host) = (self.net.clone(), self.host);
         Box::pin(async move {
             let socket = net.dial(host, to).await?;
@@ -1141,16 +1141,16 @@
         Ok(Box::new(self.net.listen(self.host, at, 128)?))
     }
 
-    fn datagrams(&self, at: SocketAddr) -> io::Result<Box<dyn world::Datagrams>> {
+    fn bind_datagrams(&self, at: SocketAddr) -> io::Result<Box<dyn world::DatagramSocket>> {
         Ok(Box::new(self.net.datagrams(self.host, at)?))
     }
 
-    fn file(&self, path: &Path) -> Option<Vec<u8>> {
+    fn read_file(&self, path: &Path) -> Option<Vec<u8>> {
         self.net
             .with(self.host, |machine| machine.files.get(path).cloned())
     }
 
-    fn keep(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
+    fn write_file(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
         self.net.with(self.host, |machine| {
             if machine.disk_fails {
                 return Err(ErrorKind::StorageFull.into());
@@ -1164,15 +1164,15 @@
         self.net.inner.borrow_mut().post.number()
     }
 
-    fn started(&self) {
+    fn task_started(&self) {
         self.tasks.set(self.tasks.get() + 1);
     }
 
-    fn ended(&self) {
+    fn task_ended(&self) {
         self.tasks.set(self.tasks.get() - 1);
     }
 
-    fn logged(&self, line: &str) {
+    fn log_line(&self, line: &str) {
         self.net.step(self.host, format_args!("logs {line}"));
     }
 }
--- a/testing/simulation/src/net/datagrams.rs
+++ b/testing/simulation/src/net/datagrams.rs
@@ -166,7 +166,7 @@
     number: u64,
 }
 
-impl world::Datagrams for Mailbox {
+impl world::DatagramSocket for Mailbox {
     fn poll_receive(&self, cx: &mut Context<'_>, _: usize) -> Poll<io::Result<Datagram>> {
         let mut inner = self.net.inner.borrow_mut();
         let own = inner
