--- a/crates/app/src/agreement.rs
+++ b/crates/app/src/agreement.rs
@@ -63,7 +63,7 @@
 #[cfg(feature = "faults")]
 fn planted(timing: Timing) -> Timing {
     use sillward_consensus::InjectedBug;
-    let injected_bug = match sillward_runtime::told("SILLWARD_FAULT_PLANT").as_deref() {
+    let injected_bug = match sillward_runtime::fault_variable("SILLWARD_FAULT_PLANT").as_deref() {
         Some("from-arrival") => Some(InjectedBug::LeaseFromArrival),
         Some("no-sync") => Some(InjectedBug::SendBeforeSync),
         Some("skip-wait") => Some(InjectedBug::SkipLeaseWait),
--- a/crates/peer-transport/src/envelope.rs
+++ b/crates/peer-transport/src/envelope.rs
@@ -149,7 +149,7 @@
 /// Imitates a newer build, which has a field that this one does not know, or an incompatible one of another version.
 #[cfg(feature = "faults")]
 fn imitate_other_build(bytes: &mut Vec<u8>) {
-    match sillward_runtime::told("SILLWARD_FAULT_BUILD").as_deref() {
+    match sillward_runtime::fault_variable("SILLWARD_FAULT_BUILD").as_deref() {
         Some("newer") => {
             prost::encoding::string::encode(UNKNOWN_FIELD, &"a newer build's".to_owned(), bytes);
         }
