--- a/crates/peer-transport/src/incarnation_store.rs
+++ b/crates/peer-transport/src/incarnation_store.rs
@@ -71,7 +71,7 @@
         path: state_dir.to_owned(),
         source,
     };
-    files::folder(state_dir).map_err(error)?;
+    files::create_folder(state_dir).map_err(error)?;
     let path = state_dir.join(incarnation_file::FILE_NAME);
     let Some(bytes) = files::read(&path, incarnation_file::MAX_BYTES).map_err(error)? else {
         return Ok(0);
@@ -100,7 +100,7 @@
             incarnation = newer;
         }
         let content = incarnation_file::encode(&name, incarnation.epoch);
-        let stored = files::keep_aside(&path, content.into_bytes()).await;
+        let stored = files::write_atomic_in_background(&path, content.into_bytes()).await;
         match stored {
             Ok(()) => status.set(StoreStatus::Stored),
             Err(e) => {
