--- a/crates/consensus-io/src/service/mod.rs
+++ b/crates/consensus-io/src/service/mod.rs
@@ -247,7 +247,7 @@
         let results = self.persist_results.clone();
         let folder = self.config.folder.clone().unwrap_or_default();
         spawn_local(async move {
-            let written = files::keep_aside(&folder.join(FILE_NAME), bytes).await;
+            let written = files::write_atomic_in_background(&folder.join(FILE_NAME), bytes).await;
             if let Err(e) = &written {
                 log(format_args!(
                     "cannot keep the agreement in {}: {e}",
--- a/crates/consensus-io/src/voter_file.rs
+++ b/crates/consensus-io/src/voter_file.rs
@@ -26,14 +26,14 @@
         path: path.clone(),
         source,
     };
-    files::folder(folder).map_err(failed)?;
+    files::create_folder(folder).map_err(failed)?;
     if files::read(&path, 1).map_err(failed)?.is_some() {
         return Err(ConsensusError::AlreadyInitialised(path));
     }
     let storage_id = random::entropy().map_err(failed)?;
     let voters = config.voters.len();
     let state = VoterState::initial(config.log_id(), place as u64, voters, storage_id);
-    files::keep(&path, &state.encode()).map_err(failed)?;
+    files::write_atomic(&path, &state.encode()).map_err(failed)?;
     Ok(format!(
         "voter {} of log {:?} is founded in {}",
         name.as_str(),
--- a/crates/http1/src/frontend.rs
+++ b/crates/http1/src/frontend.rs
@@ -270,7 +270,7 @@
     async fn serve(self: Rc<Self>, stream: Stream, connection: Rc<ClientConnection>) {
         let head_scanner = Rc::<HeadScanner>::default();
         let read_ahead = ReadAhead::new(self.budget.clone());
-        let observed_stream = stream.again();
+        let observed_stream = stream.share();
         let service = service_fn(|request| {
             self.clone()
                 .respond(connection.clone(), head_scanner.clone(), request)
