--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -1,6 +1,7 @@
 //! SWIM's failure detector: periodic probes, indirect probes by way of other members, and suspicions that are refuted or
 //! expire.
 
+mod acks;
 mod probes;
 mod schedule;
 mod suspicion;
@@ -12,7 +13,9 @@
 use crate::settings::InjectedBug;
 use crate::update::{MemberState, MemberUpdate};
 use crate::wire::{Frame, FrameKind, Update};
-use probes::{Probe, ProbeTable, RelayedPing};
+pub(crate) use acks::send_ack;
+use acks::send_ping;
+use probes::{Probe, ProbeTable};
 use schedule::ProbeSchedule;
 use std::time::Duration;
 
@@ -163,8 +166,6 @@
         }
     }
 
-    // ---- Probes of this node ----------------------------------------------------------------------
-
     fn send_regular_probe(&mut self, node: &mut Node, now: Duration) {
         let due = self.schedule.next_probe();
         if now < due {
@@ -281,120 +282,6 @@
             .cloned();
         self.schedule.set_urgent(own_suspects.collect());
     }
-
-    // ---- Frames -----------------------------------------------------------------------------------
-
-    /// An ack, of a probe of this node or of a ping that it relayed.
-    pub(crate) fn handle_ack(
-        &mut self,
-        node: &mut Node,
-        now: Duration,
-        from: &Name,
-        sequence: u64,
-    ) {
-        if let Some(relayed) = self.probes.take_relayed(sequence) {
-            send_reply(node, &relayed.requester, FrameKind::Ack, relayed.sequence);
-            return;
-        }
-        let Some(probe) = self.probes.take_finished(sequence) else {
-            self.handle_late_ack(node, now, from, sequence);
-            return;
-        };
-        node.health.recover();
-        if probe.target == *from {
-            record_round_trip(node, from, now.saturating_sub(probe.sent_at));
-        } else if let Some(member) = node.members.get_mut(&probe.target) {
-            member.probes.unanswered += 1; // the ack came by way of a helper
-        }
-    }
-
-    /// An ack that is too late for its probe still measures the round trip.
-    fn handle_late_ack(&mut self, node: &mut Node, now: Duration, from: &Name, sequence: u64) {
-        let Some((target, sent_at)) = self.probes.take_late(sequence) else {
-            return;
-        };
-        if target == *from {
-            record_round_trip(node, from, now.saturating_sub(sent_at));
-        }
-    }
-
-    /// A helper has no ack of an indirect probe.
-    pub(crate) fn handle_nack(&mut self, sequence: u64) {
-        self.probes.count_nack(sequence);
-    }
-
-    /// Pings a member on behalf of another.
-    pub(crate) fn handle_indirect_ping(
-        &mut self,
-        node: &mut Node,
-        now: Duration,
-        requester: &Name,
-        frame: &Frame,
-    ) {
-        let target = frame.target.as_ref().and_then(Update::to_member_update);
-        let Some(target) = target else {
-            node.counters.invalid += 1;
-            return;
-        };
-        if node.local.is_named(&target.name) {
-            return;
-        }
-        self.apply_update(node, &target, now, Source::Gossip);
-        let relayed = RelayedPing {
-            requester: requester.clone(),
-            sequence: frame.sequence,
-            expires_at: now + node.health.ack_timeout(),
-        };
-        if let Some(sequence) = self.probes.begin_relayed(relayed) {
-            send_ping(node, &target.name, sequence);
-        }
-    }
-
-    /// Answers the requesters of indirect pings that had no ack.
-    fn send_nacks(&mut self, node: &mut Node, now: Duration) {
-        for relayed in self.probes.take_expired_relayed(now) {
-            send_reply(node, &relayed.requester, FrameKind::Nack, relayed.sequence);
-        }
-    }
-}
-
-/// Answers a ping.
-pub(crate) fn send_ack(node: &mut Node, to: &Name, sequence: u64) {
-    send_reply(node, to, FrameKind::Ack, sequence);
-}
-
-fn send_reply(node: &mut Node, to: &Name, kind: FrameKind, sequence: u64) {
-    let frame = Frame {
-        kind: kind as i32,
-        sequence,
-        ..Frame::default()
-    };
-    node.send(to, frame);
-}
-
-/// Pings a member. One that is suspected is told so before all other gossip, so that it can refute.
-fn send_ping(node: &mut Node, target: &Name, sequence: u64) {
-    let suspicion = node
-        .members
-        .get(target)
-        .filter(|member| member.state == MemberState::Suspect)
-        .map(|member| Update::from(&member.update()));
-    let frame = Frame {
-        kind: FrameKind::Ping as i32,
-        sequence,
-        updates: suspicion.into_iter().collect(),
-        ..Frame::default()
-    };
-    node.send(target, frame);
-}
-
-fn record_round_trip(node: &mut Node, name: &Name, round_trip: Duration) {
-    node.health.record_round_trip(round_trip);
-    if let Some(member) = node.members.get_mut(name) {
-        let smoothed = member.round_trip;
-        member.round_trip =
-            Some(smoothed.map_or(round_trip, |smoothed| (smoothed * 7 + round_trip) / 8));
-    }
 }
 
 fn log_departure(node: &mut Node, update: &MemberUpdate, state: Option<MemberState>) {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -27,7 +27,6 @@
 mod node;
 mod own_incarnation;
 mod random;
-
 mod settings;
 mod status;
 mod update;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -4,10 +4,12 @@
 //! salt before. So a replay, a delayed frame or one meant for an earlier process is recognised without a clock, and a node
 //! has joined once such a frame arrives.
 
-use crate::anti_entropy::{self, AntiEntropy};
+mod frames;
+
+use crate::anti_entropy::AntiEntropy;
 use crate::counters::Counters;
-use crate::event::{Action, Event, SyncStep};
-use crate::failure_detector::{self, FailureDetector, Source};
+use crate::event::{Action, Event};
+use crate::failure_detector::FailureDetector;
 use crate::incarnation::Incarnation;
 use crate::joining::Joining;
 use crate::local::LocalNode;
@@ -20,7 +22,7 @@
 use crate::status::MembershipStatus;
 use crate::update::{MemberState, MemberUpdate};
 use crate::values::PublishError;
-use crate::wire::{Frame, FrameKind, METADATA_KEY, MemberValue, MetadataMessage, Update};
+use crate::wire::{Frame, METADATA_KEY, MetadataMessage, Update};
 use prost::Message;
 use std::rc::Rc;
 use std::time::Duration;
@@ -240,198 +242,4 @@
             self.node.send(&name, frame);
         }
     }
-
-    // ---- Frames -----------------------------------------------------------------------------------
-
-    /// Handles a frame. `sender` is what the envelope asserts of its sender.
-    fn handle_frame(&mut self, now: Duration, sender: &MemberUpdate, to_salt: u32, frame: &Frame) {
-        // A kind that only a newer build knows is handled for its gossip.
-        let kind = FrameKind::try_from(frame.kind).unwrap_or(FrameKind::Gossip);
-        if self.node.local.is_named(&sender.name) {
-            self.handle_name_clash(now, sender);
-            return;
-        }
-        if to_salt != self.node.local.incarnation.salt {
-            self.handle_stale_frame(now, sender, to_salt, kind);
-            return;
-        }
-        self.node.last_heard = Some(now);
-        let (own_updates, other_updates) = self.valid_updates(frame);
-        for update in &own_updates {
-            self.handle_own_update(update, now);
-        }
-        if !self.joining.is_joined() && to_salt == self.node.local.incarnation.salt {
-            self.complete_joining(now, sender);
-        }
-        if self.rejects_ended_sender(now, sender) {
-            return;
-        }
-        self.apply(sender, now, Source::Gossip);
-        if let Some(member) = self.node.members.get_mut(&sender.name) {
-            member.last_heard = Some(now);
-        }
-        for update in &other_updates {
-            self.apply(update, now, Source::Gossip);
-        }
-        self.apply_values(&frame.values, Source::Gossip);
-        self.handle_kind(now, sender, kind, frame);
-        self.anti_entropy
-            .compare_digest(&mut self.node, now, sender, frame.digest);
-    }
-
-    /// A frame under this node's own name: its own, or another process's.
-    fn handle_name_clash(&mut self, now: Duration, sender: &MemberUpdate) {
-        self.node.counters.name_conflicts += 1;
-        if sender.incarnation != self.node.local.incarnation {
-            self.handle_own_update(sender, now);
-        }
-    }
-
-    /// A frame that does not name this incarnation. Its content is not believed, since it may be older than the
-    /// incarnation; the sender is told of the present one.
-    fn handle_stale_frame(
-        &mut self,
-        now: Duration,
-        sender: &MemberUpdate,
-        to_salt: u32,
-        kind: FrameKind,
-    ) {
-        if to_salt == 0 {
-            self.node.counters.from_strangers += 1;
-        } else {
-            self.node.counters.to_earlier_incarnation += 1;
-        }
-        let expects_welcome = to_salt != 0 || kind == FrameKind::Join;
-        if expects_welcome && kind != FrameKind::Welcome {
-            self.joining.send_welcome(&mut self.node, now, sender);
-        }
-    }
-
-    /// The valid updates of a frame: those about this node, and those about others.
-    fn valid_updates(&mut self, frame: &Frame) -> (Vec<MemberUpdate>, Vec<MemberUpdate>) {
-        let updates: Vec<MemberUpdate> = frame
-            .updates
-            .iter()
-            .filter_map(Update::to_member_update)
-            .collect();
-        self.node.counters.invalid += (frame.updates.len() - updates.len()) as u64;
-        updates
-            .into_iter()
-            .partition(|update| self.node.local.is_named(&update.name))
-    }
-
-    fn complete_joining(&mut self, now: Duration, sender: &MemberUpdate) {
-        self.joining.complete();
-        let incarnation = self.node.local.incarnation;
-        self.node.log(format_args!(
-            "was answered by {} in incarnation {incarnation}",
-            sender.name
-        ));
-        self.anti_entropy
-            .begin_exchange(&mut self.node, now, &sender.name, sender.address);
-    }
-
-    /// Whether the sender's incarnation has ended. Nothing that it sends is believed until it comes in a new one, and it
-    /// is told so.
-    fn rejects_ended_sender(&mut self, now: Duration, sender: &MemberUpdate) -> bool {
-        let known = self
-            .node
-            .members
-            .get(&sender.name)
-            .filter(|member| member.has_ended(sender.incarnation))
-            .map(|member| Update::from(&member.update()));
-        let Some(known) = known else {
-            return false;
-        };
-        self.node.counters.from_ended_incarnation += 1;
-        self.joining.send_ended(&mut self.node, now, sender, known);
-        true
-    }
-
-    fn handle_kind(
-        &mut self,
-        now: Duration,
-        sender: &MemberUpdate,
-        kind: FrameKind,
-        frame: &Frame,
-    ) {
-        let node = &mut self.node;
-        let detector = &mut self.failure_detector;
-        match kind {
-            FrameKind::Ping => failure_detector::send_ack(node, &sender.name, frame.sequence),
-            FrameKind::Ack => detector.handle_ack(node, now, &sender.name, frame.sequence),
-            FrameKind::Nack => detector.handle_nack(frame.sequence),
-            FrameKind::IndirectPing => {
-                detector.handle_indirect_ping(node, now, &sender.name, frame);
-            }
-            FrameKind::Join | FrameKind::Welcome | FrameKind::Gossip => {}
-        }
-    }
-
-    // ---- Anti-entropy -----------------------------------------------------------------------------
-
-    fn handle_sync(&mut self, now: Duration, step: &SyncStep) {
-        if self.node.local.is_named(&step.name) {
-            return;
-        }
-        let sender = self.node.members.get(&step.name);
-        if sender.is_some_and(|member| member.has_ended(step.incarnation)) {
-            self.node.counters.from_ended_incarnation += 1;
-            return;
-        }
-        if !self.anti_entropy.admits(&step.message, now) {
-            self.node.counters.rate_limited_replies += 1;
-            return;
-        }
-        let (updates, invalid) = anti_entropy::updates(&step.message);
-        self.node.counters.invalid += invalid as u64;
-        let digest_before = self.node.digest();
-        for update in &updates {
-            if self.node.local.is_named(&update.name) {
-                self.handle_own_update(update, now);
-            } else {
-                self.apply(update, now, Source::AntiEntropy);
-            }
-        }
-        self.apply_values(&step.message.values, Source::AntiEntropy);
-        if self.node.digest() != digest_before {
-            self.node.counters.productive_syncs += 1;
-        }
-        self.anti_entropy.answer(&mut self.node, now, step);
-    }
-
-    // ---- Updates ----------------------------------------------------------------------------------
-
-    /// An update about this node itself.
-    fn handle_own_update(&mut self, update: &MemberUpdate, now: Duration) {
-        let next = self
-            .own_incarnation
-            .handle_update(&mut self.node, update, now);
-        if let Some(epoch) = next {
-            self.begin_incarnation(epoch, now);
-        }
-    }
-
-    fn apply(&mut self, update: &MemberUpdate, now: Duration, source: Source) {
-        self.failure_detector
-            .apply_update(&mut self.node, update, now, source);
-    }
-
-    fn apply_values(&mut self, values: &[MemberValue], source: Source) {
-        for value in values {
-            let Some((name, incarnation, value)) = value.to_value() else {
-                self.node.counters.invalid += 1;
-                continue;
-            };
-            // This node alone knows what it publishes.
-            if self.node.local.is_named(&name) {
-                continue;
-            }
-            let key = value.key.clone();
-            let is_new = self.node.members.store_value(&name, incarnation, value);
-            if is_new && source == Source::Gossip {
-                self.node.dissemination.queue_value(name, key);
-            }
-        }
-    }
 }
--- a/crates/membership/tests/dissemination.rs
+++ b/crates/membership/tests/dissemination.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{Fleet, Packet, SECOND, address, name};
-use sillward_membership::wire::{Frame, FrameKind, MemberValue, Update};
 use sillward_membership::MemberState;
+use sillward_membership::wire::{Frame, FrameKind, MemberValue, Update};
 
 /// Guards against a delayed value of an earlier incarnation.
 #[test]
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden bytes of the messages between members: what goes over the wire keeps its form whatever the code calls it.
+//! Golden bytes of the messages between members: the wire format does not depend on names in the code.
 
 use prost::Message;
 use sillward_membership::wire::{
@@ -6,7 +6,7 @@
 };
 
 /// Fails where a message's bytes are not those of the fixture, or do not read as what they were written from.
-fn holds<M: Message + Default + PartialEq>(message: &M, fixture: &str) {
+fn assert_golden<M: Message + Default + PartialEq>(message: &M, fixture: &str) {
     let bytes = message.encode_to_vec();
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(hex, fixture.trim());
@@ -25,7 +25,7 @@
     }
 }
 
-fn told() -> MemberValue {
+fn value() -> MemberValue {
     MemberValue {
         name: "n7".to_owned(),
         epoch: 3,
@@ -55,10 +55,10 @@
             sequence: 77,
             target: Some(update(1)),
             updates: (0..4).map(update).collect(),
-            values: vec![told()],
+            values: vec![value()],
             digest: 0x0bad_cafe,
         };
-        holds(&frame, fixture);
+        assert_golden(&frame, fixture);
     }
 }
 
@@ -69,20 +69,20 @@
         digests: vec![1, 0xffff_ffff],
         buckets: 0x8000_0000_0000_0001,
         updates: vec![update(0)],
-        values: vec![told()],
+        values: vec![value()],
         member_digests: vec![5, 6],
         wanted: vec![7],
     };
-    holds(&sync, include_str!("golden/sync.hex"));
+    assert_golden(&sync, include_str!("golden/sync.hex"));
 }
 
 #[test]
-fn what_a_member_tells_of_itself_keeps_its_bytes() {
-    let about = MetadataMessage {
+fn metadata_keeps_its_bytes() {
+    let metadata = MetadataMessage {
         zone: "tembalang".to_owned(),
         region: "java".to_owned(),
         build: "0.1.0".to_owned(),
         capabilities: vec!["rules1".to_owned(), "outcomes1".to_owned()],
     };
-    holds(&about, include_str!("golden/about.hex"));
+    assert_golden(&metadata, include_str!("golden/about.hex"));
 }
--- a/crates/peer-transport/tests/golden.rs
+++ b/crates/peer-transport/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden bytes of envelopes, of a link's messages and of the file that keeps the last incarnation.
+//! Golden bytes of envelopes, of the messages of a connection and of the file that holds the last incarnation.
 
 use prost::Message;
 use sillward_membership::wire::{Frame, FrameKind};
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_links_messages_keep_their_bytes() {
+fn messages_of_a_connection_keep_their_bytes() {
     let keys = Keys::derive(SECRET);
     let hello = Hello::new(
         "jateng",
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn the_file_of_the_last_incarnation_keeps_its_text() {
+fn the_incarnation_file_keeps_its_text() {
     let text = incarnation_file::encode(&name(), 41);
     assert_eq!(text, include_str!("golden/incarnation.txt"));
     assert_eq!(incarnation_file::decode(&name(), text.as_bytes()), Some(41));
