--- a/crates/app/src/control.rs
+++ b/crates/app/src/control.rs
@@ -48,7 +48,7 @@
 /// What the node says of its list. One that has ended has none.
 async fn view(node: &mpsc::Sender<Message>) -> EndpointGauges {
     let (ask, told) = oneshot::channel();
-    match node.send(Message::View(ask)).await {
+    match node.send(Message::EndpointGauges(ask)).await {
         Ok(()) => told.await.unwrap_or_default(),
         Err(_) => EndpointGauges::default(),
     }
