--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -268,7 +268,7 @@
         self.apply_update(node, &update, now, Source::Gossip);
     }
 
-    /// Schedules the members that this node suspects for another probe, which also tells them of the suspicion.
+    /// Schedules the members that this node suspects for another probe, which also notifies them of the suspicion.
     fn schedule_own_suspects(&mut self, node: &Node) {
         if self.schedule.has_urgent() {
             return;
--- a/crates/membership/src/failure_detector/acks.rs
+++ b/crates/membership/src/failure_detector/acks.rs
@@ -97,7 +97,7 @@
     node.send(to, frame);
 }
 
-/// Pings a member. One that is suspected is told so before all other gossip, so that it can refute.
+/// Pings a member. One that is suspected is notified before all other gossip, so that it can refute.
 pub(super) fn send_ping(node: &mut Node, target: &Name, sequence: u64) {
     let suspicion = node
         .members
--- a/crates/membership/src/joining.rs
+++ b/crates/membership/src/joining.rs
@@ -20,7 +20,7 @@
 const REJOIN_INTERVAL: Duration = Duration::from_secs(1);
 /// Answers a second to senders that know no present incarnation of this node, or are in an ended one.
 const MAX_REPLIES_PER_SECOND: u32 = 100;
-/// Members that a joining node is told of, besides what is known of itself.
+/// Members that a welcome lists, besides what is known of itself.
 const WELCOME_MEMBERS: usize = 4;
 
 /// The state of joining.
@@ -139,7 +139,7 @@
         });
     }
 
-    /// Tells a sender that its incarnation has ended; it has to begin a new one.
+    /// Notifies a sender that its incarnation has ended; it has to begin a new one.
     pub(crate) fn send_ended(
         &mut self,
         node: &mut Node,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -2,7 +2,7 @@
 //! small values that each member publishes about itself.
 //!
 //! The protocol is SWIM (random probes, indirect probes, gossip piggybacked on frames) with the extensions of Lifeguard:
-//! a node that is slow itself waits longer before it suspects others, a suspected member is told first, and a suspicion
+//! a node that is slow itself waits longer before it suspects others, a suspected member is notified first, and a suspicion
 //! that several members confirm expires sooner. Divergence that gossip leaves behind is repaired by anti-entropy.
 //! Deviations from SWIM and their reasons are described in `docs/design/fleet.md`.
 //!
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -33,7 +33,7 @@
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
 /// A gap between events is a pause only beyond so many tick intervals.
 const PAUSE_TICKS: u32 = 2;
-/// Members that a node tells when it leaves.
+/// Members that a node notifies when it leaves.
 const LEAVE_FAN_OUT: usize = 6;
 
 /// A node's view of the fleet, and its part in the membership protocol.
@@ -48,7 +48,7 @@
 
 impl Membership {
     /// Begins the first incarnation of a process. `epoch` is the last one in the state directory, 0 if there is none.
-    /// `seed` must differ from start to start: incarnations are told apart by what is drawn from it.
+    /// `seed` must differ from start to start: incarnations are distinguished by what is drawn from it.
     pub fn new(
         settings: MembershipSettings,
         local: LocalNode,
--- a/crates/membership/src/membership/frames.rs
+++ b/crates/membership/src/membership/frames.rs
@@ -60,7 +60,7 @@
     }
 
     /// A frame that does not name this incarnation. Its content is not believed, since it may be older than the
-    /// incarnation; the sender is told of the present one.
+    /// incarnation; the sender is notified of the present one.
     fn handle_stale_frame(
         &mut self,
         now: Duration,
@@ -104,7 +104,7 @@
     }
 
     /// Whether the sender's incarnation has ended. Nothing that it sends is believed until it comes in a new one, and it
-    /// is told so.
+    /// is notified.
     fn rejects_ended_sender(&mut self, now: Duration, sender: &MemberUpdate) -> bool {
         let known = self
             .node
--- a/crates/peer-transport/src/inbound_filter.rs
+++ b/crates/peer-transport/src/inbound_filter.rs
@@ -65,7 +65,7 @@
         self.accepted
     }
 
-    /// Accepts an authentic frame, or tells why not.
+    /// Accepts an authentic frame, or returns why not.
     ///
     /// # Errors
     /// Its sequence number was seen or is too old, or its sender sends too much.
