--- a/crates/balancer/benches/request.rs
+++ b/crates/balancer/benches/request.rs
@@ -3,7 +3,10 @@
 #![allow(missing_docs)] // the macros define functions without documentation
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use sillward_balancer::*;
+use sillward_balancer::{
+    Action, AttemptEnd, Balancer, Endpoint, EndpointUpdate, Event, HealthCheckEnd, LoadReport,
+    NewRequest, Outcome, ReportSource, RequestId, ServerId, ServerState, Settings,
+};
 use std::time::Duration;
 
 /// A node that knows so many servers, with load reports in answers or from health checks.
@@ -56,7 +59,7 @@
             remaining: Duration::from_millis(900),
             ..NewRequest::default()
         }));
-        let load = f32::from(self.next.is_multiple_of(3));
+        let load = if self.next % 3 == 0 { 1.0 } else { 0.0 };
         let report = Some(LoadReport {
             in_flight: Some(load),
             ..LoadReport::default()
