--- a/crates/app/src/fronts.rs
+++ b/crates/app/src/fronts.rs
@@ -4,7 +4,7 @@
 use crate::{agreement, control, outcomes, pages};
 use hyper::Method;
 use sillward_admin::{Admin, Posted, Reply, Route};
-use sillward_consensus_io::Council;
+use sillward_consensus_io::ConsensusService;
 use sillward_endpoints::MergedEndpoints;
 use sillward_forwarding::{LiveSettings, MemoryBudget, Message, NodeHandle};
 use sillward_hot_restart::Resources;
@@ -59,7 +59,7 @@
             backend_connections: self.sockets.clone(),
             body_bytes: self.budget.clone(),
         };
-        let folder = self.config.folder.as_deref();
+        let folder = self.config.temp_dir.as_deref();
         if let Some(hot_restart) = HotRestart::start(folder, alone, users).await {
             spawn_local(hot_restart.run(self.told_to_stop()));
         }
@@ -151,7 +151,7 @@
         operator: Option<SocketAddr>,
         sources: Option<Rc<RefCell<MergedEndpoints>>>,
         fleet: Option<Rc<PeerTransport>>,
-        council: Option<Rc<Council>>,
+        council: Option<Rc<ConsensusService>>,
         told: Option<Rc<outcomes::Outcomes>>,
     ) -> Result<(), String> {
         let clock = self.clock;
--- a/crates/app/src/lib.rs
+++ b/crates/app/src/lib.rs
@@ -13,7 +13,7 @@
 mod sources;
 
 use sillward_balancer::settings::PlatformSettings;
-use sillward_consensus_io::Council;
+use sillward_consensus_io::ConsensusService;
 use sillward_forwarding::{
     BackendProtocol, Dispatch, LiveSettings, LoadReportParser, MemoryBudget, Message, Node,
     NodeGauges, NodeHandle, SettingsLease,
@@ -56,7 +56,7 @@
     /// The fleet, where the node is a member of one.
     pub fleet: Option<Rc<sillward_peer_transport::PeerTransport>>,
     /// The agreement, where the node takes part in one.
-    pub council: Option<Rc<sillward_consensus_io::Council>>,
+    pub council: Option<Rc<sillward_consensus_io::ConsensusService>>,
 }
 
 /// Stands between the node and its backends' protocols. The program has none; the simulation plants faults so.
@@ -126,7 +126,7 @@
     }
 }
 
-/// Founds this voter's folder, once and on purpose: see [`sillward_consensus_io::found`].
+/// Founds this voter's folder, once and on purpose: see [`sillward_consensus_io::initialise`].
 ///
 /// # Errors
 /// There is no `[agreement]`, this node is no voter, or its folder is founded already.
@@ -137,7 +137,8 @@
         .ok_or("the operator file has no [agreement]")?;
     let name = sillward_membership::Name::new(&config.name)
         .ok_or("this node's name can't be a member's")?;
-    sillward_consensus_io::found(&agreement::terms(config, terms)?, &name)
+    sillward_consensus_io::initialise(&agreement::terms(config, terms)?, &name)
+        .map_err(|e| e.to_string())
 }
 
 /// Runs a node until it is told to stop and has ended in good order. `shown` is called once, when its parts stand.
@@ -172,8 +173,8 @@
     let fleet_connections = fleet_connections(&config, &operator);
     let budget = MemoryBudget::new(config.body_bytes - fleet_bytes.min(config.body_bytes / 2));
     let sockets = ConnectionLimit::new(config.backend_connections);
-    let (counters, live) = (Counters::new(), LiveSettings::new(config.site.clone()));
-    counters.register_classes(&config.site.class_names);
+    let (counters, live) = (Counters::new(), LiveSettings::new(config.platform.clone()));
+    counters.register_classes(&config.platform.class_names);
     let mut protocols = backends(
         clock,
         &config,
@@ -220,9 +221,9 @@
     };
     if let Some(council) = &council {
         // Nothing is acted on that was not asked for: the careful reading holds from the first call on.
-        let readings = council.readings(&agreement::keys(&config.site));
-        live.set(Rc::new(agreement::called(&config.site, &readings)));
-        lapse.set_fallback(Rc::new(agreement::laid_over(&config.site, &readings)));
+        let readings = council.effective_values(&agreement::keys(&config.platform));
+        live.set(Rc::new(agreement::called(&config.platform, &readings)));
+        lapse.set_fallback(Rc::new(agreement::laid_over(&config.platform, &readings)));
     }
     let sources = sources::start(clock, &config, operator.etcd, &messages, &live);
     let node = Node::new(
@@ -257,7 +258,7 @@
     let mut discovery = spawn_local(sources.discovery.run(discovery_orders, moved));
     let reloading = Reloading {
         running: config.clone(),
-        file: Rc::new(config.site.clone()),
+        file: Rc::new(config.platform.clone()),
         council: council.clone(),
         changed,
         lapse,
@@ -329,7 +330,7 @@
     counters: &Rc<Counters>,
     live: &Rc<LiveSettings>,
 ) -> Rc<dyn BackendProtocol> {
-    let terms = PoolTimeouts::from_settings(&config.site);
+    let terms = PoolTimeouts::from_settings(&config.platform);
     let reports = LoadReportParser::new(live.clone());
     let pool = Pool::start(clock, sillward_http1::Http1, terms, sockets.clone());
     let http =
@@ -357,7 +358,7 @@
     running: Rc<Config>,
     /// Its settings, in this process's numbers, without what is agreed on.
     file: Rc<PlatformSettings>,
-    council: Option<Rc<Council>>,
+    council: Option<Rc<ConsensusService>>,
     /// What is agreed on has changed, or the right to act on it.
     changed: Rc<Notify>,
     lapse: Rc<SettingsLease>,
@@ -411,10 +412,10 @@
             None => (self.file.clone(), self.file.clone()),
             Some(council) => {
                 let keys = agreement::keys(&self.file);
-                let readings = council.readings(&keys);
+                let readings = council.effective_values(&keys);
                 self.lapse.set_fallback(Rc::new(agreement::laid_over(
                     &self.file,
-                    &council.careful(&keys),
+                    &council.conservative_values(&keys),
                 )));
                 (
                     Rc::new(agreement::laid_over(&self.file, &readings)),
@@ -442,8 +443,12 @@
     /// Takes all of it or nothing.
     async fn take(&mut self, new: Config) -> Result<(), String> {
         let old = self.file.clone();
-        self.file = Rc::new(self.running.followed_by(&new, &old)?);
-        let fixed = self.running.fixed_that_differ(&new).join(", ");
+        self.file = Rc::new(
+            self.running
+                .reloaded_settings(&new, &old)
+                .map_err(|error| error.to_string())?,
+        );
+        let fixed = self.running.restart_only_differences(&new).join(", ");
         if !fixed.is_empty() {
             log(format_args!(
                 "changed in the configuration, but only a restart takes it in: {fixed}"
--- a/crates/http1/src/hyper_io.rs
+++ b/crates/http1/src/hyper_io.rs
@@ -103,6 +103,6 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(self.stream.shut_write())
+        Poll::Ready(self.stream.shutdown_write())
     }
 }
