--- a/crates/peer-transport/src/envelope.rs
+++ b/crates/peer-transport/src/envelope.rs
@@ -1,7 +1,7 @@
 //! The envelope of a datagram: the fleet's name, the sender with its incarnation, the receiver's incarnation, a sequence
 //! number, and a message authentication code over all of it. No I/O.
 //!
-//! Wire: the version (1 byte), the code (16 bytes), then the protobuf message [`EnvelopeMessage`]. The code is BLAKE3's
+//! Wire: the version (1 byte), the code (16 bytes), then the protobuf message `EnvelopeMessage`. The code is BLAKE3's
 //! keyed hash under a key derived from the fleet's, truncated to 16 bytes.
 
 use crate::mac::{self, MAC_BYTES, Mac};
