--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -196,7 +196,7 @@
             .accrue_permits(&context, &mut self.endpoints, subset_size, random);
     }
 
-    /// Takes new settings. What was learnt of servers and latencies stays.
+    /// Takes new settings. Estimates of servers and latencies are kept.
     fn on_settings(&mut self, settings: Settings) {
         self.priorities.on_settings(&settings);
         self.first_request_times.on_settings(&settings);
--- a/crates/balancer/src/policy/arrival.rs
+++ b/crates/balancer/src/policy/arrival.rs
@@ -33,7 +33,7 @@
         self.dispatch(id, actions);
     }
 
-    /// The request as it is kept; counts it with every policy that needs to know.
+    /// Makes the table entry of a request, and updates every policy that counts requests.
     fn new_request(&mut self, new: &NewRequest) -> Request {
         let now = self.now;
         let class = new.class.min(self.settings.classes.len() - 1);
--- a/crates/balancer/src/policy/completion.rs
+++ b/crates/balancer/src/policy/completion.rs
@@ -9,13 +9,13 @@
 use crate::load_report::LoadReport;
 use std::time::Duration;
 
-/// An outcome noticed later than this fraction of the mean latency after the deadline tells of a pause of this node.
+/// An outcome noticed later than this fraction of the mean latency after the deadline is due to a pause of this node.
 const OVERDUE_WITHIN: f64 = 1.0 / 4.0;
 /// An answer is slow after this part of the time it had: three quarters, or five where late answers have weight.
 const SLOW_QUARTERS: u32 = 3;
 const SLOW_QUARTERS_WITH_LATE_WEIGHT: u32 = 5;
 
-/// The end of an attempt, and what the request says about it.
+/// The end of an attempt, judged by its request.
 struct EndedAttempt {
     end: AttemptEnd,
     /// It ended at its request's deadline, after at least a mean latency.
@@ -183,7 +183,7 @@
         outlier::may_eject_more(ejected, ready)
     }
 
-    /// Takes a server's load report. Where requests in flight are not reported, its queue stands for them.
+    /// Takes a server's load report. Where requests in flight are not reported, the queue length is used.
     fn on_load_report(&mut self, id: ServerId, report: Option<LoadReport>, served: bool) {
         let reported = report.and_then(|report| report.in_flight.or(report.queue));
         let (Some(in_flight), Some(server)) = (reported, self.endpoints.get_mut(id)) else {
--- a/crates/balancer/src/policy/context.rs
+++ b/crates/balancer/src/policy/context.rs
@@ -23,7 +23,7 @@
         self.settings.reports == ReportSource::HealthChecks && self.settings.limits.health_checks
     }
 
-    /// Whether a load report from that time still tells something.
+    /// Whether a load report from that time is still of use.
     pub(super) fn is_recent(&self, reported_at: Duration) -> bool {
         (self.now - reported_at).as_secs_f64() <= self.mean_latency_s * RECENT_REPORT
     }
--- a/crates/balancer/src/policy/crowding.rs
+++ b/crates/balancer/src/policy/crowding.rs
@@ -48,13 +48,13 @@
     pub(super) fn admits(&self, level: usize, unused: bool, priority: f64, draw: f64) -> bool {
         let chance = draw.powf(priority);
         let level_open = level == 0 || level <= self.highest_explored && self.is_in_time(level);
-        // Many nodes together may crowd a server that does not look crowded to any of them.
+        // Many nodes together may overload a server that looks uncrowded to each of them.
         let admitted = level_open && chance <= self.admission;
         admitted || unused && chance < TRIAL_FRACTION
     }
 
-    /// Whether nothing tells yet if a server at `level` answers in time. A node that starts into an overload would fill all
-    /// servers by trying, and one beside fast servers would reject what they can take: it waits for the first answers.
+    /// Whether it is not known yet if a server at `level` answers in time. A node that starts into an overload would
+    /// otherwise overload all servers by trying, and one with fast servers would reject what they can take.
     pub(super) fn is_unexplored(&self, level: usize) -> bool {
         level > self.highest_explored && self.is_in_time(level)
     }
@@ -75,8 +75,8 @@
         self.highest_explored = self.highest_explored.max(2 * level + 2);
     }
 
-    /// An attempt sent at `level` was late or rejected. So are those sent at higher levels. At level 0 this node did not
-    /// crowd the server: other nodes did, or the server is at fault.
+    /// An attempt sent at `level` was late or rejected; it counts for higher levels too. At level 0 the crowding is not this
+    /// node's: other nodes overload the server, or it is at fault.
     pub(super) fn on_late(&mut self, level: usize) {
         if level == 0 {
             self.admission = (self.admission - self.admission * SMOOTHING).max(MIN_ADMISSION);
--- a/crates/balancer/src/policy/dispatch.rs
+++ b/crates/balancer/src/policy/dispatch.rs
@@ -23,7 +23,7 @@
 pub enum HoldReason {
     /// No server is listed, or only warming ones without a permit.
     NoEligibleServer,
-    /// Nothing tells yet whether servers as crowded as these answer in time.
+    /// It is not known yet whether servers as crowded as these answer in time.
     CrowdingUnexplored,
     /// Health checks are in flight that may show an idle server.
     HealthChecks,
--- a/crates/balancer/src/policy/health_check.rs
+++ b/crates/balancer/src/policy/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: servers are asked for their load where no server below the cap is known, as far as the budget goes.
+//! Health checks: sent to find an idle server where none below the cap is known, within a budget.
 
 use super::random::{self, RandomSource};
 use crate::ids::{RequestId, ServerId};
--- a/crates/balancer/src/policy/outlier.rs
+++ b/crates/balancer/src/policy/outlier.rs
@@ -78,7 +78,7 @@
         self.ejected_until.is_some_and(|until| now >= until)
     }
 
-    /// Notes a failed connection that took `elapsed`, and says what it means. A first one may be chance. One that only took
+    /// Records a failed connection that took `elapsed`, and classifies it. A first one may be chance. One that only took
     /// too long may come up late, however often, and stays a failure like others.
     pub(super) fn on_connect_failed(
         &mut self,
--- a/crates/balancer/src/policy/priority.rs
+++ b/crates/balancer/src/policy/priority.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Makes room for the tenants of new settings; known ones keep what they have.
+    /// Adds the tenants of new settings; known ones keep their quota state.
     pub(super) fn on_settings(&mut self, settings: &Settings) {
         let tenants = settings.tenants.len().max(self.quotas.len());
         self.quotas.resize_with(tenants, TokenBucket::default);
--- a/crates/balancer/src/policy/retry.rs
+++ b/crates/balancer/src/policy/retry.rs
@@ -66,7 +66,7 @@
     timeout.max(2 * context.settings.timer_resolution)
 }
 
-/// Whether attempts in flight leave room for another one: there is none, or hedging is allowed and the only one has been
+/// Whether attempts in flight permit another one: there is none, or hedging is allowed and the only one has been
 /// silent for too long.
 pub(super) fn may_attempt_now(
     context: &Context<'_>,
--- a/crates/balancer/src/policy/send_gate.rs
+++ b/crates/balancer/src/policy/send_gate.rs
@@ -29,7 +29,7 @@
     DeadlinePassed,
     /// It has had all attempts that it may have, or its body is consumed.
     NoAttemptsLeft,
-    /// The server is draining or removed. Its whole drain grace is kept to spare.
+    /// The server is draining or removed. The drain grace is not used.
     ServerNotReady,
     /// The server is warming up, and this node has no permit for it or the request is too heavy.
     ServerWarmingUp,
--- a/crates/balancer/src/policy/slow_start.rs
+++ b/crates/balancer/src/policy/slow_start.rs
@@ -85,7 +85,7 @@
     }
 }
 
-/// What permits are reckoned from.
+/// Rates from which permits follow.
 #[derive(Debug, Default)]
 pub(super) struct SlowStart {
     /// Work that arrived, in units of a usual request's.
--- a/crates/balancer/tests/faults.rs
+++ b/crates/balancer/tests/faults.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_server_reachable_from_nowhere_though_listed_is_left_alone() {
+fn avoids_a_listed_server_that_cannot_be_reached() {
     for mut world in worlds(4) {
         let tally = play(&mut world, 400, |s| {
             Some(if s == 0 {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_zone_reachable_from_nowhere_does_not_stop_the_others() {
+fn serves_other_zones_while_one_cannot_be_reached() {
     for mut world in worlds(6) {
         let ends = |s: u64| {
             Some(if s % 3 == 0 {
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_list_that_empties_stops_all_sends_until_it_names_a_server_again() {
+fn sends_nothing_while_the_list_is_empty() {
     for mut world in worlds(4) {
         world.list(EndpointUpdate::Full, vec![]);
         let tally = play(&mut world, 50, |_| Some(Outcome::Served));
@@ -102,7 +102,7 @@
 /// What the list has counts as told within seconds of when it could be had, whatever calls failed before: each call that
 /// fails is followed by another within half a second, and never at once.
 #[test]
-fn a_list_that_never_comes_while_requests_flood_in_is_asked_for_again_within_half_a_second() {
+fn polls_again_within_half_a_second_while_no_list_comes() {
     let mut world = World::new(Settings {
         poll_endpoint_list: true,
         ..with_health_checks()
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn overload_with_client_retries_leaves_no_jam() {
+fn recovers_from_an_overload_with_client_retries() {
     for mut world in worlds(4) {
         play(&mut world, 400, |_| None);
         // Errors close no level: only the budget stands in the way of further attempts.
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_crash_during_stalls_leaves_no_jam() {
+fn recovers_from_a_crash_during_stalls() {
     for mut world in worlds(6) {
         let tally = play(&mut world, 300, |s| match s {
             0 => Some(Outcome::ConnectFailed),
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_deploy_during_a_stale_list_leaves_no_jam() {
+fn recovers_from_a_deploy_during_a_stale_list() {
     for mut world in worlds(6) {
         // Three have left, and the list does not say so yet.
         let tally = play(&mut world, 200, |s| {
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn heavy_requests_under_a_choked_server_do_not_stop_light_ones() {
+fn serves_light_requests_beside_heavy_ones_at_a_slow_server() {
     for mut world in worlds(4) {
         let mut served = 0;
         for i in 0..400 {
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_node_that_never_sees_its_servers_less_than_busy_learns_that_they_serve() {
+fn learns_that_servers_serve_though_they_are_never_idle() {
     // Crowding levels start closed: while no server was ever seen below a closed level, all was refused for ever.
     let mut world = World::with_servers(with_health_checks(), 4);
     recovers(&mut world);
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -148,7 +148,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn the_rules_hold_with_reports_from_probes(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
+    fn safety_rules_hold_with_load_from_health_checks(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
         let mut settings = with_health_checks();
         settings.safety.slow_start_capacity = 0.2;
         settings.safety.slow_start_window = ms(5000);
@@ -157,7 +157,7 @@
     }
 
     #[test]
-    fn the_rules_hold_with_reports_from_answers(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
+    fn safety_rules_hold_with_load_from_responses(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
         let mut settings = with_load_reports();
         settings.limits.hedging = false;
         settings.safety.drain_grace = ms(0);
@@ -166,7 +166,7 @@
     }
 
     #[test]
-    fn the_rules_hold_where_little_is_allowed(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
+    fn safety_rules_hold_where_little_is_allowed(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
         let mut settings = settings();
         settings.limits = Limits { max_attempts: 1, cancel_attempts: false, ..Settings::default().limits };
         settings.nodes = 1;
@@ -239,7 +239,7 @@
     #![proptest_config(Config { cases: 10, ..config() })]
 
     #[test]
-    fn a_cold_server_is_spared(seed: u64, arrivals in prop::collection::vec((0usize..12, 1u64..60), 120..240)) {
+    fn spares_a_warming_server(seed: u64, arrivals in prop::collection::vec((0usize..12, 1u64..60), 120..240)) {
         cold_server_is_spared(seed, &arrivals)?;
     }
 }
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn hundreds_of_quiet_nodes_spare_a_cold_server() {
+fn hundreds_of_quiet_nodes_spare_a_warming_server() {
     for seed in [1, 1000, 2000] {
         many_nodes_spare_a_cold_server(seed).unwrap_or_else(|broken| panic!("{broken}"));
     }
--- a/crates/balancer/tests/slow_start_fleet.rs
+++ b/crates/balancer/tests/slow_start_fleet.rs
@@ -509,7 +509,7 @@
 }
 
 #[test]
-fn the_sum_of_all_nodes_breaks_the_bound_of_no_cold_server() {
+fn all_nodes_together_keep_the_bound_of_every_warming_server() {
     std::thread::scope(|threads| {
         for nodes in [1, 3, 20, 30, 300] {
             threads.spawn(move || {
@@ -531,7 +531,7 @@
 /// Permits that come at even times add up with less chance than draws that know nothing of each other, so few nodes may aim
 /// nearer to the bound, and use what they may.
 #[test]
-fn few_nodes_use_most_of_what_a_cold_server_may_be_sent() {
+fn few_nodes_use_most_of_what_a_warming_server_may_get() {
     for nodes in [1, 3] {
         let counted = played(
             Play {
@@ -553,7 +553,7 @@
 
 /// Where load is probed a cold server shows no sign, since it is not probed: its permit stands for one.
 #[test]
-fn a_cold_server_is_used_where_load_is_probed() {
+fn uses_a_warming_server_where_load_is_health_checked() {
     for nodes in [3, 20] {
         let counted = played(
             Play {
