--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -46,26 +46,26 @@
         /// The server.
         server: ServerId,
     },
-    /// Close idle connections to a server.
+    /// Close idle connections to a server. Part of the wire; never sent today.
     CloseIdle {
         /// The server.
         server: ServerId,
     },
     /// Open a watch on the endpoint list, or close it.
     WatchEndpoints {
-        /// Whether to open it.
+        /// Whether to open it. Always true today.
         on: bool,
     },
-    /// Fetch the whole endpoint list once.
+    /// Fetch the whole endpoint list once. Part of the wire; never sent today.
     FetchEndpoints,
-    /// Send a message to another node, or to all of them.
+    /// Send a message to another node, or to all of them. Part of the wire; never sent today.
     SendToPeer {
         /// The receiver's node number; `None` for all nodes.
         to: Option<u32>,
         /// At most 256 bytes.
         data: Vec<u8>,
     },
-    /// Write a line to the log.
+    /// Write a line to the log. Part of the wire; never sent today.
     Log {
         /// The line.
         text: String,
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -46,7 +46,7 @@
     pub class: usize,
     /// The position of its tenant in [`Settings::tenants`].
     pub tenant: usize,
-    /// A hash of the object that it is about; 0 for none.
+    /// A hash of the object that it is about; 0 for none. No policy uses it.
     pub key: u64,
     /// How long the client waits for this request, from now.
     pub remaining: Duration,
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -66,11 +66,16 @@
 /// The token of the housekeeping timer. A request's timers carry its id.
 const TICK_TOKEN: u64 = u64::MAX;
 
+/// Time counts from here at the earliest: zero stands for "never".
+const EARLIEST: Duration = Duration::from_nanos(1);
+
 /// The decisions of one node.
 pub struct Balancer {
     settings: Settings,
     random: RandomSource,
     now: Duration,
+    /// Whether an event has been handled.
+    started: bool,
     endpoints: EndpointTable,
     requests: RequestTable,
     latency: LatencyEstimates,
@@ -111,6 +116,7 @@
         Balancer {
             random: RandomSource::new(seed),
             now: Duration::ZERO,
+            started: false,
             endpoints: EndpointTable::default(),
             requests: RequestTable::default(),
             latency: LatencyEstimates::new(shortest_objective),
@@ -133,8 +139,9 @@
 
     /// Handles an event that happened at `now`, and appends what is to be done to `actions`, in order.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
-        let is_first = self.now.is_zero();
-        self.now = now.max(self.now).max(Duration::from_nanos(1));
+        // A clock that steps back is ignored.
+        self.now = now.max(self.now).max(EARLIEST);
+        let is_first = !std::mem::replace(&mut self.started, true);
         if is_first && self.settings.poll_endpoint_list {
             self.start_polling(actions);
         }
@@ -165,12 +172,12 @@
         self.endpoints.counts()
     }
 
-    /// How many requests got their final answer from this node, by reason.
+    /// How many requests got their final answer from this node, by reason. For tests: no page shows it.
     pub fn finish_counts(&self) -> &BTreeMap<FinishReason, u64> {
         &self.finish_counts
     }
 
-    /// How often requests were held back, by reason.
+    /// How often requests were held back, by reason. For tests: no page shows it.
     pub fn hold_counts(&self) -> &BTreeMap<HoldReason, u64> {
         &self.hold_counts
     }
@@ -210,7 +217,8 @@
         self.settings = settings;
     }
 
-    /// A request's timer has expired: its deadline has passed, or it was held back long enough.
+    /// A timer of a request has expired: for its deadline, while it was held back or waited for health checks, or for a hedged
+    /// request. Which one is not known; a late one ends the wait for health checks early.
     fn on_request_timer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
--- a/crates/balancer/src/policy/completion.rs
+++ b/crates/balancer/src/policy/completion.rs
@@ -11,9 +11,10 @@
 
 /// An outcome noticed later than this fraction of the mean latency after the deadline is due to a pause of this node.
 const OVERDUE_WITHIN: f64 = 1.0 / 4.0;
-/// An answer is slow after this part of the time it had: three quarters, or five where late answers have weight.
+/// An answer is slow after this many quarters of the time it had.
 const SLOW_QUARTERS: u32 = 3;
-const SLOW_QUARTERS_WITH_LATE_WEIGHT: u32 = 5;
+/// The same where late answers still have weight.
+const SLOW_QUARTERS_LATE: u32 = 5;
 
 /// The end of an attempt, judged by its request.
 struct EndedAttempt {
@@ -68,18 +69,18 @@
         let crowding_level = attempt.crowding_level;
         let sent_at = attempt.sent_at;
         request.body_consumed |= end.body_consumed;
-        let was_work = !request.body_pending() && request.streaming != Some(end.attempt);
+        let counted_at_server = !request.body_pending() && request.streaming != Some(end.attempt);
 
         let past_deadline_s = self.now.as_secs_f64() - request.deadline.as_secs_f64();
         let at_deadline = (0.0..mean_latency_s * OVERDUE_WITHIN).contains(&past_deadline_s);
         let class = &self.settings.classes[request.class];
         let time = class.latency_objective.min(request.deadline - sent_at);
         let quarters = if class.late_weight > 0.0 {
-            SLOW_QUARTERS_WITH_LATE_WEIGHT
+            SLOW_QUARTERS_LATE
         } else {
             SLOW_QUARTERS
         };
-        if was_work {
+        if counted_at_server {
             if let Some(server) = self.endpoints.get_mut(end.server) {
                 server.in_flight = server.in_flight.saturating_sub(1);
             }
@@ -171,10 +172,7 @@
 
     /// Whether enough servers near this node's place on the ring are left to eject one more.
     fn may_eject_more(&self) -> bool {
-        let near = self
-            .endpoints
-            .in_ring_order(&self.settings)
-            .take(2 * self.subset_size());
+        let near = self.endpoints.near(&self.settings, self.subset_size());
         let (mut ready, mut ejected) = (0, 0);
         for server in near {
             ready += 1;
--- a/crates/balancer/src/policy/crowding.rs
+++ b/crates/balancer/src/policy/crowding.rs
@@ -28,7 +28,7 @@
 pub(super) struct CrowdingGate {
     /// Smoothed fraction of attempts answered in time, by the server's level at the send.
     in_time: Vec<f64>,
-    /// Levels beyond this are unexplored: nothing was answered in time from nearly as high.
+    /// Levels beyond this are unexplored: no attempt sent at half of such a level or more was answered in time yet.
     highest_explored: usize,
     /// The fraction of requests that is admitted where servers do not look crowded; over 1 in reserve.
     admission: f64,
--- a/crates/balancer/src/policy/deadline.rs
+++ b/crates/balancer/src/policy/deadline.rs
@@ -8,8 +8,8 @@
 pub(super) const MAX_BODY_TIME: Duration = Duration::from_secs(1200);
 /// Stretches of the latency objective are bounded by this factor.
 const MAX_STRETCH: f64 = 1e3;
-/// A retry whose time is within this part of a first request's is taken for a first request.
-const SAME_TIME: u32 = 64;
+/// A retry whose time differs by less than one part in this many from a first request's is taken for a first request.
+const SAME_TIME_DIVISOR: u32 = 64;
 
 /// How long clients wait for a first request, by class: a marked retry has less, by what it has waited already.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
             self.0[position] = request.remaining;
         }
         let first = self.0[position];
-        if request.remaining.abs_diff(first) < first / SAME_TIME {
+        if request.remaining.abs_diff(first) < first / SAME_TIME_DIVISOR {
             return Duration::ZERO;
         }
         class.deadline.saturating_sub(request.remaining)
--- a/crates/balancer/src/policy/dispatch.rs
+++ b/crates/balancer/src/policy/dispatch.rs
@@ -32,6 +32,7 @@
 impl Balancer {
     /// Finds a server for a request, if it may be attempted now.
     pub(super) fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        // Drawn first, so that the sequence of random numbers does not depend on what follows.
         let draws = Draws {
             admission: self.random.unit(),
             choice: self.random.unit(),
--- a/crates/balancer/src/policy/endpoint_table.rs
+++ b/crates/balancer/src/policy/endpoint_table.rs
@@ -68,6 +68,15 @@
             .filter_map(|id| self.servers.get(id))
     }
 
+    /// The ready servers whose state this node keeps up to date: twice its subset, since the subset changes with traffic.
+    pub(super) fn near(
+        &self,
+        settings: &Settings,
+        subset_size: usize,
+    ) -> impl Iterator<Item = &Server> {
+        self.in_ring_order(settings).take(2 * subset_size)
+    }
+
     /// Applies an update. A server that is new or was restarted starts with the estimate `initial_estimate`: at zero all
     /// nodes would choose it at once.
     pub(super) fn apply(
--- a/crates/balancer/src/policy/final_answer.rs
+++ b/crates/balancer/src/policy/final_answer.rs
@@ -26,7 +26,8 @@
     SendBlocked(SendBlocked),
 }
 
-/// Whether a client may safely retry a request: nothing has run, or servers discard duplicates everywhere.
+/// Whether a client may safely retry a request: it is idempotent, nothing has run, or all servers discard duplicates of
+/// its key. The window within which they do is not considered.
 fn is_safe_to_retry(request: &Request) -> bool {
     match request.idempotency {
         Idempotency::Idempotent => true,
--- a/crates/balancer/src/policy/join_up_to.rs
+++ b/crates/balancer/src/policy/join_up_to.rs
@@ -1,7 +1,7 @@
 //! Join-Up-To(m): the server with the lowest estimate below the cap m, ties at random.
 //!
-//! A server's estimate counts own sends since it last showed idle. A load report of nothing in flight stands for the
-//! paper's idle signal. The cap is that of the paper's Theorem 6 for exponential job sizes, with own sends per idle signal
+//! A server's estimate counts own sends since it last showed idle. A load report of nothing in flight is taken as
+//! the paper's idle signal. The cap is that of the paper's Theorem 6 for exponential job sizes, with own sends per idle signal
 //! in place of lambda / delta, and the fraction of reports that were not idle in place of lambda.
 
 use super::context::Context;
@@ -97,8 +97,8 @@
 }
 
 /// A server's estimate: own sends since its last idle signal. Where signals come from health checks and other nodes send
-/// too, a signal is forgotten once these may have used it. A warming server gets no health checks: its permit stands for a
-/// signal, since it is this node's part of what all nodes may send there.
+/// too, a signal is forgotten once these may have used it. A warming server gets no health checks: its permit is taken
+/// as a signal, since it is this node's part of what all nodes may send there.
 fn estimate(context: &Context<'_>, server: &Server, cap: u32) -> u32 {
     let signals_expire = context.load_by_health_check() && context.settings.nodes > 1;
     if !signals_expire {
--- a/crates/balancer/src/policy/outlier.rs
+++ b/crates/balancer/src/policy/outlier.rs
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Whether a server is to be ejected after this signal. Half of the servers stay, unless one cannot be reached or has
-    /// failed on trial; `may_eject_more` says whether so many are left.
+    /// Whether a server is to be ejected after this signal. Half of the servers stay, unless one cannot be reached or fails
+    /// while it is ejected; attempts sent before the ejection count for that too. `may_eject_more` is whether enough are left.
     pub(super) fn should_eject(
         &self,
         health: &ServerHealth,
--- a/crates/balancer/src/policy/selection.rs
+++ b/crates/balancer/src/policy/selection.rs
@@ -57,13 +57,12 @@
         eligible: Vec<&Server>,
         draws: Draws,
     ) -> Selection {
-        let healthy = self.healthy(request, eligible, draws);
+        let healthy = self.preferred_by_health(request, eligible, draws);
         let open: Vec<_> = healthy
             .iter()
             .copied()
             .filter(|s| self.admits(s, request, draws))
             .collect();
-        let is_crowded = open.is_empty();
         let candidates = self.least_crowded(open);
         if let Some(server) = self
             .join_up_to
@@ -79,13 +78,13 @@
             },
             None => Selection::Crowded {
                 unknown_load,
-                unexplored: is_crowded && healthy.iter().any(|s| self.is_unexplored(s)),
+                unexplored: healthy.iter().any(|s| self.is_unexplored(s)),
             },
         }
     }
 
     /// On trial, an ejected server that is due; else servers that are not ejected; else all.
-    fn healthy<'s>(
+    fn preferred_by_health<'s>(
         &self,
         request: &Request,
         eligible: Vec<&'s Server>,
@@ -101,12 +100,16 @@
                 return due;
             }
         }
-        let sound: Vec<_> = eligible
+        let not_ejected: Vec<_> = eligible
             .iter()
             .copied()
             .filter(|s| !s.health.is_ejected())
             .collect();
-        if sound.is_empty() { eligible } else { sound }
+        if not_ejected.is_empty() {
+            eligible
+        } else {
+            not_ejected
+        }
     }
 
     fn level(&self, server: &Server) -> usize {
--- a/crates/balancer/src/policy/send_gate.rs
+++ b/crates/balancer/src/policy/send_gate.rs
@@ -18,7 +18,8 @@
 const TIME_FOR_RETRY: u32 = 5;
 const TIME_FOR_RETRY_PARTS: u32 = 4;
 
-/// Why a request may not be sent to a server now.
+/// Why a request may not be sent to a server now. The selection has checked most of it before; of these only
+/// [`SendBlocked::NoAttemptsLeft`] is expected at the gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SendBlocked {
     /// It has its final answer, or its client is gone.
--- a/crates/balancer/src/policy/slow_start.rs
+++ b/crates/balancer/src/policy/slow_start.rs
@@ -1,9 +1,16 @@
 //! Slow start: how much a server may be sent while it warms up after a start.
 //!
-//! A warming server is sent a request only for a permit. The rule bounds what all nodes together may send it. All nodes'
-//! answers from a warm server add up to less than its capacity; so permits at a multiple of own answers from one warm
-//! server add up to less than that multiple of it, whatever part of the traffic each node has. Permits come at even times,
-//! the first one at random, and last for a short time: what hundreds of quiet nodes saved up could be spent at once.
+//! The overload rule ([`SafetyRules::overload_factor`]) bounds what all nodes together may send a warming server. Nodes do not
+//! know of each other, so each takes as its part:
+//!
+//! ```text
+//! permits per second = overload_factor * capacity * rate_of_warm * target_fraction
+//! ```
+//!
+//! `capacity` is the fraction of its capacity that the server has for certain, `rate_of_warm` what one warm server serves per
+//! second for this node. Over all nodes the latter adds up to less than one warm server's capacity, whatever part of the traffic
+//! each has. A request is sent only for a permit. Permits come at even times, the first one at random, and last for a
+//! short time, so that quiet nodes cannot save them up for a burst.
 
 use super::context::Context;
 use super::endpoint_table::EndpointTable;
@@ -14,9 +21,9 @@
 use crate::settings::SafetyRules;
 use std::time::Duration;
 
-/// Most of the rule's allowance that all nodes together aim at.
-const MAX_SPEND: f64 = 0.75;
-/// The aim lies this many standard deviations of its own below the rule's bound.
+/// All nodes together aim at no more than this fraction of what the overload rule allows.
+const MAX_TARGET_FRACTION: f64 = 0.75;
+/// The target lies this many of its own standard deviations below the rule's limit.
 const SAFETY_DEVIATIONS: f64 = 6.0;
 /// A permit lasts for this fraction of the time within which the server is judged.
 const PERMIT_LIFETIME: f64 = 0.5;
@@ -126,7 +133,7 @@
         subset_size: usize,
         random: &mut RandomSource,
     ) {
-        let near = table.in_ring_order(context.settings).take(2 * subset_size);
+        let near = table.near(context.settings, subset_size);
         let warming = near.filter(|s| s.is_warming(context));
         let warming: Vec<_> = warming
             .map(|s| (s.endpoint.id, s.capacity(context)))
@@ -142,7 +149,7 @@
         let sharing = nodes_per_server(context, table.ready_count(), subset_size);
         for (id, capacity) in warming {
             let bound = safety.overload_factor * capacity * rate_of_warm;
-            let rate = bound * spend(safety, sharing, bound);
+            let rate = bound * target_fraction(safety, sharing, bound);
             let random_part = random.unit();
             if let Some(server) = table.get_mut(id) {
                 server
@@ -193,19 +200,20 @@
     sharing.max(1.0)
 }
 
-/// The part of the rule's allowance that nodes aim at, where this node's own is `bound` requests per second.
+/// The fraction of what the overload rule allows that nodes aim at; `bound` is this node's part of it in requests per second.
 ///
-/// With N allowed in the judged time the rule puts 2 * sqrt(N) + 2 more down to chance. Nodes know nothing of each other's
-/// permits: where each has less than one in that time, their sum is a Poisson count with as much variance as mean; where
-/// each has more, it is off by one permit a node at the most. The aim lies [`SAFETY_DEVIATIONS`] below the bound by the
-/// better of the two.
-fn spend(safety: &SafetyRules, sharing: f64, bound: f64) -> f64 {
+/// With N allowed in the judged time the rule tolerates 2 * sqrt(N) + 2 more by chance. The target lies
+/// [`SAFETY_DEVIATIONS`] standard deviations below that limit, by the larger of two estimates of the deviation: where each node
+/// has less than one permit in the judged time, their sum is a Poisson count; where each has more, it is off by at most one
+/// permit a node.
+fn target_fraction(safety: &SafetyRules, sharing: f64, bound: f64) -> f64 {
     let allowed = bound * sharing * safety.overload_window.as_secs_f64();
     let limit = allowed + 2.0 * allowed.sqrt() + 2.0;
     let half = SAFETY_DEVIATIONS / 2.0;
-    let poisson_aim = ((limit + SAFETY_DEVIATIONS * SAFETY_DEVIATIONS / 4.0).sqrt() - half).powi(2);
-    let even_aim = limit - SAFETY_DEVIATIONS * (sharing / 2.0).sqrt();
-    (poisson_aim.max(even_aim) / allowed.max(1e-9)).min(MAX_SPEND)
+    let poisson_target =
+        ((limit + SAFETY_DEVIATIONS * SAFETY_DEVIATIONS / 4.0).sqrt() - half).powi(2);
+    let even_target = limit - SAFETY_DEVIATIONS * (sharing / 2.0).sqrt();
+    (poisson_target.max(even_target) / allowed.max(1e-9)).min(MAX_TARGET_FRACTION)
 }
 
 #[cfg(test)]
--- a/crates/balancer/src/policy/tests/slow_start.rs
+++ b/crates/balancer/src/policy/tests/slow_start.rs
@@ -1,4 +1,4 @@
-use super::{Permit, capacity, spend};
+use super::{Permit, capacity, target_fraction};
 use crate::endpoint::Endpoint;
 use crate::policy::context::Context;
 use crate::settings::{SafetyRules, Settings};
@@ -63,12 +63,12 @@
 }
 
 #[test]
-fn all_nodes_together_aim_below_the_rules_bound() {
+fn all_nodes_together_stay_below_the_rules_bound() {
     let safety = settings().safety;
     for sharing in [1.0, 3.0, 30.0, 300.0] {
         for allowed in [1.0, 10.0, 100.0, 1000.0] {
             let own = allowed / sharing / 2.0;
-            let aim = spend(&safety, sharing, own) * allowed;
+            let aim = target_fraction(&safety, sharing, own) * allowed;
             let bound = allowed + 2.0 * f64::sqrt(allowed) + 2.0;
             assert!(
                 aim > 0.0 && aim < bound,
--- a/crates/balancer/src/settings/model.rs
+++ b/crates/balancer/src/settings/model.rs
@@ -17,7 +17,7 @@
     pub tenants: Vec<Tenant>,
     /// Priority weight of a request over its tenant's quota, as a fraction of its class's.
     pub over_quota_weight: f64,
-    /// Whether priority weight counts per unit of work instead of per request.
+    /// Whether priority weight counts per unit of work instead of per request. No policy uses it.
     pub weight_by_work: bool,
     /// How servers report their load.
     pub reports: ReportSource,
@@ -53,7 +53,7 @@
     pub late_weight: f64,
     /// Whether a request may be retried once it may have run.
     pub idempotency: Idempotency,
-    /// Whether responses are streamed, so that [`crate::Event::ResponseStarted`] is reported.
+    /// Whether responses are streamed, so that [`crate::Event::ResponseStarted`] is reported. No policy uses it.
     pub streamed: bool,
 }
 
@@ -111,7 +111,7 @@
 pub struct Tenant {
     /// Requests per second within its quota, over all nodes.
     pub quota_per_s: f64,
-    /// Its fraction of the service objective.
+    /// Its fraction of the service objective. No policy uses it.
     pub share: f64,
 }
 
@@ -165,11 +165,11 @@
 pub struct Penalties {
     /// Cost of one health check per request.
     pub health_check: f64,
-    /// Cost of one attempt across zones per request.
+    /// Cost of one attempt across zones per request. No policy uses it.
     pub cross_zone: f64,
-    /// Cost of wasted work equal to all requested work.
+    /// Cost of wasted work equal to all requested work. No policy uses it.
     pub waste: f64,
-    /// Cost of all requests failing only after their latency objective.
+    /// Cost of all requests failing only after their latency objective. No policy uses it.
     pub late_failure: f64,
     /// Cost of a new connection per request and of 100 open connections per server, together.
     pub connections: f64,
@@ -180,11 +180,11 @@
 pub struct ObjectiveWeights {
     /// All requests.
     pub whole: f64,
-    /// The worst time window.
+    /// The worst time window. No policy uses it.
     pub worst_window: f64,
     /// The worst-served class.
     pub worst_class: f64,
-    /// The worst-served tenant, within its quota.
+    /// The worst-served tenant, within its quota. No policy uses it.
     pub worst_tenant: f64,
 }
 
--- a/crates/discovery/src/polled.rs
+++ b/crates/discovery/src/polled.rs
@@ -1,4 +1,5 @@
-//! Where the list is polled: the decision module orders polls and watches, and is told of each that fails.
+//! Where the list is polled: the decision module orders the watch, and is notified when it breaks. Single polls
+//! ([`DiscoveryCommand::Fetch`]) are part of the wire and never ordered today.
 
 use crate::address::AddressChanges;
 use crate::call::{LIST_PATH, get};
--- a/crates/fleet-settings/src/key.rs
+++ b/crates/fleet-settings/src/key.rs
@@ -22,13 +22,13 @@
     /// Whether hedged requests are allowed.
     #[serde(rename = "hedges")]
     Hedging,
-    /// Whether the backend of this identity is ejected, so that no node sends to it.
+    /// Whether the backend of this identity is ejected. Versions may hold it; no node acts on it yet.
     #[serde(rename = "out")]
     EjectedBackend(String),
-    /// Whether calls of this tenant are rejected.
+    /// Whether calls of this tenant are rejected. Versions may hold it; no node acts on it yet.
     #[serde(rename = "away")]
     RejectedTenant(String),
-    /// The zones in the order in which calls may fail over to them.
+    /// The zones in the order in which calls may fail over to them. Versions may hold it; no node acts on it yet.
     #[serde(rename = "zones")]
     ZoneOrder,
 }
--- a/crates/forwarding/src/call.rs
+++ b/crates/forwarding/src/call.rs
@@ -113,7 +113,7 @@
     }
 }
 
-/// The number under which the decision module knows a key: the same at every node.
+/// The number under which the decision module knows a key. No policy uses it.
 pub fn key_hash(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| {
         let mut hasher = DefaultHasher::new();
--- a/crates/forwarding/src/limits.rs
+++ b/crates/forwarding/src/limits.rs
@@ -10,7 +10,7 @@
 pub const MAX_BUFFERED_RESPONSE_BYTES: usize = 64 * 1024;
 
 /// A request body of at most so many bytes is read completely before it is forwarded, and kept, so that it can be
-/// sent again.
+/// sent again, while memory allows.
 pub const MAX_REPLAYABLE_BODY_BYTES: usize = 256 * 1024;
 
 /// The read buffer of a connection, in bytes. No HTTP head may be longer; hyper allows no smaller buffer.
--- a/crates/forwarding/src/node/events.rs
+++ b/crates/forwarding/src/node/events.rs
@@ -255,6 +255,7 @@
             id.0
         ));
         request.respond(&self.counters, FinalResponse::TimedOut);
+        // The decision module is done with the request, as if its client had left.
         self.handle_event(Event::ClientGone { id });
         self.remove_if_done(id);
     }
--- a/crates/forwarding/src/response.rs
+++ b/crates/forwarding/src/response.rs
@@ -17,7 +17,7 @@
         /// What follows `first`.
         rest: Box<dyn BodyStream>,
     },
-    /// Rejected. Retrying is harmless: the request never ran, or its class is idempotent.
+    /// Rejected: a retry is safe, as the balancer decides it.
     Rejected {
         /// Retry after this time, where the settings allow to say so.
         retry_after: Option<Duration>,
--- a/crates/http1/src/read_ahead.rs
+++ b/crates/http1/src/read_ahead.rs
@@ -5,7 +5,9 @@
 use crate::head_scanner::HeadScanner;
 use crate::hyper_io::{READ_CHUNK_BYTES, StreamObserver, with_read_chunk};
 use bytes::{Buf, BytesMut};
-use sillward_forwarding::{MemoryBudget, MemoryReservation};
+use sillward_forwarding::{
+    MAX_BUFFERED_RESPONSE_BYTES, MemoryBudget, MemoryReservation, READ_BUFFER_BYTES,
+};
 use sillward_listener::ClientConnection;
 use sillward_runtime::Stream;
 use std::cell::RefCell;
@@ -13,7 +15,7 @@
 use std::task::{Context, Poll};
 
 /// The most that is read ahead on a connection: the longest body that is buffered, and its head.
-const MAX_READ_AHEAD_BYTES: usize = 72 * 1024;
+const MAX_READ_AHEAD_BYTES: usize = MAX_BUFFERED_RESPONSE_BYTES + READ_BUFFER_BYTES;
 
 /// Bytes that were read before hyper asked for them.
 pub(crate) struct ReadAhead {
--- a/crates/listener/src/lifecycle.rs
+++ b/crates/listener/src/lifecycle.rs
@@ -7,7 +7,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long connections are accepted after SIGTERM. The platform sends new ones for up to 0.4 s.
+/// How long the platform may still send new connections after SIGTERM, or after the node reports that it is out of
+/// service: up to 0.4 s. Where processes replace each other, the newer one accepts them.
 pub(crate) const ACCEPT_PERIOD: Duration = Duration::from_millis(450);
 /// How long the connections accepted last then have to send their request before idle connections are closed.
 pub(crate) const LAST_REQUEST_PERIOD: Duration = Duration::from_millis(100);
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -10,7 +10,7 @@
 pub enum RequestOutcome {
     /// Served.
     Served,
-    /// Rejected without having run: a retry is harmless.
+    /// Rejected: a retry is safe.
     Rejected,
     /// Failed: it may have run.
     Failed,
