--- a/crates/listener/src/connection.rs
+++ b/crates/listener/src/connection.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 
 /// How long a client may take from its connection, or from the first byte of a later request, to the end of the request's
-/// head, or to its last byte where a protocol reads requests whole. The platform allows clients 2 s; the margin is small,
+/// head, or to its last byte where a protocol reads requests completely. The platform allows clients 2 s; the margin is small,
 /// since clients that send nothing occupy the node for so long.
 pub const READ_TIMEOUT: Duration = Duration::from_millis(2050);
 /// How long a connection stays open after its close was requested, if no request is open on it.
