--- a/crates/app/src/agreement.rs
+++ b/crates/app/src/agreement.rs
@@ -1,7 +1,7 @@
 //! The settings on which the fleet agrees, laid over those of this node's own file.
 
 use hyper::{Method, StatusCode};
-use sillward_admin::{Posted, Reply, Route};
+use sillward_admin::{PostRoute, Reply, Route};
 use sillward_balancer::Idempotency;
 use sillward_balancer::settings::PlatformSettings;
 use sillward_consensus::Timing;
@@ -218,10 +218,10 @@
 }
 
 /// Takes changes in. What is answered is that one is under way; what came of it is on the page.
-pub fn proposals(council: &Rc<ConsensusService>, live: &Rc<LiveSettings>) -> Posted {
+pub fn proposals(council: &Rc<ConsensusService>, live: &Rc<LiveSettings>) -> PostRoute {
     let (council, live) = (council.clone(), live.clone());
     let answer = move |body: &[u8]| {
-        let bad = |what: String| Reply::no(StatusCode::BAD_REQUEST, what);
+        let bad = |what: String| Reply::error(StatusCode::BAD_REQUEST, what);
         let change: Change = match serde_json::from_slice(body) {
             Ok(change) => change,
             Err(e) => return bad(format!("no change: {e}\n")),
@@ -235,7 +235,7 @@
             return bad(format!("{}\n", clashes.join("\n")));
         }
         if change.check {
-            return Reply::yes("good\n");
+            return Reply::ok("good\n");
         }
         let Change {
             base,
@@ -257,11 +257,11 @@
             },
             despite,
         ) {
-            Ok(()) => Reply::yes("under way\n"),
-            Err(what) => Reply::no(StatusCode::CONFLICT, format!("{what}\n")),
+            Ok(()) => Reply::ok("under way\n"),
+            Err(what) => Reply::error(StatusCode::CONFLICT, format!("{what}\n")),
         }
     };
-    Posted {
+    PostRoute {
         path: "/admin/settings",
         answer: Box::new(answer),
     }
--- a/crates/app/src/control.rs
+++ b/crates/app/src/control.rs
@@ -1,7 +1,7 @@
 //! The platform's calls for operators.
 
 use hyper::{Method, StatusCode};
-use sillward_admin::{Answering, Reply, Route};
+use sillward_admin::{ReplyFuture, Reply, Route};
 use sillward_forwarding::Message;
 use sillward_lifecycle::{Event, EventOutcome};
 use sillward_listener::SharedLifecycle;
@@ -20,16 +20,16 @@
         let lifecycle = lifecycle.clone();
         Route::new(Method::GET, "/control/ready", move || {
             match lifecycle.can_serve() {
-                true => Reply::yes("ready\n"),
-                false => Reply::no(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+                true => Reply::ok("ready\n"),
+                false => Reply::error(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             }
         })
     };
     let figures = {
         let (counters, node) = (counters.clone(), node.clone());
-        let answer = move || -> Answering {
+        let answer = move || -> ReplyFuture {
             let (counters, node) = (counters.clone(), node.clone());
-            Box::pin(async move { Reply::yes(counters.render(view(&node).await)) })
+            Box::pin(async move { Reply::ok(counters.render(view(&node).await)) })
         };
         Route {
             method: Method::GET,
@@ -59,10 +59,10 @@
     Route::new(Method::POST, path, move || match lifecycle.handle(event) {
         EventOutcome::Applied => {
             log(format_args!("an operator called {path}"));
-            Reply::yes("done\n")
+            Reply::ok("done\n")
         }
         EventOutcome::RejectedShuttingDown => {
-            Reply::no(StatusCode::CONFLICT, "the node is leaving\n")
+            Reply::error(StatusCode::CONFLICT, "the node is leaving\n")
         }
     })
 }
--- a/crates/app/src/fronts.rs
+++ b/crates/app/src/fronts.rs
@@ -3,7 +3,7 @@
 use crate::hot_restart::{HotRestart, ResourceUsers};
 use crate::{agreement, control, outcomes, pages};
 use hyper::Method;
-use sillward_admin::{Admin, Posted, Reply, Route};
+use sillward_admin::{AdminServer, PostRoute, Reply, Route};
 use sillward_consensus_io::ConsensusService;
 use sillward_endpoints::MergedEndpoints;
 use sillward_forwarding::{LiveSettings, MemoryBudget, Message, NodeHandle};
@@ -182,7 +182,7 @@
             all.extend(told.iter().map(outcomes::page));
             all
         };
-        let posts = || -> Vec<Posted> {
+        let posts = || -> Vec<PostRoute> {
             council
                 .iter()
                 .map(|council| agreement::proposals(council, &self.live))
@@ -198,12 +198,12 @@
                     .into_iter()
                     .flatten(),
             );
-            spawn_local(Admin::new(routes, posts()).run(listener));
+            spawn_local(AdminServer::new(routes, posts()).run(listener));
         }
         if let Some(address) = operator.filter(|address| platform != Some(*address)) {
             let listener = bind(address).await?;
             self.said(&listener, "operators")?;
-            spawn_local(Admin::new(pages(), posts()).run(listener));
+            spawn_local(AdminServer::new(pages(), posts()).run(listener));
         }
         Ok(())
     }
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,7 +1,6 @@
-//! The log: lines for the operators, on standard error. A thread of its own writes them, since nobody reading
-//! the log, or reading it slowly, is no reason to stop serving: what it can't take in time is left out.
+//! Log lines for the operators, on standard error. A thread of its own writes them: a reader that is slow or stops must not
+//! stop the node. What it cannot take in time is dropped.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 use sillward_runtime::time::Instant;
 use sillward_runtime::world;
@@ -9,87 +8,104 @@
 use std::fmt::Display;
 use std::io::{self, Write};
 use std::sync::OnceLock;
-use std::sync::mpsc::{SyncSender, sync_channel};
+use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::time::Duration;
 
 /// Lines that may wait to be written.
-const WAITING: usize = 256;
-/// The most lines a second about what peers do: they could fill any disk.
-const PEER_LINES_A_SECOND: u32 = 10;
-/// How long the end of the program waits for the last lines.
-const LAST_LINES: Duration = Duration::from_millis(200);
+const QUEUE_LENGTH: usize = 256;
+/// Most lines a second about what peers do: they could fill any disk.
+const PEER_LINES_PER_SECOND: u32 = 10;
+/// How long [`flush`] waits.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+/// The stack of the writing thread, in bytes.
+const STACK_BYTES: usize = 64 * 1024;
 
 enum Entry {
     Line(String),
-    /// Answered when all before it has been written.
+    /// Answered when everything before it has been written.
     Flush(SyncSender<()>),
 }
 
-static WRITER: OnceLock<Option<SyncSender<Entry>>> = OnceLock::new();
+/// The queue of the writing thread; `None` if that could not be started.
+static QUEUE: OnceLock<Option<SyncSender<Entry>>> = OnceLock::new();
 
-fn writer() -> Option<&'static SyncSender<Entry>> {
-    let start = || {
-        let (entries, inbox) = sync_channel(WAITING);
-        let write = move || {
-            for entry in inbox {
-                match entry {
-                    Entry::Line(line) => drop(writeln!(io::stderr().lock(), "sillward: {line}")),
-                    Entry::Flush(done) => drop(done.send(())),
-                }
-            }
-        };
-        std::thread::Builder::new()
-            .stack_size(64 * 1024)
-            .spawn(write)
-            .ok()
-            .map(|_| entries)
-    };
-    WRITER.get_or_init(start).as_ref()
+fn queue() -> Option<&'static SyncSender<Entry>> {
+    QUEUE.get_or_init(start_writer).as_ref()
+}
+
+fn start_writer() -> Option<SyncSender<Entry>> {
+    let (sender, receiver) = sync_channel(QUEUE_LENGTH);
+    let thread = std::thread::Builder::new().stack_size(STACK_BYTES);
+    thread.spawn(move || write_entries(receiver)).ok()?;
+    Some(sender)
+}
+
+fn write_entries(entries: Receiver<Entry>) {
+    for entry in entries {
+        match entry {
+            Entry::Line(line) => drop(writeln!(io::stderr().lock(), "sillward: {line}")),
+            Entry::Flush(done) => drop(done.send(())),
+        }
+    }
 }
 
-/// A line about this node.
+/// Logs a line about this node.
 pub fn log(text: impl Display) {
     if let Some(world) = world::current() {
         return world.log_line(&text.to_string());
     }
-    if let Some(writer) = writer() {
-        let _ = writer.try_send(Entry::Line(text.to_string()));
+    if let Some(queue) = queue() {
+        let _ = queue.try_send(Entry::Line(text.to_string()));
     }
 }
 
-/// A line about something that peers can bring about as often as they like.
+/// Lines of the current second.
+#[derive(Clone, Copy)]
+struct PeerLines {
+    second_began: Option<Instant>,
+    logged: u32,
+    /// Lines dropped since the last one that was logged.
+    dropped: u64,
+}
+
+/// Logs a line about something that peers can cause as often as they like: ten a second, with the number of dropped ones.
 pub fn log_peer(text: impl Display) {
     thread_local! {
-        /// The second that is counted, its lines so far, and how many were left out since the last line.
-        static COUNT: Cell<(Option<Instant>, u32, u64)> = const { Cell::new((None, 0, 0)) };
+        static LINES: Cell<PeerLines> = const {
+            Cell::new(PeerLines { second_began: None, logged: 0, dropped: 0 })
+        };
     }
     if world::current().is_some() {
-        return log(text); // a world of its own keeps all, and its time is not this thread's
+        return log(text); // a simulation keeps all lines, and its time is not this thread's
     }
-    let (since, lines, left_out) = COUNT.get();
+    let mut lines = LINES.get();
     let now = Instant::now();
-    let fresh = since.is_none_or(|since| now - since >= Duration::from_secs(1));
-    let (since, lines) = if fresh {
-        (Some(now), 0)
-    } else {
-        (since, lines)
-    };
-    if lines >= PEER_LINES_A_SECOND {
-        return COUNT.set((since, lines, left_out + 1));
+    let second_is_over = lines
+        .second_began
+        .is_none_or(|began| now - began >= Duration::from_secs(1));
+    if second_is_over {
+        lines.second_began = Some(now);
+        lines.logged = 0;
+    }
+    if lines.logged >= PEER_LINES_PER_SECOND {
+        lines.dropped += 1;
+        return LINES.set(lines);
     }
-    COUNT.set((since, lines + 1, 0));
-    match left_out {
+    let dropped = std::mem::take(&mut lines.dropped);
+    lines.logged += 1;
+    LINES.set(lines);
+    match dropped {
         0 => log(text),
-        some => log(format_args!(
-            "{text} ({some} lines about peers were left out before this one)"
+        count => log(format_args!(
+            "{text} ({count} lines about peers were left out before this one)"
         )),
     }
 }
 
-/// Waits for the last lines, but not for a reader that has stopped.
+/// Waits until the lines so far are written, or for a reader that has stopped no longer than 200 ms.
 pub fn flush() {
     let (done, written) = sync_channel(1);
-    if writer().is_some_and(|writer| writer.try_send(Entry::Flush(done)).is_ok()) {
-        let _ = written.recv_timeout(LAST_LINES);
+    if queue().is_some_and(|queue| queue.try_send(Entry::Flush(done)).is_ok()) {
+        let _ = written.recv_timeout(FLUSH_TIMEOUT);
     }
 }
