--- a/crates/app/src/hot_restart.rs
+++ b/crates/app/src/hot_restart.rs
@@ -145,7 +145,7 @@
     /// Another build, perhaps: the older process runs, and no more is known.
     fn on_unreadable_report(&mut self) {
         log_peer(
-            "an older process of this node sends what cannot be read: it is taken to use half",
+            "an older process of this node sends an unreadable report: it is taken to use half",
         );
         self.assume_half();
     }
