--- a/crates/app/src/control.rs
+++ b/crates/app/src/control.rs
@@ -1,7 +1,7 @@
 //! The platform's calls for operators.
 
 use hyper::{Method, StatusCode};
-use sillward_admin::{ReplyFuture, Reply, Route};
+use sillward_admin::{Reply, ReplyFuture, Route};
 use sillward_forwarding::Message;
 use sillward_lifecycle::{Event, EventOutcome};
 use sillward_listener::SharedLifecycle;
