--- a/crates/app/src/fronts.rs
+++ b/crates/app/src/fronts.rs
@@ -97,7 +97,7 @@
         let shared = self.config.listen_fd.is_some();
         if shared {
             // Another process takes from the same queue, and can serve what this one would keep waiting.
-            self.lifecycle.wait_until_it_can_serve().await;
+            self.lifecycle.wait_until_serving_or_draining().await;
         }
         let ownership = if shared {
             ListenerOwnership::Shared
--- a/crates/app/src/lib.rs
+++ b/crates/app/src/lib.rs
@@ -15,8 +15,8 @@
 use sillward_balancer::settings::PlatformSettings;
 use sillward_consensus_io::ConsensusService;
 use sillward_forwarding::{
-    BackendProtocol, Dispatch, LiveSettings, LoadReportParser, MemoryBudget, Message, Node,
-    NodeGauges, NodeHandle, SettingsLease,
+    BackendProtocol, LiveSettings, LoadReportParser, MemoryBudget, Message, Node, NodeGauges,
+    NodeHandle, ProtocolDispatcher, SettingsLease,
 };
 use sillward_listener::{ConnectionManager, SharedLifecycle};
 use sillward_logging::log;
@@ -348,7 +348,7 @@
             sillward_thrift::Backend::new(pool, kind, budget, reports.clone(), counters.clone());
         (place, backends)
     });
-    Rc::new(Dispatch::new(http, others.collect()))
+    Rc::new(ProtocolDispatcher::new(http, others.collect()))
 }
 
 /// Reads the configuration again, and lays what is agreed on over its settings. Settings and discovery's address can change in a
--- a/crates/forwarding/src/call.rs
+++ b/crates/forwarding/src/call.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Returns whether the client is still connected.
-pub type ClientCheck = Rc<dyn Fn() -> bool>;
+pub type ClientConnectedCheck = Rc<dyn Fn() -> bool>;
 
 /// Returns whether a body is a response to the call.
 pub type ResponseValidator = Rc<dyn Fn(&[u8]) -> bool>;
@@ -36,7 +36,7 @@
     /// Whether the client waits for a response. If not, the call gets no further attempt once it may have run.
     pub expects_response: bool,
     /// Checks whether the client is still connected, where that can be checked.
-    pub client_check: Option<ClientCheck>,
+    pub client_connected_check: Option<ClientConnectedCheck>,
     /// When the client stops waiting; while the body is being received, when all of it must have been received.
     pub deadline: Cell<Duration>,
     /// How long backends remember an idempotency key, from the first byte of the first attempt.
@@ -107,7 +107,7 @@
 
     /// Whether the client has left, even if the node has not been notified yet.
     fn has_client_left(&self) -> bool {
-        self.client_check
+        self.client_connected_check
             .as_ref()
             .is_some_and(|is_connected| !is_connected())
     }
--- a/crates/forwarding/src/health_check.rs
+++ b/crates/forwarding/src/health_check.rs
@@ -4,16 +4,16 @@
 use std::time::Duration;
 
 /// A backend's reply to a health check.
-pub struct HealthCheckReply {
+pub struct HealthCheckResponse {
     /// How the check ended.
     pub outcome: Outcome,
     /// The load that the backend reported, if it did.
     pub report: Option<LoadReport>,
 }
 
-impl From<Outcome> for HealthCheckReply {
+impl From<Outcome> for HealthCheckResponse {
     fn from(outcome: Outcome) -> Self {
-        HealthCheckReply {
+        HealthCheckResponse {
             outcome,
             report: None,
         }
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -10,7 +10,6 @@
 mod backend_update;
 mod body;
 mod call;
-mod dispatch;
 mod health_check;
 mod limits;
 mod live_settings;
@@ -22,15 +21,15 @@
 mod observer;
 mod payload;
 mod protocol;
+mod protocol_dispatcher;
 mod response;
 mod settings_lease;
 
 pub use attempt::{Attempt, AttemptResult, Exchange, StopReason, run_attempt};
 pub use backend_update::{Backend, BackendUpdate, DiscoveryCommand};
 pub use body::{BodyReceiver, BodySender, BodyStream, IncompleteBody, StreamingBody};
-pub use call::{Call, CallProgress, ClientCheck, ResponseValidator, key_hash};
-pub use dispatch::Dispatch;
-pub use health_check::{HealthCheckReply, HealthCheckResult};
+pub use call::{Call, CallProgress, ClientConnectedCheck, ResponseValidator, key_hash};
+pub use health_check::{HealthCheckResponse, HealthCheckResult};
 pub use limits::{
     HEALTH_CHECK_TIMEOUT, MAX_BODY_BYTES, MAX_BUFFERED_RESPONSE_BYTES, MAX_REPLAYABLE_BODY_BYTES,
     READ_BUFFER_BYTES,
@@ -44,5 +43,6 @@
 pub use observer::{AttemptTimes, NodeObserver};
 pub use payload::{Payload, PayloadFormat};
 pub use protocol::{BackendProtocol, LocalBoxFuture};
+pub use protocol_dispatcher::ProtocolDispatcher;
 pub use response::{FinalResponse, ResponseStarted};
 pub use settings_lease::SettingsLease;
--- a/crates/forwarding/src/message.rs
+++ b/crates/forwarding/src/message.rs
@@ -13,7 +13,7 @@
     /// A front end has accepted a request.
     Request(Box<AcceptedRequest>),
     /// A client has left before its final response.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// The last byte of a streamed request body was received at that time.
     BodyReceived(RequestId, Duration),
     /// The first bytes of a streamed response are available.
--- a/crates/forwarding/src/node.rs
+++ b/crates/forwarding/src/node.rs
@@ -4,14 +4,14 @@
 //! itself. The request table alone gives final responses, and gives each request exactly one.
 
 mod actions;
+mod active_settings;
 mod events;
 mod pending_request;
-mod settings_in_force;
 mod timers;
 
 use crate::{BackendProtocol, DiscoveryCommand, Message, NodeObserver, SettingsLease};
+use active_settings::ActiveSettings;
 use pending_request::PendingRequest;
-use settings_in_force::SettingsInForce;
 use sillward_balancer::{Balancer, Event, RequestId, Settings};
 use sillward_metrics::Counters;
 use sillward_runtime::Clock;
@@ -50,7 +50,7 @@
     gauges: Rc<NodeGauges>,
     counters: Rc<Counters>,
     observer: Option<Rc<dyn NodeObserver>>,
-    settings_in_force: SettingsInForce,
+    active_settings: ActiveSettings,
 }
 
 impl Node {
@@ -78,14 +78,14 @@
             gauges: Rc::default(),
             counters,
             observer: None,
-            settings_in_force: SettingsInForce::without_lease(),
+            active_settings: ActiveSettings::without_lease(),
         }
     }
 
     /// With a lease on all settings but those of the start, which must be the lease's fallback.
     pub fn with_settings_lease(self, lease: Option<Rc<SettingsLease>>) -> Self {
         Node {
-            settings_in_force: SettingsInForce::new(lease),
+            active_settings: ActiveSettings::new(lease),
             ..self
         }
     }
--- a/crates/forwarding/src/node/actions.rs
+++ b/crates/forwarding/src/node/actions.rs
@@ -4,8 +4,8 @@
 use super::pending_request::AttemptSlot;
 use super::timers::TimerKind;
 use crate::{
-    Attempt, AttemptResult, DiscoveryCommand, FinalResponse, HealthCheckReply, HealthCheckResult,
-    LocalBoxFuture, Message, ResponseStarted, StopReason,
+    Attempt, AttemptResult, DiscoveryCommand, FinalResponse, HealthCheckResponse,
+    HealthCheckResult, LocalBoxFuture, Message, ResponseStarted, StopReason,
 };
 use sillward_balancer::{Action, AttemptEnd, Event, Outcome, RequestId, ServerId};
 use sillward_logging::log;
@@ -124,9 +124,9 @@
         if let Some(observer) = &self.observer {
             observer.health_check_started(sent_at, server);
         }
-        let reply = self.backends.clone().health_check(server);
+        let response = self.backends.clone().health_check(server);
         spawn_local(async move {
-            let HealthCheckReply { outcome, report } = reply.await;
+            let HealthCheckResponse { outcome, report } = response.await;
             let result = HealthCheckResult {
                 server,
                 outcome,
--- a/crates/forwarding/src/node/settings_in_force.rs
+++ b/crates/forwarding/src/node/active_settings.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Which settings the node acts on.
-pub(super) enum SettingsInForce {
+pub(super) enum ActiveSettings {
     /// The last ones received; there is no lease.
     Latest,
     /// Those of this generation, while the lease is valid.
@@ -18,16 +18,16 @@
     Fallback { lease: Rc<SettingsLease> },
 }
 
-impl SettingsInForce {
+impl ActiveSettings {
     pub(super) fn without_lease() -> Self {
-        SettingsInForce::Latest
+        ActiveSettings::Latest
     }
 
     /// Begins with the fallback settings, if there is a lease.
     pub(super) fn new(lease: Option<Rc<SettingsLease>>) -> Self {
         match lease {
-            Some(lease) => SettingsInForce::Fallback { lease },
-            None => SettingsInForce::Latest,
+            Some(lease) => ActiveSettings::Fallback { lease },
+            None => ActiveSettings::Latest,
         }
     }
 
@@ -35,20 +35,20 @@
     /// changes: the next ones are on their way.
     pub(super) fn accept(&mut self, generation: u64, now: Duration) -> bool {
         let lease = match self {
-            SettingsInForce::Latest => return true,
-            SettingsInForce::Leased { lease, .. } | SettingsInForce::Fallback { lease } => lease,
+            ActiveSettings::Latest => return true,
+            ActiveSettings::Leased { lease, .. } | ActiveSettings::Fallback { lease } => lease,
         };
         if !lease.is_valid(generation, now) {
             return false;
         }
         let lease = lease.clone();
-        *self = SettingsInForce::Leased { lease, generation };
+        *self = ActiveSettings::Leased { lease, generation };
         true
     }
 
     /// Changes to the fallback settings when the lease has expired, and returns them at that moment.
     pub(super) fn expire(&mut self, now: Duration) -> Option<Rc<PlatformSettings>> {
-        let SettingsInForce::Leased { lease, generation } = self else {
+        let ActiveSettings::Leased { lease, generation } = self else {
             return None;
         };
         if lease.is_valid(*generation, now) {
@@ -56,7 +56,7 @@
         }
         let lease = lease.clone();
         let fallback = lease.fallback();
-        *self = SettingsInForce::Fallback { lease };
+        *self = ActiveSettings::Fallback { lease };
         fallback
     }
 }
--- a/crates/forwarding/src/node/events.rs
+++ b/crates/forwarding/src/node/events.rs
@@ -18,7 +18,7 @@
     pub(super) fn on_message(&mut self, message: Message) {
         match message {
             Message::Request(accepted) => self.on_request(*accepted),
-            Message::ClientGone(id) => self.on_client_gone(id),
+            Message::ClientDisconnected(id) => self.on_client_gone(id),
             Message::BodyReceived(id, received_at) => self.on_body_received(id, received_at),
             Message::ResponseStarted(started) => self.on_response_started(started),
             Message::AttemptEnded(result) => self.on_attempt_ended(result),
@@ -49,7 +49,7 @@
 
     /// Changes to the fallback settings when the lease on the others has expired. Called before anything is decided.
     pub(super) fn check_settings_lease(&mut self) {
-        if let Some(fallback) = self.settings_in_force.expire(self.clock.now()) {
+        if let Some(fallback) = self.active_settings.expire(self.clock.now()) {
             self.apply_settings(&fallback);
         }
     }
@@ -63,7 +63,7 @@
     }
 
     fn on_settings(&mut self, settings: &PlatformSettings, generation: u64) {
-        if self.settings_in_force.accept(generation, self.clock.now()) {
+        if self.active_settings.accept(generation, self.clock.now()) {
             self.apply_settings(settings);
         }
     }
@@ -80,7 +80,7 @@
             mut request,
             received_at,
             call,
-            reply,
+            response_sender,
         } = accepted;
         let id = request.id;
         let deadline = call.deadline.get();
@@ -93,7 +93,7 @@
         if let Some(observer) = &self.observer {
             observer.request_accepted(self.clock.now(), request.class, request.client_retry);
         }
-        let pending = PendingRequest::new(call, received_at, reply, in_progress);
+        let pending = PendingRequest::new(call, received_at, response_sender, in_progress);
         self.requests.insert(id, pending);
         self.set_request_deadline(id, deadline);
         self.handle_event(Event::Request(request));
--- a/crates/forwarding/src/node/pending_request.rs
+++ b/crates/forwarding/src/node/pending_request.rs
@@ -25,7 +25,7 @@
 enum ResponseState {
     /// It is owed to the client.
     Owed {
-        reply: oneshot::Sender<FinalResponse>,
+        response_sender: oneshot::Sender<FinalResponse>,
         in_progress: InProgressGuard,
     },
     /// The client is receiving the response of an attempt.
@@ -58,7 +58,7 @@
     pub(super) fn new(
         call: Call,
         received_at: Duration,
-        reply: oneshot::Sender<FinalResponse>,
+        response_sender: oneshot::Sender<FinalResponse>,
         in_progress: InProgressGuard,
     ) -> Self {
         PendingRequest {
@@ -67,7 +67,10 @@
             body_received_at: None,
             attempts: Vec::new(),
             timers: Vec::new(),
-            response: ResponseState::Owed { reply, in_progress },
+            response: ResponseState::Owed {
+                response_sender,
+                in_progress,
+            },
         }
     }
 
@@ -90,14 +93,14 @@
             FinalResponse::Failed | FinalResponse::TimedOut => Some(RequestOutcome::Failed),
         };
         self.call.progress.finished.set(true);
-        let Some((reply, in_progress)) = self.take_owed() else {
+        let Some((response_sender, in_progress)) = self.take_owed() else {
             return;
         };
         drop(in_progress);
         if let Some(outcome) = outcome {
             counters.request_ended(self.call.class, outcome);
         }
-        let _ = reply.send(response); // fails only if the client has just left
+        let _ = response_sender.send(response); // fails only if the client has just left
     }
 
     /// Gives the beginning of a streamed response; false if a final response has been given. How the response ends
@@ -109,7 +112,7 @@
         response: FinalResponse,
     ) -> bool {
         self.call.progress.finished.set(true);
-        let Some((reply, in_progress)) = self.take_owed() else {
+        let Some((response_sender, in_progress)) = self.take_owed() else {
             return false;
         };
         self.response = ResponseState::Streaming {
@@ -117,7 +120,7 @@
             began_at: now,
             _in_progress: in_progress,
         };
-        let _ = reply.send(response); // fails only if the client has just left
+        let _ = response_sender.send(response); // fails only if the client has just left
         true
     }
 
@@ -167,7 +170,10 @@
             return None;
         }
         match std::mem::replace(&mut self.response, ResponseState::Done) {
-            ResponseState::Owed { reply, in_progress } => Some((reply, in_progress)),
+            ResponseState::Owed {
+                response_sender,
+                in_progress,
+            } => Some((response_sender, in_progress)),
             ResponseState::Streaming { .. } | ResponseState::Done => None,
         }
     }
--- a/crates/forwarding/src/node_handle.rs
+++ b/crates/forwarding/src/node_handle.rs
@@ -17,7 +17,7 @@
     /// What is sent to backends.
     pub call: Call,
     /// Where the final response goes.
-    pub reply: oneshot::Sender<FinalResponse>,
+    pub response_sender: oneshot::Sender<FinalResponse>,
 }
 
 /// A handle to the node's event loop, for front ends. Clones share the request numbers.
@@ -67,7 +67,7 @@
     ) -> Option<FinalResponse> {
         let id = self.next_id();
         request.id = id;
-        let (reply, response) = oneshot::channel();
+        let (response_sender, response) = oneshot::channel();
         // Dropping can't wait for space in the queue, so the permit is reserved before the request is sent.
         let permit = self.messages.clone().reserve_owned().await.ok()?;
         let mut notification = DisconnectNotification {
@@ -78,7 +78,7 @@
             request,
             received_at,
             call,
-            reply,
+            response_sender,
         });
         self.messages.send(Message::Request(accepted)).await.ok()?;
         let mut response = std::pin::pin!(response);
@@ -119,7 +119,7 @@
 impl Drop for DisconnectNotification {
     fn drop(&mut self) {
         if let Some(permit) = self.permit.take() {
-            permit.send(Message::ClientGone(self.id));
+            permit.send(Message::ClientDisconnected(self.id));
         }
     }
 }
--- a/crates/forwarding/src/protocol.rs
+++ b/crates/forwarding/src/protocol.rs
@@ -1,6 +1,6 @@
 //! What a back-end protocol does for the node.
 
-use crate::{Attempt, AttemptResult, BackendUpdate, HealthCheckReply, StopReason};
+use crate::{Attempt, AttemptResult, BackendUpdate, HealthCheckResponse, StopReason};
 use sillward_balancer::ServerId;
 use sillward_balancer::settings::PlatformSettings;
 use std::pin::Pin;
@@ -23,7 +23,7 @@
     ) -> LocalBoxFuture<AttemptResult>;
 
     /// Checks a backend's health, and asks for its load, within [`crate::HEALTH_CHECK_TIMEOUT`].
-    fn health_check(self: Rc<Self>, server: ServerId) -> LocalBoxFuture<HealthCheckReply>;
+    fn health_check(self: Rc<Self>, server: ServerId) -> LocalBoxFuture<HealthCheckResponse>;
 
     /// Called when the endpoint list has changed, with the addresses and states of the backends.
     fn update_backends(&self, update: &BackendUpdate, now: Duration);
--- a/crates/forwarding/src/dispatch.rs
+++ b/crates/forwarding/src/protocol_dispatcher.rs
@@ -1,7 +1,7 @@
 //! Several back-end protocols at once: the machine type of a backend says which one it speaks.
 
 use crate::{
-    Attempt, AttemptResult, Backend, BackendProtocol, BackendUpdate, HealthCheckReply,
+    Attempt, AttemptResult, Backend, BackendProtocol, BackendUpdate, HealthCheckResponse,
     LocalBoxFuture, StopReason,
 };
 use sillward_balancer::settings::PlatformSettings;
@@ -12,20 +12,20 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// The position of a protocol in [`Dispatch::protocols`].
+/// The position of a protocol in [`ProtocolDispatcher::protocols`].
 type ProtocolIndex = usize;
 
 /// The protocol of machine types that are not named.
 const DEFAULT_PROTOCOL: ProtocolIndex = 0;
 
 /// Passes attempts and endpoint updates on to the protocol of the backend's machine type.
-pub struct Dispatch {
+pub struct ProtocolDispatcher {
     protocols: Vec<Rc<dyn BackendProtocol>>,
     by_machine_type: BTreeMap<u8, ProtocolIndex>,
     by_server: RefCell<BTreeMap<ServerId, ProtocolIndex>>,
 }
 
-impl Dispatch {
+impl ProtocolDispatcher {
     /// `default` is for all machine types that `others` don't name.
     pub fn new(
         default: Rc<dyn BackendProtocol>,
@@ -37,7 +37,7 @@
             by_machine_type.insert(machine_type, protocols.len());
             protocols.push(protocol);
         }
-        Dispatch {
+        ProtocolDispatcher {
             protocols,
             by_machine_type,
             by_server: RefCell::default(),
@@ -88,7 +88,7 @@
     removed
 }
 
-impl BackendProtocol for Dispatch {
+impl BackendProtocol for ProtocolDispatcher {
     fn attempt(
         self: Rc<Self>,
         attempt: Attempt,
@@ -97,7 +97,7 @@
         self.protocol_of(attempt.server).attempt(attempt, stopped)
     }
 
-    fn health_check(self: Rc<Self>, server: ServerId) -> LocalBoxFuture<HealthCheckReply> {
+    fn health_check(self: Rc<Self>, server: ServerId) -> LocalBoxFuture<HealthCheckResponse> {
         self.protocol_of(server).health_check(server)
     }
 
--- a/crates/forwarding/tests/dispatch.rs
+++ b/crates/forwarding/tests/protocol_dispatcher.rs
@@ -3,8 +3,8 @@
 use sillward_balancer::settings::PlatformSettings;
 use sillward_balancer::{Endpoint, EndpointUpdate, ServerId, ServerState};
 use sillward_forwarding::{
-    Attempt, AttemptResult, Backend, BackendProtocol, BackendUpdate, Dispatch, HealthCheckReply,
-    LocalBoxFuture, StopReason,
+    Attempt, AttemptResult, Backend, BackendProtocol, BackendUpdate, HealthCheckResponse,
+    LocalBoxFuture, ProtocolDispatcher, StopReason,
 };
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -30,7 +30,7 @@
         unreachable!("no attempt is made")
     }
 
-    fn health_check(self: Rc<Self>, _: ServerId) -> LocalBoxFuture<HealthCheckReply> {
+    fn health_check(self: Rc<Self>, _: ServerId) -> LocalBoxFuture<HealthCheckResponse> {
         unreachable!("no health check is made")
     }
 
@@ -69,7 +69,7 @@
     use ServerState::{Draining, Ready, Removed};
     let http = Rc::new(RecordingProtocol::default());
     let thrift = Rc::new(RecordingProtocol::default());
-    let dispatch = Dispatch::new(http.clone(), vec![(THRIFT_MACHINES, thrift.clone())]);
+    let dispatch = ProtocolDispatcher::new(http.clone(), vec![(THRIFT_MACHINES, thrift.clone())]);
     let update = |kind, backends: Vec<Backend>| {
         dispatch.update_backends(&BackendUpdate { kind, backends }, Duration::ZERO);
         (http.0.take(), thrift.0.take())
--- a/crates/http1/src/backend.rs
+++ b/crates/http1/src/backend.rs
@@ -17,7 +17,7 @@
 use sillward_balancer::{LoadReport, Outcome, ServerId};
 use sillward_forwarding::{
     Attempt, AttemptResult, BackendProtocol, BackendUpdate, Call, Exchange, HEALTH_CHECK_TIMEOUT,
-    HealthCheckReply, LoadReportParser, LocalBoxFuture, MemoryBudget, Payload, PayloadFormat,
+    HealthCheckResponse, LoadReportParser, LocalBoxFuture, MemoryBudget, Payload, PayloadFormat,
     StopReason, run_attempt,
 };
 use sillward_logging::log_peer;
@@ -87,11 +87,11 @@
         })
     }
 
-    fn health_check(self: Rc<Self>, server: ServerId) -> LocalBoxFuture<HealthCheckReply> {
+    fn health_check(self: Rc<Self>, server: ServerId) -> LocalBoxFuture<HealthCheckResponse> {
         Box::pin(async move {
             timeout(HEALTH_CHECK_TIMEOUT, self.check_health(server))
                 .await
-                .unwrap_or(HealthCheckReply::from(Outcome::TimedOut))
+                .unwrap_or(HealthCheckResponse::from(Outcome::TimedOut))
         })
     }
 
@@ -235,26 +235,26 @@
         checked_exchange(attempt, outcome, report, body)
     }
 
-    async fn check_health(self: &Rc<Self>, server: ServerId) -> HealthCheckReply {
+    async fn check_health(self: &Rc<Self>, server: ServerId) -> HealthCheckResponse {
         let mut connection = match self.pool.acquire(server).await {
             Ok(connection) => connection,
-            Err(outcome) => return HealthCheckReply::from(outcome),
+            Err(outcome) => return HealthCheckResponse::from(outcome),
         };
         let body = OutgoingBody::empty(connection.session.progress.clone());
         let reports_enabled = self.load_reports.is_enabled();
         let Some(address) = self.pool.usable_address(server) else {
-            return HealthCheckReply::from(Outcome::NotSent);
+            return HealthCheckResponse::from(Outcome::NotSent);
         };
         let request = health_check_request(address, reports_enabled, body);
         let response = match connection.session.sender.send_request(request).await {
             Ok(response) => response,
-            Err(error) => return HealthCheckReply::from(transport_failure(&error)),
+            Err(error) => return HealthCheckResponse::from(transport_failure(&error)),
         };
         let received = self
             .read_response(server, LongResponses::Dropped, response)
             .await;
         let Some(ReceivedBody::Complete(body)) = received.body else {
-            return HealthCheckReply {
+            return HealthCheckResponse {
                 outcome: received.outcome,
                 report: received.report,
             };
@@ -265,7 +265,7 @@
         } else {
             None
         };
-        HealthCheckReply {
+        HealthCheckResponse {
             outcome: received.outcome,
             report: report_in_body.or(received.report),
         }
--- a/crates/http1/src/frontend.rs
+++ b/crates/http1/src/frontend.rs
@@ -342,7 +342,7 @@
         streaming_body: None,
         response_validator: None,
         expects_response: true,
-        client_check: Some(connection.connected_check()),
+        client_connected_check: Some(connection.connected_check()),
         deadline: Cell::new(received_at + head.time_budget),
         idempotency_window: head.idempotency_window,
         progress: CallProgress::default(),
--- a/crates/http1/tests/backend_client.rs
+++ b/crates/http1/tests/backend_client.rs
@@ -107,7 +107,7 @@
         streaming_body: None,
         response_validator: None,
         expects_response: true,
-        client_check: None,
+        client_connected_check: None,
         deadline: Cell::new(now + MINUTE),
         idempotency_window: Some(MINUTE),
         progress: CallProgress::default(),
@@ -132,7 +132,7 @@
 fn does_not_send_once_the_client_has_left() {
     let left = outcome_and_received_bytes(|_, attempt, _, now| {
         let mut call = empty_call(now);
-        call.client_check = Some(Rc::new(|| false));
+        call.client_connected_check = Some(Rc::new(|| false));
         attempt.call = Rc::new(call);
     });
     assert_eq!(left, not_sent());
--- a/crates/listener/src/lib.rs
+++ b/crates/listener/src/lib.rs
@@ -5,8 +5,8 @@
 //! manager. [`SharedLifecycle`] is the lifecycle that all managers of a process share.
 #![forbid(unsafe_code)]
 
-mod capacity;
 mod connection;
+mod eviction;
 mod lifecycle;
 mod manager;
 
--- a/crates/listener/src/lifecycle.rs
+++ b/crates/listener/src/lifecycle.rs
@@ -66,7 +66,7 @@
     }
 
     /// Waits until the process can serve or is draining.
-    pub async fn wait_until_it_can_serve(&self) {
+    pub async fn wait_until_serving_or_draining(&self) {
         while !self.can_serve() && !self.is_draining() {
             sleep(READINESS_CHECK_INTERVAL).await;
         }
--- a/crates/listener/src/manager.rs
+++ b/crates/listener/src/manager.rs
@@ -1,7 +1,7 @@
 //! The connections of one listener: accepted, limited in number, and closed gracefully when the node stops.
 
-use crate::capacity::{CLOSE_GRACE, evict_connection};
 use crate::connection::ClientConnection;
+use crate::eviction::{CLOSE_GRACE, evict_connection};
 use crate::lifecycle::{ACCEPT_PERIOD, LAST_REQUEST_PERIOD, SharedLifecycle};
 use sillward_lifecycle::Event;
 use sillward_logging::{log, log_peer};
--- a/crates/thrift/src/backend.rs
+++ b/crates/thrift/src/backend.rs
@@ -16,7 +16,7 @@
 use sillward_balancer::{LoadReport, Outcome, ServerId};
 use sillward_forwarding::{
     Attempt, AttemptResult, BackendProtocol, BackendUpdate, Call, Exchange, HEALTH_CHECK_TIMEOUT,
-    HealthCheckReply, LoadReportParser, LocalBoxFuture, MemoryBudget, Payload, PayloadFormat,
+    HealthCheckResponse, LoadReportParser, LocalBoxFuture, MemoryBudget, Payload, PayloadFormat,
     READ_BUFFER_BYTES, StopReason, run_attempt,
 };
 use sillward_logging::log_peer;
@@ -100,11 +100,11 @@
         })
     }
 
-    fn health_check(self: Rc<Self>, server: ServerId) -> LocalBoxFuture<HealthCheckReply> {
+    fn health_check(self: Rc<Self>, server: ServerId) -> LocalBoxFuture<HealthCheckResponse> {
         Box::pin(async move {
             timeout(HEALTH_CHECK_TIMEOUT, self.probed(server))
                 .await
-                .unwrap_or(HealthCheckReply::from(Outcome::TimedOut))
+                .unwrap_or(HealthCheckResponse::from(Outcome::TimedOut))
         })
     }
 
@@ -420,17 +420,17 @@
         report
     }
 
-    async fn probed(self: &Rc<Self>, server: ServerId) -> HealthCheckReply {
+    async fn probed(self: &Rc<Self>, server: ServerId) -> HealthCheckResponse {
         let connection = match self.pool.acquire(server).await {
             Ok(connection) => connection,
-            Err(outcome) => return HealthCheckReply::from(outcome),
+            Err(outcome) => return HealthCheckResponse::from(outcome),
         };
         let Some(name) = self.terms.probe.as_deref() else {
             self.pool.release(connection); // that it took a connection is its sign of life
-            return HealthCheckReply::from(Outcome::Served);
+            return HealthCheckResponse::from(Outcome::Served);
         };
         if self.pool.usable_address(server).is_none() {
-            return HealthCheckReply::from(Outcome::NotSent);
+            return HealthCheckResponse::from(Outcome::NotSent);
         }
         let line = &connection.session;
         line.seqid.set(line.seqid.get().wrapping_add(1));
@@ -447,23 +447,23 @@
         );
         out.push(0); // no arguments: a stop, in either encoding
         if !write_whole(&line.stream, &frame(out)).await {
-            return HealthCheckReply::from(Outcome::Reset);
+            return HealthCheckResponse::from(Outcome::Reset);
         }
         match self.reply(line).await {
             Ok((body, behind)) => {
                 let Some(report) = self.probe_report(&body, name, seqid) else {
-                    return HealthCheckReply::from(Outcome::Error);
+                    return HealthCheckResponse::from(Outcome::Error);
                 };
                 if !behind {
                     self.pool.release(connection);
                 }
-                HealthCheckReply {
+                HealthCheckResponse {
                     outcome: Outcome::Served,
                     report,
                 }
             }
-            Err(Broken::Ended) => HealthCheckReply::from(Outcome::Reset),
-            Err(Broken::Nonsense(_)) => HealthCheckReply::from(Outcome::Error),
+            Err(Broken::Ended) => HealthCheckResponse::from(Outcome::Reset),
+            Err(Broken::Nonsense(_)) => HealthCheckResponse::from(Outcome::Error),
         }
     }
 
--- a/crates/thrift/src/calls.rs
+++ b/crates/thrift/src/calls.rs
@@ -198,7 +198,7 @@
             bytes: bytes.clone(),
         },
         streaming_body: None,
-        client_check: None, // the front knows the caller; of a oneway call nobody waits
+        client_connected_check: None, // the front knows the caller; of a oneway call nobody waits
         deadline: Cell::new(now + budget),
         idempotency_window: window,
         progress: CallProgress::default(),
--- a/crates/thrift/src/front.rs
+++ b/crates/thrift/src/front.rs
@@ -286,7 +286,7 @@
                 mut call,
                 caller,
             }) => {
-                call.client_check = Some(self.connection.connected_check());
+                call.client_connected_check = Some(self.connection.connected_check());
                 self.open.insert(caller.seqid);
                 self.calls.spawn_local(async move {
                     let answer = front.intake.submit(new, call, at).await;
--- a/testing/simulation/src/plants.rs
+++ b/testing/simulation/src/plants.rs
@@ -8,7 +8,7 @@
 use sillward_balancer::settings::PlatformSettings;
 use sillward_balancer::{Outcome, ServerId};
 use sillward_forwarding::{
-    Attempt, AttemptResult, BackendProtocol, BackendUpdate, HealthCheckReply, LocalBoxFuture,
+    Attempt, AttemptResult, BackendProtocol, BackendUpdate, HealthCheckResponse, LocalBoxFuture,
     StopReason,
 };
 use std::cell::{Cell, RefCell};
@@ -135,7 +135,7 @@
         })
     }
 
-    fn health_check(self: Rc<Self>, server: ServerId) -> LocalBoxFuture<HealthCheckReply> {
+    fn health_check(self: Rc<Self>, server: ServerId) -> LocalBoxFuture<HealthCheckResponse> {
         self.inner.clone().health_check(server)
     }
 
