--- a/crates/app/src/fronts.rs
+++ b/crates/app/src/fronts.rs
@@ -228,7 +228,7 @@
     let wrong = |what: &dyn Display| {
         format!("PROXY_LISTEN_FD {descriptor} is no listener at {address}: {what}")
     };
-    let listener = TcpListener::adopt(descriptor).map_err(|e| wrong(&e))?;
+    let listener = TcpListener::from_inherited_fd(descriptor).map_err(|e| wrong(&e))?;
     match listener.local_addr() {
         Ok(at) if at == address || address.port() == 0 => Ok(listener),
         Ok(at) => Err(wrong(&format_args!("it listens at {at}"))),
--- a/crates/app/src/hot_restart.rs
+++ b/crates/app/src/hot_restart.rs
@@ -9,8 +9,8 @@
 use sillward_listener::ConnectionManager;
 use sillward_logging::{log, log_peer};
 use sillward_pool::ConnectionLimit;
-use sillward_runtime::local::{LocalListener, LocalStream};
 use sillward_runtime::time::{sleep, timeout};
+use sillward_runtime::unix_socket::{UnixListener, UnixStream};
 use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
@@ -57,7 +57,7 @@
     alone: Resources,
     older: Option<OlderConnection>,
     newer: Option<NewerConnection>,
-    listener: Option<LocalListener>,
+    listener: Option<UnixListener>,
 }
 
 /// What wakes [`HotRestart::run`].
@@ -65,7 +65,7 @@
     Shutdown,
     Report(Report),
     NewerExited,
-    NewerConnected(std::io::Result<LocalStream>),
+    NewerConnected(std::io::Result<UnixStream>),
     Tick,
 }
 
@@ -106,7 +106,7 @@
     }
 
     async fn find_older(&mut self, path: &Path) {
-        let Ok(stream) = LocalStream::connect(path).await else {
+        let Ok(stream) = UnixStream::connect(path).await else {
             return;
         };
         self.split.handle(Event::OlderFound);
@@ -129,7 +129,7 @@
     }
 
     fn listen(&mut self, path: &Path) {
-        match LocalListener::replace(path) {
+        match UnixListener::replace(path) {
             Ok(listener) => self.listener = Some(listener),
             Err(error) => log(format_args!(
                 "the next process will not find this one at {}: {error}",
--- a/crates/app/src/hot_restart/connection.rs
+++ b/crates/app/src/hot_restart/connection.rs
@@ -2,8 +2,8 @@
 
 use super::UPDATE_INTERVAL;
 use sillward_hot_restart::{MAX_REPORT_LENGTH, Resources, decode, encode};
-use sillward_runtime::local::LocalStream;
 use sillward_runtime::time::timeout;
+use sillward_runtime::unix_socket::UnixStream;
 
 /// What the older process says.
 pub(super) enum Report {
@@ -15,13 +15,13 @@
 
 /// A connection to the older process.
 pub(super) struct OlderConnection {
-    stream: LocalStream,
+    stream: UnixStream,
     /// A line that is not whole yet.
     unread: String,
 }
 
 impl OlderConnection {
-    pub(super) fn new(stream: LocalStream) -> Self {
+    pub(super) fn new(stream: UnixStream) -> Self {
         OlderConnection {
             stream,
             unread: String::new(),
@@ -54,14 +54,14 @@
 
 /// A connection to the newer process.
 pub(super) struct NewerConnection {
-    stream: LocalStream,
+    stream: UnixStream,
     /// The rest of a line that could not be written yet: half a line would be read as part of the next.
     unsent: Vec<u8>,
     last_report: Option<Resources>,
 }
 
 impl NewerConnection {
-    pub(super) fn new(stream: LocalStream) -> Self {
+    pub(super) fn new(stream: UnixStream) -> Self {
         NewerConnection {
             stream,
             unsent: Vec::new(),
--- a/crates/app/src/hot_restart/tests.rs
+++ b/crates/app/src/hot_restart/tests.rs
@@ -3,9 +3,9 @@
 use super::UPDATE_INTERVAL;
 use super::connection::{NewerConnection, OlderConnection, Report};
 use sillward_hot_restart::Resources;
-use sillward_runtime::local::LocalStream;
 use sillward_runtime::task::block_on;
 use sillward_runtime::time::{Instant, timeout};
+use sillward_runtime::unix_socket::UnixStream;
 use std::time::Duration;
 
 /// Only ends a test that has gone wrong.
@@ -16,7 +16,7 @@
 #[test]
 fn sends_a_blocked_report_whole_once_the_newer_process_reads_again() {
     let received = block_on(async {
-        let (stream, reads) = LocalStream::pair().expect("two ends");
+        let (stream, reads) = UnixStream::pair().expect("two ends");
         let mut newer = NewerConnection::new(stream);
         let mut older = OlderConnection::new(reads);
         // What is dropped for want of room shows as sends that took their time and left nothing.
--- a/crates/consensus-io/src/service/send.rs
+++ b/crates/consensus-io/src/service/send.rs
@@ -153,7 +153,7 @@
             };
             let voters: Vec<&Name> = self.config.voters.iter().filter(is_alive).collect();
             if from_voter && !voters.is_empty() {
-                let index = random.number() as usize % voters.len();
+                let index = random.next_u32() as usize % voters.len();
                 return membership
                     .member(voters[index])
                     .map(|member| member.address);
@@ -163,7 +163,7 @@
                 .filter(|member| member.state == MemberState::Alive)
                 .map(|member| member.address)
                 .collect();
-            (!members.is_empty()).then(|| members[random.number() as usize % members.len()])
+            (!members.is_empty()).then(|| members[random.next_u32() as usize % members.len()])
         })
     }
 
--- a/crates/consensus-io/src/voter_file.rs
+++ b/crates/consensus-io/src/voter_file.rs
@@ -26,7 +26,7 @@
         path: path.clone(),
         source,
     };
-    files::create_folder(folder).map_err(failed)?;
+    files::create_dir_all(folder).map_err(failed)?;
     if files::read(&path, 1).map_err(failed)?.is_some() {
         return Err(ConsensusError::AlreadyInitialised(path));
     }
--- a/crates/discovery/src/pushed.rs
+++ b/crates/discovery/src/pushed.rs
@@ -69,6 +69,6 @@
 
     /// Between half and all of the delay, so that nodes whose watches broke together do not call together.
     fn jittered(&mut self) -> Duration {
-        self.delay.mul_f64(0.5 + self.random.fraction() / 2.0)
+        self.delay.mul_f64(0.5 + self.random.next_f64() / 2.0)
     }
 }
--- a/crates/etcd/src/session.rs
+++ b/crates/etcd/src/session.rs
@@ -84,7 +84,7 @@
     pub(crate) fn new(endpoints: usize, timeouts: Timeouts, seed: u64) -> Self {
         let endpoints = endpoints.max(1);
         let mut random = Random::seeded(seed);
-        let endpoint = random.number() as usize % endpoints;
+        let endpoint = random.next_u32() as usize % endpoints;
         Session {
             state: State::Disconnected,
             revision: UNKNOWN,
--- a/crates/etcd/src/session/backoff.rs
+++ b/crates/etcd/src/session/backoff.rs
@@ -26,7 +26,7 @@
 
     /// The delay before the next attempt: between half and all of a time that doubles up to the maximum.
     pub(super) fn next_delay(&mut self, random: &mut Random) -> Duration {
-        let delay = self.next.mul_f64(0.5 + random.fraction() / 2.0);
+        let delay = self.next.mul_f64(0.5 + random.next_f64() / 2.0);
         self.next = (self.next * 2).min(self.max);
         delay
     }
--- a/crates/hot-restart/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -9,6 +9,6 @@
         backend_connections: 345,
         body_bytes: 6_789_012,
     };
-    assert_eq!(encode(resources), include_str!("golden/holding.txt"));
-    assert_eq!(decode(include_str!("golden/holding.txt")), Some(resources));
+    assert_eq!(encode(resources), include_str!("golden/report.txt"));
+    assert_eq!(decode(include_str!("golden/report.txt")), Some(resources));
 }
--- a/crates/listener/src/connection.rs
+++ b/crates/listener/src/connection.rs
@@ -2,7 +2,7 @@
 
 use sillward_logging::log_peer;
 use sillward_runtime::time::{Instant, timeout_at};
-use sillward_runtime::{Handle, Stream};
+use sillward_runtime::{Stream, StreamHandle};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -62,7 +62,7 @@
 
 /// A client's connection, shared by its protocol's handler and the manager that accepted it.
 pub struct ClientConnection {
-    socket: Handle,
+    socket: StreamHandle,
     accepted: Instant,
     state: Cell<ConnectionState>,
     /// Asks the handler to close the connection when it can.
@@ -73,7 +73,7 @@
 
 impl ClientConnection {
     /// A connection that has just been accepted.
-    pub(crate) fn new(socket: Handle) -> Rc<Self> {
+    pub(crate) fn new(socket: StreamHandle) -> Rc<Self> {
         Rc::new(ClientConnection {
             socket,
             accepted: Instant::now(),
@@ -109,7 +109,7 @@
 
     /// Whether the connection is open and no byte waits to be read.
     pub fn is_quiet(&self) -> bool {
-        self.socket.is_quiet()
+        self.socket.read_would_block()
     }
 
     /// Whether the client is still connected, as far as it shows without reading. One that has shut down its sending side
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -2,8 +2,8 @@
 //! stop the node. What it cannot take in time is dropped.
 #![forbid(unsafe_code)]
 
+use sillward_runtime::simulation;
 use sillward_runtime::time::Instant;
-use sillward_runtime::world;
 use std::cell::Cell;
 use std::fmt::Display;
 use std::io::{self, Write};
@@ -51,8 +51,8 @@
 
 /// Logs a line about this node.
 pub fn log(text: impl Display) {
-    if let Some(world) = world::current() {
-        return world.log_line(&text.to_string());
+    if let Some(machine) = simulation::current() {
+        return machine.log_line(&text.to_string());
     }
     if let Some(queue) = queue() {
         let _ = queue.try_send(Entry::Line(text.to_string()));
@@ -75,7 +75,7 @@
             Cell::new(PeerLines { second_began: None, logged: 0, dropped: 0 })
         };
     }
-    if world::current().is_some() {
+    if simulation::current().is_some() {
         return log(text); // a simulation keeps all lines, and its time is not this thread's
     }
     let mut lines = LINES.get();
--- a/crates/peer-transport/src/incarnation_store.rs
+++ b/crates/peer-transport/src/incarnation_store.rs
@@ -71,7 +71,7 @@
         path: state_dir.to_owned(),
         source,
     };
-    files::create_folder(state_dir).map_err(error)?;
+    files::create_dir_all(state_dir).map_err(error)?;
     let path = state_dir.join(incarnation_file::FILE_NAME);
     let Some(bytes) = files::read(&path, incarnation_file::MAX_BYTES).map_err(error)? else {
         return Ok(0);
--- a/crates/pool/src/connection.rs
+++ b/crates/pool/src/connection.rs
@@ -2,7 +2,7 @@
 
 use crate::connection_limit::ConnectionSlot;
 use sillward_balancer::{Outcome, ServerId};
-use sillward_runtime::{Handle, Stream};
+use sillward_runtime::{Stream, StreamHandle};
 use std::io;
 
 /// A protocol on connections to backends.
@@ -27,7 +27,7 @@
     pub(crate) epoch: u64,
     /// What sends requests over it.
     pub session: P::Session,
-    pub(crate) socket: Handle,
+    pub(crate) socket: StreamHandle,
     pub(crate) _slot: ConnectionSlot,
 }
 
@@ -37,6 +37,6 @@
 impl<P: ConnectionProtocol> Connection<P> {
     /// Whether it may be used for a request. Bytes that follow a response would be read as the next response.
     pub(crate) fn is_usable(&self) -> bool {
-        !P::is_closed(&self.session) && self.socket.is_quiet()
+        !P::is_closed(&self.session) && self.socket.read_would_block()
     }
 }
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -21,7 +21,7 @@
                 .duration_since(std::time::UNIX_EPOCH)
                 .unwrap_or_default()
         };
-        let unix = crate::world::current().map_or_else(system, |world| world.unix_time());
+        let unix = crate::simulation::current().map_or_else(system, |machine| machine.unix_time());
         Clock {
             started: Instant::now(),
             unix,
--- a/crates/runtime/src/files.rs
+++ b/crates/runtime/src/files.rs
@@ -1,6 +1,6 @@
 //! Small files that outlast the process: read completely, and replaced atomically.
 
-use crate::world;
+use crate::simulation;
 use std::fs::{self, File};
 use std::io::{self, ErrorKind, Read, Write};
 use std::path::Path;
@@ -13,8 +13,8 @@
 /// # Errors
 /// The system's error.
 pub fn read(path: &Path, max_bytes: u64) -> io::Result<Option<Vec<u8>>> {
-    if let Some(world) = world::current() {
-        return Ok(world.read_file(path));
+    if let Some(machine) = simulation::current() {
+        return Ok(machine.read_file(path));
     }
     let file = match File::open(path) {
         Ok(file) => file,
@@ -32,7 +32,7 @@
 /// The system's error, [`ErrorKind::NotFound`], or [`ErrorKind::PermissionDenied`] if others may read or write it.
 pub fn read_secret(path: &Path, max_bytes: u64) -> io::Result<Vec<u8>> {
     use std::os::unix::fs::MetadataExt;
-    if world::current().is_none() && fs::metadata(path)?.mode() & GROUP_AND_OTHERS != 0 {
+    if simulation::current().is_none() && fs::metadata(path)?.mode() & GROUP_AND_OTHERS != 0 {
         let what = "others than its owner may read or write it; its mode must be 0600 or 0400";
         return Err(io::Error::new(ErrorKind::PermissionDenied, what));
     }
@@ -47,8 +47,8 @@
 /// # Errors
 /// The system's error; the old file is then unchanged.
 pub fn write_atomic(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    if let Some(world) = world::current() {
-        return world.write_file(path, bytes);
+    if let Some(machine) = simulation::current() {
+        return machine.write_file(path, bytes);
     }
     let temporary = path.with_extension("new");
     let mut file = File::create(&temporary)?;
@@ -67,7 +67,7 @@
 /// # Errors
 /// As there, or the thread could not be started.
 pub async fn write_atomic_in_background(path: &Path, bytes: Vec<u8>) -> io::Result<()> {
-    if world::current().is_some() {
+    if simulation::current().is_some() {
         return write_atomic(path, &bytes);
     }
     injected_delay().await;
@@ -80,8 +80,8 @@
 ///
 /// # Errors
 /// The system's error.
-pub fn create_folder(path: &Path) -> io::Result<()> {
-    if world::current().is_some() {
+pub fn create_dir_all(path: &Path) -> io::Result<()> {
+    if simulation::current().is_some() {
         return Ok(());
     }
     fs::create_dir_all(path)
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,21 +1,21 @@
 //! The only access to the outside: time, sockets, signals, files, tasks and random numbers.
 //!
 //! Every other package uses these modules and nothing else, so that a virtual clock and a simulated network
-//! ([`world::World`]) can take the place of the system. `tests/seam.rs` of the root package fails when code reaches
+//! ([`simulation::SimulatedMachine`]) can take the place of the system. `tests/seam.rs` of the root package fails when code reaches
 //! past them.
 #![deny(unsafe_code)]
 
 mod clock;
 pub mod files;
-pub mod local;
 pub mod net;
 pub mod random;
+pub mod simulation;
 mod stream;
 pub mod task;
-pub mod world;
+pub mod unix_socket;
 
 pub use clock::Clock;
-pub use stream::{Handle, Stream};
+pub use stream::{Stream, StreamHandle};
 
 /// A variable of the environment by which tests inject a fault. Not in what ships.
 #[cfg(feature = "faults")]
--- a/crates/runtime/src/net/tcp_listener.rs
+++ b/crates/runtime/src/net/tcp_listener.rs
@@ -1,7 +1,7 @@
 //! Listeners for TCP connections.
 
 use super::tcp_stream::TcpStream;
-use crate::world::{self, Listener};
+use crate::simulation::{self, Listener};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
@@ -22,9 +22,9 @@
     /// # Errors
     /// The system's error.
     pub async fn bind(address: SocketAddr) -> io::Result<Self> {
-        Ok(TcpListener(match world::current() {
+        Ok(TcpListener(match simulation::current() {
             None => Inner::System(tokio::net::TcpListener::bind(address).await?),
-            Some(world) => Inner::Simulated(world.listen(address)?),
+            Some(machine) => Inner::Simulated(machine.listen(address)?),
         }))
     }
 
@@ -36,7 +36,7 @@
         unsafe_code,
         reason = "a number can't be owned in safe code; the one place that does"
     )]
-    pub fn adopt(descriptor: i32) -> io::Result<Self> {
+    pub fn from_inherited_fd(descriptor: i32) -> io::Result<Self> {
         let invalid = |what: &str| io::Error::new(ErrorKind::InvalidInput, what.to_owned());
         if descriptor <= STANDARD_ERROR {
             return Err(invalid("a standard stream is no listener"));
--- a/crates/runtime/src/net/tcp_stream.rs
+++ b/crates/runtime/src/net/tcp_stream.rs
@@ -1,6 +1,6 @@
 //! TCP connections.
 
-use crate::world::{self, Socket};
+use crate::simulation::{self, Socket};
 use socket2::SockRef;
 use std::io::{self, ErrorKind, IoSlice};
 use std::mem::MaybeUninit;
@@ -23,9 +23,9 @@
     /// # Errors
     /// The system's error.
     pub async fn connect(address: SocketAddr) -> io::Result<Self> {
-        Ok(match world::current() {
+        Ok(match simulation::current() {
             None => Self::from_system(tokio::net::TcpStream::connect(address).await?),
-            Some(world) => Self::from_simulated(world.connect(address).await?),
+            Some(machine) => Self::from_simulated(machine.connect(address).await?),
         })
     }
 
@@ -34,8 +34,8 @@
     /// # Errors
     /// The system's error.
     pub async fn connect_from(from: IpAddr, address: SocketAddr) -> io::Result<Self> {
-        if let Some(world) = world::current() {
-            return Ok(Self::from_simulated(world.connect(address).await?));
+        if let Some(machine) = simulation::current() {
+            return Ok(Self::from_simulated(machine.connect(address).await?));
         }
         let socket = match from {
             IpAddr::V4(_) => tokio::net::TcpSocket::new_v4()?,
@@ -74,23 +74,23 @@
     }
 
     /// Limits the bytes that the kernel accepts before the peer has received them.
-    pub(crate) fn limit_unsent(&self, bytes: usize) {
+    pub(crate) fn set_send_buffer_size(&self, bytes: usize) {
         match &self.0 {
             Inner::System(stream) => {
                 let _ = SockRef::from(stream).set_send_buffer_size(bytes); // else it stays as it is
             }
-            Inner::Simulated(socket) => socket.limit_unsent(bytes),
+            Inner::Simulated(socket) => socket.set_send_buffer_size(bytes),
         }
     }
 
     /// Whether it is open and has nothing to read. Asks the kernel: what the runtime knows may be out of date.
-    pub(crate) fn is_quiet(&self) -> bool {
+    pub(crate) fn read_would_block(&self) -> bool {
         match &self.0 {
             Inner::System(stream) => {
                 let peeked = SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
                 peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
             }
-            Inner::Simulated(socket) => socket.is_quiet(),
+            Inner::Simulated(socket) => socket.read_would_block(),
         }
     }
 
--- a/crates/runtime/src/net/udp_socket.rs
+++ b/crates/runtime/src/net/udp_socket.rs
@@ -1,6 +1,6 @@
 //! Sockets for datagrams.
 
-use crate::world::{self, DatagramSocket};
+use crate::simulation::{self, DatagramSocket};
 use std::io;
 use std::net::SocketAddr;
 
@@ -18,9 +18,9 @@
     /// # Errors
     /// The system's error.
     pub async fn bind(address: SocketAddr) -> io::Result<Self> {
-        Ok(UdpSocket(match world::current() {
+        Ok(UdpSocket(match simulation::current() {
             None => Inner::System(tokio::net::UdpSocket::bind(address).await?),
-            Some(world) => Inner::Simulated(world.bind_datagrams(address)?),
+            Some(machine) => Inner::Simulated(machine.bind_udp(address)?),
         }))
     }
 
--- a/crates/runtime/src/random.rs
+++ b/crates/runtime/src/random.rs
@@ -1,6 +1,6 @@
 //! Random numbers: from a seed, the same on every machine, or from the system.
 
-use crate::world;
+use crate::simulation;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::io;
@@ -10,8 +10,8 @@
 /// # Errors
 /// The system's generator has failed.
 pub fn entropy() -> io::Result<u64> {
-    if let Some(world) = world::current() {
-        return Ok(world.entropy());
+    if let Some(machine) = simulation::current() {
+        return Ok(machine.entropy());
     }
     getrandom::u64().map_err(|error| io::Error::other(error.to_string()))
 }
@@ -26,12 +26,12 @@
     }
 
     /// The next number, uniform over all numbers of 32 bits.
-    pub fn number(&mut self) -> u32 {
+    pub fn next_u32(&mut self) -> u32 {
         self.0.next_u32()
     }
 
     /// The next fraction, uniform from 0 (included) to 1 (excluded).
-    pub fn fraction(&mut self) -> f64 {
+    pub fn next_f64(&mut self) -> f64 {
         f64::from(self.0.next_u32()) / 2f64.powi(32)
     }
 }
--- a/crates/runtime/src/world.rs
+++ b/crates/runtime/src/simulation.rs
@@ -34,13 +34,13 @@
     fn shutdown_write(&self) -> io::Result<()>;
 
     /// Whether it is open and has nothing to read.
-    fn is_quiet(&self) -> bool;
+    fn read_would_block(&self) -> bool;
 
     /// Whether the peer has closed its sending side or reset the connection, as far as can be seen without reading.
     fn has_peer_closed(&self) -> bool;
 
     /// Limits the bytes that are accepted before the peer has received them.
-    fn limit_unsent(&self, bytes: usize);
+    fn set_send_buffer_size(&self, bytes: usize);
 }
 
 /// A simulated listener.
@@ -77,7 +77,7 @@
 pub type ConnectFuture = Pin<Box<dyn Future<Output = io::Result<Box<dyn Socket>>>>>;
 
 /// A simulated world, as one machine sees it.
-pub trait World {
+pub trait SimulatedMachine {
     /// The time of day, since 1970.
     fn unix_time(&self) -> Duration;
 
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     /// The address is in use, or there is no descriptor left.
-    fn bind_datagrams(&self, address: SocketAddr) -> io::Result<Box<dyn DatagramSocket>>;
+    fn bind_udp(&self, address: SocketAddr) -> io::Result<Box<dyn DatagramSocket>>;
 
     /// The bytes of a file of this machine; `None` if it does not exist.
     fn read_file(&self, path: &Path) -> Option<Vec<u8>>;
@@ -119,23 +119,23 @@
 }
 
 thread_local! {
-    static CURRENT: RefCell<Option<Rc<dyn World>>> = const { RefCell::new(None) };
+    static CURRENT: RefCell<Option<Rc<dyn SimulatedMachine>>> = const { RefCell::new(None) };
 }
 
 /// The world of this thread just now; `None` for the system.
-pub fn current() -> Option<Rc<dyn World>> {
+pub fn current() -> Option<Rc<dyn SimulatedMachine>> {
     CURRENT.with(|current| current.borrow().clone())
 }
 
-/// Runs `act` within a world.
-pub fn within<T>(world: &Rc<dyn World>, act: impl FnOnce() -> T) -> T {
-    let previous = CURRENT.with(|current| current.replace(Some(world.clone())));
+/// Runs `act` within a machine.
+pub fn within<T>(machine: &Rc<dyn SimulatedMachine>, act: impl FnOnce() -> T) -> T {
+    let previous = CURRENT.with(|current| current.replace(Some(machine.clone())));
     let _restore = RestoreOnDrop(previous);
     act()
 }
 
 /// Restores the previous world, also when the code within panics.
-struct RestoreOnDrop(Option<Rc<dyn World>>);
+struct RestoreOnDrop(Option<Rc<dyn SimulatedMachine>>);
 
 impl Drop for RestoreOnDrop {
     fn drop(&mut self) {
--- a/crates/runtime/src/stream.rs
+++ b/crates/runtime/src/stream.rs
@@ -12,18 +12,18 @@
 
 /// Shows the state of a stream without keeping it open.
 #[derive(Clone)]
-pub struct Handle(Weak<Shared>);
+pub struct StreamHandle(Weak<Shared>);
 
 struct Shared {
     stream: TcpStream,
-    /// When the first bytes were received since [`Handle::reset_first_received`].
+    /// When the first bytes were received since [`StreamHandle::reset_first_received`].
     first_received_at: Cell<Option<Instant>>,
     /// Since when the peer has received nothing of what waits to be written.
     write_blocked_since: Cell<Option<Instant>>,
 }
 
-impl Handle {
-    /// When the first bytes were received since [`Handle::reset_first_received`]; `None` if there were none or the
+impl StreamHandle {
+    /// When the first bytes were received since [`StreamHandle::reset_first_received`]; `None` if there were none or the
     /// stream is closed.
     pub fn first_received_at(&self) -> Option<Instant> {
         self.0.upgrade()?.first_received_at.get()
@@ -51,22 +51,22 @@
     }
 
     /// Whether it is open and has nothing to read. Asks the kernel: what the runtime knows may be out of date.
-    pub fn is_quiet(&self) -> bool {
+    pub fn read_would_block(&self) -> bool {
         self.0
             .upgrade()
-            .is_some_and(|shared| shared.stream.is_quiet())
+            .is_some_and(|shared| shared.stream.read_would_block())
     }
 }
 
 impl Stream {
     /// Wraps a TCP stream.
-    pub fn new(stream: TcpStream) -> (Self, Handle) {
+    pub fn new(stream: TcpStream) -> (Self, StreamHandle) {
         let shared = Rc::new(Shared {
             stream,
             first_received_at: Cell::default(),
             write_blocked_since: Cell::default(),
         });
-        let handle = Handle(Rc::downgrade(&shared));
+        let handle = StreamHandle(Rc::downgrade(&shared));
         (Stream(shared), handle)
     }
 
@@ -77,8 +77,8 @@
 
     /// Limits the bytes that the kernel accepts before the peer has received them. The kernel counts them in its own
     /// way, and has a minimum.
-    pub fn limit_unsent(&self, bytes: usize) {
-        self.0.stream.limit_unsent(bytes);
+    pub fn set_send_buffer_size(&self, bytes: usize) {
+        self.0.stream.set_send_buffer_size(bytes);
     }
 
     /// Reads what is available, at most the length of `buffer`; 0 at the end of the stream.
--- a/crates/runtime/src/task.rs
+++ b/crates/runtime/src/task.rs
@@ -1,6 +1,6 @@
 //! Tasks of the single thread that everything runs on.
 
-use crate::world::{self, World};
+use crate::simulation::{self, SimulatedMachine};
 use std::future::Future;
 use std::io;
 use std::pin::pin;
@@ -8,13 +8,13 @@
 pub use tokio::task::{AbortHandle, JoinHandle, LocalSet, yield_now};
 
 /// Notifies a simulated world of the start of a task, and of its end when dropped.
-struct TaskGuard(Rc<dyn World>);
+struct TaskGuard(Rc<dyn SimulatedMachine>);
 
 impl TaskGuard {
     fn start() -> Option<Self> {
-        let world = world::current()?;
-        world.task_started();
-        Some(TaskGuard(world))
+        let machine = simulation::current()?;
+        machine.task_started();
+        Some(TaskGuard(machine))
     }
 }
 
--- a/crates/runtime/src/local.rs
+++ b/crates/runtime/src/unix_socket.rs
@@ -5,12 +5,12 @@
 use std::io;
 use std::path::Path;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{UnixListener, UnixStream};
+use tokio::net;
 
 /// A listener.
-pub struct LocalListener(UnixListener);
+pub struct UnixListener(net::UnixListener);
 
-impl LocalListener {
+impl UnixListener {
     /// Listens at a path, in place of what is there. Connections to that listener stay open.
     ///
     /// # Errors
@@ -18,31 +18,31 @@
     pub fn replace(path: &Path) -> io::Result<Self> {
         let temporary = path.with_extension(std::process::id().to_string());
         let _ = std::fs::remove_file(&temporary); // left by an ended process with the same id
-        let listener = UnixListener::bind(&temporary)?;
+        let listener = net::UnixListener::bind(&temporary)?;
         std::fs::rename(&temporary, path)?;
-        Ok(LocalListener(listener))
+        Ok(UnixListener(listener))
     }
 
     /// The next connection. Cancellation safe.
     ///
     /// # Errors
     /// The system's error.
-    pub async fn accept(&self) -> io::Result<LocalStream> {
+    pub async fn accept(&self) -> io::Result<UnixStream> {
         let (stream, _) = self.0.accept().await?;
-        Ok(LocalStream(stream))
+        Ok(UnixStream(stream))
     }
 }
 
 /// A connection.
-pub struct LocalStream(UnixStream);
+pub struct UnixStream(net::UnixStream);
 
-impl LocalStream {
+impl UnixStream {
     /// Connects to the listener at a path.
     ///
     /// # Errors
     /// Nobody listens there.
     pub async fn connect(path: &Path) -> io::Result<Self> {
-        Ok(LocalStream(UnixStream::connect(path).await?))
+        Ok(UnixStream(net::UnixStream::connect(path).await?))
     }
 
     /// The two ends of a connection within this process.
@@ -50,7 +50,7 @@
     /// # Errors
     /// Out of descriptors.
     pub fn pair() -> io::Result<(Self, Self)> {
-        UnixStream::pair().map(|(one, other)| (LocalStream(one), LocalStream(other)))
+        net::UnixStream::pair().map(|(one, other)| (UnixStream(one), UnixStream(other)))
     }
 
     /// Reads what is available; 0 at the end of the stream. Cancellation safe.
--- a/crates/thrift/src/backend.rs
+++ b/crates/thrift/src/backend.rs
@@ -51,7 +51,7 @@
 
     async fn handshake(&self, stream: Stream) -> io::Result<Line> {
         if let Some(bytes) = self.send_buffer {
-            stream.limit_unsent(bytes);
+            stream.set_send_buffer_size(bytes);
         }
         Ok(Line {
             stream,
--- a/crates/thrift/src/front.rs
+++ b/crates/thrift/src/front.rs
@@ -70,7 +70,7 @@
     /// A name for a call, which no other node's call is likely to have.
     fn call_id(&self) -> u128 {
         let mut random = self.random.borrow_mut();
-        (0..4).fold(0, |id, _| id << 32 | u128::from(random.number()))
+        (0..4).fold(0, |id, _| id << 32 | u128::from(random.next_u32()))
     }
 }
 
--- a/testing/simulation/src/dice.rs
+++ b/testing/simulation/src/dice.rs
@@ -24,17 +24,17 @@
 
     /// A number of the range, which is not empty.
     pub fn within(&mut self, range: Range<u64>) -> u64 {
-        let wide = u64::from(self.0.number()) << 32 | u64::from(self.0.number());
+        let wide = u64::from(self.0.next_u32()) << 32 | u64::from(self.0.next_u32());
         range.start + wide % (range.end - range.start)
     }
 
     /// Whether something happens that happens so often in a thousand.
     pub fn permille(&mut self, permille: u64) -> bool {
-        (u64::from(self.0.number()) * 1000) >> 32 < permille
+        (u64::from(self.0.next_u32()) * 1000) >> 32 < permille
     }
 
     /// A fraction: 0 or more, less than 1.
     pub fn fraction(&mut self) -> f64 {
-        self.0.fraction()
+        self.0.next_f64()
     }
 }
--- a/testing/simulation/src/net.rs
+++ b/testing/simulation/src/net.rs
@@ -10,8 +10,8 @@
 
 use crate::dice::Dice;
 use crate::trace::Trace;
+use sillward_runtime::simulation::{self, ConnectFuture, SimulatedMachine};
 use sillward_runtime::time::{Instant, sleep_until};
-use sillward_runtime::world::{self, ConnectFuture, World};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{self, ErrorKind};
@@ -254,7 +254,7 @@
     }
 
     /// The world as a machine sees it, at this time of day at the run's start.
-    pub fn world(&self, host: Host, unix: Duration) -> Rc<dyn World> {
+    pub fn world(&self, host: Host, unix: Duration) -> Rc<dyn SimulatedMachine> {
         let tasks = self.with(host, |machine| machine.tasks.clone());
         Rc::new(Seen {
             net: self.clone(),
@@ -771,7 +771,7 @@
             .map(|conn| act(conn, self.end))
     }
 
-    /// As [`world::Socket::poll_read`].
+    /// As [`simulation::Socket::poll_read`].
     pub fn take(&self, cx: &mut Context<'_>, to: &mut [u8]) -> Poll<io::Result<usize>> {
         let mut inner = self.net.inner.borrow_mut();
         let Inner { conns, dice, .. } = &mut *inner;
@@ -802,7 +802,7 @@
         Poll::Ready(Ok(count))
     }
 
-    /// As [`world::Socket::poll_write`].
+    /// As [`simulation::Socket::poll_write`].
     pub fn give(&self, cx: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
         self.send(cx, from, false)
     }
@@ -971,7 +971,7 @@
     }
 }
 
-impl world::Socket for Socket {
+impl simulation::Socket for Socket {
     fn poll_read(&self, cx: &mut Context<'_>, to: &mut [u8]) -> Poll<io::Result<usize>> {
         self.take(cx, to)
     }
@@ -1017,7 +1017,7 @@
         Ok(())
     }
 
-    fn is_quiet(&self) -> bool {
+    fn read_would_block(&self) -> bool {
         self.is_silent()
     }
 
@@ -1026,7 +1026,7 @@
             .unwrap_or(true)
     }
 
-    fn limit_unsent(&self, bytes: usize) {
+    fn set_send_buffer_size(&self, bytes: usize) {
         self.with(|conn, end| conn.ends[1 - end].room = bytes.max(4096));
     }
 }
@@ -1102,13 +1102,13 @@
     }
 }
 
-impl world::Listener for Listener {
+impl simulation::Listener for Listener {
     fn poll_accept(
         &self,
         cx: &mut Context<'_>,
-    ) -> Poll<io::Result<(Box<dyn world::Socket>, SocketAddr)>> {
+    ) -> Poll<io::Result<(Box<dyn simulation::Socket>, SocketAddr)>> {
         self.next(cx)
-            .map_ok(|socket| (Box::new(socket) as Box<dyn world::Socket>, self.at))
+            .map_ok(|socket| (Box::new(socket) as Box<dyn simulation::Socket>, self.at))
     }
 
     fn address(&self) -> SocketAddr {
@@ -1124,7 +1124,7 @@
     tasks: Rc<Cell<usize>>,
 }
 
-impl World for Seen {
+impl SimulatedMachine for Seen {
     fn unix_time(&self) -> Duration {
         self.unix + self.net.now()
     }
@@ -1133,15 +1133,15 @@
         let (net, host) = (self.net.clone(), self.host);
         Box::pin(async move {
             let socket = net.dial(host, to).await?;
-            Ok(Box::new(socket) as Box<dyn world::Socket>)
+            Ok(Box::new(socket) as Box<dyn simulation::Socket>)
         })
     }
 
-    fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn world::Listener>> {
+    fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn simulation::Listener>> {
         Ok(Box::new(self.net.listen(self.host, at, 128)?))
     }
 
-    fn bind_datagrams(&self, at: SocketAddr) -> io::Result<Box<dyn world::DatagramSocket>> {
+    fn bind_udp(&self, at: SocketAddr) -> io::Result<Box<dyn simulation::DatagramSocket>> {
         Ok(Box::new(self.net.datagrams(self.host, at)?))
     }
 
--- a/testing/simulation/src/net/datagrams.rs
+++ b/testing/simulation/src/net/datagrams.rs
@@ -3,7 +3,7 @@
 use super::{Event, Host, Inner, Net, wake};
 use crate::dice::Dice;
 use crate::trace::Trace;
-use sillward_runtime::world::{self, Datagram};
+use sillward_runtime::simulation::{self, Datagram};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -166,7 +166,7 @@
     number: u64,
 }
 
-impl world::DatagramSocket for Mailbox {
+impl simulation::DatagramSocket for Mailbox {
     fn poll_receive(&self, cx: &mut Context<'_>, _: usize) -> Poll<io::Result<Datagram>> {
         let mut inner = self.net.inner.borrow_mut();
         let own = inner
--- a/testing/simulation/src/scoped.rs
+++ b/testing/simulation/src/scoped.rs
@@ -1,6 +1,6 @@
 //! A program in a world of its own: its tasks see that world, and end with it.
 
-use sillward_runtime::world::{World, within};
+use sillward_runtime::simulation::{SimulatedMachine, within};
 use std::cell::Cell;
 use std::future::Future;
 use std::pin::Pin;
@@ -17,7 +17,7 @@
 
 /// A program, to be polled.
 pub struct Scoped {
-    world: Rc<dyn World>,
+    world: Rc<dyn SimulatedMachine>,
     /// Dropped within the world.
     program: Option<Program>,
     now: Rc<dyn Fn() -> Duration>,
@@ -28,7 +28,7 @@
 impl Scoped {
     /// Runs `program` with tasks of its own in that world.
     pub fn new(
-        world: Rc<dyn World>,
+        world: Rc<dyn SimulatedMachine>,
         program: impl Future<Output = Result<(), String>> + 'static,
         now: Rc<dyn Fn() -> Duration>,
     ) -> Self {
