--- a/crates/app/src/hot_restart/connection.rs
+++ b/crates/app/src/hot_restart/connection.rs
@@ -1,7 +1,7 @@
 //! The connections to the older and the newer process.
 
 use super::UPDATE_INTERVAL;
-use sillward_hot_restart::{MAX_REPORT_LENGTH, Resources, decode, encode};
+use sillward_hot_restart::{MAX_REPORT_BYTES, Resources, decode, encode};
 use sillward_runtime::time::timeout;
 use sillward_runtime::unix_socket::UnixStream;
 
@@ -36,11 +36,11 @@
                 let line = std::mem::replace(&mut self.unread, rest);
                 return decode(&line).map_or(Report::Unreadable, Report::Resources);
             }
-            if self.unread.len() > MAX_REPORT_LENGTH {
+            if self.unread.len() > MAX_REPORT_BYTES {
                 self.unread.clear();
                 return Report::Unreadable;
             }
-            let mut bytes = [0; MAX_REPORT_LENGTH];
+            let mut bytes = [0; MAX_REPORT_BYTES];
             match self.stream.read(&mut bytes).await {
                 Ok(count) if count > 0 => {
                     self.unread
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -6,6 +6,6 @@
 mod resources;
 mod split;
 
-pub use report::{MAX_REPORT_LENGTH, decode, encode};
+pub use report::{MAX_REPORT_BYTES, decode, encode};
 pub use resources::Resources;
 pub use split::{Event, ResourceSplit};
--- a/crates/hot-restart/src/report.rs
+++ b/crates/hot-restart/src/report.rs
@@ -5,7 +5,7 @@
 const TAG: &str = "sillward-holds";
 const VERSION: u32 = 1;
 /// No line is longer, in bytes.
-pub const MAX_REPORT_LENGTH: usize = 128;
+pub const MAX_REPORT_BYTES: usize = 128;
 
 /// The line that reports these resources.
 pub fn encode(resources: Resources) -> String {
--- a/crates/hot-restart/tests/report.rs
+++ b/crates/hot-restart/tests/report.rs
@@ -1,6 +1,6 @@
 //! The line by which an older process reports to a newer one.
 
-use sillward_hot_restart::{MAX_REPORT_LENGTH, Resources, decode, encode};
+use sillward_hot_restart::{MAX_REPORT_BYTES, Resources, decode, encode};
 
 #[test]
 fn a_line_reads_as_it_was_written_and_none_cut_or_changed_does() {
@@ -15,7 +15,7 @@
         body_bytes: usize::MAX,
     };
     let line = encode(resources);
-    assert!(line.len() <= MAX_REPORT_LENGTH && encode(largest).len() <= MAX_REPORT_LENGTH);
+    assert!(line.len() <= MAX_REPORT_BYTES && encode(largest).len() <= MAX_REPORT_BYTES);
     assert_eq!(decode(&line), Some(resources));
     for cut in 0..line.len() {
         assert_eq!(decode(&line[..cut]), None, "cut at {cut}");
