--- a/crates/app/src/hot_restart/connection.rs
+++ b/crates/app/src/hot_restart/connection.rs
@@ -1,9 +1,9 @@
 //! The connections to the older and the newer process.
 
 use super::UPDATE_INTERVAL;
-use sillward_hot_restart::{MAX_REPORT_LENGTH, Resources, decode, encode};
-use sillward_runtime::local::LocalStream;
+use sillward_hot_restart::{MAX_REPORT_BYTES, Resources, decode, encode};
 use sillward_runtime::time::timeout;
+use sillward_runtime::unix_socket::UnixStream;
 
 /// What the older process says.
 pub(super) enum Report {
@@ -15,13 +15,13 @@
 
 /// A connection to the older process.
 pub(super) struct OlderConnection {
-    stream: LocalStream,
+    stream: UnixStream,
     /// A line that is not whole yet.
     unread: String,
 }
 
 impl OlderConnection {
-    pub(super) fn new(stream: LocalStream) -> Self {
+    pub(super) fn new(stream: UnixStream) -> Self {
         OlderConnection {
             stream,
             unread: String::new(),
@@ -36,11 +36,11 @@
                 let line = std::mem::replace(&mut self.unread, rest);
                 return decode(&line).map_or(Report::Unreadable, Report::Resources);
             }
-            if self.unread.len() > MAX_REPORT_LENGTH {
+            if self.unread.len() > MAX_REPORT_BYTES {
                 self.unread.clear();
                 return Report::Unreadable;
             }
-            let mut bytes = [0; MAX_REPORT_LENGTH];
+            let mut bytes = [0; MAX_REPORT_BYTES];
             match self.stream.read(&mut bytes).await {
                 Ok(count) if count > 0 => {
                     self.unread
@@ -54,14 +54,14 @@
 
 /// A connection to the newer process.
 pub(super) struct NewerConnection {
-    stream: LocalStream,
+    stream: UnixStream,
     /// The rest of a line that could not be written yet: half a line would be read as part of the next.
     unsent: Vec<u8>,
     last_report: Option<Resources>,
 }
 
 impl NewerConnection {
-    pub(super) fn new(stream: LocalStream) -> Self {
+    pub(super) fn new(stream: UnixStream) -> Self {
         NewerConnection {
             stream,
             unsent: Vec::new(),
