--- a/crates/app/src/outcomes.rs
+++ b/crates/app/src/outcomes.rs
@@ -52,7 +52,7 @@
 ) -> Result<Rc<Outcomes>, String> {
     let seed = random::entropy().map_err(|e| format!("no random numbers for the outcomes: {e}"))?;
     let (me, life) =
-        fleet.with_membership(|peers| (peers.local().name.clone(), peers.incarnation()));
+        fleet.with_membership(|peers| (peers.local_node().name.clone(), peers.incarnation()));
     let spread = StatsExchange::new(config.clone(), me, life, seed, clock.now()).into();
     let (fleet, live) = (fleet.clone(), live.clone());
     let outcomes = Rc::new(Outcomes {
--- a/crates/consensus-io/src/service/mod.rs
+++ b/crates/consensus-io/src/service/mod.rs
@@ -112,7 +112,7 @@
         on_lease_update: impl Fn(LeaseUpdate) + 'static,
     ) -> Result<(Rc<Self>, PersistResults), ConsensusError> {
         let now = clock.now();
-        let name = fleet.with_membership(|membership| membership.local().name.clone());
+        let name = fleet.with_membership(|membership| membership.local_node().name.clone());
         let log_id = config.log_id();
         let own_place = config.voter_place(&name);
         let process_id = random::entropy().map_err(ConsensusError::Random)?;
--- a/crates/consensus-io/src/service/send.rs
+++ b/crates/consensus-io/src/service/send.rs
@@ -77,7 +77,7 @@
     pub(super) fn send_lease_request(&self, request: &LeaseRequest) {
         let own_name = self
             .fleet
-            .with_membership(|membership| membership.local().name.clone());
+            .with_membership(|membership| membership.local_node().name.clone());
         for (index, name) in self.config.voters.iter().enumerate() {
             if Some(index + 1) == self.own_place {
                 let event = QueuedEvent::LeaseRequest(own_name.clone(), request.clone());
--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -2,7 +2,7 @@
 
 mod exchange;
 
-use crate::event::{Action, SyncStep};
+use crate::event::{Action, ReceivedSync};
 use crate::name::Name;
 use crate::node::Node;
 use crate::update::MemberUpdate;
@@ -74,7 +74,7 @@
         self.next_exchange = now + node.random.jitter(self.interval);
         self.interval = (self.interval * 2).min(MAX_INTERVAL);
         self.differs_since = None;
-        node.counters.syncs += 1;
+        node.counters.sync_exchanges += 1;
         let message = exchange::open(&node.members, &node.local);
         node.actions.push(Action::Sync {
             to: to.clone(),
@@ -89,8 +89,8 @@
     }
 
     /// Answers a message whose updates and values have been applied.
-    pub(crate) fn answer(&mut self, node: &mut Node, now: Duration, step: &SyncStep) {
-        let request = &step.message;
+    pub(crate) fn answer(&mut self, node: &mut Node, now: Duration, received: &ReceivedSync) {
+        let request = &received.message;
         if request.step == SyncMessage::STEP_MEMBER_DIGESTS {
             self.interval = MIN_INTERVAL; // the exchange did find a difference
         }
@@ -100,10 +100,10 @@
         if let Some(message) = answer {
             let address = node
                 .members
-                .get(&step.name)
+                .get(&received.sender)
                 .map_or(node.local.node.address, |member| member.address);
             node.actions.push(Action::Sync {
-                to: step.name.clone(),
+                to: received.sender.clone(),
                 address,
                 message,
             });
--- a/crates/membership/src/anti_entropy/exchange.rs
+++ b/crates/membership/src/anti_entropy/exchange.rs
@@ -5,7 +5,7 @@
 //! buckets that differ (about a sixty-fourth of the fleet each), then the members themselves.
 
 use crate::digest::name_hash;
-use crate::local::LocalState;
+use crate::local_node::LocalState;
 use crate::members::{BUCKETS, Member, Members};
 use crate::name::Name;
 use crate::update::MemberUpdate;
@@ -86,7 +86,7 @@
     let answer = SyncMessage {
         step: SyncMessage::STEP_DELIVER_AND_REQUEST,
         buckets: request.buckets,
-        wanted: names_that_differ(&theirs, &own).into_iter().collect(),
+        requested: names_that_differ(&theirs, &own).into_iter().collect(),
         ..SyncMessage::default()
     };
     deliver(members, local, answer, |name, _| delivered.contains(&name))
@@ -97,7 +97,7 @@
     local: &LocalState,
     request: &SyncMessage,
 ) -> Option<SyncMessage> {
-    let wanted: BTreeSet<u32> = request.wanted.iter().copied().collect();
+    let requested: BTreeSet<u32> = request.requested.iter().copied().collect();
     // Also what is known better of the members just delivered, such as a death, which no digest shows.
     let received: BTreeMap<&str, &Update> = request
         .updates
@@ -110,7 +110,7 @@
         ..SyncMessage::default()
     };
     let answer = deliver(members, local, answer, |name, update| {
-        wanted.contains(&name)
+        requested.contains(&name)
             || received
                 .get(update.name.as_str())
                 .is_some_and(|received| **received != Update::from(update))
--- a/crates/membership/src/anti_entropy/tests.rs
+++ b/crates/membership/src/anti_entropy/tests.rs
@@ -1,7 +1,7 @@
 use super::{AntiEntropy, MAX_DIFFERENCE, exchange};
-use crate::event::{Action, SyncStep};
+use crate::event::{Action, ReceivedSync};
 use crate::incarnation::Incarnation;
-use crate::local::LocalNode;
+use crate::local_node::LocalNode;
 use crate::metadata::NodeMetadata;
 use crate::name::Name;
 use crate::node::Node;
@@ -102,12 +102,12 @@
         ..SyncMessage::default()
     };
     assert!(anti_entropy.admits(&message, SECOND));
-    let step = SyncStep {
-        name: name(1),
+    let received = ReceivedSync {
+        sender: name(1),
         incarnation: Incarnation { epoch: 1, salt: 1 },
         message: message.clone(),
     };
-    anti_entropy.answer(&mut node, SECOND, &step);
+    anti_entropy.answer(&mut node, SECOND, &received);
     assert!(!anti_entropy.admits(&message, SECOND));
     assert!(anti_entropy.admits(&message, SECOND * 3));
     let answer = SyncMessage {
--- a/crates/membership/src/counters.rs
+++ b/crates/membership/src/counters.rs
@@ -16,7 +16,7 @@
     /// Frames from an incarnation that has ended.
     pub from_ended_incarnation: u64,
     /// Frames from senders that do not know this node's incarnation.
-    pub from_strangers: u64,
+    pub to_unknown_incarnation: u64,
     /// Frames under this node's own name.
     pub name_conflicts: u64,
     /// Updates and values that were invalid.
@@ -24,11 +24,11 @@
     /// Updates about new members that were rejected because the member table was full.
     pub capacity_rejections: u64,
     /// Replies that were suppressed by a rate limit.
-    pub rate_limited_replies: u64,
+    pub rate_limited_responses: u64,
     /// Anti-entropy exchanges begun by this node.
-    pub syncs: u64,
+    pub sync_exchanges: u64,
     /// Anti-entropy messages that changed what this node knows.
-    pub productive_syncs: u64,
+    pub productive_sync_messages: u64,
     /// Pauses of the process that ended an incarnation.
     pub pauses: u64,
 }
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -2,7 +2,7 @@
 
 mod queue;
 
-use crate::local::LocalState;
+use crate::local_node::LocalState;
 use crate::members::{Member, Members};
 use crate::name::Name;
 use crate::wire::{Frame, MemberValue, Update};
--- a/crates/membership/src/dissemination/tests.rs
+++ b/crates/membership/src/dissemination/tests.rs
@@ -1,7 +1,7 @@
 use super::queue::{Topic, UpdateQueue};
 use super::{Dissemination, FAN_OUT, FRAME_BURST};
 use crate::incarnation::Incarnation;
-use crate::local::{LocalNode, LocalState};
+use crate::local_node::{LocalNode, LocalState};
 use crate::members::Members;
 use crate::metadata::NodeMetadata;
 use crate::name::Name;
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -7,9 +7,9 @@
 
 /// An anti-entropy message that was received.
 #[derive(Clone, Debug)]
-pub struct SyncStep {
+pub struct ReceivedSync {
     /// Its sender.
-    pub name: Name,
+    pub sender: Name,
     /// The sender's incarnation.
     pub incarnation: Incarnation,
     /// The message.
@@ -24,7 +24,7 @@
     /// A frame whose envelope was accepted: authentic, of this fleet, and not a replay.
     Frame {
         /// The sender.
-        name: Name,
+        sender: Name,
         /// Where the sender says that it is reached.
         address: SocketAddr,
         /// The sender's incarnation.
@@ -35,7 +35,7 @@
         frame: Frame,
     },
     /// An anti-entropy message, over a connection whose ends have authenticated each other.
-    Sync(SyncStep),
+    Sync(ReceivedSync),
     /// This node leaves the fleet in an orderly way.
     Leave,
 }
@@ -48,7 +48,7 @@
         /// The receiver's address.
         to: SocketAddr,
         /// The salt of the receiver's incarnation; 0 if none is known.
-        salt: u32,
+        to_salt: u32,
         /// The frame.
         frame: Frame,
     },
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -2,7 +2,7 @@
 //! expire.
 
 mod acks;
-mod probes;
+mod probe_table;
 mod schedule;
 mod suspicion;
 
@@ -15,7 +15,7 @@
 use crate::wire::{Frame, FrameKind, Update};
 pub(crate) use acks::send_ack;
 use acks::send_ping;
-use probes::{Probe, ProbeTable};
+use probe_table::{Probe, ProbeTable};
 use schedule::ProbeSchedule;
 use std::time::Duration;
 
--- a/crates/membership/src/failure_detector/acks.rs
+++ b/crates/membership/src/failure_detector/acks.rs
@@ -1,6 +1,6 @@
 //! Pings, their acks and nacks, and pings relayed for other members.
 
-use super::probes::RelayedPing;
+use super::probe_table::RelayedPing;
 use super::{FailureDetector, Source};
 use crate::name::Name;
 use crate::node::Node;
--- a/crates/membership/src/failure_detector/tests.rs
+++ b/crates/membership/src/failure_detector/tests.rs
@@ -1,9 +1,9 @@
-use super::probes::{Probe, ProbeTable, RelayedPing};
+use super::probe_table::{Probe, ProbeTable, RelayedPing};
 use super::schedule::ProbeSchedule;
 use super::{FailureDetector, Source, suspicion};
 use crate::event::Action;
 use crate::incarnation::Incarnation;
-use crate::local::LocalNode;
+use crate::local_node::LocalNode;
 use crate::members::Members;
 use crate::metadata::NodeMetadata;
 use crate::name::Name;
--- a/crates/membership/src/joining.rs
+++ b/crates/membership/src/joining.rs
@@ -134,7 +134,7 @@
         }
         node.actions.push(Action::Send {
             to: joiner.address,
-            salt: joiner.incarnation.salt,
+            to_salt: joiner.incarnation.salt,
             frame,
         });
     }
@@ -156,7 +156,7 @@
         };
         node.actions.push(Action::Send {
             to: sender.address,
-            salt: sender.incarnation.salt,
+            to_salt: sender.incarnation.salt,
             frame,
         });
     }
@@ -178,7 +178,7 @@
         self.replies += 1;
         let is_allowed = self.replies <= MAX_REPLIES_PER_SECOND;
         if !is_allowed {
-            counters.rate_limited_replies += 1;
+            counters.rate_limited_responses += 1;
         }
         is_allowed
     }
@@ -215,7 +215,11 @@
         kind: FrameKind::Join as i32,
         ..Frame::default()
     };
-    node.actions.push(Action::Send { to, salt: 0, frame });
+    node.actions.push(Action::Send {
+        to,
+        to_salt: 0,
+        frame,
+    });
 }
 
 #[cfg(test)]
--- a/crates/membership/src/joining/tests.rs
+++ b/crates/membership/src/joining/tests.rs
@@ -1,7 +1,7 @@
 use super::{Joining, MAX_REPLIES_PER_SECOND};
 use crate::counters::Counters;
 use crate::event::Action;
-use crate::local::LocalNode;
+use crate::local_node::LocalNode;
 use crate::metadata::NodeMetadata;
 use crate::name::Name;
 use crate::node::Node;
@@ -73,7 +73,7 @@
         .count();
     assert_eq!(allowed, MAX_REPLIES_PER_SECOND as usize);
     assert_eq!(
-        counters.rate_limited_replies,
+        counters.rate_limited_responses,
         1_000 - u64::from(MAX_REPLIES_PER_SECOND)
     );
     assert!(joining.replies.allow(Duration::from_secs(1), &mut counters));
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -4,7 +4,7 @@
 //! salt before. So a replay, a delayed frame or one meant for an earlier process is recognised without a clock, and a node
 //! has joined once such a frame arrives.
 
-mod frames;
+mod receive;
 
 use crate::anti_entropy::AntiEntropy;
 use crate::counters::Counters;
@@ -12,8 +12,8 @@
 use crate::failure_detector::FailureDetector;
 use crate::incarnation::Incarnation;
 use crate::joining::Joining;
-use crate::local::LocalNode;
 use crate::local_health::LocalHealth;
+use crate::local_node::LocalNode;
 use crate::members::Member;
 use crate::name::Name;
 use crate::node::Node;
@@ -89,7 +89,7 @@
         match event {
             Event::Tick if is_active => self.tick(now),
             Event::Frame {
-                name,
+                sender: name,
                 address,
                 incarnation,
                 to_salt,
@@ -105,7 +105,7 @@
                 };
                 self.handle_frame(now, &sender, to_salt, &frame);
             }
-            Event::Sync(step) if is_active => self.handle_sync(now, &step),
+            Event::Sync(received) if is_active => self.handle_sync(now, &received),
             Event::Tick | Event::Frame { .. } | Event::Sync(_) => {}
             Event::Leave => self.leave(),
         }
@@ -147,7 +147,7 @@
     }
 
     /// This node's identity.
-    pub fn local(&self) -> &LocalNode {
+    pub fn local_node(&self) -> &LocalNode {
         &self.node.local.node
     }
 
--- a/crates/membership/src/membership/frames.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -2,7 +2,7 @@
 
 use super::Membership;
 use crate::anti_entropy;
-use crate::event::SyncStep;
+use crate::event::ReceivedSync;
 use crate::failure_detector::{self, Source};
 use crate::update::MemberUpdate;
 use crate::wire::{Frame, FrameKind, MemberValue, Update};
@@ -69,7 +69,7 @@
         kind: FrameKind,
     ) {
         if to_salt == 0 {
-            self.node.counters.from_strangers += 1;
+            self.node.counters.to_unknown_incarnation += 1;
         } else {
             self.node.counters.to_earlier_incarnation += 1;
         }
@@ -140,20 +140,20 @@
         }
     }
 
-    pub(super) fn handle_sync(&mut self, now: Duration, step: &SyncStep) {
-        if self.node.local.is_named(&step.name) {
+    pub(super) fn handle_sync(&mut self, now: Duration, received: &ReceivedSync) {
+        if self.node.local.is_named(&received.sender) {
             return;
         }
-        let sender = self.node.members.get(&step.name);
-        if sender.is_some_and(|member| member.has_ended(step.incarnation)) {
+        let sender = self.node.members.get(&received.sender);
+        if sender.is_some_and(|member| member.has_ended(received.incarnation)) {
             self.node.counters.from_ended_incarnation += 1;
             return;
         }
-        if !self.anti_entropy.admits(&step.message, now) {
-            self.node.counters.rate_limited_replies += 1;
+        if !self.anti_entropy.admits(&received.message, now) {
+            self.node.counters.rate_limited_responses += 1;
             return;
         }
-        let (updates, invalid) = anti_entropy::updates(&step.message);
+        let (updates, invalid) = anti_entropy::updates(&received.message);
         self.node.counters.invalid += invalid as u64;
         let digest_before = self.node.digest();
         for update in &updates {
@@ -163,11 +163,11 @@
                 self.apply(update, now, Source::AntiEntropy);
             }
         }
-        self.apply_values(&step.message.values, Source::AntiEntropy);
+        self.apply_values(&received.message.values, Source::AntiEntropy);
         if self.node.digest() != digest_before {
-            self.node.counters.productive_syncs += 1;
+            self.node.counters.productive_sync_messages += 1;
         }
-        self.anti_entropy.answer(&mut self.node, now, step);
+        self.anti_entropy.answer(&mut self.node, now, received);
     }
 
     /// An update about this node itself.
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -4,8 +4,8 @@
 use crate::dissemination::Dissemination;
 use crate::event::Action;
 use crate::incarnation::Incarnation;
-use crate::local::{LocalNode, LocalState};
 use crate::local_health::LocalHealth;
+use crate::local_node::{LocalNode, LocalState};
 use crate::members::Members;
 use crate::name::Name;
 use crate::random::Random;
@@ -107,7 +107,7 @@
             return;
         };
         let to = member.address;
-        let salt = member.incarnation.salt;
+        let to_salt = member.incarnation.salt;
         frame.digest = self.digest().max(1);
         self.dissemination.piggyback(
             &mut frame,
@@ -115,7 +115,7 @@
             &self.members,
             self.settings.max_frame_bytes,
         );
-        self.actions.push(Action::Send { to, salt, frame });
+        self.actions.push(Action::Send { to, to_salt, frame });
     }
 
     /// Sends a frame of gossip to some members, if a round is due.
--- a/crates/membership/src/own_incarnation/tests.rs
+++ b/crates/membership/src/own_incarnation/tests.rs
@@ -1,6 +1,6 @@
 use super::{CONFLICT_WINDOW, MAX_RECENT_CLASHES, NextEpoch, OwnIncarnation, begin_incarnation};
 use crate::incarnation::Incarnation;
-use crate::local::LocalNode;
+use crate::local_node::LocalNode;
 use crate::metadata::NodeMetadata;
 use crate::name::Name;
 use crate::node::Node;
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -127,7 +127,7 @@
     pub member_digests: Vec<u32>,
     /// Hashes of the names of members that the sender lacks or knows otherwise.
     #[prost(fixed32, repeated, tag = "7")]
-    pub wanted: Vec<u32>,
+    pub requested: Vec<u32>,
 }
 
 impl SyncMessage {
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use sillward_membership::wire::{Frame, SyncMessage};
 use sillward_membership::{
     Action, Event, Incarnation, LocalNode, Membership, MembershipSettings, Name, NodeMetadata,
-    SyncStep,
+    ReceivedSync,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -188,8 +188,8 @@
     /// Adds an action to the trace. Of log lines only the numbers count.
     fn trace_action(&mut self, i: usize, action: &Action) {
         let (header, content) = match action {
-            Action::Send { to, salt, frame } => {
-                (format!("send {to} {salt}"), frame.encode_to_vec())
+            Action::Send { to, to_salt, frame } => {
+                (format!("send {to} {to_salt}"), frame.encode_to_vec())
             }
             Action::Sync {
                 to,
@@ -240,7 +240,7 @@
             let name = self.nodes[i].name.clone();
             let incarnation = self.membership(i).incarnation();
             match action {
-                Action::Send { to, salt, frame } => {
+                Action::Send { to, to_salt, frame } => {
                     self.nodes[i].sent += 1;
                     let bytes = frame.encoded_len();
                     let fits = frame.updates.len() <= 1 || bytes <= self.settings.max_frame_bytes;
@@ -249,7 +249,7 @@
                         name,
                         from: self.nodes[i].address,
                         incarnation,
-                        to: salt,
+                        to: to_salt,
                         frame,
                     };
                     self.transmit(i, to, packet, false);
@@ -312,7 +312,7 @@
                 to,
                 frame,
             } => Event::Frame {
-                name,
+                sender: name,
                 address: from,
                 incarnation,
                 to_salt: to,
@@ -323,8 +323,8 @@
                 incarnation,
                 to_incarnation,
                 message,
-            } if to_incarnation == membership.incarnation() => Event::Sync(SyncStep {
-                name,
+            } if to_incarnation == membership.incarnation() => Event::Sync(ReceivedSync {
+                sender: name,
                 incarnation,
                 message,
             }),
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -71,7 +71,7 @@
         updates: vec![update(0)],
         values: vec![value()],
         member_digests: vec![5, 6],
-        wanted: vec![7],
+        requested: vec![7],
     };
     assert_golden(&sync, include_str!("golden/sync.hex"));
 }
--- a/crates/peer-transport/src/event_loop.rs
+++ b/crates/peer-transport/src/event_loop.rs
@@ -9,7 +9,7 @@
 use prost::Message;
 use sillward_logging::log_peer;
 use sillward_membership::wire::{Frame, SyncMessage};
-use sillward_membership::{Action, Event, Incarnation, Name, SyncStep};
+use sillward_membership::{Action, Event, Incarnation, Name, ReceivedSync};
 use sillward_runtime::net::UdpSocket;
 use sillward_runtime::task::JoinSet;
 use sillward_runtime::time::{Instant, sleep_until};
@@ -99,8 +99,8 @@
 
     fn carry_out(self: &Rc<Self>, udp: &UdpSocket, action: Action) {
         match action {
-            Action::Send { to, salt, frame } => {
-                let envelope = self.next_envelope(salt, frame);
+            Action::Send { to, to_salt, frame } => {
+                let envelope = self.next_envelope(to_salt, frame);
                 self.send_envelope(udp, &envelope, to);
             }
             Action::Sync {
@@ -142,7 +142,7 @@
             incarnation,
             number,
         });
-        let local = membership.local();
+        let local = membership.local_node();
         Envelope {
             name: local.name.clone(),
             address: local.address,
@@ -168,7 +168,7 @@
             Ok(envelope) if envelope.topic != 0 => self.handle_payload(&envelope),
             Ok(envelope) => {
                 let event = Event::Frame {
-                    name: envelope.name,
+                    sender: envelope.name,
                     address: envelope.address,
                     incarnation: envelope.incarnation,
                     to_salt: envelope.to_salt,
@@ -242,12 +242,12 @@
         let Ok(message) = SyncMessage::decode(bytes) else {
             return false;
         };
-        let step = SyncStep {
-            name: peer.clone(),
+        let received = ReceivedSync {
+            sender: peer.clone(),
             incarnation,
             message,
         };
-        self.handle_deferring(Event::Sync(step));
+        self.handle_deferring(Event::Sync(received));
         true
     }
 
--- a/crates/peer-transport/src/status_page.rs
+++ b/crates/peer-transport/src/status_page.rs
@@ -25,7 +25,7 @@
     status: MembershipStatus,
     now: Duration,
 ) -> Value {
-    let local = membership.local();
+    let local = membership.local_node();
     let health = membership.health();
     let members: Vec<Value> = membership
         .members()
@@ -113,13 +113,13 @@
         "refuted": counters.refutations,
         "to_earlier_life": counters.to_earlier_incarnation,
         "from_ended_life": counters.from_ended_incarnation,
-        "strangers": counters.from_strangers,
+        "strangers": counters.to_unknown_incarnation,
         "namesakes": counters.name_conflicts,
         "nonsense": counters.invalid,
         "no_room": counters.capacity_rejections,
-        "unanswered": counters.rate_limited_replies,
-        "comparisons": counters.syncs,
-        "fruitful_comparisons": counters.productive_syncs,
+        "unanswered": counters.rate_limited_responses,
+        "comparisons": counters.sync_exchanges,
+        "fruitful_comparisons": counters.productive_sync_messages,
         "bad_links": transport.traffic.bad_connections.get(),
         "dropped_messages": transport.traffic.dropped_messages.get(),
     })
