--- a/crates/balancer/benches/request.rs
+++ b/crates/balancer/benches/request.rs
@@ -74,7 +74,7 @@
                     server,
                     outcome,
                     elapsed,
-                    answered: true,
+                    has_final_response: true,
                     body_consumed: false,
                     report,
                 })),
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -72,7 +72,7 @@
     /// Time since it was sent.
     pub elapsed: Duration,
     /// Whether the client has the request's final answer; otherwise the node still owes it.
-    pub answered: bool,
+    pub has_final_response: bool,
     /// Whether the request's body is consumed: it was not buffered and cannot be sent again.
     pub body_consumed: bool,
     /// The server's load report, if the answer carried one.
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -4,23 +4,23 @@
 //! | --- | --- |
 //! | `dispatch`, `selection` | which server a request goes to, or that it is held back |
 //! | `join_up_to`, `subset`, `endpoint_table` | estimates and the cap m; how many servers a node uses; the ring |
-//! | `crowding`, `priority`, `deadline` | admission: by crowding, by weight and quota, by time |
+//! | `concurrency`, `priority`, `deadline` | admission: by crowding, by weight and quota, by time |
 //! | `slow_start` | how much a warming server is sent |
 //! | `outlier` | when a server is ejected and when it returns |
 //! | `retry`, `send_gate` | when a request is retried or hedged; the rules before a send |
 //! | `health_check`, `polling` | when servers are checked, and the endpoint list polled |
-//! | `final_answer` | when a request is rejected or failed, and which of the two |
+//! | `final_response` | when a request is rejected or failed, and which of the two |
 //! | `arrival`, `completion` | what each policy takes from an event |
 
 mod arrival;
 mod completion;
+mod concurrency;
 mod context;
-mod crowding;
 mod deadline;
 mod dispatch;
 mod endpoint_table;
 mod estimators;
-mod final_answer;
+mod final_response;
 mod health_check;
 mod join_up_to;
 mod outlier;
@@ -38,7 +38,7 @@
 
 pub use dispatch::HoldReason;
 pub use endpoint_table::EndpointCounts;
-pub use final_answer::FinishReason;
+pub use final_response::FinishReason;
 pub use send_gate::SendBlocked;
 
 use crate::action::Action;
@@ -46,8 +46,8 @@
 use crate::event::Event;
 use crate::ids::RequestId;
 use crate::settings::Settings;
+use concurrency::ConcurrencyGate;
 use context::Context;
-use crowding::CrowdingGate;
 use deadline::FirstRequestTimes;
 use endpoint_table::EndpointTable;
 use estimators::{DecayedRate, LatencyEstimates};
@@ -82,7 +82,7 @@
     /// Own attempts.
     send_rate: DecayedRate,
     join_up_to: JoinUpTo,
-    crowding_gate: CrowdingGate,
+    concurrency_gate: ConcurrencyGate,
     priorities: Priorities,
     usual_work: UsualWork,
     first_request_times: FirstRequestTimes,
@@ -122,7 +122,7 @@
             latency: LatencyEstimates::new(shortest_objective),
             send_rate: DecayedRate::default(),
             join_up_to: JoinUpTo::new(),
-            crowding_gate: CrowdingGate::new(),
+            concurrency_gate: ConcurrencyGate::new(),
             priorities: Priorities::new(&settings),
             usual_work: UsualWork::default(),
             first_request_times: FirstRequestTimes::new(&settings),
--- a/crates/balancer/src/policy/arrival.rs
+++ b/crates/balancer/src/policy/arrival.rs
@@ -2,7 +2,7 @@
 
 use super::Balancer;
 use super::deadline::MAX_BODY_TIME;
-use super::final_answer::FinishReason;
+use super::final_response::FinishReason;
 use super::request::Request;
 use crate::action::Action;
 use crate::event::NewRequest;
--- a/crates/balancer/src/policy/completion.rs
+++ b/crates/balancer/src/policy/completion.rs
@@ -24,7 +24,7 @@
     /// It had little time to spare.
     slow: bool,
     /// The server's crowding level at the send.
-    crowding_level: usize,
+    concurrency_level: usize,
     relative_work: f64,
 }
 
@@ -45,12 +45,12 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let closed = attempt.end.answered || request.closed;
+        let closed = attempt.end.has_final_response || request.closed;
         let none_in_flight = request.in_flight() == 0;
         let served = attempt.end.outcome == Outcome::Served;
         self.on_load_report(attempt.end.server, attempt.end.report, served);
         self.learn_health(&attempt);
-        self.learn_crowding(&attempt);
+        self.learn_concurrency(&attempt);
         if closed {
             self.close(id, actions);
         } else if none_in_flight {
@@ -66,7 +66,7 @@
         if attempt.outcome.replace(end.outcome).is_some() {
             return None;
         }
-        let crowding_level = attempt.crowding_level;
+        let concurrency_level = attempt.concurrency_level;
         let sent_at = attempt.sent_at;
         request.body_consumed |= end.body_consumed;
         let counted_at_server = !request.body_pending() && request.streaming != Some(end.attempt);
@@ -88,7 +88,7 @@
         Some(EndedAttempt {
             overdue: at_deadline && end.elapsed.as_secs_f64() >= mean_latency_s,
             slow: 4 * end.elapsed > quarters * time,
-            crowding_level,
+            concurrency_level,
             relative_work: request.relative_work,
             end,
         })
@@ -120,12 +120,12 @@
     }
 
     /// The crowding gate learns from an outcome.
-    fn learn_crowding(&mut self, attempt: &EndedAttempt) {
-        let level = attempt.crowding_level;
+    fn learn_concurrency(&mut self, attempt: &EndedAttempt) {
+        let level = attempt.concurrency_level;
         match attempt.end.outcome {
-            Outcome::Served if !attempt.slow => self.crowding_gate.on_in_time(level),
-            Outcome::Served | Outcome::Rejected => self.crowding_gate.on_late(level),
-            _ if attempt.is_late() => self.crowding_gate.on_late(level),
+            Outcome::Served if !attempt.slow => self.concurrency_gate.on_in_time(level),
+            Outcome::Served | Outcome::Rejected => self.concurrency_gate.on_late(level),
+            _ if attempt.is_late() => self.concurrency_gate.on_late(level),
             _ => {}
         }
     }
--- a/crates/balancer/src/policy/crowding.rs
+++ b/crates/balancer/src/policy/concurrency.rs
@@ -25,7 +25,7 @@
 
 /// What is known of answers in time.
 #[derive(Debug)]
-pub(super) struct CrowdingGate {
+pub(super) struct ConcurrencyGate {
     /// Smoothed fraction of attempts answered in time, by the server's level at the send.
     in_time: Vec<f64>,
     /// Levels beyond this are unexplored: no attempt sent at half of such a level or more was answered in time yet.
@@ -34,9 +34,9 @@
     admission: f64,
 }
 
-impl CrowdingGate {
+impl ConcurrencyGate {
     pub(super) fn new() -> Self {
-        CrowdingGate {
+        ConcurrencyGate {
             in_time: vec![OPEN_FRACTION; LEVELS],
             highest_explored: 1,
             admission: MAX_ADMISSION,
@@ -89,5 +89,5 @@
 }
 
 #[cfg(test)]
-#[path = "tests/crowding.rs"]
+#[path = "tests/concurrency.rs"]
 mod tests;
--- a/crates/balancer/src/policy/dispatch.rs
+++ b/crates/balancer/src/policy/dispatch.rs
@@ -3,7 +3,7 @@
 
 use super::Balancer;
 use super::deadline::MAX_BODY_TIME;
-use super::final_answer::FinishReason;
+use super::final_response::FinishReason;
 use super::health_check;
 use super::request::Request;
 use super::retry;
@@ -24,7 +24,7 @@
     /// No server is listed, or only warming ones without a permit.
     NoEligibleServer,
     /// It is not known yet whether servers as crowded as these answer in time.
-    CrowdingUnexplored,
+    ConcurrencyUnexplored,
     /// Health checks are in flight that may show an idle server.
     HealthChecks,
 }
@@ -61,7 +61,7 @@
         let may_check_health = !request.health_checks_done && !self.health_checks.is_waiting(id);
         let selector = Selector {
             context,
-            gate: &self.crowding_gate,
+            gate: &self.concurrency_gate,
             join_up_to: &self.join_up_to,
             may_check_health,
         };
@@ -98,12 +98,12 @@
                 fallback,
                 unknown_load,
             } => (Some(fallback), unknown_load),
-            Selection::Crowded {
+            Selection::Overloaded {
                 unknown_load,
                 unexplored,
             } => {
                 if unexplored && first_attempt && self.requests.waiting() < MAX_WAITING {
-                    return self.hold(id, HoldReason::CrowdingUnexplored, actions);
+                    return self.hold(id, HoldReason::ConcurrencyUnexplored, actions);
                 }
                 (None, unknown_load)
             }
@@ -116,7 +116,7 @@
         }
         match fallback {
             Some(server) => self.send(id, server, actions),
-            None => self.finish(id, FinishReason::ServersCrowded, actions),
+            None => self.finish(id, FinishReason::ServersOverloaded, actions),
         }
     }
 
--- a/crates/balancer/src/policy/final_answer.rs
+++ b/crates/balancer/src/policy/final_response.rs
@@ -21,7 +21,7 @@
     /// It needs a retry, and no other server is eligible.
     NoServerForRetry,
     /// All eligible servers are too crowded to answer in time.
-    ServersCrowded,
+    ServersOverloaded,
     /// A rule forbids the send to the chosen server.
     SendBlocked(SendBlocked),
 }
--- a/crates/balancer/src/policy/priority.rs
+++ b/crates/balancer/src/policy/priority.rs
@@ -75,7 +75,7 @@
         self.usual_weight.observe(weight, USUAL_WEIGHT);
         let usual = self.usual_weight.value();
         let objective = &settings.objective_weights;
-        let spread = usual * objective.worst_class / objective.whole.max(MIN_WHOLE);
+        let spread = usual * objective.worst_class / objective.all_requests.max(MIN_WHOLE);
         ((weight + spread) / (usual + spread).max(1e-9)).clamp(0.0, MAX_PRIORITY)
     }
 
--- a/crates/balancer/src/policy/request.rs
+++ b/crates/balancer/src/policy/request.rs
@@ -11,7 +11,7 @@
     pub(super) endpoint: Endpoint,
     pub(super) sent_at: Duration,
     /// The server's crowding level at the send.
-    pub(super) crowding_level: usize,
+    pub(super) concurrency_level: usize,
     /// `None` while the attempt is in flight.
     pub(super) outcome: Option<Outcome>,
 }
--- a/crates/balancer/src/policy/selection.rs
+++ b/crates/balancer/src/policy/selection.rs
@@ -1,7 +1,7 @@
 //! Server selection: eligible, then healthy, then not too crowded servers, and Join-Up-To(m) among these.
 
+use super::concurrency::{self, ConcurrencyGate};
 use super::context::Context;
-use super::crowding::{self, CrowdingGate};
 use super::join_up_to::JoinUpTo;
 use super::outlier;
 use super::random;
@@ -32,7 +32,7 @@
         unknown_load: Vec<ServerId>,
     },
     /// All servers are too crowded to answer in time.
-    Crowded {
+    Overloaded {
         /// Servers whose load a health check could find out.
         unknown_load: Vec<ServerId>,
         /// Whether it is unexplored if one of them answers in time.
@@ -43,7 +43,7 @@
 /// The policies that a selection asks.
 pub(super) struct Selector<'a> {
     pub(super) context: Context<'a>,
-    pub(super) gate: &'a CrowdingGate,
+    pub(super) gate: &'a ConcurrencyGate,
     pub(super) join_up_to: &'a JoinUpTo,
     /// Whether the request may wait for health checks, and does not yet.
     pub(super) may_check_health: bool,
@@ -63,7 +63,7 @@
             .copied()
             .filter(|s| self.admits(s, request, draws))
             .collect();
-        let candidates = self.least_crowded(open);
+        let candidates = self.lowest_concurrency(open);
         if let Some(server) = self
             .join_up_to
             .choose(&self.context, &candidates, draws.choice)
@@ -76,7 +76,7 @@
                 fallback: server.endpoint.id,
                 unknown_load,
             },
-            None => Selection::Crowded {
+            None => Selection::Overloaded {
                 unknown_load,
                 unexplored: healthy.iter().any(|s| self.is_unexplored(s)),
             },
@@ -113,7 +113,7 @@
     }
 
     fn level(&self, server: &Server) -> usize {
-        crowding::level(server.crowding(&self.context))
+        concurrency::level(server.concurrency(&self.context))
     }
 
     fn admits(&self, server: &Server, request: &Request, draws: Draws) -> bool {
@@ -144,8 +144,11 @@
     }
 
     /// Those that are not more crowded than the average.
-    fn least_crowded<'s>(&self, servers: Vec<&'s Server>) -> Vec<&'s Server> {
-        let crowding: Vec<_> = servers.iter().map(|s| s.crowding(&self.context)).collect();
+    fn lowest_concurrency<'s>(&self, servers: Vec<&'s Server>) -> Vec<&'s Server> {
+        let crowding: Vec<_> = servers
+            .iter()
+            .map(|s| s.concurrency(&self.context))
+            .collect();
         let average = crowding.iter().sum::<f64>() / servers.len() as f64 + 1e-9;
         let pairs = servers.into_iter().zip(crowding);
         pairs
--- a/crates/balancer/src/policy/send_gate.rs
+++ b/crates/balancer/src/policy/send_gate.rs
@@ -1,10 +1,10 @@
 //! The one place that sends. Every safety rule is checked here, whatever led to the send.
 
 use super::Balancer;
+use super::concurrency;
 use super::context::Context;
-use super::crowding;
 use super::estimators::LatencyEstimates;
-use super::final_answer::FinishReason;
+use super::final_response::FinishReason;
 use super::request::{Attempt, Request};
 use super::retry;
 use super::server::Server;
@@ -108,7 +108,7 @@
         let attempt = Attempt {
             endpoint: server.endpoint,
             sent_at: context.now,
-            crowding_level: crowding::level(server.crowding(&context)),
+            concurrency_level: concurrency::level(server.concurrency(&context)),
             outcome: None,
         };
         let may_retry = !body_pending && self.may_retry_after(server, request, silence_timeout);
--- a/crates/balancer/src/policy/server.rs
+++ b/crates/balancer/src/policy/server.rs
@@ -52,7 +52,7 @@
 
     /// How crowded it is, in requests: its recent load, at least own attempts in flight. Without a recent load the own
     /// ones stand for it, more of them the more often the server fails.
-    pub(super) fn crowding(&self, context: &Context<'_>) -> f64 {
+    pub(super) fn concurrency(&self, context: &Context<'_>) -> f64 {
         let own = f64::from(self.in_flight);
         match self.recent_load(context) {
             Some(load) => load.max(own),
--- a/crates/balancer/src/policy/tests/crowding.rs
+++ b/crates/balancer/src/policy/tests/concurrency.rs
@@ -1,4 +1,4 @@
-use super::{CrowdingGate, LEVELS, level};
+use super::{ConcurrencyGate, LEVELS, level};
 
 #[test]
 fn levels_are_rounded_and_bounded() {
@@ -7,7 +7,7 @@
 
 #[test]
 fn closes_a_level_and_those_above_it_after_late_answers() {
-    let mut gate = CrowdingGate::new();
+    let mut gate = ConcurrencyGate::new();
     (0..8).for_each(|_| gate.on_in_time(5));
     assert!(gate.admits(5, false, 1.0, 0.5) && gate.admits(6, false, 1.0, 0.5));
     (0..4).for_each(|_| gate.on_late(4));
@@ -21,7 +21,7 @@
 
 #[test]
 fn levels_far_beyond_answers_in_time_are_unexplored() {
-    let mut gate = CrowdingGate::new();
+    let mut gate = ConcurrencyGate::new();
     assert!(!gate.is_unexplored(1) && gate.is_unexplored(2));
     gate.on_in_time(1);
     assert!(!gate.is_unexplored(4) && gate.is_unexplored(5));
@@ -29,7 +29,7 @@
 
 #[test]
 fn admits_higher_priority_more_often_once_uncrowded_servers_are_late() {
-    let mut gate = CrowdingGate::new();
+    let mut gate = ConcurrencyGate::new();
     (0..12).for_each(|_| gate.on_late(0));
     assert!(!gate.admits(0, false, 1.0, 0.5));
     assert!(gate.admits(0, false, 4.0, 0.5));
--- a/crates/balancer/src/settings/model.rs
+++ b/crates/balancer/src/settings/model.rs
@@ -179,7 +179,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ObjectiveWeights {
     /// All requests.
-    pub whole: f64,
+    pub all_requests: f64,
     /// The worst time window. No policy uses it.
     pub worst_window: f64,
     /// The worst-served class.
@@ -226,7 +226,7 @@
             },
             penalties: Penalties::default(),
             objective_weights: ObjectiveWeights {
-                whole: 1.0,
+                all_requests: 1.0,
                 ..ObjectiveWeights::default()
             },
             poll_endpoint_list: false,
--- a/crates/balancer/src/settings/wire.rs
+++ b/crates/balancer/src/settings/wire.rs
@@ -366,7 +366,7 @@
 impl From<&WireObjectiveWeights> for ObjectiveWeights {
     fn from(wire: &WireObjectiveWeights) -> Self {
         ObjectiveWeights {
-            whole: wire.whole,
+            all_requests: wire.whole,
             worst_window: wire.worst_window,
             worst_class: wire.worst_class,
             worst_tenant: wire.worst_tenant,
--- a/crates/balancer/tests/characterization.rs
+++ b/crates/balancer/tests/characterization.rs
@@ -68,7 +68,7 @@
     }
     let expected_holds = [
         HoldReason::NoEligibleServer,
-        HoldReason::CrowdingUnexplored,
+        HoldReason::ConcurrencyUnexplored,
         HoldReason::HealthChecks,
     ];
     assert_eq!(held, expected_holds.into());
@@ -78,7 +78,7 @@
         FinishReason::NoServerDuringBody,
         FinishReason::RetryBudgetExhausted,
         FinishReason::NoServerForRetry,
-        FinishReason::ServersCrowded,
+        FinishReason::ServersOverloaded,
         FinishReason::SendBlocked(SendBlocked::NoAttemptsLeft),
     ];
     assert_eq!(finished, expected.into());
--- a/crates/balancer/tests/characterization/conditions.rs
+++ b/crates/balancer/tests/characterization/conditions.rs
@@ -38,7 +38,7 @@
             connections: random.pick(&[0.0, 0.02, 0.1]),
         },
         objective_weights: ObjectiveWeights {
-            whole: random.pick(&[1.0, 0.6, 0.0]),
+            all_requests: random.pick(&[1.0, 0.6, 0.0]),
             worst_window: 0.1,
             worst_class: random.pick(&[0.0, 0.2, 0.5]),
             worst_tenant: 0.1,
--- a/crates/balancer/tests/characterization/sequence.rs
+++ b/crates/balancer/tests/characterization/sequence.rs
@@ -371,7 +371,7 @@
             server,
             outcome,
             elapsed: Duration::from_micros(elapsed_us),
-            answered: finished,
+            has_final_response: finished,
             body_consumed: spent,
             report,
         };
@@ -512,7 +512,7 @@
                 server,
                 outcome: Outcome::Reset,
                 elapsed: Duration::from_millis(5),
-                answered: false,
+                has_final_response: false,
                 body_consumed: false,
                 report: Some(LoadReport::default()),
             })),
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -229,7 +229,7 @@
             server,
             outcome,
             elapsed,
-            answered: finished,
+            has_final_response: finished,
             body_consumed: false,
             report,
         }))
--- a/crates/balancer/tests/decisions/bodies.rs
+++ b/crates/balancer/tests/decisions/bodies.rs
@@ -48,7 +48,7 @@
             server: ServerId(server),
             outcome,
             elapsed: ms(1),
-            answered: false,
+            has_final_response: false,
             body_consumed: spent,
             report: None,
         }))
@@ -218,7 +218,7 @@
         server: ServerId(second[0]),
         outcome: Outcome::Cancelled,
         elapsed: ms(1),
-        answered: true,
+        has_final_response: true,
         body_consumed: false,
         report: None,
     };
--- a/crates/balancer/tests/decisions/retries.rs
+++ b/crates/balancer/tests/decisions/retries.rs
@@ -201,7 +201,7 @@
         server,
         outcome: Outcome::Served,
         elapsed: ms(1),
-        answered: true,
+        has_final_response: true,
         body_consumed: false,
         report: None,
     };
--- a/crates/balancer/tests/memory.rs
+++ b/crates/balancer/tests/memory.rs
@@ -53,7 +53,7 @@
                         server,
                         outcome,
                         elapsed,
-                        answered: true,
+                        has_final_response: true,
                         body_consumed: false,
                         report,
                     };
--- a/crates/balancer/tests/slow_start_fleet.rs
+++ b/crates/balancer/tests/slow_start_fleet.rs
@@ -337,7 +337,7 @@
                             server: ServerId(server),
                             outcome: if ok { Outcome::Served } else { Outcome::Error },
                             elapsed: self.now - sent,
-                            answered: ok,
+                            has_final_response: ok,
                             body_consumed: false,
                             report: ok.then_some(load),
                         };
--- a/crates/forwarding/src/node/actions.rs
+++ b/crates/forwarding/src/node/actions.rs
@@ -66,7 +66,7 @@
                 server,
                 outcome: Outcome::NotSent,
                 elapsed: Duration::ZERO,
-                answered: !request.owes_response(),
+                has_final_response: !request.owes_response(),
                 body_consumed: request.call.is_body_consumed(),
                 report: None,
             }));
--- a/crates/forwarding/src/node/events.rs
+++ b/crates/forwarding/src/node/events.rs
@@ -210,7 +210,7 @@
             server,
             outcome,
             elapsed: times.since_sent,
-            answered: !request.owes_response(),
+            has_final_response: !request.owes_response(),
             body_consumed: request.call.is_body_consumed(),
             report,
         };
--- a/crates/simulator-adapter/src/wire/decode.rs
+++ b/crates/simulator-adapter/src/wire/decode.rs
@@ -188,7 +188,7 @@
         server: fields.server(12),
         outcome: outcome(fields.u8(18))?,
         elapsed: millis(fields.f64(19)),
-        answered: fields.u8(27) != 0,
+        has_final_response: fields.u8(27) != 0,
         body_consumed: false,
         report: None,
     };
--- a/crates/simulator-adapter/src/wire/tests.rs
+++ b/crates/simulator-adapter/src/wire/tests.rs
@@ -181,7 +181,7 @@
         server: ServerId(0x0a12_4a07_1b5b),
         outcome: Outcome::Served,
         elapsed: ms(18.5),
-        answered: true,
+        has_final_response: true,
         body_consumed: false,
         report: None,
     };
