--- a/crates/membership/src/anti_entropy/exchange.rs
+++ b/crates/membership/src/anti_entropy/exchange.rs
@@ -29,20 +29,22 @@
 }
 
 /// The answer to a message; `None` if there is none. What the message delivers has been applied before.
-pub(crate) fn answer(
+pub(crate) fn respond(
     members: &Members,
     local: &LocalState,
     request: &SyncMessage,
 ) -> Option<SyncMessage> {
     match request.step {
-        SyncMessage::STEP_BUCKET_DIGESTS => answer_bucket_digests(members, local, request),
-        SyncMessage::STEP_MEMBER_DIGESTS => Some(answer_member_digests(members, local, request)),
-        SyncMessage::STEP_DELIVER_AND_REQUEST => answer_request(members, local, request),
+        SyncMessage::STEP_BUCKET_DIGESTS => respond_to_bucket_digests(members, local, request),
+        SyncMessage::STEP_MEMBER_DIGESTS => {
+            Some(respond_to_member_digests(members, local, request))
+        }
+        SyncMessage::STEP_DELIVER_AND_REQUEST => respond_to_request(members, local, request),
         _ => None,
     }
 }
 
-fn answer_bucket_digests(
+fn respond_to_bucket_digests(
     members: &Members,
     local: &LocalState,
     request: &SyncMessage,
@@ -71,7 +73,7 @@
     })
 }
 
-fn answer_member_digests(
+fn respond_to_member_digests(
     members: &Members,
     local: &LocalState,
     request: &SyncMessage,
@@ -82,17 +84,19 @@
         .map(|pair| (pair[0], pair[1]))
         .collect();
     let own = member_digests(members, local, request.buckets);
-    let delivered = names_that_differ(&own, &theirs);
-    let answer = SyncMessage {
+    let delivered = differing_names(&own, &theirs);
+    let response = SyncMessage {
         step: SyncMessage::STEP_DELIVER_AND_REQUEST,
         buckets: request.buckets,
-        requested: names_that_differ(&theirs, &own).into_iter().collect(),
+        requested: differing_names(&theirs, &own).into_iter().collect(),
         ..SyncMessage::default()
     };
-    deliver(members, local, answer, |name, _| delivered.contains(&name))
+    add_deliveries(members, local, response, |name, _| {
+        delivered.contains(&name)
+    })
 }
 
-fn answer_request(
+fn respond_to_request(
     members: &Members,
     local: &LocalState,
     request: &SyncMessage,
@@ -104,22 +108,22 @@
         .iter()
         .map(|update| (update.name.as_str(), update))
         .collect();
-    let answer = SyncMessage {
+    let response = SyncMessage {
         step: SyncMessage::STEP_DELIVER,
         buckets: request.buckets,
         ..SyncMessage::default()
     };
-    let answer = deliver(members, local, answer, |name, update| {
+    let response = add_deliveries(members, local, response, |name, update| {
         requested.contains(&name)
             || received
                 .get(update.name.as_str())
                 .is_some_and(|received| **received != Update::from(update))
     });
-    (!answer.updates.is_empty()).then_some(answer)
+    (!response.updates.is_empty()).then_some(response)
 }
 
 /// Name hashes of `digests` that `other` lacks or has with another digest.
-fn names_that_differ(digests: &BTreeMap<u32, u32>, other: &BTreeMap<u32, u32>) -> BTreeSet<u32> {
+fn differing_names(digests: &BTreeMap<u32, u32>, other: &BTreeMap<u32, u32>) -> BTreeSet<u32> {
     digests
         .iter()
         .filter(|(name, digest)| other.get(name) != Some(digest))
@@ -130,7 +134,7 @@
 /// The digests of all buckets, this node among them.
 fn bucket_digests(members: &Members, local: &LocalState) -> Vec<u32> {
     let mut digests = members.digests().to_vec();
-    digests[Members::bucket(&local.node.name)] ^= local.digest();
+    digests[Members::bucket(&local.identity.name)] ^= local.digest();
     digests
 }
 
@@ -142,25 +146,25 @@
         .filter(|member| member.state.is_active() && is_within(&member.name))
         .map(|member| (name_hash(&member.name), member.digest))
         .collect();
-    if is_within(&local.node.name) {
-        digests.insert(name_hash(&local.node.name), local.digest());
+    if is_within(&local.identity.name) {
+        digests.insert(name_hash(&local.identity.name), local.digest());
     }
     digests
 }
 
 /// Adds the wanted members with their values to a message, this node last, as far as they fit.
-fn deliver(
+fn add_deliveries(
     members: &Members,
     local: &LocalState,
     mut message: SyncMessage,
-    is_wanted: impl Fn(u32, &MemberUpdate) -> bool,
+    is_selected: impl Fn(u32, &MemberUpdate) -> bool,
 ) -> SyncMessage {
     let mut available = MAX_DELIVERY_BYTES;
     let others = members
         .iter()
         .map(|member: &Member| (member.update(), &member.values));
     for (update, values) in others.chain([(local.update(), &local.values)]) {
-        if !is_wanted(name_hash(&update.name), &update) {
+        if !is_selected(name_hash(&update.name), &update) {
             continue;
         }
         let wire_update = Update::from(&update);
--- a/crates/membership/src/anti_entropy/tests.rs
+++ b/crates/membership/src/anti_entropy/tests.rs
@@ -1,4 +1,4 @@
-use super::{AntiEntropy, MAX_DIFFERENCE, exchange};
+use super::{AntiEntropy, MIN_DIFFERENCE_TIME, exchange};
 use crate::event::{Action, ReceivedSync};
 use crate::incarnation::Incarnation;
 use crate::local_node::LocalNode;
@@ -43,7 +43,7 @@
 }
 
 fn apply(node: &mut Node, message: &SyncMessage) {
-    let (updates, invalid) = super::updates(message);
+    let (updates, invalid) = super::valid_updates(message);
     assert_eq!(invalid, 0);
     for update in updates.iter().filter(|u| !node.local.is_named(&u.name)) {
         node.members.apply(update, SECOND);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_exchange_brings_both_sides_to_one_digest() {
+fn exchange_makes_both_digests_equal() {
     let mut a = node(0, 1..40);
     let mut b = node(1, (0..20).filter(|n| *n != 1).chain(60..70));
     assert_ne!(a.digest(), b.digest());
@@ -61,21 +61,21 @@
         steps += 1;
         let receiver = if steps % 2 == 1 { &mut b } else { &mut a };
         apply(receiver, &message);
-        let Some(answer) = exchange::answer(&receiver.members, &receiver.local, &message) else {
+        let Some(response) = exchange::respond(&receiver.members, &receiver.local, &message) else {
             break;
         };
-        message = answer;
+        message = response;
     }
     assert_eq!(steps, SyncMessage::STEP_DELIVER);
     assert_eq!(a.digest(), b.digest());
 }
 
 #[test]
-fn equal_digests_need_no_answer() {
+fn equal_digests_get_no_response() {
     let a = node(0, 1..40);
     let b = node(1, (0..40).filter(|n| *n != 1));
     let message = exchange::open(&a.members, &a.local);
-    assert_eq!(exchange::answer(&b.members, &b.local, &message), None);
+    assert_eq!(exchange::respond(&b.members, &b.local, &message), None);
 }
 
 #[test]
@@ -88,12 +88,12 @@
     anti_entropy.compare_digest(&mut node, SECOND * 2, &update(1), equal);
     anti_entropy.compare_digest(&mut node, SECOND * 3, &update(1), 1);
     assert!(node.actions.is_empty());
-    anti_entropy.compare_digest(&mut node, SECOND * 3 + MAX_DIFFERENCE, &update(1), 1);
+    anti_entropy.compare_digest(&mut node, SECOND * 3 + MIN_DIFFERENCE_TIME, &update(1), 1);
     assert!(matches!(node.actions[..], [Action::Sync { .. }]));
 }
 
 #[test]
-fn rejects_requests_after_a_costly_exchange() {
+fn rejects_requests_after_a_large_exchange() {
     let mut node = node(0, 1..200);
     let mut anti_entropy = AntiEntropy::new(SECOND);
     let message = SyncMessage {
@@ -101,18 +101,18 @@
         digests: vec![0; 64],
         ..SyncMessage::default()
     };
-    assert!(anti_entropy.admits(&message, SECOND));
+    assert!(anti_entropy.accepts(&message, SECOND));
     let received = ReceivedSync {
         sender: name(1),
         incarnation: Incarnation { epoch: 1, salt: 1 },
         message: message.clone(),
     };
-    anti_entropy.answer(&mut node, SECOND, &received);
-    assert!(!anti_entropy.admits(&message, SECOND));
-    assert!(anti_entropy.admits(&message, SECOND * 3));
-    let answer = SyncMessage {
+    anti_entropy.respond(&mut node, SECOND, &received);
+    assert!(!anti_entropy.accepts(&message, SECOND));
+    assert!(anti_entropy.accepts(&message, SECOND * 3));
+    let response = SyncMessage {
         step: SyncMessage::STEP_MEMBER_DIGESTS,
         ..SyncMessage::default()
     };
-    assert!(anti_entropy.admits(&answer, SECOND));
+    assert!(anti_entropy.accepts(&response, SECOND));
 }
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -18,14 +18,14 @@
 const FRAMES_PER_SECOND: f64 = 9.0;
 const FRAME_BURST: f64 = 40.0;
 /// Beyond so many queued topics each is transmitted less often; anti-entropy repairs what some members miss.
-const CROWDED_QUEUE: usize = 16;
+const LONG_QUEUE_TOPICS: usize = 16;
 const MIN_TRANSMISSIONS: u32 = 3;
 /// Topics that are considered for one frame.
 const TOPICS_PER_FRAME: usize = 12;
 /// The field number and a length of one byte.
 const FIELD_OVERHEAD_BYTES: usize = 2;
 /// Encoded lengths from here on take a second byte.
-const TWO_BYTE_LENGTH: usize = 128;
+const MIN_TWO_BYTE_LENGTH: usize = 128;
 
 /// The queue of what is to be disseminated, and the budget of gossip rounds.
 pub(crate) struct Dissemination {
@@ -104,7 +104,7 @@
         let mut size = frame.encoded_len();
         let mut sent = Vec::new();
         for topic in self.queue.first(TOPICS_PER_FRAME) {
-            let Some(content) = Content::of(&topic, local, members) else {
+            let Some(content) = TopicContent::of(&topic, local, members) else {
                 self.queue.remove(&topic);
                 continue;
             };
@@ -124,52 +124,52 @@
     /// while many topics are queued.
     fn transmission_limit(&self, active_members: usize) -> u32 {
         let usual = 4 * (active_members as f64 + 2.0).log10().ceil() as u32;
-        let queued = self.queue.len().max(CROWDED_QUEUE) as u32;
-        (usual * CROWDED_QUEUE as u32 / queued).max(MIN_TRANSMISSIONS)
+        let queued = self.queue.len().max(LONG_QUEUE_TOPICS) as u32;
+        (usual * LONG_QUEUE_TOPICS as u32 / queued).max(MIN_TRANSMISSIONS)
     }
 }
 
 /// What is known of a topic when a frame is sent; nothing superseded is ever sent.
-enum Content {
+enum TopicContent {
     Update(Update),
     Value(MemberValue),
 }
 
-impl Content {
+impl TopicContent {
     fn of(topic: &Topic, local: &LocalState, members: &Members) -> Option<Self> {
         match topic {
             Topic::Member(name) if local.is_named(name) => {
-                Some(Content::Update(Update::from(&local.update())))
+                Some(TopicContent::Update(Update::from(&local.update())))
             }
             Topic::Member(name) => {
                 let update = members.get(name).map(Member::update)?;
-                Some(Content::Update(Update::from(&update)))
+                Some(TopicContent::Update(Update::from(&update)))
             }
             Topic::Value(name, key) if local.is_named(name) => {
-                local.wire_value(key).map(Content::Value)
+                local.wire_value(key).map(TopicContent::Value)
             }
             Topic::Value(name, key) => members
                 .get(name)
                 .and_then(|member| member.wire_value(key))
-                .map(Content::Value),
+                .map(TopicContent::Value),
         }
     }
 
     /// The bytes that it adds to a frame.
     fn encoded_len(&self) -> usize {
         match self {
-            Content::Update(update) => update.encoded_len() + FIELD_OVERHEAD_BYTES,
-            Content::Value(value) => {
+            TopicContent::Update(update) => update.encoded_len() + FIELD_OVERHEAD_BYTES,
+            TopicContent::Value(value) => {
                 let encoded = value.encoded_len();
-                encoded + FIELD_OVERHEAD_BYTES + usize::from(encoded >= TWO_BYTE_LENGTH)
+                encoded + FIELD_OVERHEAD_BYTES + usize::from(encoded >= MIN_TWO_BYTE_LENGTH)
             }
         }
     }
 
     fn add_to(self, frame: &mut Frame) {
         match self {
-            Content::Update(update) => frame.updates.push(update),
-            Content::Value(value) => frame.values.push(value),
+            TopicContent::Update(update) => frame.updates.push(update),
+            TopicContent::Value(value) => frame.values.push(value),
         }
     }
 }
--- a/crates/membership/src/dissemination/tests.rs
+++ b/crates/membership/src/dissemination/tests.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn forgotten_members_are_dropped_from_the_queue() {
+fn removed_members_are_dropped_from_the_queue() {
     let mut dissemination = Dissemination::new(32, Duration::ZERO);
     dissemination.queue_member(name(5));
     dissemination.queue_member(name(0));
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -20,19 +20,19 @@
 use std::time::Duration;
 
 /// A timer that fires so late shows that this node is slow itself.
-const LATE_TIMER: Duration = Duration::from_millis(100);
+const LATE_TIMER_THRESHOLD: Duration = Duration::from_millis(100);
 /// A probe fails after so many ack timeouts; indirect probes begin after the first.
-const PROBE_TIMEOUTS: u32 = 3;
+const ACK_TIMEOUTS_PER_PROBE: u32 = 3;
 /// Urgent probes that are begun at a time.
-const URGENT_PROBES: usize = 4;
+const MAX_URGENT_PROBES_PER_TICK: usize = 4;
 /// Suspects of this node that are scheduled for another probe at a time.
-const REPROBED_SUSPECTS: usize = URGENT_PROBES * 4;
+const MAX_REPROBED_SUSPECTS: usize = MAX_URGENT_PROBES_PER_TICK * 4;
 /// About so many of the members that learn of a suspicion probe the suspect at once.
-const VOLUNTEERS: u32 = 6;
+const MEAN_IMMEDIATE_PROBES: u32 = 6;
 
 /// Where an update comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Source {
+pub(crate) enum UpdateSource {
     /// A frame, or this node's own failure detector: the update is gossiped on.
     Gossip,
     /// An anti-entropy exchange: whoever else lacks the update finds it the same way.
@@ -102,7 +102,7 @@
         }
         for update in expired.dead {
             node.counters.declared_dead += 1;
-            self.apply_update(node, &update, now, Source::Gossip);
+            self.apply_update(node, &update, now, UpdateSource::Gossip);
         }
     }
 
@@ -112,7 +112,7 @@
         node: &mut Node,
         update: &MemberUpdate,
         now: Duration,
-        source: Source,
+        source: UpdateSource,
     ) {
         let before = node.members.state(&update.name);
         let change = node.members.apply(update, now);
@@ -130,21 +130,21 @@
         if after == Some(MemberState::Suspect) {
             self.suspects.push(update.name.clone());
         }
-        if source == Source::Gossip {
+        if source == UpdateSource::Gossip {
             node.dissemination.queue_member(update.name.clone());
         }
         if after.is_some_and(MemberState::is_active) {
-            self.note_arrival(node, update, change);
+            self.add_active_member(node, update, change);
         } else if before != after {
-            log_departure(node, update, after);
+            log_inactive_member(node, update, after);
         }
-        if source == Source::Gossip && is_new_suspect {
-            self.volunteer(node, &update.name);
+        if source == UpdateSource::Gossip && is_new_suspect {
+            self.maybe_probe_new_suspect(node, &update.name);
         }
     }
 
     /// Logs an active member that is new or in a new incarnation, and takes it into the order of probes.
-    fn note_arrival(&mut self, node: &mut Node, update: &MemberUpdate, change: Change) {
+    fn add_active_member(&mut self, node: &mut Node, update: &MemberUpdate, change: Change) {
         let arrival = match change {
             Change::Added => "joined",
             Change::NewIncarnation => "rejoined",
@@ -159,9 +159,9 @@
 
     /// Probes a new suspect at once, by chance: the sooner several members have probed it, the sooner the suspicion is
     /// refuted or confirmed.
-    fn volunteer(&mut self, node: &mut Node, suspect: &Name) {
+    fn maybe_probe_new_suspect(&mut self, node: &mut Node, suspect: &Name) {
         let active = node.members.active().len() as u32;
-        if node.random.next_u32() % active.max(1) < VOLUNTEERS {
+        if node.random.next_u32() % active.max(1) < MEAN_IMMEDIATE_PROBES {
             self.schedule.add_urgent(suspect.clone());
         }
     }
@@ -171,7 +171,7 @@
         if now < due {
             return;
         }
-        if now.saturating_sub(due) > LATE_TIMER {
+        if now.saturating_sub(due) > LATE_TIMER_THRESHOLD {
             node.health.degrade(1);
         }
         let interval = node.settings.probe_interval * (node.health.score() + 1);
@@ -182,7 +182,7 @@
     }
 
     fn send_urgent_probes(&mut self, node: &mut Node, now: Duration) {
-        for _ in 0..URGENT_PROBES {
+        for _ in 0..MAX_URGENT_PROBES_PER_TICK {
             let Some(target) = self.schedule.next_urgent() else {
                 return;
             };
@@ -203,11 +203,11 @@
             incarnation: member.incarnation,
             sent_at: now,
             indirect_at: now + timeout,
-            expires_at: now + timeout * PROBE_TIMEOUTS,
-            helpers: 0,
+            expires_at: now + timeout * ACK_TIMEOUTS_PER_PROBE,
+            relay_count: 0,
             nacks: 0,
         };
-        if let Some(sequence) = self.probes.begin(probe) {
+        if let Some(sequence) = self.probes.add_probe(probe) {
             send_ping(node, target, sequence);
         }
     }
@@ -220,16 +220,16 @@
             let Some(update) = node.members.get(&target).map(Member::update) else {
                 continue;
             };
-            let helpers = node.random_members(node.settings.indirect_probes, Some(&target));
-            self.probes.set_helpers(sequence, helpers.len());
-            for helper in &helpers {
+            let relays = node.random_members(node.settings.indirect_probes, Some(&target));
+            self.probes.set_relay_count(sequence, relays.len());
+            for relay in &relays {
                 let request = Frame {
                     kind: FrameKind::IndirectPing as i32,
                     sequence,
                     target: Some(Update::from(&update)),
                     ..Frame::default()
                 };
-                node.send(helper, request);
+                node.send(relay, request);
             }
             // The first ping may only have been lost.
             send_ping(node, &target, sequence);
@@ -239,10 +239,10 @@
     /// A probe had neither an ack nor an indirect ack in time: suspects its target.
     fn handle_failed_probe(&mut self, node: &mut Node, probe: &Probe, now: Duration) {
         // Lifeguard: not even the helpers were heard, so this node may be slow or cut off.
-        if probe.nacks == 0 && probe.helpers > 0 {
+        if probe.nacks == 0 && probe.relay_count > 0 {
             node.health.degrade(1);
         }
-        let suspected_by = name_hash(&node.local.node.name);
+        let suspected_by = name_hash(&node.local.identity.name);
         let Some(member) = node.members.get_mut(&probe.target) else {
             return;
         };
@@ -254,7 +254,7 @@
         update.suspected_by = suspected_by;
         if node.injects(InjectedBug::NoIndirectProbes) {
             update.state = MemberState::Dead;
-            self.apply_update(node, &update, now, Source::Gossip);
+            self.apply_update(node, &update, now, UpdateSource::Gossip);
             return;
         }
         // A node that hears nobody is more likely at fault itself, and must not end the whole fleet.
@@ -265,7 +265,7 @@
             node.counters.suspected += 1;
         }
         update.state = MemberState::Suspect;
-        self.apply_update(node, &update, now, Source::Gossip);
+        self.apply_update(node, &update, now, UpdateSource::Gossip);
     }
 
     /// Schedules the members that this node suspects for another probe, which also notifies them of the suspicion.
@@ -273,18 +273,18 @@
         if self.schedule.has_urgent() {
             return;
         }
-        let own_hash = name_hash(&node.local.node.name);
+        let own_hash = name_hash(&node.local.identity.name);
         let own_suspects = self
             .suspects
             .iter()
             .filter(|name| suspicion::is_suspected_by(&node.members, name, own_hash))
-            .take(REPROBED_SUSPECTS)
+            .take(MAX_REPROBED_SUSPECTS)
             .cloned();
         self.schedule.set_urgent(own_suspects.collect());
     }
 }
 
-fn log_departure(node: &mut Node, update: &MemberUpdate, state: Option<MemberState>) {
+fn log_inactive_member(node: &mut Node, update: &MemberUpdate, state: Option<MemberState>) {
     let departure = if state == Some(MemberState::Left) {
         "left"
     } else {
--- a/crates/membership/src/failure_detector/acks.rs
+++ b/crates/membership/src/failure_detector/acks.rs
@@ -1,7 +1,7 @@
 //! Pings, their acks and nacks, and pings relayed for other members.
 
 use super::probe_table::RelayedPing;
-use super::{FailureDetector, Source};
+use super::{FailureDetector, UpdateSource};
 use crate::name::Name;
 use crate::node::Node;
 use crate::update::MemberState;
@@ -21,7 +21,7 @@
             send_reply(node, &relayed.requester, FrameKind::Ack, relayed.sequence);
             return;
         }
-        let Some(probe) = self.probes.take_finished(sequence) else {
+        let Some(probe) = self.probes.finish_probe(sequence) else {
             self.handle_late_ack(node, now, from, sequence);
             return;
         };
@@ -35,7 +35,7 @@
 
     /// An ack that is too late for its probe still measures the round trip.
     fn handle_late_ack(&mut self, node: &mut Node, now: Duration, from: &Name, sequence: u64) {
-        let Some((target, sent_at)) = self.probes.take_late(sequence) else {
+        let Some((target, sent_at)) = self.probes.take_finished_probe(sequence) else {
             return;
         };
         if target == *from {
@@ -64,13 +64,13 @@
         if node.local.is_named(&target.name) {
             return;
         }
-        self.apply_update(node, &target, now, Source::Gossip);
+        self.apply_update(node, &target, now, UpdateSource::Gossip);
         let relayed = RelayedPing {
             requester: requester.clone(),
             sequence: frame.sequence,
             expires_at: now + node.health.ack_timeout(),
         };
-        if let Some(sequence) = self.probes.begin_relayed(relayed) {
+        if let Some(sequence) = self.probes.add_relayed_ping(relayed) {
             send_ping(node, &target.name, sequence);
         }
     }
--- a/crates/membership/src/failure_detector/probe_table.rs
+++ b/crates/membership/src/failure_detector/probe_table.rs
@@ -8,7 +8,7 @@
 /// Outstanding probes, and relayed pings.
 const MAX_OUTSTANDING: usize = 128;
 /// Finished probes that are remembered, so that a late ack still measures the round trip.
-const MAX_LATE: usize = 32;
+const MAX_FINISHED_PROBES: usize = 32;
 
 /// An outstanding probe.
 #[derive(Clone, Debug)]
@@ -21,7 +21,7 @@
     /// When the probe has failed.
     pub(crate) expires_at: Duration,
     /// Members that were asked for indirect probes.
-    pub(crate) helpers: usize,
+    pub(crate) relay_count: usize,
     /// Helpers that had no ack either.
     pub(crate) nacks: usize,
 }
@@ -36,7 +36,7 @@
 }
 
 /// A finished probe, for late acks.
-struct LateProbe {
+struct FinishedProbe {
     sequence: u64,
     target: Name,
     sent_at: Duration,
@@ -47,13 +47,13 @@
 pub(crate) struct ProbeTable {
     probes: BTreeMap<u64, Probe>,
     relayed: BTreeMap<u64, RelayedPing>,
-    late: VecDeque<LateProbe>,
+    finished: VecDeque<FinishedProbe>,
     last_sequence: u64,
 }
 
 impl ProbeTable {
     /// Adds a probe and returns its sequence number; `None` if there are too many, or one of this target already.
-    pub(crate) fn begin(&mut self, probe: Probe) -> Option<u64> {
+    pub(crate) fn add_probe(&mut self, probe: Probe) -> Option<u64> {
         let is_probed = |other: &Probe| other.target == probe.target;
         if self.probes.len() >= MAX_OUTSTANDING || self.probes.values().any(is_probed) {
             return None;
@@ -64,7 +64,7 @@
     }
 
     /// Adds a relayed ping and returns its sequence number; `None` if there are too many.
-    pub(crate) fn begin_relayed(&mut self, relayed: RelayedPing) -> Option<u64> {
+    pub(crate) fn add_relayed_ping(&mut self, relayed: RelayedPing) -> Option<u64> {
         if self.relayed.len() >= MAX_OUTSTANDING {
             return None;
         }
@@ -74,9 +74,9 @@
     }
 
     /// Removes a probe that was answered or has failed.
-    pub(crate) fn take_finished(&mut self, sequence: u64) -> Option<Probe> {
+    pub(crate) fn finish_probe(&mut self, sequence: u64) -> Option<Probe> {
         let probe = self.probes.remove(&sequence)?;
-        self.remember(sequence, &probe);
+        self.remember_finished(sequence, &probe);
         Some(probe)
     }
 
@@ -86,13 +86,13 @@
     }
 
     /// The target of a finished probe, and when it was sent.
-    pub(crate) fn take_late(&mut self, sequence: u64) -> Option<(Name, Duration)> {
+    pub(crate) fn take_finished_probe(&mut self, sequence: u64) -> Option<(Name, Duration)> {
         let index = self
-            .late
+            .finished
             .iter()
-            .position(|late| late.sequence == sequence)?;
-        let late = self.late.remove(index)?;
-        Some((late.target, late.sent_at))
+            .position(|probe| probe.sequence == sequence)?;
+        let probe = self.finished.remove(index)?;
+        Some((probe.target, probe.sent_at))
     }
 
     /// Counts a helper that had no ack.
@@ -115,9 +115,9 @@
     }
 
     /// Notes how many members were asked for indirect probes.
-    pub(crate) fn set_helpers(&mut self, sequence: u64, helpers: usize) {
+    pub(crate) fn set_relay_count(&mut self, sequence: u64, relay_count: usize) {
         if let Some(probe) = self.probes.get_mut(&sequence) {
-            probe.helpers = helpers;
+            probe.relay_count = relay_count;
         }
     }
 
@@ -131,7 +131,7 @@
             .collect();
         expired
             .into_iter()
-            .filter_map(|sequence| self.take_finished(sequence))
+            .filter_map(|sequence| self.finish_probe(sequence))
             .collect()
     }
 
@@ -165,11 +165,11 @@
         self.relayed.clear();
     }
 
-    fn remember(&mut self, sequence: u64, probe: &Probe) {
-        if self.late.len() >= MAX_LATE {
-            self.late.pop_front();
+    fn remember_finished(&mut self, sequence: u64, probe: &Probe) {
+        if self.finished.len() >= MAX_FINISHED_PROBES {
+            self.finished.pop_front();
         }
-        self.late.push_back(LateProbe {
+        self.finished.push_back(FinishedProbe {
             sequence,
             target: probe.target.clone(),
             sent_at: probe.sent_at,
--- a/crates/membership/src/failure_detector/tests.rs
+++ b/crates/membership/src/failure_detector/tests.rs
@@ -1,6 +1,6 @@
 use super::probe_table::{Probe, ProbeTable, RelayedPing};
 use super::schedule::ProbeSchedule;
-use super::{FailureDetector, Source, suspicion};
+use super::{FailureDetector, UpdateSource, suspicion};
 use crate::event::Action;
 use crate::incarnation::Incarnation;
 use crate::local_node::LocalNode;
@@ -44,7 +44,7 @@
     let mut detector = FailureDetector::new(Duration::ZERO);
     for number in 1..=others {
         let update = update(number, MemberState::Alive);
-        detector.apply_update(&mut node, &update, Duration::ZERO, Source::Gossip);
+        detector.apply_update(&mut node, &update, Duration::ZERO, UpdateSource::Gossip);
     }
     node.last_heard = Some(Duration::ZERO);
     node.actions.clear();
@@ -67,32 +67,35 @@
         sent_at: Duration::ZERO,
         indirect_at: MS * 100,
         expires_at: MS * 300,
-        helpers: 0,
+        relay_count: 0,
         nacks: 0,
     }
 }
 
 #[test]
-fn probe_table_has_one_probe_a_target() {
+fn probe_table_allows_one_outstanding_probe_per_target() {
     let mut table = ProbeTable::default();
-    assert_eq!(table.begin(probe(1)), Some(1));
-    assert_eq!(table.begin(probe(1)), None);
-    assert_eq!(table.begin(probe(2)), Some(2));
-    assert!(table.take_finished(1).is_some());
-    assert_eq!(table.begin(probe(1)), Some(3));
+    assert_eq!(table.add_probe(probe(1)), Some(1));
+    assert_eq!(table.add_probe(probe(1)), None);
+    assert_eq!(table.add_probe(probe(2)), Some(2));
+    assert!(table.finish_probe(1).is_some());
+    assert_eq!(table.add_probe(probe(1)), Some(3));
 }
 
 #[test]
 fn indirect_probes_are_due_once_and_only_before_the_probe_fails() {
     let mut table = ProbeTable::default();
-    table.begin(probe(1));
+    table.add_probe(probe(1));
     assert!(table.due_for_indirect_probes(MS * 99).is_empty());
     assert_eq!(table.due_for_indirect_probes(MS * 100).len(), 1);
     assert!(table.due_for_indirect_probes(MS * 101).is_empty());
     assert_eq!(table.next_deadline(), Some(MS * 300));
     assert_eq!(table.take_expired(MS * 300).len(), 1);
-    assert_eq!(table.take_late(1), Some((name(1), Duration::ZERO)));
-    assert_eq!(table.take_late(1), None);
+    assert_eq!(
+        table.take_finished_probe(1),
+        Some((name(1), Duration::ZERO))
+    );
+    assert_eq!(table.take_finished_probe(1), None);
 }
 
 #[test]
@@ -103,7 +106,7 @@
         sequence: 9,
         expires_at: MS * 100,
     };
-    table.begin_relayed(relayed);
+    table.add_relayed_ping(relayed);
     assert!(table.take_expired_relayed(MS * 99).is_empty());
     assert_eq!(table.take_expired_relayed(MS * 100).len(), 1);
     assert!(table.take_relayed(1).is_none());
@@ -140,7 +143,7 @@
 }
 
 #[test]
-fn unanswered_probe_asks_for_indirect_probes_then_suspects() {
+fn probe_without_ack_starts_indirect_probes_then_suspects() {
     let (mut node, mut detector) = node(4);
     detector.tick(&mut node, Duration::ZERO);
     assert_eq!(sent_kinds(&mut node), [FrameKind::Ping as i32]);
@@ -163,11 +166,16 @@
 }
 
 #[test]
-fn expired_suspicion_declares_dead_unless_the_member_was_heard() {
+fn expired_suspicion_declares_dead_unless_a_frame_was_received() {
     let (mut node, mut detector) = node(4);
     for number in [1, 2] {
         let suspicion = update(number, MemberState::Suspect);
-        detector.apply_update(&mut node, &suspicion, Duration::ZERO, Source::AntiEntropy);
+        detector.apply_update(
+            &mut node,
+            &suspicion,
+            Duration::ZERO,
+            UpdateSource::AntiEntropy,
+        );
     }
     let late = MS * 3_000;
     node.last_heard = Some(late);
--- a/crates/membership/src/joining.rs
+++ b/crates/membership/src/joining.rs
@@ -11,15 +11,15 @@
 use std::time::Duration;
 
 /// The backoff between attempts to join: doubled from the first up to the last.
-const FIRST_BACKOFF: Duration = Duration::from_millis(250);
-const LAST_BACKOFF: Duration = Duration::from_secs(2);
+const MIN_BACKOFF: Duration = Duration::from_millis(250);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// Seeds, and members known before, that one attempt goes to.
-const SEEDS_PER_ATTEMPT: usize = 2;
-const MEMBERS_PER_ATTEMPT: usize = 2;
+const SEEDS_PER_JOIN_ROUND: usize = 2;
+const MEMBERS_PER_JOIN_ROUND: usize = 2;
 /// How often a dead member, or a seed that is no member's address, is asked to join.
 const REJOIN_INTERVAL: Duration = Duration::from_secs(1);
 /// Answers a second to senders that know no present incarnation of this node, or are in an ended one.
-const MAX_REPLIES_PER_SECOND: u32 = 100;
+const MAX_RESPONSES_PER_SECOND: u32 = 100;
 /// Members that a welcome lists, besides what is known of itself.
 const WELCOME_MEMBERS: usize = 4;
 
@@ -27,22 +27,22 @@
 pub(crate) struct Joining {
     /// Whether another member has answered the present incarnation.
     joined: bool,
-    next_attempt: Duration,
+    next_join: Duration,
     backoff: Duration,
     next_rejoin: Duration,
-    replies: ReplyLimiter,
+    responses: ResponseLimiter,
 }
 
 impl Joining {
     pub(crate) fn new(now: Duration) -> Self {
         Joining {
             joined: false,
-            next_attempt: now,
-            backoff: FIRST_BACKOFF,
+            next_join: now,
+            backoff: MIN_BACKOFF,
             next_rejoin: now + REJOIN_INTERVAL,
-            replies: ReplyLimiter {
+            responses: ResponseLimiter {
                 window_start: now,
-                replies: 0,
+                sent: 0,
             },
         }
     }
@@ -50,8 +50,8 @@
     /// Begins anew with an incarnation of this node.
     pub(crate) fn restart(&mut self, now: Duration) {
         self.joined = false;
-        self.next_attempt = now;
-        self.backoff = FIRST_BACKOFF;
+        self.next_join = now;
+        self.backoff = MIN_BACKOFF;
     }
 
     pub(crate) fn is_joined(&self) -> bool {
@@ -59,7 +59,7 @@
     }
 
     /// Notes that another member has answered this incarnation.
-    pub(crate) fn complete(&mut self) {
+    pub(crate) fn mark_joined(&mut self) {
         self.joined = true;
     }
 
@@ -68,31 +68,31 @@
         if self.joined {
             self.next_rejoin
         } else {
-            self.next_rejoin.min(self.next_attempt)
+            self.next_rejoin.min(self.next_join)
         }
     }
 
     /// Sends the joins that are due.
     pub(crate) fn tick(&mut self, node: &mut Node, now: Duration) {
-        self.attempt(node, now);
-        self.rejoin(node, now);
+        self.send_due_joins(node, now);
+        self.send_rejoin(node, now);
     }
 
     /// Asks seeds and members known before, until one answers.
-    fn attempt(&mut self, node: &mut Node, now: Duration) {
-        if self.joined || now < self.next_attempt {
+    fn send_due_joins(&mut self, node: &mut Node, now: Duration) {
+        if self.joined || now < self.next_join {
             return;
         }
-        self.next_attempt = now + node.random.jitter(self.backoff);
-        self.backoff = (self.backoff * 2).min(LAST_BACKOFF);
-        let seeds: Vec<SocketAddr> = node.local.node.other_seeds().collect();
+        self.next_join = now + node.random.jitter(self.backoff);
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
+        let seeds: Vec<SocketAddr> = node.local.identity.other_seeds().collect();
         let mut targets = Vec::new();
         if !seeds.is_empty() {
-            for _ in 0..SEEDS_PER_ATTEMPT {
+            for _ in 0..SEEDS_PER_JOIN_ROUND {
                 targets.push(seeds[node.random.below(seeds.len())]);
             }
         }
-        for name in node.random_members(MEMBERS_PER_ATTEMPT, None) {
+        for name in node.random_members(MEMBERS_PER_JOIN_ROUND, None) {
             targets.extend(node.members.get(&name).map(|member| member.address));
         }
         targets.sort();
@@ -103,21 +103,21 @@
     }
 
     /// Asks one dead member or unanswered seed to join: it may only have been cut off, or be up by now.
-    fn rejoin(&mut self, node: &mut Node, now: Duration) {
+    fn send_rejoin(&mut self, node: &mut Node, now: Duration) {
         if now < self.next_rejoin {
             return;
         }
         self.next_rejoin = now + node.random.jitter(REJOIN_INTERVAL);
-        let lost = lost_addresses(node);
-        if !lost.is_empty() {
-            let to = lost[node.random.below(lost.len())];
+        let unreachable = unreachable_addresses(node);
+        if !unreachable.is_empty() {
+            let to = unreachable[node.random.below(unreachable.len())];
             send_join(node, to);
         }
     }
 
     /// Answers a node that does not know this node's incarnation: with what is known of itself, then some other members.
     pub(crate) fn send_welcome(&mut self, node: &mut Node, now: Duration, joiner: &MemberUpdate) {
-        if !self.replies.allow(now, &mut node.counters) {
+        if !self.responses.allow(now, &mut node.counters) {
             return;
         }
         let mut frame = Frame {
@@ -140,14 +140,14 @@
     }
 
     /// Notifies a sender that its incarnation has ended; it has to begin a new one.
-    pub(crate) fn send_ended(
+    pub(crate) fn notify_ended_incarnation(
         &mut self,
         node: &mut Node,
         now: Duration,
         sender: &MemberUpdate,
         known: Update,
     ) {
-        if !self.replies.allow(now, &mut node.counters) {
+        if !self.responses.allow(now, &mut node.counters) {
             return;
         }
         let frame = Frame {
@@ -163,20 +163,20 @@
 }
 
 /// Limits answers that no member relies on.
-struct ReplyLimiter {
+struct ResponseLimiter {
     window_start: Duration,
-    replies: u32,
+    sent: u32,
 }
 
-impl ReplyLimiter {
+impl ResponseLimiter {
     /// Whether one more answer may be sent; counts those that may not.
     fn allow(&mut self, now: Duration, counters: &mut Counters) -> bool {
         if now.saturating_sub(self.window_start) >= Duration::from_secs(1) {
             self.window_start = now;
-            self.replies = 0;
+            self.sent = 0;
         }
-        self.replies += 1;
-        let is_allowed = self.replies <= MAX_REPLIES_PER_SECOND;
+        self.sent += 1;
+        let is_allowed = self.sent <= MAX_RESPONSES_PER_SECOND;
         if !is_allowed {
             counters.rate_limited_responses += 1;
         }
@@ -185,7 +185,7 @@
 }
 
 /// Seeds that are no active member's address, then the addresses of dead members.
-fn lost_addresses(node: &Node) -> Vec<SocketAddr> {
+fn unreachable_addresses(node: &Node) -> Vec<SocketAddr> {
     let is_active = |address: SocketAddr| {
         node.members
             .iter()
@@ -193,7 +193,7 @@
     };
     let seeds = node
         .local
-        .node
+        .identity
         .other_seeds()
         .filter(|seed| !is_active(*seed));
     let dead = node
--- a/crates/membership/src/joining/tests.rs
+++ b/crates/membership/src/joining/tests.rs
@@ -1,4 +1,4 @@
-use super::{Joining, MAX_REPLIES_PER_SECOND};
+use super::{Joining, MAX_RESPONSES_PER_SECOND};
 use crate::counters::Counters;
 use crate::event::Action;
 use crate::local_node::LocalNode;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn never_joins_by_its_own_address() {
+fn never_sends_joins_to_its_own_address() {
     let mut node = node(vec![address(1)]);
     let mut joining = Joining::new(Duration::ZERO);
     for second in 0..10 {
@@ -46,35 +46,39 @@
 fn retries_with_backoff_until_joined() {
     let mut node = node(vec![address(2)]);
     let mut joining = Joining::new(Duration::ZERO);
-    let mut attempts = Vec::new();
+    let mut join_times = Vec::new();
     let mut now = Duration::ZERO;
     while now < Duration::from_secs(20) {
-        joining.attempt(&mut node, now);
+        joining.send_due_joins(&mut node, now);
         if !targets(&mut node).is_empty() {
-            attempts.push(now);
+            join_times.push(now);
         }
         now += Duration::from_millis(1);
     }
-    assert!((8..=20).contains(&attempts.len()), "{attempts:?}");
-    joining.complete();
-    joining.attempt(&mut node, now + Duration::from_secs(60));
+    assert!((8..=20).contains(&join_times.len()), "{join_times:?}");
+    joining.mark_joined();
+    joining.send_due_joins(&mut node, now + Duration::from_secs(60));
     assert!(targets(&mut node).is_empty());
     joining.restart(now);
-    joining.attempt(&mut node, now);
+    joining.send_due_joins(&mut node, now);
     assert_eq!(targets(&mut node), [address(2)]);
 }
 
 #[test]
-fn limits_replies_a_second() {
+fn limits_responses_per_second() {
     let mut counters = Counters::default();
     let mut joining = Joining::new(Duration::ZERO);
     let allowed = (0..1_000)
-        .filter(|_| joining.replies.allow(Duration::ZERO, &mut counters))
+        .filter(|_| joining.responses.allow(Duration::ZERO, &mut counters))
         .count();
-    assert_eq!(allowed, MAX_REPLIES_PER_SECOND as usize);
+    assert_eq!(allowed, MAX_RESPONSES_PER_SECOND as usize);
     assert_eq!(
         counters.rate_limited_responses,
-        1_000 - u64::from(MAX_REPLIES_PER_SECOND)
+        1_000 - u64::from(MAX_RESPONSES_PER_SECOND)
+    );
+    assert!(
+        joining
+            .responses
+            .allow(Duration::from_secs(1), &mut counters)
     );
-    assert!(joining.replies.allow(Duration::from_secs(1), &mut counters));
 }
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -30,8 +30,8 @@
 
     /// Raises the score by `by`: this node may be slow or cut off, as a missed nack, a suspicion of itself or a late timer
     /// shows.
-    pub fn degrade(&mut self, by: u32) {
-        self.score = (self.score + by).min(MAX_SCORE);
+    pub fn degrade(&mut self, points: u32) {
+        self.score = (self.score + points).min(MAX_SCORE);
     }
 
     /// Lowers the score by one: a probe was answered in time.
--- a/crates/membership/src/local_health/tests.rs
+++ b/crates/membership/src/local_health/tests.rs
@@ -4,7 +4,7 @@
 const MIN: Duration = Duration::from_millis(100);
 
 #[test]
-fn score_stretches_the_ack_timeout_within_bounds() {
+fn score_lengthens_the_ack_timeout_within_bounds() {
     let mut health = LocalHealth::new(MIN);
     assert_eq!(health.ack_timeout(), MIN);
     health.degrade(2);
--- a/crates/membership/src/local_node.rs
+++ b/crates/membership/src/local_node.rs
@@ -35,16 +35,16 @@
 
 /// This node with its present incarnation and what it publishes.
 pub(crate) struct LocalState {
-    pub(crate) node: LocalNode,
+    pub(crate) identity: LocalNode,
     pub(crate) incarnation: Incarnation,
     pub(crate) refutation: u32,
     pub(crate) values: Values,
 }
 
 impl LocalState {
-    pub(crate) fn new(node: LocalNode, incarnation: Incarnation) -> Self {
+    pub(crate) fn new(identity: LocalNode, incarnation: Incarnation) -> Self {
         LocalState {
-            node,
+            identity,
             incarnation,
             refutation: 0,
             values: Values::default(),
@@ -53,14 +53,14 @@
 
     /// Whether `name` is this node's own.
     pub(crate) fn is_named(&self, name: &Name) -> bool {
-        *name == self.node.name
+        *name == self.identity.name
     }
 
     /// What this node asserts of itself.
     pub(crate) fn update(&self) -> MemberUpdate {
         MemberUpdate {
-            name: self.node.name.clone(),
-            address: self.node.address,
+            name: self.identity.name.clone(),
+            address: self.identity.address,
             incarnation: self.incarnation,
             refutation: self.refutation,
             state: MemberState::Alive,
@@ -70,13 +70,17 @@
 
     /// The digest of this node's incarnation and values.
     pub(crate) fn digest(&self) -> u32 {
-        member_digest(&self.node.name, self.incarnation, &self.values)
+        member_digest(&self.identity.name, self.incarnation, &self.values)
     }
 
     /// One of this node's values, for the wire.
     pub(crate) fn wire_value(&self, key: &str) -> Option<MemberValue> {
         let value = self.values.get(key)?;
-        Some(MemberValue::new(&self.node.name, self.incarnation, value))
+        Some(MemberValue::new(
+            &self.identity.name,
+            self.incarnation,
+            value,
+        ))
     }
 
     /// Stores a value of this node's own under the next version; returns whether it differs from the stored one.
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -21,19 +21,19 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Suspicion {
     /// When the timeout began.
-    pub(crate) since: Duration,
+    pub(crate) timeout_start: Duration,
     /// Hashes of the names of the members that suspect; at most [`MAX_SUSPECTED_BY`].
-    pub(crate) by: Vec<u32>,
+    pub(crate) suspecting: Vec<u32>,
 }
 
 impl Suspicion {
     /// Adds an independent suspicion; returns whether it was new.
     fn confirm(&mut self, suspected_by: u32) -> bool {
-        let is_new = self.by.len() < MAX_SUSPECTED_BY
+        let is_new = self.suspecting.len() < MAX_SUSPECTED_BY
             && suspected_by != 0
-            && !self.by.contains(&suspected_by);
+            && !self.suspecting.contains(&suspected_by);
         if is_new {
-            self.by.push(suspected_by);
+            self.suspecting.push(suspected_by);
         }
         is_new
     }
@@ -101,7 +101,7 @@
         let suspected_by = self
             .suspicion
             .as_ref()
-            .and_then(|suspicion| suspicion.by.last().copied());
+            .and_then(|suspicion| suspicion.suspecting.last().copied());
         MemberUpdate {
             name: self.name.clone(),
             address: self.address,
@@ -130,7 +130,7 @@
     }
 
     /// Takes over an update that supersedes what is known.
-    fn supersede(&mut self, update: &MemberUpdate, now: Duration) -> Change {
+    fn replace_with(&mut self, update: &MemberUpdate, now: Duration) -> Change {
         let is_new_incarnation = update.incarnation != self.incarnation;
         if is_new_incarnation {
             self.values = Values::default();
@@ -253,11 +253,11 @@
             Some(member)
                 if update.supersedes(member.incarnation, member.refutation, member.state) =>
             {
-                member.supersede(update, now)
+                member.replace_with(update, now)
             }
             Some(member) => return member.confirm_suspicion(update),
         };
-        self.refresh(update, now);
+        self.update_derived_state(update, now);
         change
     }
 
@@ -268,7 +268,7 @@
         }
         self.by_name
             .insert(update.name.clone(), Member::new(update, now));
-        self.refresh(update, now);
+        self.update_derived_state(update, now);
         if update.state.is_active() {
             Change::Added
         } else {
@@ -277,14 +277,14 @@
     }
 
     /// Recomputes what is derived from a member after an update.
-    fn refresh(&mut self, update: &MemberUpdate, now: Duration) {
+    fn update_derived_state(&mut self, update: &MemberUpdate, now: Duration) {
         let name = &update.name;
         let Some(member) = self.by_name.get_mut(name) else {
             return;
         };
         member.suspicion = (member.state == MemberState::Suspect).then(|| Suspicion {
-            since: now,
-            by: vec![update.suspected_by],
+            timeout_start: now,
+            suspecting: vec![update.suspected_by],
         });
         let is_active = member.state.is_active();
         let index = self.active.iter().position(|other| other == name);
@@ -293,10 +293,10 @@
             (false, Some(index)) => drop(self.active.swap_remove(index)),
             _ => {}
         }
-        self.refresh_digest(name);
+        self.update_digest(name);
     }
 
-    fn refresh_digest(&mut self, name: &Name) {
+    fn update_digest(&mut self, name: &Name) {
         let Some(member) = self.by_name.get_mut(name) else {
             return;
         };
@@ -330,12 +330,12 @@
         if let Some(metadata) = metadata {
             member.metadata = metadata;
         }
-        self.refresh_digest(name);
+        self.update_digest(name);
         true
     }
 
     /// Removes members that left or died before `before`.
-    pub(crate) fn remove_inactive_since(&mut self, before: Duration) {
+    pub(crate) fn remove_inactive_before(&mut self, before: Duration) {
         self.by_name
             .retain(|_, member| member.state.is_active() || member.state_since >= before);
     }
--- a/crates/membership/src/members/tests.rs
+++ b/crates/membership/src/members/tests.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn full_table_evicts_the_member_that_ended_first() {
+fn full_table_evicts_the_oldest_inactive_member() {
     let mut members = Members::new(2);
     assert_eq!(
         members.apply(&update(1, 1, MemberState::Alive), seconds(1)),
@@ -81,7 +81,10 @@
         .get(&name(1))
         .and_then(|member| member.suspicion.clone());
     let suspicion = suspicion.expect("the member is suspected");
-    assert_eq!((suspicion.since, suspicion.by), (seconds(2), vec![7, 8]));
+    assert_eq!(
+        (suspicion.timeout_start, suspicion.suspecting),
+        (seconds(2), vec![7, 8])
+    );
 }
 
 #[test]
@@ -105,9 +108,9 @@
     let mut members = Members::new(4);
     members.apply(&update(1, 1, MemberState::Alive), seconds(1));
     members.apply(&update(2, 1, MemberState::Dead), seconds(1));
-    members.remove_inactive_since(seconds(1));
+    members.remove_inactive_before(seconds(1));
     assert!(members.get(&name(2)).is_some());
-    members.remove_inactive_since(seconds(2));
+    members.remove_inactive_before(seconds(2));
     assert!(members.get(&name(2)).is_none());
     assert!(members.get(&name(1)).is_some());
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -32,7 +32,7 @@
 /// Ticks are at least so far apart.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
 /// A gap between events is a pause only beyond so many tick intervals.
-const PAUSE_TICKS: u32 = 2;
+const PAUSE_TICK_INTERVALS: u32 = 2;
 /// Members that a node notifies when it leaves.
 const LEAVE_FAN_OUT: usize = 6;
 
@@ -70,7 +70,7 @@
             NextEpoch::after(epoch)
         };
         membership.begin_incarnation(epoch, now);
-        let metadata = MetadataMessage::from(&membership.node.local.node.metadata);
+        let metadata = MetadataMessage::from(&membership.node.local.identity.metadata);
         // Metadata over the bound for values is not published; other members see it as empty.
         let _ = membership.publish(METADATA_KEY, &metadata.encode_to_vec(), now);
         membership
@@ -78,7 +78,7 @@
 
     /// Handles an event and returns the actions to carry out, in order. `now` must not go back.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
-        let max_gap = MAX_TICK_INTERVAL * PAUSE_TICKS;
+        let max_gap = MAX_TICK_INTERVAL * PAUSE_TICK_INTERVALS;
         if let Some(epoch) = self
             .own_incarnation
             .detect_pause(&mut self.node, now, max_gap)
@@ -148,7 +148,7 @@
 
     /// This node's identity.
     pub fn local_node(&self) -> &LocalNode {
-        &self.node.local.node
+        &self.node.local.identity
     }
 
     /// All other known members, by name.
@@ -193,7 +193,7 @@
     pub fn publish(&mut self, key: &str, bytes: &[u8], now: Duration) -> Result<(), PublishError> {
         let key: Rc<str> = key.into();
         if self.node.local.publish(&key, bytes)? {
-            let name = self.node.local.node.name.clone();
+            let name = self.node.local.identity.name.clone();
             let last_event = self.node.last_event;
             self.node.dissemination.queue_value(name, key);
             self.node.dissemination.expedite(now.max(last_event));
@@ -206,7 +206,7 @@
         own_incarnation::begin_incarnation(&mut self.node, epoch);
         self.joining.restart(now);
         self.failure_detector.restart(&mut self.node, now);
-        own_incarnation::announce(&mut self.node);
+        own_incarnation::queue_own_state(&mut self.node);
         let incarnation = self.node.local.incarnation;
         self.node
             .actions
@@ -224,7 +224,7 @@
             let retention = self.node.settings.dead_retention;
             self.node
                 .members
-                .remove_inactive_since(now.saturating_sub(retention));
+                .remove_inactive_before(now.saturating_sub(retention));
         }
     }
 
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -3,7 +3,7 @@
 use super::Membership;
 use crate::anti_entropy;
 use crate::event::ReceivedSync;
-use crate::failure_detector::{self, Source};
+use crate::failure_detector::{self, UpdateSource};
 use crate::update::MemberUpdate;
 use crate::wire::{Frame, FrameKind, MemberValue, Update};
 use std::time::Duration;
@@ -20,7 +20,7 @@
         // A kind that only a newer build knows is handled for its gossip.
         let kind = FrameKind::try_from(frame.kind).unwrap_or(FrameKind::Gossip);
         if self.node.local.is_named(&sender.name) {
-            self.handle_name_clash(now, sender);
+            self.handle_own_name(now, sender);
             return;
         }
         if to_salt != self.node.local.incarnation.salt {
@@ -35,24 +35,24 @@
         if !self.joining.is_joined() && to_salt == self.node.local.incarnation.salt {
             self.complete_joining(now, sender);
         }
-        if self.rejects_ended_sender(now, sender) {
+        if self.reject_ended_sender(now, sender) {
             return;
         }
-        self.apply(sender, now, Source::Gossip);
+        self.apply(sender, now, UpdateSource::Gossip);
         if let Some(member) = self.node.members.get_mut(&sender.name) {
             member.last_heard = Some(now);
         }
         for update in &other_updates {
-            self.apply(update, now, Source::Gossip);
+            self.apply(update, now, UpdateSource::Gossip);
         }
-        self.apply_values(&frame.values, Source::Gossip);
-        self.handle_kind(now, sender, kind, frame);
+        self.apply_values(&frame.values, UpdateSource::Gossip);
+        self.dispatch_frame(now, sender, kind, frame);
         self.anti_entropy
             .compare_digest(&mut self.node, now, sender, frame.digest);
     }
 
     /// A frame under this node's own name: its own, or another process's.
-    fn handle_name_clash(&mut self, now: Duration, sender: &MemberUpdate) {
+    fn handle_own_name(&mut self, now: Duration, sender: &MemberUpdate) {
         self.node.counters.name_conflicts += 1;
         if sender.incarnation != self.node.local.incarnation {
             self.handle_own_update(sender, now);
@@ -93,7 +93,7 @@
     }
 
     fn complete_joining(&mut self, now: Duration, sender: &MemberUpdate) {
-        self.joining.complete();
+        self.joining.mark_joined();
         let incarnation = self.node.local.incarnation;
         self.node.log(format_args!(
             "was answered by {} in incarnation {incarnation}",
@@ -105,7 +105,7 @@
 
     /// Whether the sender's incarnation has ended. Nothing that it sends is believed until it comes in a new one, and it
     /// is notified.
-    fn rejects_ended_sender(&mut self, now: Duration, sender: &MemberUpdate) -> bool {
+    fn reject_ended_sender(&mut self, now: Duration, sender: &MemberUpdate) -> bool {
         let known = self
             .node
             .members
@@ -116,11 +116,12 @@
             return false;
         };
         self.node.counters.from_ended_incarnation += 1;
-        self.joining.send_ended(&mut self.node, now, sender, known);
+        self.joining
+            .notify_ended_incarnation(&mut self.node, now, sender, known);
         true
     }
 
-    fn handle_kind(
+    fn dispatch_frame(
         &mut self,
         now: Duration,
         sender: &MemberUpdate,
@@ -149,25 +150,25 @@
             self.node.counters.from_ended_incarnation += 1;
             return;
         }
-        if !self.anti_entropy.admits(&received.message, now) {
+        if !self.anti_entropy.accepts(&received.message, now) {
             self.node.counters.rate_limited_responses += 1;
             return;
         }
-        let (updates, invalid) = anti_entropy::updates(&received.message);
+        let (updates, invalid) = anti_entropy::valid_updates(&received.message);
         self.node.counters.invalid += invalid as u64;
         let digest_before = self.node.digest();
         for update in &updates {
             if self.node.local.is_named(&update.name) {
                 self.handle_own_update(update, now);
             } else {
-                self.apply(update, now, Source::AntiEntropy);
+                self.apply(update, now, UpdateSource::AntiEntropy);
             }
         }
-        self.apply_values(&received.message.values, Source::AntiEntropy);
+        self.apply_values(&received.message.values, UpdateSource::AntiEntropy);
         if self.node.digest() != digest_before {
             self.node.counters.productive_sync_messages += 1;
         }
-        self.anti_entropy.answer(&mut self.node, now, received);
+        self.anti_entropy.respond(&mut self.node, now, received);
     }
 
     /// An update about this node itself.
@@ -180,12 +181,12 @@
         }
     }
 
-    fn apply(&mut self, update: &MemberUpdate, now: Duration, source: Source) {
+    fn apply(&mut self, update: &MemberUpdate, now: Duration, source: UpdateSource) {
         self.failure_detector
             .apply_update(&mut self.node, update, now, source);
     }
 
-    fn apply_values(&mut self, values: &[MemberValue], source: Source) {
+    fn apply_values(&mut self, values: &[MemberValue], source: UpdateSource) {
         for value in values {
             let Some((name, incarnation, value)) = value.to_value() else {
                 self.node.counters.invalid += 1;
@@ -197,7 +198,7 @@
             }
             let key = value.key.clone();
             let is_new = self.node.members.store_value(&name, incarnation, value);
-            if is_new && source == Source::Gossip {
+            if is_new && source == UpdateSource::Gossip {
                 self.node.dissemination.queue_value(name, key);
             }
         }
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -86,7 +86,7 @@
     }
 
     /// Up to `count` different active members but `except`, drawn at random.
-    pub(crate) fn random_members(&mut self, count: usize, except: Option<&Name>) -> Vec<Name> {
+    pub(crate) fn random_members(&mut self, count: usize, excluded: Option<&Name>) -> Vec<Name> {
         let mut drawn: Vec<Name> = Vec::with_capacity(count);
         let active = self.members.active();
         for _ in 0..count * DRAWS_PER_MEMBER {
@@ -94,7 +94,7 @@
                 break;
             }
             let name = &active[self.random.below(active.len())];
-            if Some(name) != except && !drawn.contains(name) {
+            if Some(name) != excluded && !drawn.contains(name) {
                 drawn.push(name.clone());
             }
         }
--- a/crates/membership/src/own_incarnation.rs
+++ b/crates/membership/src/own_incarnation.rs
@@ -8,10 +8,10 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// More new incarnations than this within [`CONFLICT_WINDOW`], because another process uses the name, are a name conflict.
-const MAX_RECENT_CLASHES: usize = 4;
+/// More new incarnations than this within [`NAME_CONFLICT_WINDOW`], because another process uses the name, are a name conflict.
+const MAX_RECENT_NAME_CONFLICTS: usize = 4;
 /// The window of a name conflict, and the shortest time that the node is silent because of one.
-const CONFLICT_WINDOW: Duration = Duration::from_secs(30);
+const NAME_CONFLICT_WINDOW: Duration = Duration::from_secs(30);
 
 /// The epoch of an incarnation that has to begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
 /// Watches over this node's incarnation.
 pub(crate) struct OwnIncarnation {
     /// When another process under this node's name made it begin a new incarnation.
-    recent_clashes: VecDeque<Duration>,
+    recent_name_conflicts: VecDeque<Duration>,
     /// The end of the silence after a name conflict.
     silent_until: Duration,
 }
@@ -34,7 +34,7 @@
 impl OwnIncarnation {
     pub(crate) fn new() -> Self {
         OwnIncarnation {
-            recent_clashes: VecDeque::new(),
+            recent_name_conflicts: VecDeque::new(),
             silent_until: Duration::ZERO,
         }
     }
@@ -75,7 +75,7 @@
         }
         if update.incarnation > node.local.incarnation {
             // An earlier incarnation that the state directory has lost, or another process under this name.
-            self.record_clash(node, update, now);
+            self.record_name_conflict(node, update, now);
             return Some(NextEpoch::after(update.incarnation.epoch));
         }
         if update.state.is_active() {
@@ -93,16 +93,16 @@
     }
 
     /// Counts a clash of names; falls silent if there were too many.
-    fn record_clash(&mut self, node: &mut Node, update: &MemberUpdate, now: Duration) {
-        self.recent_clashes
-            .retain(|at| now.saturating_sub(*at) < CONFLICT_WINDOW);
-        self.recent_clashes.push_back(now);
-        if self.recent_clashes.len() <= MAX_RECENT_CLASHES {
+    fn record_name_conflict(&mut self, node: &mut Node, update: &MemberUpdate, now: Duration) {
+        self.recent_name_conflicts
+            .retain(|at| now.saturating_sub(*at) < NAME_CONFLICT_WINDOW);
+        self.recent_name_conflicts.push_back(now);
+        if self.recent_name_conflicts.len() <= MAX_RECENT_NAME_CONFLICTS {
             return;
         }
-        self.recent_clashes.clear();
-        self.silent_until = now + CONFLICT_WINDOW + node.random.jitter(CONFLICT_WINDOW);
-        let name = node.local.node.name.clone();
+        self.recent_name_conflicts.clear();
+        self.silent_until = now + NAME_CONFLICT_WINDOW + node.random.jitter(NAME_CONFLICT_WINDOW);
+        let name = node.local.identity.name.clone();
         node.log(format_args!(
             "another process claims the name {name} at {}",
             update.address
@@ -114,14 +114,15 @@
 fn refute(node: &mut Node, update: &MemberUpdate) {
     let is_suspicion = update.state == MemberState::Suspect;
     let known = node.local.refutation;
-    let is_unanswered = update.refutation > known || (update.refutation == known && is_suspicion);
-    if is_unanswered {
+    let needs_refutation =
+        update.refutation > known || (update.refutation == known && is_suspicion);
+    if needs_refutation {
         node.local.refutation = update.refutation.saturating_add(1);
         node.counters.refutations += 1;
         node.health.degrade(1);
     }
-    if is_unanswered || is_suspicion {
-        let name = node.local.node.name.clone();
+    if needs_refutation || is_suspicion {
+        let name = node.local.identity.name.clone();
         node.dissemination.queue_member(name);
     }
 }
@@ -130,7 +131,7 @@
 /// What is known of other members stays.
 pub(crate) fn begin_incarnation(node: &mut Node, epoch: NextEpoch) {
     let salt = if node.injects(InjectedBug::ReusedIncarnation) {
-        name_hash(&node.local.node.name) // the same in each process of the name
+        name_hash(&node.local.identity.name) // the same in each process of the name
     } else {
         node.random.next_u32()
     };
@@ -145,8 +146,8 @@
 
 /// Queues this node's state and values for gossip. Versions go on rising over incarnations, so that no value is published
 /// twice under one version of an incarnation.
-pub(crate) fn announce(node: &mut Node) {
-    let name = node.local.node.name.clone();
+pub(crate) fn queue_own_state(node: &mut Node) {
+    let name = node.local.identity.name.clone();
     node.dissemination.queue_member(name.clone());
     for value in node.local.values.iter() {
         node.dissemination
--- a/crates/membership/src/own_incarnation/tests.rs
+++ b/crates/membership/src/own_incarnation/tests.rs
@@ -1,4 +1,6 @@
-use super::{CONFLICT_WINDOW, MAX_RECENT_CLASHES, NextEpoch, OwnIncarnation, begin_incarnation};
+use super::{
+    MAX_RECENT_NAME_CONFLICTS, NAME_CONFLICT_WINDOW, NextEpoch, OwnIncarnation, begin_incarnation,
+};
 use crate::incarnation::Incarnation;
 use crate::local_node::LocalNode;
 use crate::metadata::NodeMetadata;
@@ -73,19 +75,19 @@
 }
 
 #[test]
-fn falls_silent_after_repeated_clashes_of_names() {
+fn stops_sending_after_repeated_name_conflicts() {
     let mut node = node();
     let mut own = OwnIncarnation::new();
     let newer = MemberUpdate {
         incarnation: Incarnation { epoch: 7, salt: 9 },
         ..update(&node, MemberState::Alive, 0)
     };
-    for _ in 0..MAX_RECENT_CLASHES {
+    for _ in 0..MAX_RECENT_NAME_CONFLICTS {
         let next = own.handle_update(&mut node, &newer, SECOND);
         assert_eq!(next, Some(NextEpoch(8)));
         assert!(!own.is_silent(SECOND));
     }
     own.handle_update(&mut node, &newer, SECOND);
-    assert!(own.is_silent(SECOND + CONFLICT_WINDOW));
-    assert!(!own.is_silent(SECOND + CONFLICT_WINDOW * 3));
+    assert!(own.is_silent(SECOND + NAME_CONFLICT_WINDOW));
+    assert!(!own.is_silent(SECOND + NAME_CONFLICT_WINDOW * 3));
 }
--- a/crates/membership/tests/characterization.rs
+++ b/crates/membership/tests/characterization.rs
@@ -11,11 +11,11 @@
 const SEEDS: std::ops::Range<u64> = 0..24;
 
 /// A run with every kind of fault: its seed, and the digest of all actions and deadlines.
-fn line(seed: u64) -> String {
+fn run_digest_line(seed: u64) -> String {
     let mut fleet = Fleet::new(9, 5_000 + seed);
-    fleet.loss = 10;
-    fleet.duplicates = 10;
-    fleet.delay = (1, 40);
+    fleet.loss_percent = 10;
+    fleet.duplicate_percent = 10;
+    fleet.delay_ms = (1, 40);
     fleet.run(SECOND * 8);
     publish_values(&mut fleet, seed);
     fleet.kill(2);
@@ -25,16 +25,16 @@
     fleet.run(SECOND * 4);
     fleet.resume(3);
     fleet.run(SECOND * 4);
-    cut_off(&mut fleet, 4);
-    fleet.cuts.insert((6, 7));
+    block_links_to_first_three(&mut fleet, 4);
+    fleet.blocked_links.insert((6, 7));
     fleet.run(SECOND * 12);
-    fleet.cuts.clear();
-    fleet.slow = Some((5, 700));
+    fleet.blocked_links.clear();
+    fleet.slow_node = Some((5, 700));
     fleet.run(SECOND * 10);
-    fleet.slow = None;
+    fleet.slow_node = None;
     leave(&mut fleet, 6);
     fleet.nodes[7].name = name(8);
-    fleet.incarnations.clear();
+    fleet.process_runs.clear();
     fleet.start(7);
     fleet.run(SECOND * 20);
     format!("{seed} {:016x}", fleet.trace_digest())
@@ -50,23 +50,23 @@
 }
 
 /// Cuts a node off from the first three others.
-fn cut_off(fleet: &mut Fleet, i: usize) {
+fn block_links_to_first_three(fleet: &mut Fleet, i: usize) {
     for other in 0..3 {
-        fleet.cuts.extend([(i, other), (other, i)]);
+        fleet.blocked_links.extend([(i, other), (other, i)]);
     }
 }
 
 fn leave(fleet: &mut Fleet, i: usize) {
     let now = fleet.now;
     let actions = fleet.membership_mut(i).handle(now, Event::Leave);
-    fleet.carry_out(i, actions);
+    fleet.execute_actions(i, actions);
     fleet.kill(i);
     fleet.run(MS * 300);
 }
 
 #[test]
 fn runs_have_the_recorded_digests() {
-    let lines: Vec<String> = SEEDS.map(line).collect();
+    let lines: Vec<String> = SEEDS.map(run_digest_line).collect();
     if std::env::var_os("CHARACTERIZATION_WRITE").is_some() {
         println!("{}", lines.join("\n"));
         return;
@@ -77,10 +77,10 @@
 
 #[test]
 fn equal_seeds_give_equal_runs() {
-    let played = || {
+    let run_fleet = || {
         let mut fleet = Fleet::new(9, 15);
-        fleet.loss = 20;
-        fleet.duplicates = 10;
+        fleet.loss_percent = 20;
+        fleet.duplicate_percent = 10;
         fleet.run(SECOND * 20);
         fleet.kill(2);
         fleet.run(SECOND * 10);
@@ -95,5 +95,5 @@
             })
             .collect::<Vec<_>>()
     };
-    assert_eq!(played(), played());
+    assert_eq!(run_fleet(), run_fleet());
 }
--- a/crates/membership/tests/common/agreement.rs
+++ b/crates/membership/tests/common/agreement.rs
@@ -6,7 +6,7 @@
 
 impl Fleet {
     /// Notes which running members are believed dead, by whom, and for how long.
-    pub(super) fn observe(&mut self) {
+    pub(super) fn record_false_deaths(&mut self) {
         let incarnations: Vec<_> = self
             .nodes
             .iter()
@@ -62,11 +62,11 @@
                 let believed = membership
                     .member(&name(of))
                     .map(|member| (member.state, member.incarnation));
-                let is_right = match &other.membership {
+                let is_correct = match &other.membership {
                     Some(other) => believed == Some((MemberState::Alive, other.incarnation())),
                     None => believed.is_none_or(|(state, _)| !state.is_active()),
                 };
-                if !is_right {
+                if !is_correct {
                     return Err(format!("n{by} believes {believed:?} of n{of}"));
                 }
             }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -64,23 +64,23 @@
     pub settings: MembershipSettings,
     seeds: Vec<SocketAddr>,
     /// Frames lost, in percent.
-    pub loss: u32,
+    pub loss_percent: u32,
     /// Frames delivered twice, in percent.
-    pub duplicates: u32,
+    pub duplicate_percent: u32,
     /// The shortest and the longest delay, in milliseconds.
-    pub delay: (u32, u32),
+    pub delay_ms: (u32, u32),
     /// Pairs of a sender and a receiver between which nothing passes.
-    pub cuts: BTreeSet<(usize, usize)>,
+    pub blocked_links: BTreeSet<(usize, usize)>,
     /// A node and the milliseconds by which everything reaches it later.
-    pub slow: Option<(usize, u32)>,
+    pub slow_node: Option<(usize, u32)>,
     /// The run of each incarnation that any process was in.
-    pub incarnations: BTreeMap<Name, BTreeMap<Incarnation, u64>>,
+    pub process_runs: BTreeMap<Name, BTreeMap<Incarnation, u64>>,
     /// Pairs of a node and a running member that it believes dead, and since when.
     false_deaths: BTreeMap<(usize, usize), Duration>,
     pub longest_false_death: Duration,
     pub false_death_count: usize,
     /// The digest of all actions and deadlines so far.
-    trace: Xxh3,
+    trace_hash: Xxh3,
 }
 
 pub fn name(i: usize) -> Name {
@@ -111,16 +111,16 @@
             random: Pcg32::seed_from_u64(seed),
             settings: MembershipSettings::default(),
             seeds: vec![address(0), address(1)],
-            loss: 0,
-            duplicates: 0,
-            delay: (1, 3),
-            cuts: BTreeSet::new(),
-            slow: None,
-            incarnations: BTreeMap::new(),
+            loss_percent: 0,
+            duplicate_percent: 0,
+            delay_ms: (1, 3),
+            blocked_links: BTreeSet::new(),
+            slow_node: None,
+            process_runs: BTreeMap::new(),
             false_deaths: BTreeMap::new(),
             longest_false_death: Duration::ZERO,
             false_death_count: 0,
-            trace: Xxh3::new(),
+            trace_hash: Xxh3::new(),
         };
         (0..count).for_each(|i| fleet.start(i));
         fleet
@@ -163,7 +163,7 @@
 
     /// The digest of all actions, in their order, and of all deadlines.
     pub fn trace_digest(&self) -> u64 {
-        self.trace.digest()
+        self.trace_hash.digest()
     }
 
     pub fn kill(&mut self, i: usize) {
@@ -178,7 +178,7 @@
             .membership
             .as_mut()
             .map(|membership| membership.handle(now, Event::Tick));
-        self.carry_out(i, actions.unwrap_or_default());
+        self.execute_actions(i, actions.unwrap_or_default());
     }
 
     pub fn draw(&mut self, bound: u32) -> u32 {
@@ -204,28 +204,31 @@
         };
         let deadline = self.membership(i).next_deadline();
         let entry = format!("{i} {:?} {deadline:?} {header} ", self.now);
-        self.trace.update(entry.as_bytes());
-        self.trace.update(&content);
+        self.trace_hash.update(entry.as_bytes());
+        self.trace_hash.update(&content);
     }
 
     fn transmit(&mut self, from: usize, to: SocketAddr, packet: Packet, reliable: bool) {
         let Some(to) = self.nodes.iter().position(|node| node.address == to) else {
             return;
         };
-        if self.cuts.contains(&(from, to)) || (!reliable && self.draw(100) < self.loss) {
+        if self.blocked_links.contains(&(from, to))
+            || (!reliable && self.draw(100) < self.loss_percent)
+        {
             return;
         }
-        let copies = if !reliable && self.draw(100) < self.duplicates {
+        let copies = if !reliable && self.draw(100) < self.duplicate_percent {
             2
         } else {
             1
         };
         for _ in 0..copies {
             let extra_delay = self
-                .slow
+                .slow_node
                 .filter(|(node, _)| *node == to)
                 .map_or(0, |(_, delay)| delay);
-            let delay = extra_delay + self.delay.0 + self.draw(self.delay.1 - self.delay.0 + 1);
+            let delay =
+                extra_delay + self.delay_ms.0 + self.draw(self.delay_ms.1 - self.delay_ms.0 + 1);
             self.packets_sent += 1;
             self.in_flight.insert(
                 (self.now + MS * delay, self.packets_sent),
@@ -234,7 +237,7 @@
         }
     }
 
-    pub fn carry_out(&mut self, i: usize, actions: Vec<Action>) {
+    pub fn execute_actions(&mut self, i: usize, actions: Vec<Action>) {
         for action in actions {
             self.trace_action(i, &action);
             let name = self.nodes[i].name.clone();
@@ -281,7 +284,7 @@
                     self.nodes[i].stored_epoch = incarnation.epoch;
                     let run = self.nodes[i].runs;
                     let before = self
-                        .incarnations
+                        .process_runs
                         .entry(name.clone())
                         .or_default()
                         .insert(incarnation, run);
@@ -331,7 +334,7 @@
             Packet::Sync { .. } => return,
         };
         let actions = membership.handle(now, event);
-        self.carry_out(to, actions);
+        self.execute_actions(to, actions);
     }
 
     pub fn resume(&mut self, i: usize) {
@@ -344,7 +347,7 @@
 
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
-        let mut next_observation = self.now;
+        let mut next_death_check = self.now;
         loop {
             let running = self
                 .nodes
@@ -366,9 +369,9 @@
                 return;
             }
             self.now = self.now.max(next);
-            if self.now >= next_observation {
-                self.observe();
-                next_observation = self.now + MS * 50;
+            if self.now >= next_death_check {
+                self.record_false_deaths();
+                next_death_check = self.now + MS * 50;
             }
             if arrival == Some(next) {
                 let ((_, _), (to, packet)) = self.in_flight.pop_first().expect("a packet");
--- a/crates/membership/tests/detection.rs
+++ b/crates/membership/tests/detection.rs
@@ -27,7 +27,7 @@
 fn one_way_partition_of_a_pair_causes_no_death() {
     let mut fleet = Fleet::new(8, 2);
     fleet.run_until_agreed(SECOND * 10);
-    fleet.cuts.insert((2, 5));
+    fleet.blocked_links.insert((2, 5));
     fleet.run(SECOND * 60);
     assert_eq!(fleet.false_death_count, 0);
     assert_eq!(fleet.check_agreement(), Ok(()));
@@ -50,11 +50,11 @@
     for seed in 0..3 {
         let mut fleet = Fleet::new(12, 700 + seed);
         fleet.run_until_agreed(SECOND * 10);
-        (fleet.loss, fleet.delay, fleet.duplicates) = (30, (250, 350), 5);
+        (fleet.loss_percent, fleet.delay_ms, fleet.duplicate_percent) = (30, (250, 350), 5);
         fleet.run(SECOND * 300);
         false_death_count += fleet.false_death_count;
         longest = longest.max(fleet.longest_false_death);
-        (fleet.loss, fleet.delay) = (0, (1, 3));
+        (fleet.loss_percent, fleet.delay_ms) = (0, (1, 3));
         fleet.run_until_agreed(SECOND * 20);
     }
     println!(
@@ -67,11 +67,11 @@
 /// Measures false deaths an hour.
 #[test]
 #[ignore = "a measurement of a minute"]
-fn measures_ten_hours_of_loss_and_delay() {
+fn measures_false_deaths_in_ten_hours_of_loss_and_delay() {
     for loss in [0, 10, 20, 30, 40] {
         let mut fleet = Fleet::new(12, 900 + u64::from(loss));
         fleet.run_until_agreed(SECOND * 10);
-        (fleet.loss, fleet.delay) = (loss, (250, 350));
+        (fleet.loss_percent, fleet.delay_ms) = (loss, (250, 350));
         fleet.run(SECOND * 7_200);
         let (false_death_count, longest) = (fleet.false_death_count, fleet.longest_false_death);
         println!(
@@ -82,10 +82,10 @@
 
 /// Guards against a slow node that ends others: everything reaches it 3.5 s late, later than any timeout of a healthy node.
 #[test]
-fn slow_node_suspects_less_and_less() {
+fn slow_node_lengthens_its_own_timeouts() {
     let mut fleet = Fleet::new(10, 21);
     fleet.run_until_agreed(SECOND * 10);
-    fleet.slow = Some((4, 3_500));
+    fleet.slow_node = Some((4, 3_500));
     fleet.run(SECOND * 60);
     let membership = |i: usize| fleet.membership(i);
     let (counters, score) = (membership(4).counters(), membership(4).health().score());
@@ -105,17 +105,17 @@
 
 /// Several members probe a suspect at once, so that confirmations shorten its timeout.
 #[test]
-fn confirmed_death_is_known_soon() {
-    let mut all = Vec::new();
+fn confirmations_shorten_death_detection() {
+    let mut times = Vec::new();
     for seed in 0..24 {
         let mut fleet = Fleet::new(40, 300 + seed);
         fleet.run_until_agreed(SECOND * 20);
         fleet.kill(7);
-        all.push(fleet.run_until_agreed(SECOND * 8));
+        times.push(fleet.run_until_agreed(SECOND * 8));
     }
-    let mean = all.iter().sum::<Duration>() / all.len() as u32;
+    let mean = times.iter().sum::<Duration>() / times.len() as u32;
     println!("a death is known to all of 40 after {mean:?} in the mean");
-    assert!(mean <= MS * 2_000, "{mean:?}: {all:?}");
+    assert!(mean <= MS * 2_000, "{mean:?}: {times:?}");
 }
 
 #[test]
@@ -124,7 +124,7 @@
     fleet.run_until_agreed(SECOND * 10);
     let now = fleet.now;
     let actions = fleet.membership_mut(6).handle(now, Event::Leave);
-    fleet.carry_out(6, actions);
+    fleet.execute_actions(6, actions);
     fleet.kill(6);
     fleet.run(MS * 700);
     assert!(
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn dead_members_are_forgotten_after_their_retention() {
+fn dead_members_are_removed_after_their_retention() {
     let mut fleet = Fleet::new(5, 14);
     fleet.settings.dead_retention = SECOND * 20;
     (0..5).for_each(|i| fleet.start(i));
--- a/crates/membership/tests/dissemination.rs
+++ b/crates/membership/tests/dissemination.rs
@@ -53,7 +53,7 @@
 
 /// Guards against a member that sends updates about invented members without end.
 #[test]
-fn false_updates_stay_within_bounds() {
+fn invented_members_stay_within_table_and_queue_bounds() {
     let mut fleet = Fleet::new(4, 10);
     fleet.settings.max_members = 64;
     (0..4).for_each(|i| fleet.start(i));
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_steps_of_anti_entropy_keep_their_bytes() {
+fn anti_entropy_messages_keep_their_bytes() {
     let sync = SyncMessage {
         step: 3,
         digests: vec![1, 0xffff_ffff],
--- a/crates/membership/tests/incarnations.rs
+++ b/crates/membership/tests/incarnations.rs
@@ -16,7 +16,7 @@
     assert_eq!(fleet.state_of(0, 3), Some(MemberState::Dead));
     // Neither frames that arrived in the meantime nor its own earlier state complete the join.
     for other in 0..8 {
-        fleet.cuts.insert((other, 3));
+        fleet.blocked_links.insert((other, 3));
     }
     fleet.in_flight.retain(|_, (to, _)| *to != 3);
     fleet.resume(3);
@@ -25,7 +25,7 @@
     assert!(membership.incarnation() > incarnation);
     assert_eq!(membership.status(fleet.now), MembershipStatus::Joining);
     assert_eq!(membership.counters().pauses, 1);
-    fleet.cuts.clear();
+    fleet.blocked_links.clear();
     fleet.run_until_agreed(SECOND * 8);
     let membership = fleet.membership(3);
     assert!(membership.incarnation() > incarnation);
@@ -34,31 +34,31 @@
             .nodes
             .iter()
             .flat_map(|n| n.membership.as_ref())
-            .all(|p| p.counters().declared_dead <= 7)
+            .all(|n| n.counters().declared_dead <= 7)
     );
 }
 
-/// [`Fleet::carry_out`] fails when an incarnation is used twice.
+/// [`Fleet::execute_actions`] fails when an incarnation is used twice.
 #[test]
-fn lost_or_old_state_never_repeats_an_incarnation() {
+fn lost_or_stale_state_never_repeats_an_incarnation() {
     for seed in 0..10 {
         let mut fleet = Fleet::new(6, 100 + seed);
         fleet.run_until_agreed(SECOND * 10);
         for round in 0..6 {
-            let one = 1 + fleet.draw(5) as usize;
-            let before = fleet.membership(one).incarnation();
-            fleet.kill(one);
+            let restarted = 1 + fleet.draw(5) as usize;
+            let before = fleet.membership(restarted).incarnation();
+            fleet.kill(restarted);
             // Before and after the others have noticed.
             fleet.run(if round % 2 == 0 { MS * 50 } else { SECOND * 5 });
-            let lost = fleet.nodes[one].stored_epoch;
-            fleet.nodes[one].stored_epoch = if round % 3 == 0 {
+            let stored = fleet.nodes[restarted].stored_epoch;
+            fleet.nodes[restarted].stored_epoch = if round % 3 == 0 {
                 0
             } else {
-                lost.saturating_sub(2)
+                stored.saturating_sub(2)
             };
-            fleet.start(one);
+            fleet.start(restarted);
             fleet.run_until_agreed(SECOND * 10);
-            let membership = fleet.membership(one);
+            let membership = fleet.membership(restarted);
             assert!(
                 membership.incarnation() > before,
                 "incarnations rise as long as anybody remembers"
@@ -69,34 +69,34 @@
 
 /// Guards against a suspicion timeout that expires during a pause of the process.
 #[test]
-fn pause_expires_no_suspicion() {
-    (32..48).for_each(check_pause_during_a_suspicion);
+fn suspicion_does_not_expire_while_the_process_is_paused() {
+    (32..48).for_each(check_suspicion_across_pause);
 }
 
-fn check_pause_during_a_suspicion(seed: u64) {
+fn check_suspicion_across_pause(seed: u64) {
     let mut fleet = Fleet::new(12, seed);
     fleet.run_until_agreed(SECOND * 10);
-    let apart: Vec<(usize, usize)> = (0..12)
+    let links: Vec<(usize, usize)> = (0..12)
         .filter(|i| *i != 5)
         .flat_map(|i| [(i, 5), (5, i)])
         .collect();
-    fleet.cuts.extend(apart.iter().copied());
+    fleet.blocked_links.extend(links.iter().copied());
     while fleet.state_of(3, 5) == Some(MemberState::Alive) {
         fleet.run(MS * 10);
     }
     assert_eq!(fleet.state_of(3, 5), Some(MemberState::Suspect));
-    fleet.cuts.clear();
+    fleet.blocked_links.clear();
     fleet.nodes[3].paused = true;
     fleet.run(SECOND * 8);
-    let ended = |fleet: &Fleet| fleet.membership(3).counters().declared_dead;
+    let declared_dead = |fleet: &Fleet| fleet.membership(3).counters().declared_dead;
     assert_eq!(
-        (fleet.state_of(0, 5), ended(&fleet)),
+        (fleet.state_of(0, 5), declared_dead(&fleet)),
         (Some(MemberState::Alive), 0)
     );
     fleet.resume(3);
     fleet.run(SECOND * 8);
     assert_eq!(
-        ended(&fleet),
+        declared_dead(&fleet),
         0,
         "a suspicion expired while the node was paused"
     );
@@ -105,11 +105,11 @@
 
 /// Guards against endless new incarnations of two processes under one name.
 #[test]
-fn one_of_two_processes_of_one_name_falls_silent() {
+fn one_of_two_processes_with_the_same_name_stops_sending() {
     let mut fleet = Fleet::new(6, 9);
     fleet.nodes[5].name = name(4);
     fleet.start(5);
-    fleet.incarnations.clear();
+    fleet.process_runs.clear();
     fleet.run(SECOND * 20);
     let statuses: Vec<_> = [4, 5]
         .iter()
@@ -135,9 +135,9 @@
     fleet.kill(2);
     fleet.start(2);
     fleet.run_until_agreed(SECOND * 10);
-    let (incarnation, at_1) = (fleet.membership(1).incarnation(), fleet.nodes[1].address);
+    let (incarnation, address_1) = (fleet.membership(1).incarnation(), fleet.nodes[1].address);
     let false_update = Update {
-        name: "ghost".into(),
+        name: "invented".into(),
         address: vec![127, 1, 1, 1, 1, 1],
         epoch: 1,
         salt: 1,
@@ -152,7 +152,7 @@
         2,
         Packet::Frame {
             name: name(1),
-            from: at_1,
+            from: address_1,
             incarnation,
             to: old.salt,
             frame,
@@ -163,6 +163,6 @@
     assert!(
         membership
             .members()
-            .all(|member| member.name.as_str() != "ghost")
+            .all(|member| member.name.as_str() != "invented")
     );
 }
--- a/crates/membership/tests/joining.rs
+++ b/crates/membership/tests/joining.rs
@@ -39,12 +39,12 @@
         (Some(MemberState::Dead), Some(MemberState::Dead))
     );
     fleet.start(5);
-    let took = fleet.run_until_agreed(SECOND * 20);
-    println!("found after {took:?} without a seed");
+    let elapsed = fleet.run_until_agreed(SECOND * 20);
+    println!("found after {elapsed:?} without a seed");
 }
 
 #[test]
-fn unreachable_seeds_leave_a_node_joining() {
+fn node_stays_joining_while_seeds_are_unreachable() {
     let mut fleet = Fleet::new(1, 6);
     fleet.run(SECOND * 10);
     let membership = fleet.membership(0);
--- a/crates/membership/tests/partitions.rs
+++ b/crates/membership/tests/partitions.rs
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 #[test]
-fn halves_agree_again_after_a_partition_without_a_burst_of_frames() {
+fn partition_heals_without_a_burst_of_frames() {
     let mut fleet = Fleet::new(12, 3);
     fleet.run_until_agreed(SECOND * 10);
-    let calm = frames_sent_in(&mut fleet, SECOND * 10);
+    let baseline = frames_sent_in(&mut fleet, SECOND * 10);
     for a in 0..4 {
         for b in 4..12 {
-            fleet.cuts.extend([(a, b), (b, a)]);
+            fleet.blocked_links.extend([(a, b), (b, a)]);
         }
     }
     fleet.run(SECOND * 20);
@@ -24,14 +24,14 @@
         Some(MemberState::Alive),
         "both halves go on"
     );
-    fleet.cuts.clear();
+    fleet.blocked_links.clear();
     let before: usize = fleet.nodes.iter().map(|node| node.sent).sum();
     let took = fleet.run_until_agreed(SECOND * 15);
     fleet.run(SECOND * 15 - took);
     let after: usize = fleet.nodes.iter().map(|node| node.sent).sum();
     assert!(
-        (after - before) * 10 < calm * 15 * 6,
-        "{} in 15 s against {calm} in 10 s",
+        (after - before) * 10 < baseline * 15 * 6,
+        "{} in 15 s against {baseline} in 10 s",
         after - before
     );
 }
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn single_survivor_is_isolated_and_declares_nobody_dead() {
+fn only_running_node_is_isolated_and_declares_nobody_dead() {
     let mut fleet = Fleet::new(8, 5);
     fleet.run_until_agreed(SECOND * 10);
     (1..8).for_each(|i| fleet.kill(i));
@@ -82,7 +82,7 @@
     let mut fleet = Fleet::new(8, seed);
     fleet.run_until_agreed(SECOND * 10);
     for other in 0..8 {
-        fleet.cuts.insert((other, 6));
+        fleet.blocked_links.insert((other, 6));
     }
     fleet.run(SECOND * 30);
     let incarnations = |fleet: &Fleet| {
@@ -120,11 +120,11 @@
     fleet.run_until_agreed(SECOND * 30);
     for a in 0..20 {
         for b in 20..60 {
-            fleet.cuts.extend([(a, b), (b, a)]);
+            fleet.blocked_links.extend([(a, b), (b, a)]);
         }
     }
     fleet.run(SECOND * 20);
-    fleet.cuts.clear();
+    fleet.blocked_links.clear();
     let before: Vec<usize> = fleet.nodes.iter().map(|node| node.sent).collect();
     fleet.run(SECOND * 10);
     let max_sent = fleet
