--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,4 +1,5 @@
-//! Anti-entropy: two members whose digests go on differing exchange what the other lacks, over a connection.
+//! Anti-entropy: two members whose digests keep differing send each other the missing members and values over a
+//! connection.
 
 mod exchange;
 
@@ -11,22 +12,24 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Digests may differ for so long before members exchange what they know: gossip is faster than that.
+/// How long digests must differ before this node begins an exchange; gossip normally removes a difference sooner.
 const MIN_DIFFERENCE_TIME: Duration = Duration::from_millis(1000);
-/// The interval between exchanges that this node begins: doubled up to the maximum while they change nothing.
+/// The shortest interval between exchanges that this node begins. The interval doubles up to the maximum while
+/// exchanges find no difference.
 const MIN_EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
 const MAX_EXCHANGE_INTERVAL: Duration = Duration::from_secs(4);
-/// Bytes a second that exchanges may cost a node, both as the one that begins and as the one that answers: after a large
-/// exchange the next one waits. A request that comes too early is not answered, and its sender tries another member.
+/// The rate limit on bytes of exchanges, both those that this node begins and those that it responds to: after a large
+/// exchange the next one is delayed. A request that arrives too early gets no response, and its sender turns to another
+/// member.
 const EXCHANGE_BYTES_PER_SECOND: f64 = 4_000.0;
 
-/// When this node begins exchanges, and answers them.
+/// Decides when this node begins exchanges and when it responds to them.
 pub(crate) struct AntiEntropy {
-    /// Since when received digests have differed from this node's.
+    /// When received digests began to differ from this node's; `None` while they are equal.
     differs_since: Option<Duration>,
     next_exchange: Duration,
     interval: Duration,
-    /// The end of the time in which no request is answered.
+    /// Requests that arrive before this time get no response.
     requests_rejected_until: Duration,
 }
 
@@ -40,8 +43,8 @@
         }
     }
 
-    /// Compares the digest of a received frame, and begins an exchange if digests have differed for too long. 0 is no
-    /// digest.
+    /// Compares the digest of a received frame with this node's, and begins an exchange if digests have differed for
+    /// too long. A digest of 0 means that the frame has none.
     pub(crate) fn compare_digest(
         &mut self,
         node: &mut Node,
@@ -83,16 +86,16 @@
         });
     }
 
-    /// Whether a message may be handled now: requests are rate limited.
+    /// Whether a message may be handled now: messages that open an exchange are rate limited.
     pub(crate) fn accepts(&self, message: &SyncMessage, now: Duration) -> bool {
         message.step != SyncMessage::STEP_BUCKET_DIGESTS || now >= self.requests_rejected_until
     }
 
-    /// Answers a message whose updates and values have been applied.
+    /// Responds to a message whose updates and values have been applied.
     pub(crate) fn respond(&mut self, node: &mut Node, now: Duration, received: &ReceivedSync) {
         let request = &received.message;
         if request.step == SyncMessage::STEP_MEMBER_DIGESTS {
-            self.interval = MIN_EXCHANGE_INTERVAL; // the exchange did find a difference
+            self.interval = MIN_EXCHANGE_INTERVAL; // the exchange found a difference
         }
         let response = exchange::respond(&node.members, &node.local, request);
         let response_bytes = response.as_ref().map_or(0, Message::encoded_len);
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Delays further exchanges by the cost of this one.
+    /// Delays further exchanges in proportion to the bytes of this one.
     fn delay_further_exchanges(&mut self, request: &SyncMessage, bytes: usize, now: Duration) {
         let available = now + Duration::from_secs_f64(bytes as f64 / EXCHANGE_BYTES_PER_SECOND);
         match request.step {
@@ -122,7 +125,7 @@
     }
 }
 
-/// The valid updates of a message, and how many are invalid.
+/// Returns the valid updates of a message and the number of invalid ones.
 pub(crate) fn valid_updates(message: &SyncMessage) -> (Vec<MemberUpdate>, usize) {
     let updates: Vec<MemberUpdate> = message
         .updates
--- a/crates/membership/src/anti_entropy/exchange.rs
+++ b/crates/membership/src/anti_entropy/exchange.rs
@@ -1,8 +1,8 @@
-//! The messages of an exchange: digests of all buckets, then of the members in the buckets that differ, then the members
-//! that differ.
+//! The messages of an exchange: the digests of all buckets, then the digests of the members in the buckets that differ,
+//! then the members that differ.
 //!
-//! The cost depends on what differs, not on what is known: 256 bytes of bucket digests, then 8 bytes for each member of the
-//! buckets that differ (about a sixty-fourth of the fleet each), then the members themselves.
+//! The size depends on how much differs, not on the size of the fleet: 256 bytes of bucket digests, then 8 bytes for
+//! each member of the buckets that differ (a bucket holds about 1/64 of the fleet), then the members themselves.
 
 use crate::digest::name_hash;
 use crate::local_node::LocalState;
@@ -14,12 +14,12 @@
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bytes of members and values in one message; what does not fit is left to the next exchange.
+/// The most bytes of members and values in one message; the next exchange transfers what does not fit.
 const MAX_DELIVERY_BYTES: usize = 48 * 1024;
-/// At most so many bytes are added to each update or value by its field number and length.
+/// The most bytes that the field number and the length add to an update or a value.
 const FIELD_OVERHEAD_BYTES: usize = 4;
 
-/// The message that begins an exchange.
+/// Builds the message that opens an exchange.
 pub(crate) fn open(members: &Members, local: &LocalState) -> SyncMessage {
     SyncMessage {
         step: SyncMessage::STEP_BUCKET_DIGESTS,
@@ -28,7 +28,8 @@
     }
 }
 
-/// The answer to a message; `None` if there is none. What the message delivers has been applied before.
+/// Builds the response to a message; `None` if it needs none. The updates and values in the message must have been
+/// applied already.
 pub(crate) fn respond(
     members: &Members,
     local: &LocalState,
@@ -102,7 +103,8 @@
     request: &SyncMessage,
 ) -> Option<SyncMessage> {
     let requested: BTreeSet<u32> = request.requested.iter().copied().collect();
-    // Also what is known better of the members just delivered, such as a death, which no digest shows.
+    // Also members that the request delivered in a state other than the one known here, such as one that this node
+    // knows to be dead: digests cover only active members.
     let received: BTreeMap<&str, &Update> = request
         .updates
         .iter()
@@ -122,7 +124,7 @@
     (!response.updates.is_empty()).then_some(response)
 }
 
-/// Name hashes of `digests` that `other` lacks or has with another digest.
+/// The name hashes in `digests` that `other` lacks or has with a different digest.
 fn differing_names(digests: &BTreeMap<u32, u32>, other: &BTreeMap<u32, u32>) -> BTreeSet<u32> {
     digests
         .iter()
@@ -131,14 +133,14 @@
         .collect()
 }
 
-/// The digests of all buckets, this node among them.
+/// The digests of all buckets, including this node itself.
 fn bucket_digests(members: &Members, local: &LocalState) -> Vec<u32> {
     let mut digests = members.digests().to_vec();
     digests[Members::bucket(&local.identity.name)] ^= local.digest();
     digests
 }
 
-/// The digests of the active members in these buckets, this node among them, by the hashes of their names.
+/// The digests of the active members in these buckets, including this node itself, by name hash.
 fn member_digests(members: &Members, local: &LocalState, buckets: u64) -> BTreeMap<u32, u32> {
     let is_within = |name: &Name| buckets & 1 << Members::bucket(name) != 0;
     let mut digests: BTreeMap<u32, u32> = members
@@ -152,7 +154,7 @@
     digests
 }
 
-/// Adds the wanted members with their values to a message, this node last, as far as they fit.
+/// Adds the selected members with their values to a message, this node last, until the next one does not fit.
 fn add_deliveries(
     members: &Members,
     local: &LocalState,
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,11 +1,11 @@
-//! Hashes by which members compare what they know without exchanging it.
+//! Digests, with which members compare their member tables without sending them.
 
 use crate::incarnation::Incarnation;
 use crate::name::Name;
 use crate::values::Values;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Hashes byte strings, each preceded by its length; the same on every machine and in every build.
+/// Hashes byte strings, each prefixed with its length. The result is the same on every machine and in every build.
 pub(crate) fn hash(parts: &[&[u8]]) -> u32 {
     let mut bytes = Vec::with_capacity(64);
     for part in parts {
@@ -21,8 +21,8 @@
     hash(&[name.as_str().as_bytes()])
 }
 
-/// The digest of a member's incarnation and its values. Digests are combined by exclusive or, so that an update costs
-/// only what changed.
+/// The digest of a member's incarnation and its values. Digests are combined with XOR, so that a change needs no
+/// recomputation over the other members.
 pub(crate) fn member_digest(name: &Name, incarnation: Incarnation, values: &Values) -> u32 {
     let name = name.as_str().as_bytes();
     let epoch = incarnation.epoch.to_be_bytes();
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,4 +1,5 @@
-//! Dissemination of updates and values by gossip, piggybacked on frames that are sent anyway and on rounds of their own.
+//! Dissemination of updates and values by gossip: piggybacked on the failure detector's frames, and sent in gossip
+//! rounds.
 
 mod queue;
 
@@ -11,33 +12,33 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Members that a round of gossip goes to.
+/// The number of members that a gossip round sends to.
 const FAN_OUT: usize = 3;
-/// Frames of gossip rounds a second, and at once: a frame has 256 bytes and 28 of headers, so that together with the probes
-/// a node sends less than 4 kB/s, however much there is to disseminate.
+/// The rate limit on frames of gossip rounds, and its burst. A frame has up to 256 bytes and 28 bytes of IP and UDP
+/// headers, so that gossip rounds and probes together stay below 4 kB/s per node, however much there is to disseminate.
 const FRAMES_PER_SECOND: f64 = 9.0;
 const FRAME_BURST: f64 = 40.0;
-/// Beyond so many queued topics each is transmitted less often; anti-entropy repairs what some members miss.
+/// With more queued topics than this, each is transmitted fewer times; anti-entropy repairs what some members miss.
 const LONG_QUEUE_TOPICS: usize = 16;
 const MIN_TRANSMISSIONS: u32 = 3;
-/// Topics that are considered for one frame.
+/// The number of queued topics considered for one frame.
 const TOPICS_PER_FRAME: usize = 12;
-/// The field number and a length of one byte.
+/// The bytes of a field number and a one-byte length.
 const FIELD_OVERHEAD_BYTES: usize = 2;
-/// Encoded lengths from here on take a second byte.
+/// The smallest encoded size whose length prefix takes two bytes.
 const MIN_TWO_BYTE_LENGTH: usize = 128;
 
-/// The queue of what is to be disseminated, and the budget of gossip rounds.
+/// The queue of topics to disseminate, and the rate limit on gossip rounds.
 pub(crate) struct Dissemination {
     queue: UpdateQueue,
     next_round: Duration,
-    /// Frames that may be sent, as of `budget_at`.
+    /// Frames that gossip rounds may still send, as of `budget_at`.
     budget: f64,
     budget_at: Duration,
 }
 
 impl Dissemination {
-    /// For a table of `max_members`.
+    /// Creates an empty queue for a table of up to `max_members` members.
     pub(crate) fn new(max_members: usize, now: Duration) -> Self {
         Dissemination {
             queue: UpdateQueue::new(max_members * 2),
@@ -47,22 +48,21 @@
         }
     }
 
-    /// Queues the present state of a member; this node goes by its own name.
+    /// Queues the state of a member, or of this node if `name` is its own.
     pub(crate) fn queue_member(&mut self, name: Name) {
         self.queue.add(Topic::Member(name));
     }
 
-    /// Queues the present value of a member under a key.
+    /// Queues the value that a member publishes under a key.
     pub(crate) fn queue_value(&mut self, name: Name, key: Rc<str>) {
         self.queue.add(Topic::Value(name, key));
     }
 
-    /// Topics that are queued.
+    /// The number of queued topics.
     pub(crate) fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether nothing is queued.
     pub(crate) fn is_idle(&self) -> bool {
         self.queue.is_empty()
     }
@@ -72,12 +72,12 @@
         self.next_round
     }
 
-    /// Lets the next round begin at `at`, if it was to begin later.
+    /// Moves the next round forward to `at` if it is due later.
     pub(crate) fn expedite(&mut self, at: Duration) {
         self.next_round = self.next_round.min(at);
     }
 
-    /// Begins a round if one is due, and returns how many frames it may send.
+    /// Begins a round if one is due; returns the number of frames that it may send.
     pub(crate) fn begin_round(&mut self, now: Duration, interval: Duration) -> Option<usize> {
         if now < self.next_round || self.queue.is_empty() {
             return None;
@@ -91,8 +91,8 @@
         Some(frames)
     }
 
-    /// Adds as much gossip to a frame as fits `max_bytes`. Topics that are too long for the remaining space give way to
-    /// shorter ones behind them.
+    /// Adds gossip to a frame, up to `max_bytes` in all. A topic that does not fit the remaining space is skipped, so
+    /// that shorter ones behind it can use the space.
     pub(crate) fn piggyback(
         &mut self,
         frame: &mut Frame,
@@ -120,8 +120,8 @@
         }
     }
 
-    /// How often a topic is transmitted before it is dropped: it grows with the logarithm of the fleet's size and shrinks
-    /// while many topics are queued.
+    /// The number of transmissions after which a topic is dropped. It grows with the logarithm of the fleet size, and
+    /// shrinks while many topics are queued.
     fn transmission_limit(&self, active_members: usize) -> u32 {
         let usual = 4 * (active_members as f64 + 2.0).log10().ceil() as u32;
         let queued = self.queue.len().max(LONG_QUEUE_TOPICS) as u32;
@@ -129,7 +129,7 @@
     }
 }
 
-/// What is known of a topic when a frame is sent; nothing superseded is ever sent.
+/// The content of a topic, looked up when a frame is sent so that superseded content is never sent.
 enum TopicContent {
     Update(Update),
     Value(MemberValue),
@@ -155,7 +155,7 @@
         }
     }
 
-    /// The bytes that it adds to a frame.
+    /// The number of bytes that the content adds to a frame.
     fn encoded_len(&self) -> usize {
         match self {
             TopicContent::Update(update) => update.encoded_len() + FIELD_OVERHEAD_BYTES,
--- a/crates/membership/src/dissemination/queue.rs
+++ b/crates/membership/src/dissemination/queue.rs
@@ -1,35 +1,35 @@
-//! The queue of topics to disseminate: each is transmitted a limited number of times, those transmitted least first. Only
-//! topics are queued; their content is looked up when a frame is sent.
+//! The queue of topics to disseminate. Each is transmitted a limited number of times; those transmitted least often
+//! come first. The queue holds only topics; their content is looked up when a frame is sent.
 
 use crate::name::Name;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// What a piece of gossip is about.
+/// The subject of an update or a value.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Topic {
-    /// The state of a member; this node goes by its own name.
+    /// The state of a member or of this node.
     Member(Name),
-    /// The value of a member under a key.
+    /// The value that a member publishes under a key.
     Value(Name, Rc<str>),
 }
 
-/// The place of a topic in the queue: by transmissions, then the newest first.
+/// The position of a topic in the queue: fewest transmissions first, then newest first.
 pub(crate) type Rank = (u32, Reverse<u64>);
 
-/// The queue.
+/// Topics to disseminate, by rank.
 #[derive(Default)]
 pub(crate) struct UpdateQueue {
     ranked: BTreeSet<(Rank, Topic)>,
     ranks: BTreeMap<Topic, Rank>,
-    /// Topics added so far.
+    /// The number of topics added so far, by which newer topics are distinguished from older ones.
     added: u64,
     max_topics: usize,
 }
 
 impl UpdateQueue {
-    /// At most `max_topics`; the one transmitted most often is evicted for a new one.
+    /// Creates a queue of at most `max_topics` topics. When it is full, the last topic is evicted for a new one.
     pub(crate) fn new(max_topics: usize) -> Self {
         UpdateQueue {
             max_topics,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Queues a topic, whose count of transmissions begins anew.
+    /// Queues a topic and resets its count of transmissions.
     pub(crate) fn add(&mut self, topic: Topic) {
         self.remove(&topic);
         if self.ranks.len() >= self.max_topics {
@@ -49,14 +49,14 @@
         self.insert(topic, (0, Reverse(self.added)));
     }
 
-    /// Removes a topic and returns the place that it had.
+    /// Removes a topic; returns the rank that it had.
     pub(crate) fn remove(&mut self, topic: &Topic) -> Option<Rank> {
         let rank = self.ranks.remove(topic)?;
         self.ranked.remove(&(rank, topic.clone()));
         Some(rank)
     }
 
-    /// The first topics in order, at most `count`.
+    /// The first `count` topics in order, or all if there are fewer.
     pub(crate) fn first(&self, count: usize) -> Vec<Topic> {
         self.ranked
             .iter()
@@ -65,7 +65,7 @@
             .collect()
     }
 
-    /// Counts a transmission of a topic; it is removed after `limit`.
+    /// Counts a transmission of a topic, and removes the topic after `limit` transmissions.
     pub(crate) fn mark_sent(&mut self, topic: &Topic, limit: u32) {
         let Some((transmissions, added)) = self.remove(topic) else {
             return;
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,14 +1,14 @@
-//! Inputs and outputs of [`Membership`](crate::Membership).
+//! The inputs and outputs of [`Membership`](crate::Membership).
 
 use crate::incarnation::Incarnation;
 use crate::name::Name;
 use crate::wire::{Frame, SyncMessage};
 use std::net::SocketAddr;
 
-/// An anti-entropy message that was received.
+/// A received anti-entropy message.
 #[derive(Clone, Debug)]
 pub struct ReceivedSync {
-    /// Its sender.
+    /// The sender.
     pub sender: Name,
     /// The sender's incarnation.
     pub incarnation: Incarnation,
@@ -16,31 +16,31 @@
     pub message: SyncMessage,
 }
 
-/// An input.
+/// An input of [`Membership::handle`](crate::Membership::handle).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A timer may be due.
+    /// Time has passed, and timers may be due.
     Tick,
-    /// A frame whose envelope was accepted: authentic, of this fleet, and not a replay.
+    /// A frame whose envelope was accepted: it is authentic, belongs to this fleet and is not a replay.
     Frame {
         /// The sender.
         sender: Name,
-        /// Where the sender says that it is reached.
+        /// The address at which the sender says it can be reached.
         address: SocketAddr,
         /// The sender's incarnation.
         incarnation: Incarnation,
-        /// The salt of the incarnation that it is addressed to; 0 if the sender knows none.
+        /// The salt of the incarnation that the frame is addressed to; 0 if the sender knows none.
         to_salt: u32,
         /// The frame.
         frame: Frame,
     },
-    /// An anti-entropy message, over a connection whose ends have authenticated each other.
+    /// An anti-entropy message, received over a mutually authenticated connection.
     Sync(ReceivedSync),
-    /// This node leaves the fleet in an orderly way.
+    /// This node is to leave the fleet gracefully.
     Leave,
 }
 
-/// An output.
+/// An output of [`Membership::handle`](crate::Membership::handle), for the caller to carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Send a frame in a datagram.
@@ -56,13 +56,13 @@
     Sync {
         /// The receiver.
         to: Name,
-        /// Where the receiver is reached.
+        /// The receiver's address.
         address: SocketAddr,
         /// The message.
         message: SyncMessage,
     },
-    /// An incarnation has begun; its epoch is to be stored in the state directory.
+    /// Store the epoch of this incarnation, which has just begun, in the state directory.
     StoreIncarnation(Incarnation),
-    /// A line for the log.
+    /// Log a line.
     Log(String),
 }
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -1,5 +1,5 @@
-//! SWIM's failure detector: periodic probes, indirect probes by way of other members, and suspicions that are refuted or
-//! expire.
+//! SWIM's failure detector: periodic probes, indirect probes through other members, and suspicions that end by
+//! refutation or expiry.
 
 mod acks;
 mod probe_table;
@@ -19,23 +19,23 @@
 use schedule::ProbeSchedule;
 use std::time::Duration;
 
-/// A timer that fires so late shows that this node is slow itself.
+/// A probe timer that fires later than this counts as a sign that this node itself is slow.
 const LATE_TIMER_THRESHOLD: Duration = Duration::from_millis(100);
-/// A probe fails after so many ack timeouts; indirect probes begin after the first.
+/// The number of ack timeouts after which a probe fails; indirect probes begin after the first.
 const ACK_TIMEOUTS_PER_PROBE: u32 = 3;
-/// Urgent probes that are begun at a time.
+/// The most urgent probes that one tick begins.
 const MAX_URGENT_PROBES_PER_TICK: usize = 4;
-/// Suspects of this node that are scheduled for another probe at a time.
+/// The most members suspected by this node that are scheduled for another probe at once.
 const MAX_REPROBED_SUSPECTS: usize = MAX_URGENT_PROBES_PER_TICK * 4;
-/// About so many of the members that learn of a suspicion probe the suspect at once.
+/// The mean number of members that probe a suspect immediately when they learn of the suspicion.
 const MEAN_IMMEDIATE_PROBES: u32 = 6;
 
-/// Where an update comes from.
+/// The source of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UpdateSource {
-    /// A frame, or this node's own failure detector: the update is gossiped on.
+    /// A frame, or this node's own failure detector: the update is queued for gossip.
     Gossip,
-    /// An anti-entropy exchange: whoever else lacks the update finds it the same way.
+    /// An anti-entropy exchange: the update is not gossiped, since other members that lack it get it the same way.
     AntiEntropy,
 }
 
@@ -43,7 +43,7 @@
 pub(crate) struct FailureDetector {
     probes: ProbeTable,
     schedule: ProbeSchedule,
-    /// Members that are suspected by any member, in the order of their suspicions.
+    /// Suspected members, in the order of the last update about each.
     suspects: Vec<Name>,
 }
 
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Begins anew with an incarnation of this node. Suspicion timeouts that ran while the node was paused begin anew too.
+    /// Restarts the failure detector for a new incarnation of this node. Suspicion timeouts restart too, since they may
+    /// have run while the process was paused.
     pub(crate) fn restart(&mut self, node: &mut Node, now: Duration) {
         self.schedule.restart(now + node.settings.probe_interval);
         self.probes.clear();
@@ -65,7 +66,7 @@
         }
     }
 
-    /// When a regular probe, or the timeout of one, is due.
+    /// When the next regular probe or the next probe timeout is due.
     pub(crate) fn next_deadline(&self) -> Duration {
         let next = self.schedule.next_probe();
         self.probes
@@ -73,12 +74,12 @@
             .map_or(next, |deadline| next.min(deadline))
     }
 
-    /// Whether members wait for an urgent probe.
+    /// Whether urgent probes are scheduled.
     pub(crate) fn has_urgent_probes(&self) -> bool {
         self.schedule.has_urgent()
     }
 
-    /// Sends the probes that are due and handles those that have timed out.
+    /// Sends the probes that are due, and handles those that have failed.
     pub(crate) fn tick(&mut self, node: &mut Node, now: Duration) {
         self.send_regular_probe(node, now);
         self.send_urgent_probes(node, now);
@@ -90,7 +91,7 @@
         self.schedule_own_suspects(node);
     }
 
-    /// Declares members dead whose suspicion has expired. Must be called only by a node that has joined.
+    /// Declares members dead whose suspicion has expired. Must be called only if this node has joined.
     pub(crate) fn expire_suspicions(&mut self, node: &mut Node, now: Duration) {
         if self.suspects.is_empty() || node.is_isolated(now) {
             return;
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Applies an update about another member to the member table, the probe schedule and the suspects.
+    /// Applies an update about another member to the member table, the probe schedule and the list of suspects.
     pub(crate) fn apply_update(
         &mut self,
         node: &mut Node,
@@ -143,22 +144,23 @@
         }
     }
 
-    /// Logs an active member that is new or in a new incarnation, and takes it into the order of probes.
+    /// Adds an active member that is new or in a new incarnation to the probe schedule, and logs it.
     fn add_active_member(&mut self, node: &mut Node, update: &MemberUpdate, change: Change) {
-        let arrival = match change {
+        let event = match change {
             Change::Added => "joined",
             Change::NewIncarnation => "rejoined",
             Change::Updated | Change::Unchanged | Change::Rejected => return,
         };
         node.log(format_args!(
-            "{} {arrival} in incarnation {}",
+            "member {} {event} in incarnation {}",
             update.name, update.incarnation
         ));
         self.schedule.insert(&mut node.random, update.name.clone());
     }
 
-    /// Probes a new suspect at once, by chance: the sooner several members have probed it, the sooner the suspicion is
-    /// refuted or confirmed.
+    /// Schedules an immediate probe of a new suspect with a probability of about [`MEAN_IMMEDIATE_PROBES`] divided by
+    /// the number of active members: the sooner several members probe it, the sooner the suspicion is refuted or
+    /// confirmed.
     fn maybe_probe_new_suspect(&mut self, node: &mut Node, suspect: &Name) {
         let active = node.members.active().len() as u32;
         if node.random.next_u32() % active.max(1) < MEAN_IMMEDIATE_PROBES {
@@ -231,14 +233,15 @@
                 };
                 node.send(relay, request);
             }
-            // The first ping may only have been lost.
+            // Pings the target again too, since the first ping may have been lost.
             send_ping(node, &target, sequence);
         }
     }
 
-    /// A probe had neither an ack nor an indirect ack in time: suspects its target.
+    /// Suspects the target of a probe that got neither a direct nor an indirect ack in time.
     fn handle_failed_probe(&mut self, node: &mut Node, probe: &Probe, now: Duration) {
-        // Lifeguard: not even the helpers were heard, so this node may be slow or cut off.
+        // Lifeguard: not even a nack arrived from the members asked for indirect probes, so this node may be slow or
+        // partitioned.
         if probe.nacks == 0 && probe.relay_count > 0 {
             node.health.degrade(1);
         }
@@ -257,7 +260,7 @@
             self.apply_update(node, &update, now, UpdateSource::Gossip);
             return;
         }
-        // A node that hears nobody is more likely at fault itself, and must not end the whole fleet.
+        // A node that receives no frames is more likely at fault itself, and must not declare the whole fleet dead.
         if node.is_isolated(now) {
             return;
         }
@@ -268,7 +271,7 @@
         self.apply_update(node, &update, now, UpdateSource::Gossip);
     }
 
-    /// Schedules the members that this node suspects for another probe, which also notifies them of the suspicion.
+    /// Schedules the members that this node suspects for another probe. Its ping also notifies them of the suspicion.
     fn schedule_own_suspects(&mut self, node: &Node) {
         if self.schedule.has_urgent() {
             return;
@@ -285,13 +288,13 @@
 }
 
 fn log_inactive_member(node: &mut Node, update: &MemberUpdate, state: Option<MemberState>) {
-    let departure = if state == Some(MemberState::Left) {
+    let event = if state == Some(MemberState::Left) {
         "left"
     } else {
         "is dead"
     };
     node.log(format_args!(
-        "{} {departure} in incarnation {}",
+        "member {} {event} in incarnation {}",
         update.name, update.incarnation
     ));
 }
--- a/crates/membership/src/failure_detector/acks.rs
+++ b/crates/membership/src/failure_detector/acks.rs
@@ -1,4 +1,4 @@
-//! Pings, their acks and nacks, and pings relayed for other members.
+//! Pings with their acks and nacks, and pings relayed for other members.
 
 use super::probe_table::RelayedPing;
 use super::{FailureDetector, UpdateSource};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 impl FailureDetector {
-    /// An ack, of a probe of this node or of a ping that it relayed.
+    /// Handles an ack of this node's own probe, or of a ping that it relayed.
     pub(crate) fn handle_ack(
         &mut self,
         node: &mut Node,
@@ -29,11 +29,11 @@
         if probe.target == *from {
             record_round_trip(node, from, now.saturating_sub(probe.sent_at));
         } else if let Some(member) = node.members.get_mut(&probe.target) {
-            member.probes.unanswered += 1; // the ack came by way of a helper
+            member.probes.unanswered += 1; // the ack came through another member
         }
     }
 
-    /// An ack that is too late for its probe still measures the round trip.
+    /// Handles an ack that arrives after its probe has finished: it still measures the round trip.
     fn handle_late_ack(&mut self, node: &mut Node, now: Duration, from: &Name, sequence: u64) {
         let Some((target, sent_at)) = self.probes.take_finished_probe(sequence) else {
             return;
@@ -43,12 +43,12 @@
         }
     }
 
-    /// A helper has no ack of an indirect probe.
+    /// Handles a nack: the member asked for an indirect probe got no ack.
     pub(crate) fn handle_nack(&mut self, sequence: u64) {
         self.probes.count_nack(sequence);
     }
 
-    /// Pings a member on behalf of another.
+    /// Pings a member on behalf of another member.
     pub(crate) fn handle_indirect_ping(
         &mut self,
         node: &mut Node,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Answers the requesters of indirect pings that had no ack.
+    /// Sends nacks for the relayed pings that got no ack in time.
     pub(super) fn send_nacks(&mut self, node: &mut Node, now: Duration) {
         for relayed in self.probes.take_expired_relayed(now) {
             send_reply(node, &relayed.requester, FrameKind::Nack, relayed.sequence);
@@ -83,7 +83,7 @@
     }
 }
 
-/// Answers a ping.
+/// Sends the ack of a ping.
 pub(crate) fn send_ack(node: &mut Node, to: &Name, sequence: u64) {
     send_reply(node, to, FrameKind::Ack, sequence);
 }
@@ -97,7 +97,8 @@
     node.send(to, frame);
 }
 
-/// Pings a member. One that is suspected is notified before all other gossip, so that it can refute.
+/// Pings a member. A ping to a suspected member carries the suspicion ahead of other gossip, so that the member can
+/// refute it.
 pub(super) fn send_ping(node: &mut Node, target: &Name, sequence: u64) {
     let suspicion = node
         .members
--- a/crates/membership/src/failure_detector/probe_table.rs
+++ b/crates/membership/src/failure_detector/probe_table.rs
@@ -1,13 +1,13 @@
-//! Outstanding probes, and pings relayed for other members. Both are bounded; beyond the bound nothing new is begun.
+//! Outstanding probes, and pings relayed for other members. Both tables are bounded; a full table takes no new entries.
 
 use crate::incarnation::Incarnation;
 use crate::name::Name;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Outstanding probes, and relayed pings.
+/// The most outstanding probes, and the most relayed pings.
 const MAX_OUTSTANDING: usize = 128;
-/// Finished probes that are remembered, so that a late ack still measures the round trip.
+/// The number of finished probes that are kept, so that a late ack still measures the round trip.
 const MAX_FINISHED_PROBES: usize = 32;
 
 /// An outstanding probe.
@@ -18,15 +18,15 @@
     pub(crate) sent_at: Duration,
     /// When indirect probes begin; `Duration::MAX` once they have.
     pub(crate) indirect_at: Duration,
-    /// When the probe has failed.
+    /// When the probe fails.
     pub(crate) expires_at: Duration,
-    /// Members that were asked for indirect probes.
+    /// The number of members asked for indirect probes.
     pub(crate) relay_count: usize,
-    /// Helpers that had no ack either.
+    /// The number of those members that got no ack either.
     pub(crate) nacks: usize,
 }
 
-/// A ping on behalf of another member.
+/// A ping that this node sent on behalf of another member.
 #[derive(Clone, Debug)]
 pub(crate) struct RelayedPing {
     pub(crate) requester: Name,
@@ -35,14 +35,14 @@
     pub(crate) expires_at: Duration,
 }
 
-/// A finished probe, for late acks.
+/// A finished probe, kept for a late ack.
 struct FinishedProbe {
     sequence: u64,
     target: Name,
     sent_at: Duration,
 }
 
-/// Outstanding probes and relayed pings, by this node's own sequence numbers.
+/// Outstanding probes and relayed pings, by sequence numbers of this node.
 #[derive(Default)]
 pub(crate) struct ProbeTable {
     probes: BTreeMap<u64, Probe>,
@@ -52,7 +52,8 @@
 }
 
 impl ProbeTable {
-    /// Adds a probe and returns its sequence number; `None` if there are too many, or one of this target already.
+    /// Adds a probe and returns its sequence number; `None` if the table is full or the target has an outstanding
+    /// probe.
     pub(crate) fn add_probe(&mut self, probe: Probe) -> Option<u64> {
         let is_probed = |other: &Probe| other.target == probe.target;
         if self.probes.len() >= MAX_OUTSTANDING || self.probes.values().any(is_probed) {
@@ -63,7 +64,7 @@
         Some(self.last_sequence)
     }
 
-    /// Adds a relayed ping and returns its sequence number; `None` if there are too many.
+    /// Adds a relayed ping and returns its sequence number; `None` if the table is full.
     pub(crate) fn add_relayed_ping(&mut self, relayed: RelayedPing) -> Option<u64> {
         if self.relayed.len() >= MAX_OUTSTANDING {
             return None;
@@ -73,19 +74,19 @@
         Some(self.last_sequence)
     }
 
-    /// Removes a probe that was answered or has failed.
+    /// Removes a probe that got an ack or has failed, and keeps it for late acks.
     pub(crate) fn finish_probe(&mut self, sequence: u64) -> Option<Probe> {
         let probe = self.probes.remove(&sequence)?;
         self.remember_finished(sequence, &probe);
         Some(probe)
     }
 
-    /// Removes a relayed ping that was answered.
+    /// Removes a relayed ping that got an ack.
     pub(crate) fn take_relayed(&mut self, sequence: u64) -> Option<RelayedPing> {
         self.relayed.remove(&sequence)
     }
 
-    /// The target of a finished probe, and when it was sent.
+    /// Removes a finished probe; returns its target and when it was sent.
     pub(crate) fn take_finished_probe(&mut self, sequence: u64) -> Option<(Name, Duration)> {
         let index = self
             .finished
@@ -95,14 +96,14 @@
         Some((probe.target, probe.sent_at))
     }
 
-    /// Counts a helper that had no ack.
+    /// Counts a nack for a probe.
     pub(crate) fn count_nack(&mut self, sequence: u64) {
         if let Some(probe) = self.probes.get_mut(&sequence) {
             probe.nacks += 1;
         }
     }
 
-    /// Probes whose indirect probes are due. Each is returned once.
+    /// Returns the probes whose indirect probes are due, each of them once.
     pub(crate) fn due_for_indirect_probes(&mut self, now: Duration) -> Vec<(u64, Name)> {
         let mut due = Vec::new();
         for (sequence, probe) in &mut self.probes {
@@ -114,7 +115,7 @@
         due
     }
 
-    /// Notes how many members were asked for indirect probes.
+    /// Sets the number of members asked for indirect probes.
     pub(crate) fn set_relay_count(&mut self, sequence: u64, relay_count: usize) {
         if let Some(probe) = self.probes.get_mut(&sequence) {
             probe.relay_count = relay_count;
@@ -135,7 +136,7 @@
             .collect()
     }
 
-    /// Removes the relayed pings that had no ack in time.
+    /// Removes the relayed pings that got no ack in time.
     pub(crate) fn take_expired_relayed(&mut self, now: Duration) -> Vec<RelayedPing> {
         let expired: Vec<u64> = self
             .relayed
@@ -149,7 +150,7 @@
             .collect()
     }
 
-    /// The earliest deadline.
+    /// The earliest time at which a probe or a relayed ping is due.
     pub(crate) fn next_deadline(&self) -> Option<Duration> {
         let probes = self
             .probes
@@ -159,7 +160,7 @@
         probes.chain(relayed).min()
     }
 
-    /// Drops all probes and relayed pings: their results would be about another incarnation of this node.
+    /// Drops all probes and relayed pings, since their acks belong to the previous incarnation of this node.
     pub(crate) fn clear(&mut self) {
         self.probes.clear();
         self.relayed.clear();
--- a/crates/membership/src/failure_detector/schedule.rs
+++ b/crates/membership/src/failure_detector/schedule.rs
@@ -1,5 +1,5 @@
-//! The order of probes: all active members in turn, in a random order drawn anew for each round, and urgent probes beside
-//! it.
+//! The probe schedule: each round probes all active members once, in a new random order; urgent probes are sent in
+//! addition.
 
 use crate::members::Members;
 use crate::name::Name;
@@ -8,12 +8,12 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Members that may wait for an urgent probe.
+/// The most members scheduled for an urgent probe.
 const MAX_URGENT: usize = 64;
 
-/// The order of probes.
+/// The order of regular probes, and the queue of urgent ones.
 pub(crate) struct ProbeSchedule {
-    /// The rest of the present round; the last is probed next.
+    /// The remaining members of the current round; the last one is probed next.
     round: Vec<Name>,
     urgent: VecDeque<Name>,
     next_probe: Duration,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Drops urgent probes; the round continues at `next_probe`.
+    /// Drops urgent probes, and continues the round at `next_probe`.
     pub(crate) fn restart(&mut self, next_probe: Duration) {
         self.next_probe = next_probe;
         self.urgent.clear();
@@ -43,13 +43,13 @@
         self.next_probe = next_probe;
     }
 
-    /// Inserts a new member at a random place of the present round.
+    /// Inserts a new member at a random position of the current round.
     pub(crate) fn insert(&mut self, random: &mut Random, name: Name) {
         let index = random.below(self.round.len() + 1);
         self.round.insert(index, name);
     }
 
-    /// The next target of a regular probe; begins a new round where the present one is over.
+    /// Removes and returns the next target of a regular probe; begins a new round if the current one has ended.
     pub(crate) fn next_target(&mut self, members: &Members, random: &mut Random) -> Option<Name> {
         for _ in 0..2 {
             while let Some(name) = self.round.pop() {
@@ -75,19 +75,19 @@
         !self.urgent.is_empty()
     }
 
-    /// Removes the next member that waits for an urgent probe.
+    /// Removes and returns the next member scheduled for an urgent probe.
     pub(crate) fn next_urgent(&mut self) -> Option<Name> {
         self.urgent.pop_front()
     }
 
-    /// Adds an urgent probe, unless too many wait.
+    /// Schedules an urgent probe, unless too many are scheduled already.
     pub(crate) fn add_urgent(&mut self, name: Name) {
         if self.urgent.len() < MAX_URGENT {
             self.urgent.push_back(name);
         }
     }
 
-    /// Adds an urgent probe before all others; the last gives way if too many wait.
+    /// Schedules an urgent probe before all others, and drops the last one if there are too many.
     pub(crate) fn add_urgent_first(&mut self, name: Name) {
         self.urgent.push_front(name);
         self.urgent.truncate(MAX_URGENT);
--- a/crates/membership/src/failure_detector/suspicion.rs
+++ b/crates/membership/src/failure_detector/suspicion.rs
@@ -6,21 +6,22 @@
 use crate::update::{MemberState, MemberUpdate};
 use std::time::Duration;
 
-/// So many independent confirmations shorten the timeout to its minimum.
+/// The number of independent confirmations that shorten the timeout to its minimum.
 const MAX_CONFIRMATIONS: usize = 3;
-/// The timeout of a suspicion that nobody confirms, in minimum timeouts.
+/// The timeout of a suspicion without confirmations, as a multiple of the minimum.
 const UNCONFIRMED_TIMEOUT_FACTOR: u32 = 3;
 
-/// Suspicions whose timeout is over.
+/// The members whose suspicion has expired.
 #[derive(Default)]
 pub(crate) struct ExpiredSuspicions {
-    /// Members that this node has heard since: only their refutation was lost.
+    /// Members from which this node has received frames since: it has merely missed their refutations.
     pub(crate) heard_since: Vec<Name>,
-    /// The other members, as updates that declare them dead.
+    /// Updates that declare the other members dead.
     pub(crate) dead: Vec<MemberUpdate>,
 }
 
-/// Lifeguard's timeout: the more members confirm a suspicion, the shorter. A node in poor health waits longer.
+/// The suspicion timeout of Lifeguard: shorter the more members confirm the suspicion, longer the worse this node's
+/// local health.
 pub(crate) fn timeout(node: &Node, confirmations: usize) -> Duration {
     let min = node.min_suspicion_timeout();
     let max = min * UNCONFIRMED_TIMEOUT_FACTOR;
@@ -36,7 +37,7 @@
     timeout * health_factor
 }
 
-/// The suspicions among `suspects` whose timeout is over.
+/// Returns the members of `suspects` whose suspicion timeout has expired.
 pub(crate) fn expired(node: &Node, suspects: &[Name], now: Duration) -> ExpiredSuspicions {
     let mut expired = ExpiredSuspicions::default();
     for member in suspects.iter().filter_map(|name| node.members.get(name)) {
@@ -61,7 +62,7 @@
     expired
 }
 
-/// Begins the timeout of a suspicion anew.
+/// Restarts the timeout of a suspicion.
 pub(crate) fn restart_timeout(node: &mut Node, name: &Name, now: Duration) {
     let member = node.members.get_mut(name);
     if let Some(suspicion) = member.and_then(|member| member.suspicion.as_mut()) {
@@ -69,7 +70,7 @@
     }
 }
 
-/// Whether the member with that hash is among those that suspect `name`.
+/// Whether the member whose name has the hash `suspected_by` suspects the member `name`.
 pub(crate) fn is_suspected_by(members: &Members, name: &Name, suspected_by: u32) -> bool {
     members
         .get(name)
--- a/crates/membership/src/failure_detector/tests.rs
+++ b/crates/membership/src/failure_detector/tests.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// A node that knows `others` active members and has just been heard by one.
+/// A node that knows `others` active members and has just received a frame from one.
 fn node(others: u32) -> (Node, FailureDetector) {
     let local = LocalNode {
         name: name(0),
--- a/crates/membership/src/incarnation.rs
+++ b/crates/membership/src/incarnation.rs
@@ -2,21 +2,21 @@
 
 use std::fmt;
 
-/// One incarnation of a member. Ordered by epoch, then by salt; a newer incarnation supersedes every older one.
+/// One incarnation of a member. Incarnations are ordered by epoch, then by salt; a newer one supersedes all older ones.
 ///
-/// The epoch rises from one incarnation to the next, as far as the state directory and the other members remember. The
-/// salt is drawn at random for each incarnation, so that incarnations of equal epoch differ even where both memories are
-/// lost (except with probability 2^-32).
+/// Each incarnation has a higher epoch than the one before, as long as the state directory or another member still has
+/// that epoch. The salt is drawn at random for each incarnation, so that two incarnations with the same epoch differ
+/// even if both records are lost (except with probability 2^-32).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation {
-    /// Starts at 1.
+    /// The epoch, at least 1.
     pub epoch: u32,
-    /// Never 0.
+    /// The random salt, never 0.
     pub salt: u32,
 }
 
 impl Incarnation {
-    /// Whether a process can be in this incarnation: neither part is 0.
+    /// Whether both the epoch and the salt are other than 0, as in every incarnation of a process.
     pub fn is_valid(self) -> bool {
         self.epoch > 0 && self.salt > 0
     }
--- a/crates/membership/src/joining.rs
+++ b/crates/membership/src/joining.rs
@@ -1,4 +1,4 @@
-//! Joining the fleet, rejoining members that were cut off, and the answers to nodes that join.
+//! Joining the fleet, reconnecting to members that were unreachable, and responses to nodes that join.
 
 use crate::counters::Counters;
 use crate::event::Action;
@@ -10,22 +10,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The backoff between attempts to join: doubled from the first up to the last.
+/// The shortest and the longest backoff between rounds of joins; it doubles after each round.
 const MIN_BACKOFF: Duration = Duration::from_millis(250);
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// Seeds, and members known before, that one attempt goes to.
+/// The number of seeds, and of members known from before, to which a round sends joins.
 const SEEDS_PER_JOIN_ROUND: usize = 2;
 const MEMBERS_PER_JOIN_ROUND: usize = 2;
-/// How often a dead member, or a seed that is no member's address, is asked to join.
+/// The interval between joins sent to a dead member, or to a seed that is not the address of an active member.
 const REJOIN_INTERVAL: Duration = Duration::from_secs(1);
-/// Answers a second to senders that know no present incarnation of this node, or are in an ended one.
+/// The rate limit on responses to senders that do not know this node's current incarnation, or whose own has ended.
 const MAX_RESPONSES_PER_SECOND: u32 = 100;
-/// Members that a welcome lists, besides what is known of itself.
+/// The number of members that a welcome lists besides the joiner.
 const WELCOME_MEMBERS: usize = 4;
 
 /// The state of joining.
 pub(crate) struct Joining {
-    /// Whether another member has answered the present incarnation.
+    /// Whether a member has sent a frame addressed to the current incarnation.
     joined: bool,
     next_join: Duration,
     backoff: Duration,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Begins anew with an incarnation of this node.
+    /// Starts joining again, for a new incarnation of this node.
     pub(crate) fn restart(&mut self, now: Duration) {
         self.joined = false;
         self.next_join = now;
@@ -58,12 +58,12 @@
         self.joined
     }
 
-    /// Notes that another member has answered this incarnation.
+    /// Records that a member has sent a frame addressed to this incarnation.
     pub(crate) fn mark_joined(&mut self) {
         self.joined = true;
     }
 
-    /// When the next attempt to join, or to let others rejoin, is due.
+    /// When the next joins are due, whether to join the fleet or to reach members that were lost.
     pub(crate) fn next_deadline(&self) -> Duration {
         if self.joined {
             self.next_rejoin
@@ -78,7 +78,7 @@
         self.send_rejoin(node, now);
     }
 
-    /// Asks seeds and members known before, until one answers.
+    /// Sends joins to some seeds and members known from before, until this node has joined.
     fn send_due_joins(&mut self, node: &mut Node, now: Duration) {
         if self.joined || now < self.next_join {
             return;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Asks one dead member or unanswered seed to join: it may only have been cut off, or be up by now.
+    /// Sends a join to one dead member or inactive seed: it may only have been partitioned, or may be up again.
     fn send_rejoin(&mut self, node: &mut Node, now: Duration) {
         if now < self.next_rejoin {
             return;
@@ -115,7 +115,8 @@
         }
     }
 
-    /// Answers a node that does not know this node's incarnation: with what is known of itself, then some other members.
+    /// Responds to a node that does not know this node's incarnation: with what is known of the node itself, and with
+    /// some other members.
     pub(crate) fn send_welcome(&mut self, node: &mut Node, now: Duration, joiner: &MemberUpdate) {
         if !self.responses.allow(now, &mut node.counters) {
             return;
@@ -139,7 +140,7 @@
         });
     }
 
-    /// Notifies a sender that its incarnation has ended; it has to begin a new one.
+    /// Notifies a sender that its incarnation has ended, so that it begins a new one.
     pub(crate) fn notify_ended_incarnation(
         &mut self,
         node: &mut Node,
@@ -162,14 +163,14 @@
     }
 }
 
-/// Limits answers that no member relies on.
+/// A rate limit on responses; the protocol works without those that it suppresses.
 struct ResponseLimiter {
     window_start: Duration,
     sent: u32,
 }
 
 impl ResponseLimiter {
-    /// Whether one more answer may be sent; counts those that may not.
+    /// Whether a response may be sent now; counts those that may not.
     fn allow(&mut self, now: Duration, counters: &mut Counters) -> bool {
         if now.saturating_sub(self.window_start) >= Duration::from_secs(1) {
             self.window_start = now;
@@ -184,7 +185,7 @@
     }
 }
 
-/// Seeds that are no active member's address, then the addresses of dead members.
+/// The seeds that are not the address of an active member, then the addresses of dead members.
 fn unreachable_addresses(node: &Node) -> Vec<SocketAddr> {
     let is_active = |address: SocketAddr| {
         node.members
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,13 +1,13 @@
-//! Group membership of the fleet: which members are alive, suspected, departed or dead, in which incarnation, and the
-//! small values that each member publishes about itself.
+//! Fleet membership: which members are alive, suspect, left or dead, in which incarnation, and the small key-value
+//! pairs that each member publishes about itself.
 //!
-//! The protocol is SWIM (random probes, indirect probes, gossip piggybacked on frames) with the extensions of Lifeguard:
-//! a node that is slow itself waits longer before it suspects others, a suspected member is notified first, and a suspicion
-//! that several members confirm expires sooner. Divergence that gossip leaves behind is repaired by anti-entropy.
-//! Deviations from SWIM and their reasons are described in `docs/design/fleet.md`.
+//! The protocol is SWIM (random probes, indirect probes, gossip piggybacked on frames) with the Lifeguard extensions: a
+//! node that is slow itself waits longer before it suspects others, a ping to a suspected member carries the suspicion
+//! ahead of other gossip, and a suspicion that several members confirm expires sooner. Anti-entropy repairs differences
+//! that gossip leaves behind. Deviations from SWIM and their reasons are described in `docs/design/fleet.md`.
 //!
-//! The crate does no I/O and reads neither a clock nor a random device: [`Membership`] takes timed [`Event`]s and returns
-//! [`Action`]s, and the same seed and events give the same actions.
+//! The crate does no I/O and reads neither a clock nor a source of randomness: [`Membership`] takes [`Event`]s with
+//! their times and returns [`Action`]s. The same seed and events always give the same actions.
 #![forbid(unsafe_code)]
 
 mod anti_entropy;
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,14 +1,14 @@
-//! Lifeguard's local health: how well this node itself is doing, and how long acks take. Both determine how long the node
-//! waits before it suspects others.
+//! Lifeguard's local health: a score of how slow this node itself is, and an estimate of how long acks take. Both
+//! determine how long the node waits before it suspects others.
 
 use std::time::Duration;
 
-/// The highest score: timeouts are at most nine times as long as for a healthy node.
+/// The highest score; timeouts are then nine times as long as those of a healthy node.
 const MAX_SCORE: u32 = 8;
-/// The ack timeout of a healthy node is at most so many times its minimum.
+/// The longest ack timeout of a healthy node, as a multiple of the minimum.
 const MAX_TIMEOUT_FACTOR: u32 = 10;
 
-/// The local health score, and the round-trip time as TCP estimates it (RFC 6298).
+/// The local health score, and the round-trip time estimated as in TCP (RFC 6298).
 #[derive(Clone, Debug)]
 pub struct LocalHealth {
     score: u32,
@@ -18,7 +18,7 @@
 }
 
 impl LocalHealth {
-    /// A healthy node's; `min_timeout` is the shortest time that an ack is waited for.
+    /// Creates the local health of a healthy node; `min_timeout` is the shortest ack timeout.
     pub fn new(min_timeout: Duration) -> Self {
         LocalHealth {
             score: 0,
@@ -28,23 +28,23 @@
         }
     }
 
-    /// Raises the score by `by`: this node may be slow or cut off, as a missed nack, a suspicion of itself or a late timer
-    /// shows.
+    /// Raises the score by `points`, because this node may be slow or partitioned: it got no nacks for a failed probe,
+    /// was suspected by another member, or had a late timer.
     pub fn degrade(&mut self, points: u32) {
         self.score = (self.score + points).min(MAX_SCORE);
     }
 
-    /// Lowers the score by one: a probe was answered in time.
+    /// Lowers the score by one, because a probe got its ack in time.
     pub fn recover(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// The score: 0 for a healthy node, 8 at worst.
+    /// The score, from 0 for a healthy node to 8.
     pub fn score(&self) -> u32 {
         self.score
     }
 
-    /// Takes a measured round trip into the estimate.
+    /// Updates the estimate with a measured round trip.
     pub fn record_round_trip(&mut self, round_trip: Duration) {
         match self.smoothed {
             None => {
@@ -58,12 +58,12 @@
         }
     }
 
-    /// The smoothed round trip; `None` before the first ack.
+    /// The smoothed round-trip time; `None` before the first ack.
     pub fn round_trip(&self) -> Option<Duration> {
         self.smoothed
     }
 
-    /// How long a healthy node waits for an ack: the minimum to ten times the minimum.
+    /// How long a healthy node waits for an ack: between the minimum and ten times the minimum.
     pub fn base_ack_timeout(&self) -> Duration {
         let estimated = self
             .smoothed
@@ -71,7 +71,7 @@
         estimated.clamp(self.min_timeout, self.min_timeout * MAX_TIMEOUT_FACTOR)
     }
 
-    /// How long this node waits for an ack, given its score.
+    /// How long this node waits for an ack with its current score.
     pub fn ack_timeout(&self) -> Duration {
         self.base_ack_timeout() * (self.score + 1)
     }
--- a/crates/membership/src/local_node.rs
+++ b/crates/membership/src/local_node.rs
@@ -1,4 +1,4 @@
-//! This node, as the other members are to know it.
+//! This node's identity and the state that it publishes to the other members.
 
 use crate::digest::member_digest;
 use crate::incarnation::Incarnation;
@@ -13,13 +13,13 @@
 /// The identity of this node.
 #[derive(Clone, Debug)]
 pub struct LocalNode {
-    /// Its name.
+    /// The node's name.
     pub name: Name,
-    /// Where the other members reach it.
+    /// The address at which other members reach the node.
     pub address: SocketAddr,
-    /// Its metadata.
+    /// The node's metadata.
     pub metadata: NodeMetadata,
-    /// The addresses that it joins the fleet by; its own may be among them.
+    /// The addresses to which the node sends joins; its own may be among them.
     pub seeds: Vec<SocketAddr>,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// This node with its present incarnation and what it publishes.
+/// This node's identity, current incarnation, refutation counter and published values.
 pub(crate) struct LocalState {
     pub(crate) identity: LocalNode,
     pub(crate) incarnation: Incarnation,
@@ -56,7 +56,7 @@
         *name == self.identity.name
     }
 
-    /// What this node asserts of itself.
+    /// The update that this node sends about itself.
     pub(crate) fn update(&self) -> MemberUpdate {
         MemberUpdate {
             name: self.identity.name.clone(),
@@ -73,7 +73,7 @@
         member_digest(&self.identity.name, self.incarnation, &self.values)
     }
 
-    /// One of this node's values, for the wire.
+    /// The wire form of one of this node's values.
     pub(crate) fn wire_value(&self, key: &str) -> Option<MemberValue> {
         let value = self.values.get(key)?;
         Some(MemberValue::new(
@@ -83,7 +83,7 @@
         ))
     }
 
-    /// Stores a value of this node's own under the next version; returns whether it differs from the stored one.
+    /// Stores one of this node's values under the next version; returns `false` if the value is unchanged.
     pub(crate) fn publish(&mut self, key: &Rc<str>, bytes: &[u8]) -> Result<bool, PublishError> {
         if key.is_empty() || key.len() > MAX_KEY_BYTES {
             return Err(PublishError::KeyLength);
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,4 +1,4 @@
-//! The table of the other members, and the digests of what it holds.
+//! The table of the other members, with its digests.
 
 use crate::digest::{member_digest, name_hash};
 use crate::incarnation::Incarnation;
@@ -11,10 +11,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Buckets that members fall into by the hash of their name, so that two members find where they differ without exchanging
-/// all that they know. A bucket is a bit of a `u64`.
+/// The number of buckets that members are divided into by the hash of their name, so that two members can locate their
+/// differences without sending their whole tables. A set of buckets is a `u64` with one bit for each.
 pub(crate) const BUCKETS: usize = 64;
-/// Suspecting members that are remembered of one suspicion.
+/// The most suspecting members that are recorded for one suspicion.
 const MAX_SUSPECTED_BY: usize = 8;
 
 /// A suspicion that is neither refuted nor expired.
@@ -22,12 +22,12 @@
 pub(crate) struct Suspicion {
     /// When the timeout began.
     pub(crate) timeout_start: Duration,
-    /// Hashes of the names of the members that suspect; at most [`MAX_SUSPECTED_BY`].
+    /// Name hashes of the suspecting members; at most [`MAX_SUSPECTED_BY`].
     pub(crate) suspecting: Vec<u32>,
 }
 
 impl Suspicion {
-    /// Adds an independent suspicion; returns whether it was new.
+    /// Records another suspecting member; returns whether it was added.
     fn confirm(&mut self, suspected_by: u32) -> bool {
         let is_new = self.suspecting.len() < MAX_SUSPECTED_BY
             && suspected_by != 0
@@ -39,37 +39,37 @@
     }
 }
 
-/// Probes of a member.
+/// The numbers of probes of a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProbeCounts {
-    /// Probes sent to it.
+    /// Probes sent to the member.
     pub sent: u32,
-    /// Probes that it did not answer directly.
+    /// Probes that got no direct ack.
     pub unanswered: u32,
 }
 
 /// Another member.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its name.
+    /// The member's name.
     pub name: Name,
-    /// Where it is reached.
+    /// The address at which the member can be reached.
     pub address: SocketAddr,
-    /// Its newest known incarnation.
+    /// The newest known incarnation of the member.
     pub incarnation: Incarnation,
-    /// Its newest known refutation of a suspicion.
+    /// The highest known refutation counter of that incarnation.
     pub refutation: u32,
-    /// Its state.
+    /// The state of that incarnation.
     pub state: MemberState,
-    /// When it entered that state.
+    /// When the incarnation entered that state, as this node learned of it.
     pub state_since: Duration,
-    /// When the last frame of its present incarnation arrived.
+    /// When the last frame of that incarnation arrived.
     pub last_heard: Option<Duration>,
-    /// The smoothed round trip to it.
+    /// The smoothed round-trip time to the member.
     pub round_trip: Option<Duration>,
-    /// Probes of it.
+    /// The numbers of probes of the member.
     pub probes: ProbeCounts,
-    /// Its metadata.
+    /// The member's metadata.
     pub metadata: NodeMetadata,
     pub(crate) values: Values,
     pub(crate) suspicion: Option<Suspicion>,
@@ -77,7 +77,7 @@
 }
 
 impl Member {
-    /// A member that was unknown.
+    /// Creates an entry for a member that was unknown.
     fn new(update: &MemberUpdate, now: Duration) -> Self {
         Member {
             name: update.name.clone(),
@@ -96,7 +96,7 @@
         }
     }
 
-    /// What is known of the member, as an update for others.
+    /// The state of the member, as an update to send to others.
     pub(crate) fn update(&self) -> MemberUpdate {
         let suspected_by = self
             .suspicion
@@ -112,24 +112,24 @@
         }
     }
 
-    /// A value that it publishes.
+    /// The value that the member publishes under a key.
     pub fn value(&self, key: &str) -> Option<&Value> {
         self.values.get(key)
     }
 
-    /// One of its values, for the wire.
+    /// The wire form of one of the member's values.
     pub(crate) fn wire_value(&self, key: &str) -> Option<MemberValue> {
         let value = self.values.get(key)?;
         Some(MemberValue::new(&self.name, self.incarnation, value))
     }
 
-    /// Whether that incarnation of the member has ended: a newer one is known, or it has left or died.
+    /// Whether an incarnation of the member has ended: a newer one is known, or it has left or died.
     pub(crate) fn has_ended(&self, incarnation: Incarnation) -> bool {
         self.incarnation > incarnation
             || (self.incarnation == incarnation && !self.state.is_active())
     }
 
-    /// Takes over an update that supersedes what is known.
+    /// Replaces the known state with an update that supersedes it.
     fn replace_with(&mut self, update: &MemberUpdate, now: Duration) -> Change {
         let is_new_incarnation = update.incarnation != self.incarnation;
         if is_new_incarnation {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Counts an independent suspicion of a member that is suspected already.
+    /// Records another suspecting member if the update confirms the current suspicion.
     fn confirm_suspicion(&mut self, update: &MemberUpdate) -> Change {
         let is_same_suspicion = self.state == MemberState::Suspect
             && update.state == MemberState::Suspect
@@ -173,10 +173,10 @@
     }
 }
 
-/// What an update changed.
+/// The effect of an update on the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Change {
-    /// Nothing.
+    /// Nothing changed.
     Unchanged,
     /// An active member was added.
     Added,
@@ -184,22 +184,23 @@
     NewIncarnation,
     /// A member's state, refutation or suspicion changed.
     Updated,
-    /// The table is full.
+    /// The table is full, so that the update was dropped.
     Rejected,
 }
 
-/// All known members but this node itself.
+/// All known members except this node itself.
 #[derive(Default)]
 pub(crate) struct Members {
     by_name: BTreeMap<Name, Member>,
-    /// Names of the active members, to draw from; their order carries no meaning but has to be reproducible.
+    /// Names of the active members, from which members are drawn at random. Their order has no meaning, but must be
+    /// reproducible.
     active: Vec<Name>,
     digests: Vec<u32>,
     max_members: usize,
 }
 
 impl Members {
-    /// An empty table of at most `max_members`, including those that left or died.
+    /// Creates an empty table of at most `max_members` members, including those that left or died.
     pub(crate) fn new(max_members: usize) -> Self {
         Members {
             max_members,
@@ -226,17 +227,17 @@
         self.get(name).map(|member| member.state)
     }
 
-    /// The active members, in no meaningful order.
+    /// The active members, in an order without meaning.
     pub(crate) fn active(&self) -> &[Name] {
         &self.active
     }
 
-    /// The digests of all buckets, over the active members.
+    /// The digests of the active members in each bucket.
     pub(crate) fn digests(&self) -> &[u32] {
         &self.digests
     }
 
-    /// The digest over all active members.
+    /// The digest of all active members.
     pub(crate) fn digest(&self) -> u32 {
         self.digests.iter().fold(0, |all, digest| all ^ digest)
     }
@@ -261,7 +262,7 @@
         change
     }
 
-    /// Adds an unknown member. One that has left or died already is stored, but does not count as added.
+    /// Adds an unknown member. One that has already left or died is stored too, but is not reported as added.
     fn add(&mut self, update: &MemberUpdate, now: Duration) -> Change {
         if self.by_name.len() >= self.max_members && !self.evict_oldest_inactive() {
             return Change::Rejected;
@@ -276,7 +277,7 @@
         }
     }
 
-    /// Recomputes what is derived from a member after an update.
+    /// Updates the suspicion, the list of active members and the digests after an update of a member.
     fn update_derived_state(&mut self, update: &MemberUpdate, now: Duration) {
         let name = &update.name;
         let Some(member) = self.by_name.get_mut(name) else {
@@ -309,7 +310,8 @@
         member.digest = digest;
     }
 
-    /// Stores a value if it is of the known incarnation of an active member, and newer; returns whether it was stored.
+    /// Stores a value if it is newer and belongs to the current incarnation of an active member; returns whether it was
+    /// stored.
     pub(crate) fn store_value(
         &mut self,
         name: &Name,
@@ -340,7 +342,7 @@
             .retain(|_, member| member.state.is_active() || member.state_since >= before);
     }
 
-    /// Removes the member that left or died first; returns whether there was one.
+    /// Removes the member that left or died first; returns `false` if there is none.
     fn evict_oldest_inactive(&mut self) -> bool {
         let oldest = self
             .by_name
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,8 +1,8 @@
-//! The coordinator: hands each event to the parts of the protocol and collects their actions.
+//! The entry point of the protocol: dispatches each event to the parts of the protocol and collects their actions.
 //!
-//! A frame that names the salt of this incarnation was written after the incarnation began, since nobody could know the
-//! salt before. So a replay, a delayed frame or one meant for an earlier process is recognised without a clock, and a node
-//! has joined once such a frame arrives.
+//! A frame addressed to the salt of the current incarnation was written after the incarnation began, since no other
+//! member could know the salt before. A replayed frame, a delayed one, or one addressed to an earlier process is thus
+//! recognised without a clock; and a node has joined once it receives a frame addressed to its incarnation.
 
 mod receive;
 
@@ -27,16 +27,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Ticks come at least so often, so that a pause of the process is noticed.
+/// The longest time between ticks; a longer gap shows that the process was paused.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(200);
-/// Ticks are at least so far apart.
+/// The shortest time between ticks.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
-/// A gap between events is a pause only beyond so many tick intervals.
+/// The number of tick intervals that a gap between events must exceed to count as a pause.
 const PAUSE_TICK_INTERVALS: u32 = 2;
-/// Members that a node notifies when it leaves.
+/// The number of members that a node notifies when it leaves.
 const LEAVE_FAN_OUT: usize = 6;
 
-/// A node's view of the fleet, and its part in the membership protocol.
+/// A node's view of the fleet, and its state of the membership protocol.
 pub struct Membership {
     node: Node,
     failure_detector: FailureDetector,
@@ -47,8 +47,9 @@
 }
 
 impl Membership {
-    /// Begins the first incarnation of a process. `epoch` is the last one in the state directory, 0 if there is none.
-    /// `seed` must differ from start to start: incarnations are distinguished by what is drawn from it.
+    /// Begins the first incarnation of a process. `epoch` is the last epoch stored in the state directory, or 0 if
+    /// there is none. `seed` must differ at each start, since the salts that distinguish incarnations are drawn from
+    /// it.
     pub fn new(
         settings: MembershipSettings,
         local: LocalNode,
@@ -71,12 +72,12 @@
         };
         membership.begin_incarnation(epoch, now);
         let metadata = MetadataMessage::from(&membership.node.local.identity.metadata);
-        // Metadata over the bound for values is not published; other members see it as empty.
+        // Metadata that exceeds the maximum size of a value is not published, and is empty for other members.
         let _ = membership.publish(METADATA_KEY, &metadata.encode_to_vec(), now);
         membership
     }
 
-    /// Handles an event and returns the actions to carry out, in order. `now` must not go back.
+    /// Handles an event; returns the actions to carry out, in order. `now` must never decrease.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
         let max_gap = MAX_TICK_INTERVAL * PAUSE_TICK_INTERVALS;
         if let Some(epoch) = self
@@ -141,7 +142,7 @@
         }
     }
 
-    /// This node's present incarnation.
+    /// This node's current incarnation.
     pub fn incarnation(&self) -> Incarnation {
         self.node.local.incarnation
     }
@@ -156,7 +157,7 @@
         self.node.members.iter()
     }
 
-    /// Another member.
+    /// Another member, if it is known.
     pub fn member(&self, name: &Name) -> Option<&Member> {
         self.node.members.get(name)
     }
@@ -171,7 +172,7 @@
         self.node.counters
     }
 
-    /// This node's local health and its estimate of round trips.
+    /// This node's local health score and round-trip estimate.
     pub fn health(&self) -> &LocalHealth {
         &self.node.health
     }
@@ -181,15 +182,15 @@
         self.node.dissemination.queued()
     }
 
-    /// The digest of all that is known of the active members; equal where two nodes know the same.
+    /// The digest of the incarnations and values of all active members. It is equal on nodes whose member tables agree.
     pub fn digest(&self) -> u32 {
         self.node.digest()
     }
 
-    /// Publishes a value of this node's own to the fleet.
+    /// Publishes a value of this node to the fleet.
     ///
     /// # Errors
-    /// The key, the value or the number of values is over its bound; nothing is changed then.
+    /// Returns an error, and changes nothing, if the key, the value or the number of values exceeds its limit.
     pub fn publish(&mut self, key: &str, bytes: &[u8], now: Duration) -> Result<(), PublishError> {
         let key: Rc<str> = key.into();
         if self.node.local.publish(&key, bytes)? {
@@ -201,7 +202,7 @@
         Ok(())
     }
 
-    /// Begins an incarnation: joins anew and drops what the failure detector has under way.
+    /// Begins an incarnation: joins again, and restarts the failure detector without its outstanding probes.
     fn begin_incarnation(&mut self, epoch: NextEpoch, now: Duration) {
         own_incarnation::begin_incarnation(&mut self.node, epoch);
         self.joining.restart(now);
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -1,4 +1,5 @@
-//! Frames and anti-entropy messages: what is believed of them, and to which part of the protocol they go.
+//! Received frames and anti-entropy messages: checks whether their content may be used, applies it, and dispatches them
+//! to the parts of the protocol.
 
 use super::Membership;
 use crate::anti_entropy;
@@ -9,7 +10,7 @@
 use std::time::Duration;
 
 impl Membership {
-    /// Handles a frame. `sender` is what the envelope asserts of its sender.
+    /// Handles a frame. `sender` is the state of the sender as its envelope asserts it.
     pub(super) fn handle_frame(
         &mut self,
         now: Duration,
@@ -17,7 +18,7 @@
         to_salt: u32,
         frame: &Frame,
     ) {
-        // A kind that only a newer build knows is handled for its gossip.
+        // A frame of a kind that only newer builds know is still used for the gossip it carries.
         let kind = FrameKind::try_from(frame.kind).unwrap_or(FrameKind::Gossip);
         if self.node.local.is_named(&sender.name) {
             self.handle_own_name(now, sender);
@@ -51,7 +52,7 @@
             .compare_digest(&mut self.node, now, sender, frame.digest);
     }
 
-    /// A frame under this node's own name: its own, or another process's.
+    /// Handles a frame whose sender has this node's name: this node itself, or another process.
     fn handle_own_name(&mut self, now: Duration, sender: &MemberUpdate) {
         self.node.counters.name_conflicts += 1;
         if sender.incarnation != self.node.local.incarnation {
@@ -59,8 +60,8 @@
         }
     }
 
-    /// A frame that does not name this incarnation. Its content is not believed, since it may be older than the
-    /// incarnation; the sender is notified of the present one.
+    /// Handles a frame that is not addressed to the current incarnation. Its content is not used, since it may be older
+    /// than the incarnation; instead, the sender is notified of the current incarnation.
     fn handle_stale_frame(
         &mut self,
         now: Duration,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// The valid updates of a frame: those about this node, and those about others.
+    /// Returns the valid updates of a frame: those about this node, then those about others.
     fn valid_updates(&mut self, frame: &Frame) -> (Vec<MemberUpdate>, Vec<MemberUpdate>) {
         let updates: Vec<MemberUpdate> = frame
             .updates
@@ -96,15 +97,15 @@
         self.joining.mark_joined();
         let incarnation = self.node.local.incarnation;
         self.node.log(format_args!(
-            "was answered by {} in incarnation {incarnation}",
+            "joined the fleet through member {} in incarnation {incarnation}",
             sender.name
         ));
         self.anti_entropy
             .begin_exchange(&mut self.node, now, &sender.name, sender.address);
     }
 
-    /// Whether the sender's incarnation has ended. Nothing that it sends is believed until it comes in a new one, and it
-    /// is notified.
+    /// Notifies a sender whose incarnation has ended, so that it begins a new one; returns whether it has ended. Its
+    /// frames are then used only for updates about this node.
     fn reject_ended_sender(&mut self, now: Duration, sender: &MemberUpdate) -> bool {
         let known = self
             .node
@@ -171,7 +172,7 @@
         self.anti_entropy.respond(&mut self.node, now, received);
     }
 
-    /// An update about this node itself.
+    /// Handles an update about this node itself.
     fn handle_own_update(&mut self, update: &MemberUpdate, now: Duration) {
         let next = self
             .own_incarnation
@@ -192,7 +193,7 @@
                 self.node.counters.invalid += 1;
                 continue;
             };
-            // This node alone knows what it publishes.
+            // This node is the only authority on its own values.
             if self.node.local.is_named(&name) {
                 continue;
             }
--- a/crates/membership/src/metadata.rs
+++ b/crates/membership/src/metadata.rs
@@ -1,14 +1,14 @@
-//! What a node publishes about itself once per incarnation.
+//! The metadata that a node publishes about itself.
 
 /// A node's metadata.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeMetadata {
-    /// Its zone; empty if it has none.
+    /// The node's zone; empty if it has none.
     pub zone: String,
-    /// Its region; empty if it has none.
+    /// The node's region; empty if it has none.
     pub region: String,
-    /// The build it runs.
+    /// The build that the node runs.
     pub build: String,
-    /// The protocols that it supports, so that no member sends it messages it cannot read.
+    /// The protocols that the node supports, so that other members send it only messages that it can read.
     pub capabilities: Vec<String>,
 }
--- a/crates/membership/src/name.rs
+++ b/crates/membership/src/name.rs
@@ -1,4 +1,4 @@
-//! Names of members.
+//! Member names.
 
 use std::fmt;
 use std::rc::Rc;
@@ -8,10 +8,10 @@
 pub struct Name(Rc<str>);
 
 impl Name {
-    /// The longest name, in bytes: several updates must fit one frame of 256 bytes.
+    /// The longest name, in bytes, so that several updates fit one frame of 256 bytes.
     pub const MAX_BYTES: usize = 24;
 
-    /// Validates a name; `None` if it is empty, too long or has control characters.
+    /// Creates a name; `None` if it is empty, too long or contains control characters.
     pub fn new(text: &str) -> Option<Self> {
         let valid = !text.is_empty()
             && text.len() <= Self::MAX_BYTES
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -1,4 +1,4 @@
-//! The state that all parts of the protocol share: this node, the members it knows, and the frames on their way out.
+//! The state that all parts of the protocol share: this node, the members that it knows, and the pending actions.
 
 use crate::counters::Counters;
 use crate::dissemination::Dissemination;
@@ -14,10 +14,10 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Draws per wanted member before [`Node::random_members`] returns fewer.
+/// The number of draws per requested member after which [`Node::random_members`] returns fewer members.
 const DRAWS_PER_MEMBER: usize = 3;
 
-/// The shared state.
+/// The state that all parts of the protocol share.
 pub(crate) struct Node {
     pub(crate) settings: MembershipSettings,
     pub(crate) local: LocalState,
@@ -26,16 +26,16 @@
     pub(crate) health: LocalHealth,
     pub(crate) random: Random,
     pub(crate) counters: Counters,
-    /// When the last event of any incarnation was handled.
+    /// When the last event was handled, in whichever incarnation.
     pub(crate) last_event: Duration,
-    /// When the last frame addressed to this incarnation was received.
+    /// When the last frame addressed to the current incarnation was received.
     pub(crate) last_heard: Option<Duration>,
-    /// Outputs of the event that is being handled.
+    /// The actions that result from the event being handled.
     pub(crate) actions: Vec<Action>,
 }
 
 impl Node {
-    /// A node that has not begun its first incarnation.
+    /// Creates a node that has not begun its first incarnation.
     pub(crate) fn new(
         settings: MembershipSettings,
         local: LocalNode,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The digest of all that is known of the active members, this node among them.
+    /// The digest of all active members, including this node itself.
     pub(crate) fn digest(&self) -> u32 {
         self.members.digest() ^ self.local.digest()
     }
@@ -69,14 +69,14 @@
         self.actions.push(Action::Log(line.to_string()));
     }
 
-    /// The shortest time between a suspicion and its expiry, given how long acks take.
+    /// The shortest suspicion timeout, given how long acks take.
     pub(crate) fn min_suspicion_timeout(&self) -> Duration {
         self.settings
             .min_suspicion_timeout
             .max(self.health.base_ack_timeout() * 4)
     }
 
-    /// Whether no frame has been received for so long that the fault may be this node's own.
+    /// Whether no frame has been received for so long that this node itself may be at fault.
     pub(crate) fn is_isolated(&self, now: Duration) -> bool {
         let limit = self
             .min_suspicion_timeout()
@@ -85,7 +85,7 @@
             .is_none_or(|heard| now.saturating_sub(heard) > limit)
     }
 
-    /// Up to `count` different active members but `except`, drawn at random.
+    /// Draws up to `count` distinct active members at random, without `excluded`.
     pub(crate) fn random_members(&mut self, count: usize, excluded: Option<&Name>) -> Vec<Name> {
         let mut drawn: Vec<Name> = Vec::with_capacity(count);
         let active = self.members.active();
@@ -101,7 +101,8 @@
         drawn
     }
 
-    /// Sends a frame to the known incarnation of a member, with this node's digest and as much gossip as fits.
+    /// Sends a frame to the known incarnation of a member, with this node's digest and as much gossip as fits the
+    /// frame.
     pub(crate) fn send(&mut self, name: &Name, mut frame: Frame) {
         let Some(member) = self.members.get(name) else {
             return;
@@ -118,7 +119,7 @@
         self.actions.push(Action::Send { to, to_salt, frame });
     }
 
-    /// Sends a frame of gossip to some members, if a round is due.
+    /// Sends gossip to some members if a round is due.
     pub(crate) fn gossip(&mut self, now: Duration) {
         let Some(frames) = self
             .dissemination
--- a/crates/membership/src/own_incarnation.rs
+++ b/crates/membership/src/own_incarnation.rs
@@ -1,4 +1,4 @@
-//! This node's own incarnation: when a new one begins, and how suspicions of the present one are refuted.
+//! This node's own incarnation: when a new one begins, and how suspicions about the current one are refuted.
 
 use crate::digest::name_hash;
 use crate::incarnation::Incarnation;
@@ -8,12 +8,13 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// More new incarnations than this within [`NAME_CONFLICT_WINDOW`], because another process uses the name, are a name conflict.
+/// The number of name conflicts within [`NAME_CONFLICT_WINDOW`] beyond which the node becomes silent. A name conflict
+/// makes the node begin a new incarnation because another process uses its name.
 const MAX_RECENT_NAME_CONFLICTS: usize = 4;
-/// The window of a name conflict, and the shortest time that the node is silent because of one.
+/// The window in which name conflicts are counted, and the shortest time for which the node is silent after too many.
 const NAME_CONFLICT_WINDOW: Duration = Duration::from_secs(30);
 
-/// The epoch of an incarnation that has to begin.
+/// The epoch of a new incarnation that must begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct NextEpoch(pub(crate) u32);
 
@@ -23,11 +24,11 @@
     }
 }
 
-/// Watches over this node's incarnation.
+/// Decides when this node must begin a new incarnation, and when it is silent because of name conflicts.
 pub(crate) struct OwnIncarnation {
-    /// When another process under this node's name made it begin a new incarnation.
+    /// The times at which a newer incarnation under this node's name made it begin a new one.
     recent_name_conflicts: VecDeque<Duration>,
-    /// The end of the silence after a name conflict.
+    /// The end of the silent period after too many name conflicts.
     silent_until: Duration,
 }
 
@@ -39,13 +40,13 @@
         }
     }
 
-    /// Whether the node is silent because of a name conflict.
+    /// Whether the node is silent because of name conflicts: it ignores ticks, frames and anti-entropy messages.
     pub(crate) fn is_silent(&self, now: Duration) -> bool {
         self.silent_until > now
     }
 
-    /// Notes that an event is handled. A pause that is longer than a suspicion may last ends the incarnation, since others
-    /// may have declared it dead.
+    /// Records the time of an event, and returns the next epoch if the process was paused before it. A pause longer
+    /// than the minimum suspicion timeout ends the incarnation, since other members may have declared it dead.
     pub(crate) fn detect_pause(
         &self,
         node: &mut Node,
@@ -59,11 +60,15 @@
             return None;
         }
         node.counters.pauses += 1;
-        node.log(format_args!("was not running for {} ms", pause.as_millis()));
+        node.log(format_args!(
+            "process was paused for {} ms; beginning a new incarnation",
+            pause.as_millis()
+        ));
         Some(NextEpoch::after(node.local.incarnation.epoch))
     }
 
-    /// Handles an update that another member sent about this node.
+    /// Handles an update that another member sent about this node; returns the next epoch if a new incarnation must
+    /// begin.
     pub(crate) fn handle_update(
         &mut self,
         node: &mut Node,
@@ -74,7 +79,7 @@
             return None;
         }
         if update.incarnation > node.local.incarnation {
-            // An earlier incarnation that the state directory has lost, or another process under this name.
+            // An earlier incarnation that is missing from the state directory, or another process with this name.
             self.record_name_conflict(node, update, now);
             return Some(NextEpoch::after(update.incarnation.epoch));
         }
@@ -87,12 +92,12 @@
         }
         let incarnation = node.local.incarnation;
         node.log(format_args!(
-            "was declared dead in incarnation {incarnation}"
+            "this node was declared dead in incarnation {incarnation}; beginning a new one"
         ));
         Some(NextEpoch::after(incarnation.epoch))
     }
 
-    /// Counts a clash of names; falls silent if there were too many.
+    /// Counts a name conflict, and makes the node silent if there were too many recently.
     fn record_name_conflict(&mut self, node: &mut Node, update: &MemberUpdate, now: Duration) {
         self.recent_name_conflicts
             .retain(|at| now.saturating_sub(*at) < NAME_CONFLICT_WINDOW);
@@ -104,13 +109,13 @@
         self.silent_until = now + NAME_CONFLICT_WINDOW + node.random.jitter(NAME_CONFLICT_WINDOW);
         let name = node.local.identity.name.clone();
         node.log(format_args!(
-            "another process claims the name {name} at {}",
+            "another process uses the name {name} at address {}; sending nothing for a while",
             update.address
         ));
     }
 }
 
-/// Refutes a suspicion of the present incarnation. One that was refuted already is answered by gossip again.
+/// Refutes a suspicion about the current incarnation. If it has been refuted before, the refutation is gossiped again.
 fn refute(node: &mut Node, update: &MemberUpdate) {
     let is_suspicion = update.state == MemberState::Suspect;
     let known = node.local.refutation;
@@ -127,11 +132,11 @@
     }
 }
 
-/// Begins an incarnation of the shared state: with a new salt, no refutations, and frames of this incarnation yet to come.
-/// What is known of other members stays.
+/// Begins an incarnation in the shared state, with a new salt, no refutations and no frames received yet. The state of
+/// the other members is kept.
 pub(crate) fn begin_incarnation(node: &mut Node, epoch: NextEpoch) {
     let salt = if node.injects(InjectedBug::ReusedIncarnation) {
-        name_hash(&node.local.identity.name) // the same in each process of the name
+        name_hash(&node.local.identity.name) // the same in every process with this name
     } else {
         node.random.next_u32()
     };
@@ -144,8 +149,8 @@
     node.counters.incarnations += 1;
 }
 
-/// Queues this node's state and values for gossip. Versions go on rising over incarnations, so that no value is published
-/// twice under one version of an incarnation.
+/// Queues this node's state and values for gossip. Versions keep rising across incarnations of a process, so that no
+/// two values are published under the same version of one incarnation.
 pub(crate) fn queue_own_state(node: &mut Node) {
     let name = node.local.identity.name.clone();
     node.dissemination.queue_member(name.clone());
--- a/crates/membership/src/status.rs
+++ b/crates/membership/src/status.rs
@@ -1,14 +1,14 @@
-//! How a node stands towards its fleet.
+//! The status of a node's membership in its fleet.
 
-/// The state of this node's membership. Whatever acts on behalf of the fleet checks it first.
+/// The status of this node's membership. Code that acts on behalf of the fleet must check it first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipStatus {
-    /// The node has asked to join in this incarnation and nobody has answered: it must not act on what it knew before.
+    /// No member has sent a frame addressed to the current incarnation yet: the node must not act on earlier state.
     Joining,
-    /// Another member has answered this incarnation, and frames are being received.
+    /// The node has joined in its current incarnation and is receiving frames.
     Joined,
-    /// No frames are received: the node keeps what it last knew of the others and declares nobody dead.
+    /// The node receives no frames: it keeps the last known state of the other members and declares none of them dead.
     Isolated,
-    /// Another process uses this node's name; the node stays silent for a while.
+    /// Another process uses this node's name: the node is silent for a while.
     NameConflict,
 }
--- a/crates/membership/src/update.rs
+++ b/crates/membership/src/update.rs
@@ -1,24 +1,25 @@
-//! What members assert about each other, and which of two assertions wins.
+//! Assertions of members about each other's states, and the precedence among them.
 
 use crate::incarnation::Incarnation;
 use crate::name::Name;
 use std::net::SocketAddr;
 
-/// The state of a member's incarnation. Among updates of one incarnation and refutation the greater state wins.
+/// The state of a member's incarnation. Of two updates with the same incarnation and refutation, the greater state
+/// wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It answers.
+    /// The member is not suspected.
     Alive,
-    /// A probe of it failed; it can still refute the suspicion.
+    /// A probe of the member failed; it can still refute the suspicion.
     Suspect,
-    /// It left in an orderly way.
+    /// The member left gracefully.
     Left,
-    /// Its suspicion expired. Final for the incarnation: it has to come back in a new one.
+    /// The suspicion of the member expired. Final for the incarnation: the member must return in a new one.
     Dead,
 }
 
 impl MemberState {
-    /// Whether a member in this state counts as part of the fleet.
+    /// Whether a member in this state is part of the fleet.
     pub fn is_active(self) -> bool {
         self <= MemberState::Suspect
     }
@@ -27,23 +28,24 @@
 /// An assertion about the state of a member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberUpdate {
-    /// The member it is about.
+    /// The name of the member.
     pub name: Name,
-    /// Where that member is reached.
+    /// The address at which the member can be reached.
     pub address: SocketAddr,
-    /// The incarnation it is about.
+    /// The incarnation of the member.
     pub incarnation: Incarnation,
-    /// A counter that the member itself raises to refute a suspicion.
+    /// A counter that the member itself increments to refute a suspicion.
     pub refutation: u32,
     /// The asserted state.
     pub state: MemberState,
-    /// The hash of the name of the member that suspects, so that independent suspicions can be counted; 0 otherwise.
+    /// The name hash of the suspecting member, so that independent suspicions can be counted; 0 if there is none.
     pub suspected_by: u32,
 }
 
 impl MemberUpdate {
-    /// Whether the update supersedes what is known: a newer incarnation, a newer refutation, or a greater state of the
-    /// same. Leaving and death are final for an incarnation, whatever the refutation.
+    /// Whether the update supersedes the known state: it has a newer incarnation, a higher refutation counter, or a
+    /// greater state with the same counter. [`MemberState::Left`] and [`MemberState::Dead`] are final for an
+    /// incarnation, whatever the counter.
     pub fn supersedes(
         &self,
         incarnation: Incarnation,
--- a/crates/membership/src/values.rs
+++ b/crates/membership/src/values.rs
@@ -1,30 +1,29 @@
-//! Small values that members publish about themselves, each under a key and with a version that rises within an
-//! incarnation.
+//! Small values that members publish about themselves. Each has a key, and a version that rises within an incarnation.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Values that one member may publish.
+/// The most values that one member may publish.
 pub const MAX_VALUES: usize = 24;
 /// The longest key, in bytes.
 pub const MAX_KEY_BYTES: usize = 24;
-/// The longest value, in bytes: it must fit a frame of 256 bytes together with its key and its member's name.
+/// The longest value, in bytes, so that it fits a frame of 256 bytes together with its key and the member's name.
 pub const MAX_VALUE_BYTES: usize = 112;
 
-/// Why a value was not published.
+/// The reason why a value was not published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PublishError {
     /// The key is empty or longer than [`MAX_KEY_BYTES`].
-    #[error("the key's length is not within bounds")]
+    #[error("the key is empty or too long")]
     KeyLength,
     /// The value is longer than [`MAX_VALUE_BYTES`].
     #[error("the value is too long")]
     ValueLength,
-    /// The versions of this incarnation are used up.
-    #[error("no version is left in this incarnation")]
+    /// The version counter has reached its maximum.
+    #[error("the version counter is exhausted")]
     VersionsExhausted,
     /// The node publishes [`MAX_VALUES`] values already.
-    #[error("there are too many values")]
+    #[error("too many values are published")]
     TooManyValues,
 }
 
@@ -33,9 +32,9 @@
 pub struct Value {
     /// 1 to [`MAX_KEY_BYTES`] bytes.
     pub key: Rc<str>,
-    /// The value that changed last has the highest version of all values of its member.
+    /// The version; the value that changed last has the highest one of all values of its member.
     pub version: u32,
-    /// At most [`MAX_VALUE_BYTES`].
+    /// At most [`MAX_VALUE_BYTES`] bytes.
     pub bytes: Rc<[u8]>,
 }
 
@@ -44,7 +43,8 @@
 pub(crate) struct Values(BTreeMap<Rc<str>, Value>);
 
 impl Values {
-    /// Stores a value if it is newer than the stored one and the number of values allows it; returns whether it did.
+    /// Stores a value if it is newer than the stored one and does not exceed [`MAX_VALUES`]; returns whether it was
+    /// stored.
     pub(crate) fn store(&mut self, value: Value) -> bool {
         let known_version = self.0.get(&value.key).map(|known| known.version);
         let is_newer = known_version.is_none_or(|known| value.version > known);
--- a/crates/membership/src/values/tests.rs
+++ b/crates/membership/src/values/tests.rs
@@ -25,7 +25,7 @@
     for number in 0..MAX_VALUES {
         assert!(values.store(value(&format!("k{number}"), 1)));
     }
-    assert!(!values.store(value("one more", 1)));
+    assert!(!values.store(value("extra", 1)));
     assert!(values.store(value("k0", 2)));
     assert_eq!(values.iter().count(), MAX_VALUES);
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,5 +1,5 @@
-//! Messages between members, as protobuf: a reader skips fields that it does not know and reads missing ones as 0 or
-//! empty, so that older and newer builds understand each other. Field numbers are never reused.
+//! The protobuf messages between members. A reader skips unknown fields and reads missing ones as 0 or empty, so that
+//! older and newer builds can communicate. Field numbers are never reused.
 
 use crate::incarnation::Incarnation;
 use crate::metadata::NodeMetadata;
@@ -16,19 +16,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum FrameKind {
-    /// Carries gossip only.
+    /// Carries only gossip.
     Gossip = 0,
-    /// Requests a [`FrameKind::Ack`] of the same sequence number.
+    /// Requests a [`FrameKind::Ack`] with the same sequence number.
     Ping = 1,
-    /// Answers a ping.
+    /// Acknowledges a ping.
     Ack = 2,
-    /// Requests the receiver to ping the frame's target.
+    /// Requests a ping from the receiver to the frame's target.
     IndirectPing = 3,
-    /// Answers an indirect ping: the receiver is up, but the target did not answer it.
+    /// Responds to an indirect ping: the sender is up, but got no ack from the target.
     Nack = 4,
-    /// Asks to join, without knowledge of the receiver's incarnation.
+    /// Requests to join, without knowledge of the receiver's incarnation.
     Join = 5,
-    /// Answers a join, or a frame to an earlier incarnation.
+    /// Responds to a join, or to a frame addressed to an earlier incarnation.
     Welcome = 6,
 }
 
@@ -47,13 +47,13 @@
     /// The salt of the member's incarnation.
     #[prost(fixed32, tag = "4")]
     pub salt: u32,
-    /// The member's counter of refutations.
+    /// The member's refutation counter.
     #[prost(uint32, tag = "5")]
     pub refutation: u32,
     /// 0 alive, 1 suspect, 2 left, 3 dead.
     #[prost(uint32, tag = "6")]
     pub state: u32,
-    /// The hash of the name of the member that suspects; 0 otherwise.
+    /// The name hash of the suspecting member; 0 if there is none.
     #[prost(fixed32, tag = "7")]
     pub suspected_by: u32,
 }
@@ -73,7 +73,7 @@
     /// The key.
     #[prost(string, tag = "4")]
     pub key: String,
-    /// Rises with each change of any of the member's values.
+    /// The version, which rises with each change of any of the member's values.
     #[prost(uint32, tag = "5")]
     pub version: u32,
     /// The value.
@@ -81,13 +81,13 @@
     pub value: Vec<u8>,
 }
 
-/// A frame between two members, within its envelope.
+/// A frame between two members, without its envelope.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Frame {
-    /// Its purpose: a [`FrameKind`].
+    /// The purpose of the frame: a [`FrameKind`].
     #[prost(enumeration = "FrameKind", tag = "1")]
     pub kind: i32,
-    /// The number of a ping, returned by its ack or nack.
+    /// The sequence number of a ping, which its ack or nack repeats.
     #[prost(uint64, tag = "2")]
     pub sequence: u64,
     /// The target of an indirect ping.
@@ -99,7 +99,7 @@
     /// Gossip about values.
     #[prost(message, repeated, tag = "5")]
     pub values: Vec<MemberValue>,
-    /// The digest of all that the sender knows of the active members; 0 if it sends none.
+    /// The digest of all active members in the sender's table; 0 if the frame has none.
     #[prost(fixed32, tag = "6")]
     pub digest: u32,
 }
@@ -107,25 +107,26 @@
 /// A message of an anti-entropy exchange.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SyncMessage {
-    /// One of the `STEP_` constants. A higher one is from a newer build and is ignored.
+    /// The step of the exchange: one of the `STEP_` constants. A higher one comes from a newer build and gets no
+    /// response.
     #[prost(uint32, tag = "1")]
     pub step: u32,
     /// The digests of the sender's buckets.
     #[prost(fixed32, repeated, tag = "2")]
     pub digests: Vec<u32>,
-    /// The buckets that the message is about, one bit each.
+    /// The buckets that the message concerns, one bit each.
     #[prost(fixed64, tag = "3")]
     pub buckets: u64,
-    /// Members of those buckets.
+    /// States of members in those buckets.
     #[prost(message, repeated, tag = "4")]
     pub updates: Vec<Update>,
-    /// Their values.
+    /// Values of those members.
     #[prost(message, repeated, tag = "5")]
     pub values: Vec<MemberValue>,
-    /// For each active member of those buckets the hash of its name, then its digest.
+    /// For each active member in those buckets, its name hash and then its digest.
     #[prost(fixed32, repeated, tag = "6")]
     pub member_digests: Vec<u32>,
-    /// Hashes of the names of members that the sender lacks or knows otherwise.
+    /// Name hashes of the members that the sender lacks or has with a different digest.
     #[prost(fixed32, repeated, tag = "7")]
     pub requested: Vec<u32>,
 }
@@ -133,15 +134,15 @@
 impl SyncMessage {
     /// Opens an exchange with the digests of all buckets.
     pub const STEP_BUCKET_DIGESTS: u32 = 1;
-    /// Answers with the digests of the members in the buckets that differ.
+    /// Responds with the digests of the members in the buckets that differ.
     pub const STEP_MEMBER_DIGESTS: u32 = 2;
-    /// Delivers the members that the receiver lacks and requests those that the sender lacks.
+    /// Delivers the members that the receiver lacks, and requests those that the sender lacks.
     pub const STEP_DELIVER_AND_REQUEST: u32 = 3;
     /// Delivers the requested members.
     pub const STEP_DELIVER: u32 = 4;
 }
 
-/// A node's metadata: the value under the key `about`.
+/// A node's metadata, published as the value under the key `about`.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct MetadataMessage {
     /// The zone.
@@ -158,7 +159,7 @@
     pub capabilities: Vec<String>,
 }
 
-/// The wire form of an address: the IP address, then the port, most significant byte first.
+/// Encodes an address: the IP address, then the port, most significant byte first.
 pub fn encode_address(address: SocketAddr) -> Vec<u8> {
     let mut bytes = match address.ip() {
         IpAddr::V4(ip) => ip.octets().to_vec(),
@@ -168,7 +169,7 @@
     bytes
 }
 
-/// Reads an address; `None` if it is malformed or nobody can be reached at it.
+/// Decodes an address; `None` if it is malformed, or cannot be the address of a member.
 pub fn decode_address(bytes: &[u8]) -> Option<SocketAddr> {
     let ip: IpAddr = match bytes.len() {
         6 => Ipv4Addr::from(<[u8; 4]>::try_from(&bytes[..4]).ok()?).into(),
@@ -195,7 +196,8 @@
 }
 
 impl Update {
-    /// Validates the update; `None` if it is invalid, for example of a state that only a newer build knows.
+    /// Validates and converts the update; `None` if it is invalid, for example with a state that only newer builds
+    /// know.
     pub fn to_member_update(&self) -> Option<MemberUpdate> {
         let state = match self.state {
             0 => MemberState::Alive,
@@ -235,7 +237,8 @@
         }
     }
 
-    /// The member, its incarnation and the value; `None` if a bound is exceeded.
+    /// Validates and converts the message into the member's name, its incarnation and the value; `None` if it is
+    /// invalid.
     pub fn to_value(&self) -> Option<(Name, Incarnation, Value)> {
         let is_within_bounds = !self.key.is_empty()
             && self.key.len() <= MAX_KEY_BYTES
@@ -268,7 +271,7 @@
 }
 
 impl MetadataMessage {
-    /// Reads the value under the key `about`; `None` if it is no such message.
+    /// Decodes the value under the key `about`; `None` if it is malformed.
     pub fn parse(bytes: &[u8]) -> Option<NodeMetadata> {
         let message = MetadataMessage::decode(bytes).ok()?;
         Some(NodeMetadata {
--- a/crates/membership/tests/characterization.rs
+++ b/crates/membership/tests/characterization.rs
@@ -1,6 +1,7 @@
-//! Runs of whole fleets, repeated exactly: the order of random draws, of actions and of messages is part of the behaviour.
+//! Compares runs of whole fleets with recorded digests, which depend on the order of random draws, actions and
+//! messages.
 //!
-//! `CHARACTERIZATION_WRITE=1` prints the fixture instead of comparing with it.
+//! With `CHARACTERIZATION_WRITE=1` the fixture is printed instead.
 
 mod common;
 
@@ -10,7 +11,7 @@
 const FIXTURE: &str = include_str!("fixtures/run-digests.txt");
 const SEEDS: std::ops::Range<u64> = 0..24;
 
-/// A run with every kind of fault: its seed, and the digest of all actions and deadlines.
+/// Runs a fleet with every kind of fault; returns the seed and the digest of all actions and deadlines.
 fn run_digest_line(seed: u64) -> String {
     let mut fleet = Fleet::new(9, 5_000 + seed);
     fleet.loss_percent = 10;
@@ -32,7 +33,7 @@
     fleet.slow_node = Some((5, 700));
     fleet.run(SECOND * 10);
     fleet.slow_node = None;
-    leave(&mut fleet, 6);
+    leave_and_stop(&mut fleet, 6);
     fleet.nodes[7].name = name(8);
     fleet.process_runs.clear();
     fleet.start(7);
@@ -45,18 +46,18 @@
     for i in 0..5 {
         let value = seed.to_be_bytes();
         let published = fleet.membership_mut(i).publish("load", &value, now);
-        published.expect("a value within bounds");
+        published.expect("the value is within its limits");
     }
 }
 
-/// Cuts a node off from the first three others.
+/// Blocks the links between a node and the first three nodes, in both directions.
 fn block_links_to_first_three(fleet: &mut Fleet, i: usize) {
     for other in 0..3 {
         fleet.blocked_links.extend([(i, other), (other, i)]);
     }
 }
 
-fn leave(fleet: &mut Fleet, i: usize) {
+fn leave_and_stop(fleet: &mut Fleet, i: usize) {
     let now = fleet.now;
     let actions = fleet.membership_mut(i).handle(now, Event::Leave);
     fleet.execute_actions(i, actions);
--- a/crates/membership/tests/common/agreement.rs
+++ b/crates/membership/tests/common/agreement.rs
@@ -1,11 +1,11 @@
-//! What the members of a simulated fleet believe of each other.
+//! Comparison of each member's table with the actual state of the simulated fleet.
 
 use super::{Fleet, MS, name};
 use sillward_membership::{MemberState, Membership, MembershipStatus};
 use std::time::Duration;
 
 impl Fleet {
-    /// Notes which running members are believed dead, by whom, and for how long.
+    /// Records which running members are dead in another member's table, and for how long.
     pub(super) fn record_false_deaths(&mut self) {
         let incarnations: Vec<_> = self
             .nodes
@@ -41,6 +41,7 @@
         }
     }
 
+    /// The state of the member `of` in the table of the node `by`.
     pub fn state_of(&self, by: usize, of: usize) -> Option<MemberState> {
         self.nodes[by]
             .membership
@@ -49,7 +50,8 @@
             .map(|member| member.state)
     }
 
-    /// Whether all running nodes believe each other alive in their present incarnations, and nobody else active.
+    /// Checks that on each running node, all other running nodes are alive in their current incarnations and no others
+    /// are active.
     pub fn check_agreement(&self) -> Result<(), String> {
         for (by, node) in self.nodes.iter().enumerate() {
             let Some(membership) = &node.membership else {
@@ -59,22 +61,23 @@
                 return Err(format!("n{by} is {:?}", membership.status(self.now)));
             }
             for (of, other) in self.nodes.iter().enumerate().filter(|(of, _)| *of != by) {
-                let believed = membership
+                let known = membership
                     .member(&name(of))
                     .map(|member| (member.state, member.incarnation));
                 let is_correct = match &other.membership {
-                    Some(other) => believed == Some((MemberState::Alive, other.incarnation())),
-                    None => believed.is_none_or(|(state, _)| !state.is_active()),
+                    Some(other) => known == Some((MemberState::Alive, other.incarnation())),
+                    None => known.is_none_or(|(state, _)| !state.is_active()),
                 };
                 if !is_correct {
-                    return Err(format!("n{by} believes {believed:?} of n{of}"));
+                    return Err(format!("n{by} has n{of} as {known:?}"));
                 }
             }
         }
         Ok(())
     }
 
-    /// Runs until all agree, at most `limit`; returns how long that took.
+    /// Runs until [`Fleet::check_agreement`] passes; returns how long that took, and panics if it takes longer than
+    /// `limit`.
     pub fn run_until_agreed(&mut self, limit: Duration) -> Duration {
         let start = self.now;
         while let Err(disagreement) = self.check_agreement() {
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Simulated fleets of [`Membership`] on a clock and a network of the test's own: loss, delay, duplicates, one-way cuts,
-//! pauses and restarts. Checks compare what was done to a member with what the others believe of it.
+//! Fleets of [`Membership`] instances with a simulated clock and network: loss, delay, duplicates, one-way partitions,
+//! pauses and restarts. Checks compare the actual state of a member with its state in the tables of the others.
 #![allow(dead_code, unreachable_pub)]
 
 mod agreement;
@@ -20,7 +20,7 @@
 pub const MS: Duration = Duration::from_millis(1);
 pub const SECOND: Duration = Duration::from_secs(1);
 
-/// What is on its way to a node.
+/// A frame or an anti-entropy message in flight to a node.
 #[derive(Clone)]
 pub enum Packet {
     Frame {
@@ -38,18 +38,19 @@
     },
 }
 
-/// A node; its process may be down.
+/// A simulated node.
 pub struct Node {
+    /// `None` while the process is down.
     pub membership: Option<Membership>,
     pub name: Name,
     pub address: SocketAddr,
-    /// The epoch in its state directory.
+    /// The epoch in the node's state directory.
     pub stored_epoch: u32,
     pub paused: bool,
     received_while_paused: Vec<Packet>,
-    /// How often its process was started.
-    runs: u64,
-    /// Frames sent.
+    /// The number of times that the process was started.
+    process_starts: u64,
+    /// The number of frames sent.
     pub sent: usize,
 }
 
@@ -57,34 +58,34 @@
 pub struct Fleet {
     pub now: Duration,
     pub nodes: Vec<Node>,
-    /// By time of arrival, then by order of sending: the receiver and the packet.
+    /// Receivers and packets, by time of arrival and then by order of sending.
     pub in_flight: BTreeMap<(Duration, u64), (usize, Packet)>,
     packets_sent: u64,
     random: Pcg32,
     pub settings: MembershipSettings,
     seeds: Vec<SocketAddr>,
-    /// Frames lost, in percent.
+    /// The share of frames lost, in percent.
     pub loss_percent: u32,
-    /// Frames delivered twice, in percent.
+    /// The share of frames delivered twice, in percent.
     pub duplicate_percent: u32,
-    /// The shortest and the longest delay, in milliseconds.
+    /// The shortest and the longest delay of a packet, in milliseconds.
     pub delay_ms: (u32, u32),
-    /// Pairs of a sender and a receiver between which nothing passes.
+    /// Pairs of a sender and a receiver between which all packets are lost.
     pub blocked_links: BTreeSet<(usize, usize)>,
-    /// A node and the milliseconds by which everything reaches it later.
+    /// A slow node, and the additional delay of all packets to it in milliseconds.
     pub slow_node: Option<(usize, u32)>,
-    /// The run of each incarnation that any process was in.
+    /// For each name, the incarnations that its processes began and the process start of each.
     pub process_runs: BTreeMap<Name, BTreeMap<Incarnation, u64>>,
-    /// Pairs of a node and a running member that it believes dead, and since when.
+    /// Pairs of a node and a running member that is dead in the node's table, and since when.
     false_deaths: BTreeMap<(usize, usize), Duration>,
     pub longest_false_death: Duration,
     pub false_death_count: usize,
-    /// The digest of all actions and deadlines so far.
+    /// The hash of all actions and deadlines so far.
     trace_hash: Xxh3,
 }
 
 pub fn name(i: usize) -> Name {
-    Name::new(&format!("n{i}")).expect("a name")
+    Name::new(&format!("n{i}")).expect("a valid name")
 }
 
 pub fn address(i: usize) -> SocketAddr {
@@ -100,7 +101,7 @@
             stored_epoch: 0,
             paused: false,
             received_while_paused: Vec::new(),
-            runs: 0,
+            process_starts: 0,
             sent: 0,
         };
         let mut fleet = Fleet {
@@ -128,7 +129,7 @@
 
     pub fn start(&mut self, i: usize) {
         let node = &mut self.nodes[i];
-        node.runs += 1;
+        node.process_starts += 1;
         node.received_while_paused.clear();
         let metadata = NodeMetadata {
             zone: format!("z{}", i % 3),
@@ -151,17 +152,17 @@
         self.tick(i);
     }
 
-    /// The membership of a node that runs.
+    /// The membership of a running node.
     pub fn membership(&self, i: usize) -> &Membership {
         self.nodes[i].membership.as_ref().expect("the node runs")
     }
 
-    /// See [`Fleet::membership`].
+    /// The membership of a running node, for changes.
     pub fn membership_mut(&mut self, i: usize) -> &mut Membership {
         self.nodes[i].membership.as_mut().expect("the node runs")
     }
 
-    /// The digest of all actions, in their order, and of all deadlines.
+    /// The digest of all actions in order, and of all deadlines.
     pub fn trace_digest(&self) -> u64 {
         self.trace_hash.digest()
     }
@@ -185,7 +186,7 @@
         self.random.next_u32() % bound.max(1)
     }
 
-    /// Adds an action to the trace. Of log lines only the numbers count.
+    /// Adds an action to the trace hash. Only the digits of log lines are hashed, so that their wording may change.
     fn trace_action(&mut self, i: usize, action: &Action) {
         let (header, content) = match action {
             Action::Send { to, to_salt, frame } => {
@@ -247,7 +248,7 @@
                     self.nodes[i].sent += 1;
                     let bytes = frame.encoded_len();
                     let fits = frame.updates.len() <= 1 || bytes <= self.settings.max_frame_bytes;
-                    assert!(fits, "a frame of {bytes} bytes");
+                    assert!(fits, "a frame has {bytes} bytes, more than the limit");
                     let packet = Packet::Frame {
                         name,
                         from: self.nodes[i].address,
@@ -282,15 +283,15 @@
                 }
                 Action::StoreIncarnation(incarnation) => {
                     self.nodes[i].stored_epoch = incarnation.epoch;
-                    let run = self.nodes[i].runs;
-                    let before = self
+                    let run = self.nodes[i].process_starts;
+                    let previous = self
                         .process_runs
                         .entry(name.clone())
                         .or_default()
                         .insert(incarnation, run);
                     assert!(
-                        before.is_none(),
-                        "{name} has been in incarnation {incarnation} before"
+                        previous.is_none(),
+                        "{name} began incarnation {incarnation} twice"
                     );
                 }
                 Action::Log(_) => {}
@@ -374,7 +375,8 @@
                 next_death_check = self.now + MS * 50;
             }
             if arrival == Some(next) {
-                let ((_, _), (to, packet)) = self.in_flight.pop_first().expect("a packet");
+                let ((_, _), (to, packet)) =
+                    self.in_flight.pop_first().expect("a packet is in flight");
                 self.deliver(to, packet);
             } else if let Some((_, i)) = tick {
                 self.tick(i);
--- a/crates/membership/tests/detection.rs
+++ b/crates/membership/tests/detection.rs
@@ -1,4 +1,4 @@
-//! Detection of deaths, and false ones under loss, delay and slowness.
+//! Detection of dead members, and false detections under loss, delay and slow nodes.
 
 mod common;
 
@@ -14,7 +14,7 @@
     let took = fleet.run_until_agreed(SECOND * 6);
     assert!(
         took >= SECOND,
-        "dead before the suspicion timeout: {took:?}"
+        "declared dead before the suspicion timeout: {took:?}"
     );
     let before = fleet.nodes[7].stored_epoch;
     fleet.start(7);
@@ -33,11 +33,14 @@
     assert_eq!(fleet.check_agreement(), Ok(()));
     let probes = |by: usize, of| {
         let membership = fleet.membership(by);
-        membership.member(&name(of)).expect("known").probes
+        membership
+            .member(&name(of))
+            .expect("the member is known")
+            .probes
     };
     assert!(
         probes(2, 5).unanswered * 2 > probes(2, 5).sent,
-        "the probes show the broken direction: {:?}",
+        "probe counts do not show the blocked direction: {:?}",
         probes(2, 5)
     );
     assert_eq!(probes(2, 4).unanswered, 0);
@@ -58,15 +61,15 @@
         fleet.run_until_agreed(SECOND * 20);
     }
     println!(
-        "30 % loss, 300 ms each way, 12 members, 900 s: {false_death_count} pairs of false deaths, longest {longest:?}"
+        "30 % loss, 300 ms each way, 12 members, 900 s: {false_death_count} false deaths by pair of members, longest {longest:?}"
     );
     assert!(longest < SECOND * 6, "{longest:?}");
     assert!(false_death_count <= 11 * 3, "{false_death_count}");
 }
 
-/// Measures false deaths an hour.
+/// Measures the rate of false deaths.
 #[test]
-#[ignore = "a measurement of a minute"]
+#[ignore = "measurement that takes a minute"]
 fn measures_false_deaths_in_ten_hours_of_loss_and_delay() {
     for loss in [0, 10, 20, 30, 40] {
         let mut fleet = Fleet::new(12, 900 + u64::from(loss));
@@ -75,12 +78,13 @@
         fleet.run(SECOND * 7_200);
         let (false_death_count, longest) = (fleet.false_death_count, fleet.longest_false_death);
         println!(
-            "{loss} % loss, 300 ms each way, 12 members, 2 hours: {false_death_count} pairs, longest {longest:?}"
+            "{loss} % loss, 300 ms each way, 12 members, 2 hours: {false_death_count} false deaths by pair of members, longest {longest:?}"
         );
     }
 }
 
-/// Guards against a slow node that ends others: everything reaches it 3.5 s late, later than any timeout of a healthy node.
+/// Guards against a slow node that declares others dead. Everything reaches it 3.5 s late, which exceeds all timeouts
+/// of a healthy node.
 #[test]
 fn slow_node_lengthens_its_own_timeouts() {
     let mut fleet = Fleet::new(10, 21);
@@ -90,7 +94,7 @@
     let membership = |i: usize| fleet.membership(i);
     let (counters, score) = (membership(4).counters(), membership(4).health().score());
     println!(
-        "a slow node: score {score}, suspected {} and declared dead {} in 60 s",
+        "slow node: health score {score}, suspected {} and declared dead {} members in 60 s",
         counters.suspected, counters.declared_dead
     );
     assert!(score >= 2, "{score}");
@@ -99,11 +103,11 @@
         (0..10)
             .filter(|i| *i != 4)
             .all(|i| membership(i).counters().incarnations == 1),
-        "it declared others dead"
+        "the slow node declared others dead"
     );
 }
 
-/// Several members probe a suspect at once, so that confirmations shorten its timeout.
+/// Several members probe a suspect immediately, so that their confirmations shorten the suspicion timeout.
 #[test]
 fn confirmations_shorten_death_detection() {
     let mut times = Vec::new();
@@ -114,7 +118,7 @@
         times.push(fleet.run_until_agreed(SECOND * 8));
     }
     let mean = times.iter().sum::<Duration>() / times.len() as u32;
-    println!("a death is known to all of 40 after {mean:?} in the mean");
+    println!("mean time until all 40 members know of a death: {mean:?}");
     assert!(mean <= MS * 2_000, "{mean:?}: {times:?}");
 }
 
--- a/crates/membership/tests/dissemination.rs
+++ b/crates/membership/tests/dissemination.rs
@@ -1,4 +1,4 @@
-//! Dissemination of updates and values, and its bounds.
+//! Dissemination of updates and values, and its limits.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use sillward_membership::MemberState;
 use sillward_membership::wire::{Frame, FrameKind, MemberValue, Update};
 
-/// Guards against a delayed value of an earlier incarnation.
+/// Guards against a delayed value of an earlier incarnation that is taken for a current one.
 #[test]
 fn rejects_values_of_an_earlier_incarnation() {
     let mut fleet = Fleet::new(5, 33);
@@ -45,13 +45,13 @@
     assert!(
         membership
             .member(&name(3))
-            .expect("known")
+            .expect("the member is known")
             .value("holds")
             .is_none()
     );
 }
 
-/// Guards against a member that sends updates about invented members without end.
+/// Guards against unbounded growth when a member keeps sending updates about invented members.
 #[test]
 fn invented_members_stay_within_table_and_queue_bounds() {
     let mut fleet = Fleet::new(4, 10);
@@ -86,7 +86,7 @@
     assert!(membership.members().count() <= 64);
     assert!(membership.pending_updates() <= 128);
     assert!(membership.counters().capacity_rejections > 0);
-    // Real members are still not declared dead.
+    // The real members must not be declared dead.
     for i in 0..4 {
         assert_ne!(fleet.state_of(1, i), Some(MemberState::Dead));
     }
@@ -101,7 +101,7 @@
         fleet
             .membership_mut(3)
             .publish("load", &[version], now)
-            .expect("it fits");
+            .expect("the value is within its limits");
     }
     fleet.run(SECOND * 2);
     let value = |fleet: &Fleet, by: usize| {
@@ -123,12 +123,12 @@
             .filter(|by| *by != 3)
             .all(|by| value(&fleet, by).is_none())
     );
-    // What exceeds the bounds is rejected and changes nothing.
+    // Values that exceed a limit are rejected and change nothing.
     let membership = fleet.membership_mut(4);
     assert!(membership.publish("", b"x", now).is_err());
     assert!(membership.publish("long", &[0; 113], now).is_err());
     let accepted = (0..40)
         .filter(|i| membership.publish(&format!("k{i}"), b"x", now).is_ok())
         .count();
-    assert_eq!(accepted, 23, "besides the metadata");
+    assert_eq!(accepted, 23, "24 values, of which one is the metadata");
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,16 +1,16 @@
-//! Golden bytes of the messages between members: the wire format does not depend on names in the code.
+//! Compares the encoded messages between members with golden files: the wire format must not change.
 
 use prost::Message;
 use sillward_membership::wire::{
     Frame, FrameKind, MemberValue, MetadataMessage, SyncMessage, Update,
 };
 
-/// Fails where a message's bytes are not those of the fixture, or do not read as what they were written from.
+/// Asserts that a message encodes to the bytes of the fixture, and that they decode to an equal message.
 fn assert_golden<M: Message + Default + PartialEq>(message: &M, fixture: &str) {
     let bytes = message.encode_to_vec();
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(hex, fixture.trim());
-    assert!(M::decode(bytes.as_slice()).is_ok_and(|read| read == *message));
+    assert!(M::decode(bytes.as_slice()).is_ok_and(|decoded| decoded == *message));
 }
 
 fn update(state: u32) -> Update {
--- a/crates/membership/tests/incarnations.rs
+++ b/crates/membership/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! Incarnations: pauses, restarts, lost state, and two processes under one name.
+//! Incarnations: pauses, restarts, lost state, and two processes with the same name.
 
 mod common;
 
@@ -14,7 +14,7 @@
     fleet.nodes[3].paused = true;
     fleet.run(SECOND * 15);
     assert_eq!(fleet.state_of(0, 3), Some(MemberState::Dead));
-    // Neither frames that arrived in the meantime nor its own earlier state complete the join.
+    // Neither frames that arrived during the pause nor the state from before it may complete the join.
     for other in 0..8 {
         fleet.blocked_links.insert((other, 3));
     }
@@ -38,7 +38,7 @@
     );
 }
 
-/// [`Fleet::execute_actions`] fails when an incarnation is used twice.
+/// [`Fleet::execute_actions`] panics when an incarnation is used twice.
 #[test]
 fn lost_or_stale_state_never_repeats_an_incarnation() {
     for seed in 0..10 {
@@ -48,7 +48,7 @@
             let restarted = 1 + fleet.draw(5) as usize;
             let before = fleet.membership(restarted).incarnation();
             fleet.kill(restarted);
-            // Before and after the others have noticed.
+            // Restarts before the others detect the death in even rounds, and after it in odd ones.
             fleet.run(if round % 2 == 0 { MS * 50 } else { SECOND * 5 });
             let stored = fleet.nodes[restarted].stored_epoch;
             fleet.nodes[restarted].stored_epoch = if round % 3 == 0 {
@@ -61,13 +61,13 @@
             let membership = fleet.membership(restarted);
             assert!(
                 membership.incarnation() > before,
-                "incarnations rise as long as anybody remembers"
+                "the incarnation did not rise although other members knew the last one"
             );
         }
     }
 }
 
-/// Guards against a suspicion timeout that expires during a pause of the process.
+/// Guards against a suspicion timeout that expires because the process was paused.
 #[test]
 fn suspicion_does_not_expire_while_the_process_is_paused() {
     (32..48).for_each(check_suspicion_across_pause);
@@ -103,7 +103,7 @@
     assert_eq!(fleet.check_agreement(), Ok(()));
 }
 
-/// Guards against endless new incarnations of two processes under one name.
+/// Guards against two processes with the same name that begin new incarnations endlessly because of each other.
 #[test]
 fn one_of_two_processes_with_the_same_name_stops_sending() {
     let mut fleet = Fleet::new(6, 9);
@@ -126,7 +126,7 @@
     assert!(incarnations <= 14, "{incarnations}");
 }
 
-/// Guards against frames that were sent before the incarnation began.
+/// Guards against the use of frames that were sent before the current incarnation began.
 #[test]
 fn ignores_frames_to_an_earlier_incarnation() {
     let mut fleet = Fleet::new(4, 11);
--- a/crates/membership/tests/joining.rs
+++ b/crates/membership/tests/joining.rs
@@ -10,22 +10,22 @@
     for seed in 0..5 {
         let mut fleet = Fleet::new(12, seed);
         fleet.run_until_agreed(SECOND * 10);
-        // And their metadata.
+        // The metadata must arrive too.
         fleet.run(SECOND * 6);
         for node in &fleet.nodes {
-            let membership = node.membership.as_ref().expect("it runs");
+            let membership = node.membership.as_ref().expect("the node runs");
             assert!(
                 membership
                     .members()
                     .all(|member| !member.metadata.zone.is_empty()),
-                "{}: all zones",
+                "{}: a zone is missing",
                 node.name
             );
         }
     }
 }
 
-/// Active members ask dead ones to rejoin, so that a restarted member is found without a seed.
+/// Active members send joins to dead ones, so that a restarted member joins although no seed is up.
 #[test]
 fn restarted_member_is_found_when_all_seeds_are_dead() {
     let mut fleet = Fleet::new(6, 51);
@@ -40,7 +40,7 @@
     );
     fleet.start(5);
     let elapsed = fleet.run_until_agreed(SECOND * 20);
-    println!("found after {elapsed:?} without a seed");
+    println!("joined after {elapsed:?} without a seed");
 }
 
 #[test]
@@ -51,7 +51,7 @@
     assert_eq!(membership.status(fleet.now), MembershipStatus::Joining);
     assert!(
         fleet.nodes[0].sent < 20,
-        "{} frames to nobody",
+        "{} frames sent to unreachable seeds",
         fleet.nodes[0].sent
     );
 }
--- a/crates/membership/tests/partitions.rs
+++ b/crates/membership/tests/partitions.rs
@@ -1,4 +1,4 @@
-//! Partitions: what a cut-off node or part believes, and what healing costs.
+//! Partitions: the member states on both sides, and the traffic after healing.
 
 mod common;
 
@@ -22,7 +22,7 @@
     assert_eq!(
         fleet.state_of(5, 6),
         Some(MemberState::Alive),
-        "both halves go on"
+        "each side keeps its own members alive"
     );
     fleet.blocked_links.clear();
     let before: usize = fleet.nodes.iter().map(|node| node.sent).sum();
@@ -31,7 +31,7 @@
     let after: usize = fleet.nodes.iter().map(|node| node.sent).sum();
     assert!(
         (after - before) * 10 < baseline * 15 * 6,
-        "{} in 15 s against {baseline} in 10 s",
+        "{} frames in 15 s after healing, {baseline} in 10 s before the partition",
         after - before
     );
 }
@@ -55,7 +55,7 @@
             .members()
             .all(|member| member.state != MemberState::Dead)
     );
-    // The seeds stay dead; the others come back and are known all the same.
+    // The seeds stay dead; the other members restart and must learn of each other all the same.
     (2..8).for_each(|i| fleet.start(i));
     fleet.run(SECOND * 10);
     let known = |by: usize| {
@@ -72,7 +72,7 @@
     );
 }
 
-/// Guards against a node that can send but not receive, and declares all others dead.
+/// Guards against a node that can send but not receive, and therefore declares all others dead.
 #[test]
 fn node_that_receives_nothing_declares_nobody_dead() {
     (8..18).for_each(check_receiving_nothing);
@@ -92,7 +92,7 @@
             .map(|n| {
                 n.membership
                     .as_ref()
-                    .expect("it runs")
+                    .expect("the node runs")
                     .counters()
                     .incarnations
             })
@@ -113,7 +113,7 @@
     }
 }
 
-/// However much there is to disseminate, each node sends at a bounded rate.
+/// Guards against a burst of frames after a partition heals, when there is much to disseminate.
 #[test]
 fn healing_of_a_large_partition_is_rate_limited() {
     let mut fleet = Fleet::new(60, 31);
@@ -133,10 +133,10 @@
         .zip(&before)
         .map(|(node, before)| node.sent - before)
         .max();
-    println!("{max_sent:?} frames in 10 s after a cut of 20 of 60");
+    println!("at most {max_sent:?} frames per node in 10 s after a partition of 20 and 40 members");
     assert!(
         max_sent.is_some_and(|sent| sent <= 300),
-        "{max_sent:?} frames in 10 s"
+        "a node sent {max_sent:?} frames in 10 s"
     );
     fleet.run_until_agreed(SECOND * 60);
 }
