--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -25,7 +25,7 @@
 
 /// Decides when this node begins exchanges and when it responds to them.
 pub(crate) struct AntiEntropy {
-    /// When received digests began to differ from this node's; `None` while they are equal.
+    /// When received digests began to differ from this node's; `None` if they are equal, or an exchange has begun since.
     differs_since: Option<Duration>,
     next_exchange: Duration,
     interval: Duration,
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -271,7 +271,7 @@
         self.apply_update(node, &update, now, UpdateSource::Gossip);
     }
 
-    /// Schedules the members that this node suspects for another probe. Its ping also notifies them of the suspicion.
+    /// Schedules the members that this node suspects for another probe, whose ping also notifies them of it.
     fn schedule_own_suspects(&mut self, node: &Node) {
         if self.schedule.has_urgent() {
             return;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -27,7 +27,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The longest time between ticks; a longer gap shows that the process was paused.
+/// The longest time between ticks, short enough that a pause of the process is detected.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(200);
 /// The shortest time between ticks.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
--- a/crates/membership/src/metadata.rs
+++ b/crates/membership/src/metadata.rs
@@ -1,4 +1,4 @@
-//! The metadata that a node publishes about itself.
+//! The metadata that a node publishes about itself, once per incarnation.
 
 /// A node's metadata.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -101,8 +101,7 @@
         drawn
     }
 
-    /// Sends a frame to the known incarnation of a member, with this node's digest and as much gossip as fits the
-    /// frame.
+    /// Sends a frame to the known incarnation of a member, with this node's digest and as much gossip as fits.
     pub(crate) fn send(&mut self, name: &Name, mut frame: Frame) {
         let Some(member) = self.members.get(name) else {
             return;
--- a/crates/membership/tests/detection.rs
+++ b/crates/membership/tests/detection.rs
@@ -86,7 +86,7 @@
 /// Guards against a slow node that declares others dead. Everything reaches it 3.5 s late, which exceeds all timeouts
 /// of a healthy node.
 #[test]
-fn slow_node_lengthens_its_own_timeouts() {
+fn slow_node_suspects_few_and_declares_none_dead() {
     let mut fleet = Fleet::new(10, 21);
     fleet.run_until_agreed(SECOND * 10);
     fleet.slow_node = Some((4, 3_500));
