--- a/crates/membership/src/anti_entropy/exchange.rs
+++ b/crates/membership/src/anti_entropy/exchange.rs
@@ -1,8 +1,8 @@
-//! The messages of an exchange: digests of all buckets, then of the members in the buckets that differ, then the members
-//! that differ.
+//! The messages of an exchange: the digests of all buckets, then the digests of the members in the buckets that differ,
+//! then the members that differ.
 //!
-//! The cost depends on what differs, not on what is known: 256 bytes of bucket digests, then 8 bytes for each member of the
-//! buckets that differ (about a sixty-fourth of the fleet each), then the members themselves.
+//! The size depends on how much differs, not on the size of the fleet: 256 bytes of bucket digests, then 8 bytes for
+//! each member of the buckets that differ (a bucket holds about 1/64 of the fleet), then the members themselves.
 
 use crate::digest::name_hash;
 use crate::local_node::LocalState;
@@ -14,12 +14,12 @@
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bytes of members and values in one message; what does not fit is left to the next exchange.
+/// The most bytes of members and values in one message; the next exchange transfers what does not fit.
 const MAX_DELIVERY_BYTES: usize = 48 * 1024;
-/// At most so many bytes are added to each update or value by its field number and length.
+/// The most bytes that the field number and the length add to an update or a value.
 const FIELD_OVERHEAD_BYTES: usize = 4;
 
-/// The message that begins an exchange.
+/// Builds the message that opens an exchange.
 pub(crate) fn open(members: &Members, local: &LocalState) -> SyncMessage {
     SyncMessage {
         step: SyncMessage::STEP_BUCKET_DIGESTS,
@@ -28,21 +28,24 @@
     }
 }
 
-/// The answer to a message; `None` if there is none. What the message delivers has been applied before.
-pub(crate) fn answer(
+/// Builds the response to a message; `None` if it needs none. The updates and values in the message must have been
+/// applied already.
+pub(crate) fn respond(
     members: &Members,
     local: &LocalState,
     request: &SyncMessage,
 ) -> Option<SyncMessage> {
     match request.step {
-        SyncMessage::STEP_BUCKET_DIGESTS => answer_bucket_digests(members, local, request),
-        SyncMessage::STEP_MEMBER_DIGESTS => Some(answer_member_digests(members, local, request)),
-        SyncMessage::STEP_DELIVER_AND_REQUEST => answer_request(members, local, request),
+        SyncMessage::STEP_BUCKET_DIGESTS => respond_to_bucket_digests(members, local, request),
+        SyncMessage::STEP_MEMBER_DIGESTS => {
+            Some(respond_to_member_digests(members, local, request))
+        }
+        SyncMessage::STEP_DELIVER_AND_REQUEST => respond_to_request(members, local, request),
         _ => None,
     }
 }
 
-fn answer_bucket_digests(
+fn respond_to_bucket_digests(
     members: &Members,
     local: &LocalState,
     request: &SyncMessage,
@@ -71,7 +74,7 @@
     })
 }
 
-fn answer_member_digests(
+fn respond_to_member_digests(
     members: &Members,
     local: &LocalState,
     request: &SyncMessage,
@@ -82,44 +85,47 @@
         .map(|pair| (pair[0], pair[1]))
         .collect();
     let own = member_digests(members, local, request.buckets);
-    let delivered = names_that_differ(&own, &theirs);
-    let answer = SyncMessage {
+    let delivered = differing_names(&own, &theirs);
+    let response = SyncMessage {
         step: SyncMessage::STEP_DELIVER_AND_REQUEST,
         buckets: request.buckets,
-        requested: names_that_differ(&theirs, &own).into_iter().collect(),
+        requested: differing_names(&theirs, &own).into_iter().collect(),
         ..SyncMessage::default()
     };
-    deliver(members, local, answer, |name, _| delivered.contains(&name))
+    add_deliveries(members, local, response, |name, _| {
+        delivered.contains(&name)
+    })
 }
 
-fn answer_request(
+fn respond_to_request(
     members: &Members,
     local: &LocalState,
     request: &SyncMessage,
 ) -> Option<SyncMessage> {
     let requested: BTreeSet<u32> = request.requested.iter().copied().collect();
-    // Also what is known better of the members just delivered, such as a death, which no digest shows.
+    // Also members that the request delivered in a state other than the one known here, such as one that this node
+    // knows to be dead: digests cover only active members.
     let received: BTreeMap<&str, &Update> = request
         .updates
         .iter()
         .map(|update| (update.name.as_str(), update))
         .collect();
-    let answer = SyncMessage {
+    let response = SyncMessage {
         step: SyncMessage::STEP_DELIVER,
         buckets: request.buckets,
         ..SyncMessage::default()
     };
-    let answer = deliver(members, local, answer, |name, update| {
+    let response = add_deliveries(members, local, response, |name, update| {
         requested.contains(&name)
             || received
                 .get(update.name.as_str())
                 .is_some_and(|received| **received != Update::from(update))
     });
-    (!answer.updates.is_empty()).then_some(answer)
+    (!response.updates.is_empty()).then_some(response)
 }
 
-/// Name hashes of `digests` that `other` lacks or has with another digest.
-fn names_that_differ(digests: &BTreeMap<u32, u32>, other: &BTreeMap<u32, u32>) -> BTreeSet<u32> {
+/// The name hashes in `digests` that `other` lacks or has with a different digest.
+fn differing_names(digests: &BTreeMap<u32, u32>, other: &BTreeMap<u32, u32>) -> BTreeSet<u32> {
     digests
         .iter()
         .filter(|(name, digest)| other.get(name) != Some(digest))
@@ -127,14 +133,14 @@
         .collect()
 }
 
-/// The digests of all buckets, this node among them.
+/// The digests of all buckets, including this node itself.
 fn bucket_digests(members: &Members, local: &LocalState) -> Vec<u32> {
     let mut digests = members.digests().to_vec();
-    digests[Members::bucket(&local.node.name)] ^= local.digest();
+    digests[Members::bucket(&local.identity.name)] ^= local.digest();
     digests
 }
 
-/// The digests of the active members in these buckets, this node among them, by the hashes of their names.
+/// The digests of the active members in these buckets, including this node itself, by name hash.
 fn member_digests(members: &Members, local: &LocalState, buckets: u64) -> BTreeMap<u32, u32> {
     let is_within = |name: &Name| buckets & 1 << Members::bucket(name) != 0;
     let mut digests: BTreeMap<u32, u32> = members
@@ -142,25 +148,25 @@
         .filter(|member| member.state.is_active() && is_within(&member.name))
         .map(|member| (name_hash(&member.name), member.digest))
         .collect();
-    if is_within(&local.node.name) {
-        digests.insert(name_hash(&local.node.name), local.digest());
+    if is_within(&local.identity.name) {
+        digests.insert(name_hash(&local.identity.name), local.digest());
     }
     digests
 }
 
-/// Adds the wanted members with their values to a message, this node last, as far as they fit.
-fn deliver(
+/// Adds the selected members with their values to a message, this node last, until the next one does not fit.
+fn add_deliveries(
     members: &Members,
     local: &LocalState,
     mut message: SyncMessage,
-    is_wanted: impl Fn(u32, &MemberUpdate) -> bool,
+    is_selected: impl Fn(u32, &MemberUpdate) -> bool,
 ) -> SyncMessage {
     let mut available = MAX_DELIVERY_BYTES;
     let others = members
         .iter()
         .map(|member: &Member| (member.update(), &member.values));
     for (update, values) in others.chain([(local.update(), &local.values)]) {
-        if !is_wanted(name_hash(&update.name), &update) {
+        if !is_selected(name_hash(&update.name), &update) {
             continue;
         }
         let wire_update = Update::from(&update);
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,8 +1,8 @@
-//! The coordinator: hands each event to the parts of the protocol and collects their actions.
+//! The entry point of the protocol: dispatches each event to the parts of the protocol and collects their actions.
 //!
-//! A frame that names the salt of this incarnation was written after the incarnation began, since nobody could know the
-//! salt before. So a replay, a delayed frame or one meant for an earlier process is recognised without a clock, and a node
-//! has joined once such a frame arrives.
+//! A frame addressed to the salt of the current incarnation was written after the incarnation began, since no other
+//! member could know the salt before. A replayed frame, a delayed one, or one addressed to an earlier process is thus
+//! recognised without a clock; and a node has joined once it receives a frame addressed to its incarnation.
 
 mod receive;
 
@@ -27,16 +27,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Ticks come at least so often, so that a pause of the process is noticed.
+/// The longest time between ticks, short enough that a pause of the process is detected.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(200);
-/// Ticks are at least so far apart.
+/// The shortest time between ticks.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
-/// A gap between events is a pause only beyond so many tick intervals.
-const PAUSE_TICKS: u32 = 2;
-/// Members that a node notifies when it leaves.
+/// The number of tick intervals that a gap between events must exceed to count as a pause.
+const PAUSE_TICK_INTERVALS: u32 = 2;
+/// The number of members that a node notifies when it leaves.
 const LEAVE_FAN_OUT: usize = 6;
 
-/// A node's view of the fleet, and its part in the membership protocol.
+/// A node's view of the fleet, and its state of the membership protocol.
 pub struct Membership {
     node: Node,
     failure_detector: FailureDetector,
@@ -47,8 +47,9 @@
 }
 
 impl Membership {
-    /// Begins the first incarnation of a process. `epoch` is the last one in the state directory, 0 if there is none.
-    /// `seed` must differ from start to start: incarnations are distinguished by what is drawn from it.
+    /// Begins the first incarnation of a process. `epoch` is the last epoch stored in the state directory, or 0 if
+    /// there is none. `seed` must differ at each start, since the salts that distinguish incarnations are drawn from
+    /// it.
     pub fn new(
         settings: MembershipSettings,
         local: LocalNode,
@@ -70,15 +71,15 @@
             NextEpoch::after(epoch)
         };
         membership.begin_incarnation(epoch, now);
-        let metadata = MetadataMessage::from(&membership.node.local.node.metadata);
-        // Metadata over the bound for values is not published; other members see it as empty.
+        let metadata = MetadataMessage::from(&membership.node.local.identity.metadata);
+        // Metadata that exceeds the maximum size of a value is not published, and is empty for other members.
         let _ = membership.publish(METADATA_KEY, &metadata.encode_to_vec(), now);
         membership
     }
 
-    /// Handles an event and returns the actions to carry out, in order. `now` must not go back.
+    /// Handles an event; returns the actions to carry out, in order. `now` must never decrease.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
-        let max_gap = MAX_TICK_INTERVAL * PAUSE_TICKS;
+        let max_gap = MAX_TICK_INTERVAL * PAUSE_TICK_INTERVALS;
         if let Some(epoch) = self
             .own_incarnation
             .detect_pause(&mut self.node, now, max_gap)
@@ -141,14 +142,14 @@
         }
     }
 
-    /// This node's present incarnation.
+    /// This node's current incarnation.
     pub fn incarnation(&self) -> Incarnation {
         self.node.local.incarnation
     }
 
     /// This node's identity.
     pub fn local_node(&self) -> &LocalNode {
-        &self.node.local.node
+        &self.node.local.identity
     }
 
     /// All other known members, by name.
@@ -156,7 +157,7 @@
         self.node.members.iter()
     }
 
-    /// Another member.
+    /// Another member, if it is known.
     pub fn member(&self, name: &Name) -> Option<&Member> {
         self.node.members.get(name)
     }
@@ -171,7 +172,7 @@
         self.node.counters
     }
 
-    /// This node's local health and its estimate of round trips.
+    /// This node's local health score and round-trip estimate.
     pub fn health(&self) -> &LocalHealth {
         &self.node.health
     }
@@ -181,19 +182,19 @@
         self.node.dissemination.queued()
     }
 
-    /// The digest of all that is known of the active members; equal where two nodes know the same.
+    /// The digest of the incarnations and values of all active members. It is equal on nodes whose member tables agree.
     pub fn digest(&self) -> u32 {
         self.node.digest()
     }
 
-    /// Publishes a value of this node's own to the fleet.
+    /// Publishes a value of this node to the fleet.
     ///
     /// # Errors
-    /// The key, the value or the number of values is over its bound; nothing is changed then.
+    /// Returns an error, and changes nothing, if the key, the value or the number of values exceeds its limit.
     pub fn publish(&mut self, key: &str, bytes: &[u8], now: Duration) -> Result<(), PublishError> {
         let key: Rc<str> = key.into();
         if self.node.local.publish(&key, bytes)? {
-            let name = self.node.local.node.name.clone();
+            let name = self.node.local.identity.name.clone();
             let last_event = self.node.last_event;
             self.node.dissemination.queue_value(name, key);
             self.node.dissemination.expedite(now.max(last_event));
@@ -201,12 +202,12 @@
         Ok(())
     }
 
-    /// Begins an incarnation: joins anew and drops what the failure detector has under way.
+    /// Begins an incarnation: joins again, and restarts the failure detector without its outstanding probes.
     fn begin_incarnation(&mut self, epoch: NextEpoch, now: Duration) {
         own_incarnation::begin_incarnation(&mut self.node, epoch);
         self.joining.restart(now);
         self.failure_detector.restart(&mut self.node, now);
-        own_incarnation::announce(&mut self.node);
+        own_incarnation::queue_own_state(&mut self.node);
         let incarnation = self.node.local.incarnation;
         self.node
             .actions
@@ -224,7 +225,7 @@
             let retention = self.node.settings.dead_retention;
             self.node
                 .members
-                .remove_inactive_since(now.saturating_sub(retention));
+                .remove_inactive_before(now.saturating_sub(retention));
         }
     }
 
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -1,15 +1,16 @@
-//! Frames and anti-entropy messages: what is believed of them, and to which part of the protocol they go.
+//! Received frames and anti-entropy messages: checks whether their content may be used, applies it, and dispatches them
+//! to the parts of the protocol.
 
 use super::Membership;
 use crate::anti_entropy;
 use crate::event::ReceivedSync;
-use crate::failure_detector::{self, Source};
+use crate::failure_detector::{self, UpdateSource};
 use crate::update::MemberUpdate;
 use crate::wire::{Frame, FrameKind, MemberValue, Update};
 use std::time::Duration;
 
 impl Membership {
-    /// Handles a frame. `sender` is what the envelope asserts of its sender.
+    /// Handles a frame. `sender` is the state of the sender as its envelope asserts it.
     pub(super) fn handle_frame(
         &mut self,
         now: Duration,
@@ -17,10 +18,10 @@
         to_salt: u32,
         frame: &Frame,
     ) {
-        // A kind that only a newer build knows is handled for its gossip.
+        // A frame of a kind that only newer builds know is still used for the gossip it carries.
         let kind = FrameKind::try_from(frame.kind).unwrap_or(FrameKind::Gossip);
         if self.node.local.is_named(&sender.name) {
-            self.handle_name_clash(now, sender);
+            self.handle_own_name(now, sender);
             return;
         }
         if to_salt != self.node.local.incarnation.salt {
@@ -35,32 +36,32 @@
         if !self.joining.is_joined() && to_salt == self.node.local.incarnation.salt {
             self.complete_joining(now, sender);
         }
-        if self.rejects_ended_sender(now, sender) {
+        if self.reject_ended_sender(now, sender) {
             return;
         }
-        self.apply(sender, now, Source::Gossip);
+        self.apply(sender, now, UpdateSource::Gossip);
         if let Some(member) = self.node.members.get_mut(&sender.name) {
             member.last_heard = Some(now);
         }
         for update in &other_updates {
-            self.apply(update, now, Source::Gossip);
+            self.apply(update, now, UpdateSource::Gossip);
         }
-        self.apply_values(&frame.values, Source::Gossip);
-        self.handle_kind(now, sender, kind, frame);
+        self.apply_values(&frame.values, UpdateSource::Gossip);
+        self.dispatch_frame(now, sender, kind, frame);
         self.anti_entropy
             .compare_digest(&mut self.node, now, sender, frame.digest);
     }
 
-    /// A frame under this node's own name: its own, or another process's.
-    fn handle_name_clash(&mut self, now: Duration, sender: &MemberUpdate) {
+    /// Handles a frame whose sender has this node's name: this node itself, or another process.
+    fn handle_own_name(&mut self, now: Duration, sender: &MemberUpdate) {
         self.node.counters.name_conflicts += 1;
         if sender.incarnation != self.node.local.incarnation {
             self.handle_own_update(sender, now);
         }
     }
 
-    /// A frame that does not name this incarnation. Its content is not believed, since it may be older than the
-    /// incarnation; the sender is notified of the present one.
+    /// Handles a frame that is not addressed to the current incarnation. Its content is not used, since it may be older
+    /// than the incarnation; instead, the sender is notified of the current incarnation.
     fn handle_stale_frame(
         &mut self,
         now: Duration,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// The valid updates of a frame: those about this node, and those about others.
+    /// Returns the valid updates of a frame: those about this node, then those about others.
     fn valid_updates(&mut self, frame: &Frame) -> (Vec<MemberUpdate>, Vec<MemberUpdate>) {
         let updates: Vec<MemberUpdate> = frame
             .updates
@@ -93,19 +94,19 @@
     }
 
     fn complete_joining(&mut self, now: Duration, sender: &MemberUpdate) {
-        self.joining.complete();
+        self.joining.mark_joined();
         let incarnation = self.node.local.incarnation;
         self.node.log(format_args!(
-            "was answered by {} in incarnation {incarnation}",
+            "joined the fleet through member {} in incarnation {incarnation}",
             sender.name
         ));
         self.anti_entropy
             .begin_exchange(&mut self.node, now, &sender.name, sender.address);
     }
 
-    /// Whether the sender's incarnation has ended. Nothing that it sends is believed until it comes in a new one, and it
-    /// is notified.
-    fn rejects_ended_sender(&mut self, now: Duration, sender: &MemberUpdate) -> bool {
+    /// Notifies a sender whose incarnation has ended, so that it begins a new one; returns whether it has ended. Its
+    /// frames are then used only for updates about this node.
+    fn reject_ended_sender(&mut self, now: Duration, sender: &MemberUpdate) -> bool {
         let known = self
             .node
             .members
@@ -116,11 +117,12 @@
             return false;
         };
         self.node.counters.from_ended_incarnation += 1;
-        self.joining.send_ended(&mut self.node, now, sender, known);
+        self.joining
+            .notify_ended_incarnation(&mut self.node, now, sender, known);
         true
     }
 
-    fn handle_kind(
+    fn dispatch_frame(
         &mut self,
         now: Duration,
         sender: &MemberUpdate,
@@ -149,28 +151,28 @@
             self.node.counters.from_ended_incarnation += 1;
             return;
         }
-        if !self.anti_entropy.admits(&received.message, now) {
+        if !self.anti_entropy.accepts(&received.message, now) {
             self.node.counters.rate_limited_responses += 1;
             return;
         }
-        let (updates, invalid) = anti_entropy::updates(&received.message);
+        let (updates, invalid) = anti_entropy::valid_updates(&received.message);
         self.node.counters.invalid += invalid as u64;
         let digest_before = self.node.digest();
         for update in &updates {
             if self.node.local.is_named(&update.name) {
                 self.handle_own_update(update, now);
             } else {
-                self.apply(update, now, Source::AntiEntropy);
+                self.apply(update, now, UpdateSource::AntiEntropy);
             }
         }
-        self.apply_values(&received.message.values, Source::AntiEntropy);
+        self.apply_values(&received.message.values, UpdateSource::AntiEntropy);
         if self.node.digest() != digest_before {
             self.node.counters.productive_sync_messages += 1;
         }
-        self.anti_entropy.answer(&mut self.node, now, received);
+        self.anti_entropy.respond(&mut self.node, now, received);
     }
 
-    /// An update about this node itself.
+    /// Handles an update about this node itself.
     fn handle_own_update(&mut self, update: &MemberUpdate, now: Duration) {
         let next = self
             .own_incarnation
@@ -180,24 +182,24 @@
         }
     }
 
-    fn apply(&mut self, update: &MemberUpdate, now: Duration, source: Source) {
+    fn apply(&mut self, update: &MemberUpdate, now: Duration, source: UpdateSource) {
         self.failure_detector
             .apply_update(&mut self.node, update, now, source);
     }
 
-    fn apply_values(&mut self, values: &[MemberValue], source: Source) {
+    fn apply_values(&mut self, values: &[MemberValue], source: UpdateSource) {
         for value in values {
             let Some((name, incarnation, value)) = value.to_value() else {
                 self.node.counters.invalid += 1;
                 continue;
             };
-            // This node alone knows what it publishes.
+            // This node is the only authority on its own values.
             if self.node.local.is_named(&name) {
                 continue;
             }
             let key = value.key.clone();
             let is_new = self.node.members.store_value(&name, incarnation, value);
-            if is_new && source == Source::Gossip {
+            if is_new && source == UpdateSource::Gossip {
                 self.node.dissemination.queue_value(name, key);
             }
         }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Simulated fleets of [`Membership`] on a clock and a network of the test's own: loss, delay, duplicates, one-way cuts,
-//! pauses and restarts. Checks compare what was done to a member with what the others believe of it.
+//! Fleets of [`Membership`] instances with a simulated clock and network: loss, delay, duplicates, one-way partitions,
+//! pauses and restarts. Checks compare the actual state of a member with its state in the tables of the others.
 #![allow(dead_code, unreachable_pub)]
 
 mod agreement;
@@ -20,7 +20,7 @@
 pub const MS: Duration = Duration::from_millis(1);
 pub const SECOND: Duration = Duration::from_secs(1);
 
-/// What is on its way to a node.
+/// A frame or an anti-entropy message in flight to a node.
 #[derive(Clone)]
 pub enum Packet {
     Frame {
@@ -38,18 +38,19 @@
     },
 }
 
-/// A node; its process may be down.
+/// A simulated node.
 pub struct Node {
+    /// `None` while the process is down.
     pub membership: Option<Membership>,
     pub name: Name,
     pub address: SocketAddr,
-    /// The epoch in its state directory.
+    /// The epoch in the node's state directory.
     pub stored_epoch: u32,
     pub paused: bool,
     received_while_paused: Vec<Packet>,
-    /// How often its process was started.
-    runs: u64,
-    /// Frames sent.
+    /// The number of times that the process was started.
+    process_starts: u64,
+    /// The number of frames sent.
     pub sent: usize,
 }
 
@@ -57,34 +58,34 @@
 pub struct Fleet {
     pub now: Duration,
     pub nodes: Vec<Node>,
-    /// By time of arrival, then by order of sending: the receiver and the packet.
+    /// Receivers and packets, by time of arrival and then by order of sending.
     pub in_flight: BTreeMap<(Duration, u64), (usize, Packet)>,
     packets_sent: u64,
     random: Pcg32,
     pub settings: MembershipSettings,
     seeds: Vec<SocketAddr>,
-    /// Frames lost, in percent.
-    pub loss: u32,
-    /// Frames delivered twice, in percent.
-    pub duplicates: u32,
-    /// The shortest and the longest delay, in milliseconds.
-    pub delay: (u32, u32),
-    /// Pairs of a sender and a receiver between which nothing passes.
-    pub cuts: BTreeSet<(usize, usize)>,
-    /// A node and the milliseconds by which everything reaches it later.
-    pub slow: Option<(usize, u32)>,
-    /// The run of each incarnation that any process was in.
-    pub incarnations: BTreeMap<Name, BTreeMap<Incarnation, u64>>,
-    /// Pairs of a node and a running member that it believes dead, and since when.
+    /// The share of frames lost, in percent.
+    pub loss_percent: u32,
+    /// The share of frames delivered twice, in percent.
+    pub duplicate_percent: u32,
+    /// The shortest and the longest delay of a packet, in milliseconds.
+    pub delay_ms: (u32, u32),
+    /// Pairs of a sender and a receiver between which all packets are lost.
+    pub blocked_links: BTreeSet<(usize, usize)>,
+    /// A slow node, and the additional delay of all packets to it in milliseconds.
+    pub slow_node: Option<(usize, u32)>,
+    /// For each name, the incarnations that its processes began and the process start of each.
+    pub process_runs: BTreeMap<Name, BTreeMap<Incarnation, u64>>,
+    /// Pairs of a node and a running member that is dead in the node's table, and since when.
     false_deaths: BTreeMap<(usize, usize), Duration>,
     pub longest_false_death: Duration,
     pub false_death_count: usize,
-    /// The digest of all actions and deadlines so far.
-    trace: Xxh3,
+    /// The hash of all actions and deadlines so far.
+    trace_hash: Xxh3,
 }
 
 pub fn name(i: usize) -> Name {
-    Name::new(&format!("n{i}")).expect("a name")
+    Name::new(&format!("n{i}")).expect("a valid name")
 }
 
 pub fn address(i: usize) -> SocketAddr {
@@ -100,7 +101,7 @@
             stored_epoch: 0,
             paused: false,
             received_while_paused: Vec::new(),
-            runs: 0,
+            process_starts: 0,
             sent: 0,
         };
         let mut fleet = Fleet {
@@ -111,16 +112,16 @@
             random: Pcg32::seed_from_u64(seed),
             settings: MembershipSettings::default(),
             seeds: vec![address(0), address(1)],
-            loss: 0,
-            duplicates: 0,
-            delay: (1, 3),
-            cuts: BTreeSet::new(),
-            slow: None,
-            incarnations: BTreeMap::new(),
+            loss_percent: 0,
+            duplicate_percent: 0,
+            delay_ms: (1, 3),
+            blocked_links: BTreeSet::new(),
+            slow_node: None,
+            process_runs: BTreeMap::new(),
             false_deaths: BTreeMap::new(),
             longest_false_death: Duration::ZERO,
             false_death_count: 0,
-            trace: Xxh3::new(),
+            trace_hash: Xxh3::new(),
         };
         (0..count).for_each(|i| fleet.start(i));
         fleet
@@ -128,7 +129,7 @@
 
     pub fn start(&mut self, i: usize) {
         let node = &mut self.nodes[i];
-        node.runs += 1;
+        node.process_starts += 1;
         node.received_while_paused.clear();
         let metadata = NodeMetadata {
             zone: format!("z{}", i % 3),
@@ -151,19 +152,19 @@
         self.tick(i);
     }
 
-    /// The membership of a node that runs.
+    /// The membership of a running node.
     pub fn membership(&self, i: usize) -> &Membership {
         self.nodes[i].membership.as_ref().expect("the node runs")
     }
 
-    /// See [`Fleet::membership`].
+    /// The membership of a running node, for changes.
     pub fn membership_mut(&mut self, i: usize) -> &mut Membership {
         self.nodes[i].membership.as_mut().expect("the node runs")
     }
 
-    /// The digest of all actions, in their order, and of all deadlines.
+    /// The digest of all actions in order, and of all deadlines.
     pub fn trace_digest(&self) -> u64 {
-        self.trace.digest()
+        self.trace_hash.digest()
     }
 
     pub fn kill(&mut self, i: usize) {
@@ -178,14 +179,14 @@
             .membership
             .as_mut()
             .map(|membership| membership.handle(now, Event::Tick));
-        self.carry_out(i, actions.unwrap_or_default());
+        self.execute_actions(i, actions.unwrap_or_default());
     }
 
     pub fn draw(&mut self, bound: u32) -> u32 {
         self.random.next_u32() % bound.max(1)
     }
 
-    /// Adds an action to the trace. Of log lines only the numbers count.
+    /// Adds an action to the trace hash. Only the digits of log lines are hashed, so that their wording may change.
     fn trace_action(&mut self, i: usize, action: &Action) {
         let (header, content) = match action {
             Action::Send { to, to_salt, frame } => {
@@ -204,28 +205,31 @@
         };
         let deadline = self.membership(i).next_deadline();
         let entry = format!("{i} {:?} {deadline:?} {header} ", self.now);
-        self.trace.update(entry.as_bytes());
-        self.trace.update(&content);
+        self.trace_hash.update(entry.as_bytes());
+        self.trace_hash.update(&content);
     }
 
     fn transmit(&mut self, from: usize, to: SocketAddr, packet: Packet, reliable: bool) {
         let Some(to) = self.nodes.iter().position(|node| node.address == to) else {
             return;
         };
-        if self.cuts.contains(&(from, to)) || (!reliable && self.draw(100) < self.loss) {
+        if self.blocked_links.contains(&(from, to))
+            || (!reliable && self.draw(100) < self.loss_percent)
+        {
             return;
         }
-        let copies = if !reliable && self.draw(100) < self.duplicates {
+        let copies = if !reliable && self.draw(100) < self.duplicate_percent {
             2
         } else {
             1
         };
         for _ in 0..copies {
             let extra_delay = self
-                .slow
+                .slow_node
                 .filter(|(node, _)| *node == to)
                 .map_or(0, |(_, delay)| delay);
-            let delay = extra_delay + self.delay.0 + self.draw(self.delay.1 - self.delay.0 + 1);
+            let delay =
+                extra_delay + self.delay_ms.0 + self.draw(self.delay_ms.1 - self.delay_ms.0 + 1);
             self.packets_sent += 1;
             self.in_flight.insert(
                 (self.now + MS * delay, self.packets_sent),
@@ -234,7 +238,7 @@
         }
     }
 
-    pub fn carry_out(&mut self, i: usize, actions: Vec<Action>) {
+    pub fn execute_actions(&mut self, i: usize, actions: Vec<Action>) {
         for action in actions {
             self.trace_action(i, &action);
             let name = self.nodes[i].name.clone();
@@ -244,7 +248,7 @@
                     self.nodes[i].sent += 1;
                     let bytes = frame.encoded_len();
                     let fits = frame.updates.len() <= 1 || bytes <= self.settings.max_frame_bytes;
-                    assert!(fits, "a frame of {bytes} bytes");
+                    assert!(fits, "a frame has {bytes} bytes, more than the limit");
                     let packet = Packet::Frame {
                         name,
                         from: self.nodes[i].address,
@@ -279,15 +283,15 @@
                 }
                 Action::StoreIncarnation(incarnation) => {
                     self.nodes[i].stored_epoch = incarnation.epoch;
-                    let run = self.nodes[i].runs;
-                    let before = self
-                        .incarnations
+                    let run = self.nodes[i].process_starts;
+                    let previous = self
+                        .process_runs
                         .entry(name.clone())
                         .or_default()
                         .insert(incarnation, run);
                     assert!(
-                        before.is_none(),
-                        "{name} has been in incarnation {incarnation} before"
+                        previous.is_none(),
+                        "{name} began incarnation {incarnation} twice"
                     );
                 }
                 Action::Log(_) => {}
@@ -331,7 +335,7 @@
             Packet::Sync { .. } => return,
         };
         let actions = membership.handle(now, event);
-        self.carry_out(to, actions);
+        self.execute_actions(to, actions);
     }
 
     pub fn resume(&mut self, i: usize) {
@@ -344,7 +348,7 @@
 
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
-        let mut next_observation = self.now;
+        let mut next_death_check = self.now;
         loop {
             let running = self
                 .nodes
@@ -366,12 +370,13 @@
                 return;
             }
             self.now = self.now.max(next);
-            if self.now >= next_observation {
-                self.observe();
-                next_observation = self.now + MS * 50;
+            if self.now >= next_death_check {
+                self.record_false_deaths();
+                next_death_check = self.now + MS * 50;
             }
             if arrival == Some(next) {
-                let ((_, _), (to, packet)) = self.in_flight.pop_first().expect("a packet");
+                let ((_, _), (to, packet)) =
+                    self.in_flight.pop_first().expect("a packet is in flight");
                 self.deliver(to, packet);
             } else if let Some((_, i)) = tick {
                 self.tick(i);
--- a/crates/membership/tests/partitions.rs
+++ b/crates/membership/tests/partitions.rs
@@ -1,4 +1,4 @@
-//! Partitions: what a cut-off node or part believes, and what healing costs.
+//! Partitions: the member states on both sides, and the traffic after healing.
 
 mod common;
 
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 #[test]
-fn halves_agree_again_after_a_partition_without_a_burst_of_frames() {
+fn partition_heals_without_a_burst_of_frames() {
     let mut fleet = Fleet::new(12, 3);
     fleet.run_until_agreed(SECOND * 10);
-    let calm = frames_sent_in(&mut fleet, SECOND * 10);
+    let baseline = frames_sent_in(&mut fleet, SECOND * 10);
     for a in 0..4 {
         for b in 4..12 {
-            fleet.cuts.extend([(a, b), (b, a)]);
+            fleet.blocked_links.extend([(a, b), (b, a)]);
         }
     }
     fleet.run(SECOND * 20);
@@ -22,16 +22,16 @@
     assert_eq!(
         fleet.state_of(5, 6),
         Some(MemberState::Alive),
-        "both halves go on"
+        "each side keeps its own members alive"
     );
-    fleet.cuts.clear();
+    fleet.blocked_links.clear();
     let before: usize = fleet.nodes.iter().map(|node| node.sent).sum();
     let took = fleet.run_until_agreed(SECOND * 15);
     fleet.run(SECOND * 15 - took);
     let after: usize = fleet.nodes.iter().map(|node| node.sent).sum();
     assert!(
-        (after - before) * 10 < calm * 15 * 6,
-        "{} in 15 s against {calm} in 10 s",
+        (after - before) * 10 < baseline * 15 * 6,
+        "{} frames in 15 s after healing, {baseline} in 10 s before the partition",
         after - before
     );
 }
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn single_survivor_is_isolated_and_declares_nobody_dead() {
+fn only_running_node_is_isolated_and_declares_nobody_dead() {
     let mut fleet = Fleet::new(8, 5);
     fleet.run_until_agreed(SECOND * 10);
     (1..8).for_each(|i| fleet.kill(i));
@@ -55,7 +55,7 @@
             .members()
             .all(|member| member.state != MemberState::Dead)
     );
-    // The seeds stay dead; the others come back and are known all the same.
+    // The seeds stay dead; the other members restart and must learn of each other all the same.
     (2..8).for_each(|i| fleet.start(i));
     fleet.run(SECOND * 10);
     let known = |by: usize| {
@@ -72,7 +72,7 @@
     );
 }
 
-/// Guards against a node that can send but not receive, and declares all others dead.
+/// Guards against a node that can send but not receive, and therefore declares all others dead.
 #[test]
 fn node_that_receives_nothing_declares_nobody_dead() {
     (8..18).for_each(check_receiving_nothing);
@@ -82,7 +82,7 @@
     let mut fleet = Fleet::new(8, seed);
     fleet.run_until_agreed(SECOND * 10);
     for other in 0..8 {
-        fleet.cuts.insert((other, 6));
+        fleet.blocked_links.insert((other, 6));
     }
     fleet.run(SECOND * 30);
     let incarnations = |fleet: &Fleet| {
@@ -92,7 +92,7 @@
             .map(|n| {
                 n.membership
                     .as_ref()
-                    .expect("it runs")
+                    .expect("the node runs")
                     .counters()
                     .incarnations
             })
@@ -113,18 +113,18 @@
     }
 }
 
-/// However much there is to disseminate, each node sends at a bounded rate.
+/// Guards against a burst of frames after a partition heals, when there is much to disseminate.
 #[test]
 fn healing_of_a_large_partition_is_rate_limited() {
     let mut fleet = Fleet::new(60, 31);
     fleet.run_until_agreed(SECOND * 30);
     for a in 0..20 {
         for b in 20..60 {
-            fleet.cuts.extend([(a, b), (b, a)]);
+            fleet.blocked_links.extend([(a, b), (b, a)]);
         }
     }
     fleet.run(SECOND * 20);
-    fleet.cuts.clear();
+    fleet.blocked_links.clear();
     let before: Vec<usize> = fleet.nodes.iter().map(|node| node.sent).collect();
     fleet.run(SECOND * 10);
     let max_sent = fleet
@@ -133,10 +133,10 @@
         .zip(&before)
         .map(|(node, before)| node.sent - before)
         .max();
-    println!("{max_sent:?} frames in 10 s after a cut of 20 of 60");
+    println!("at most {max_sent:?} frames per node in 10 s after a partition of 20 and 40 members");
     assert!(
         max_sent.is_some_and(|sent| sent <= 300),
-        "{max_sent:?} frames in 10 s"
+        "a node sent {max_sent:?} frames in 10 s"
     );
     fleet.run_until_agreed(SECOND * 60);
 }
