--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,5 +1,6 @@
-//! Hot restart: while a new process of a node takes the place of an old one, both together keep the node's limits. Events
-//! in, limits out; no I/O. The older process reports to the newer one over a connection whose end says that it has exited.
+//! Hot restart: while a newer process of a node replaces an older one, both together keep the node's limits. This package
+//! handles events and computes limits, without I/O. The older process reports to the newer one over a connection, whose end
+//! means that the older process has exited.
 #![forbid(unsafe_code)]
 
 mod report;
--- a/crates/hot-restart/src/report.rs
+++ b/crates/hot-restart/src/report.rs
@@ -1,13 +1,13 @@
-//! The line by which an older process reports to a newer one.
+//! The report line that an older process sends to a newer one.
 
 use crate::resources::Resources;
 
 const TAG: &str = "sillward-holds";
 const VERSION: u32 = 1;
-/// No line is longer, in bytes.
+/// The maximum length of a report line.
 pub const MAX_REPORT_BYTES: usize = 128;
 
-/// The line that reports these resources.
+/// Encodes the report line for these resources.
 pub fn encode(resources: Resources) -> String {
     let Resources {
         client_connections,
@@ -17,7 +17,7 @@
     format!("{TAG} {VERSION} {client_connections} {backend_connections} {body_bytes}\n")
 }
 
-/// Reads a line; `None` if it is of another version, cut, or no report.
+/// Decodes a line; `None` if it is truncated, of another version, or not a report.
 pub fn decode(line: &str) -> Option<Resources> {
     let mut fields = line.strip_suffix('\n')?.split(' ');
     let tag = fields.next()?;
--- a/crates/hot-restart/src/resources.rs
+++ b/crates/hot-restart/src/resources.rs
@@ -14,7 +14,7 @@
 }
 
 impl Resources {
-    /// Combines each resource with the other's.
+    /// Combines each resource with the same resource of `other`.
     #[must_use]
     pub fn zip(self, other: Self, combine: impl Fn(usize, usize) -> usize) -> Self {
         Resources {
@@ -24,25 +24,25 @@
         }
     }
 
-    /// Half of each.
+    /// Half of each resource.
     #[must_use]
     pub fn half(self) -> Self {
         self.zip(self, |amount, _| amount / 2)
     }
 
-    /// The larger of each.
+    /// The larger amount of each resource.
     #[must_use]
     pub fn max(self, other: Self) -> Self {
         self.zip(other, usize::max)
     }
 
-    /// The smaller of each.
+    /// The smaller amount of each resource.
     #[must_use]
     pub fn min(self, other: Self) -> Self {
         self.zip(other, usize::min)
     }
 
-    /// What is left of each, at least 0.
+    /// The difference of each resource, at least 0.
     #[must_use]
     pub fn saturating_sub(self, other: Self) -> Self {
         self.zip(other, usize::saturating_sub)
--- a/crates/hot-restart/src/split.rs
+++ b/crates/hot-restart/src/split.rs
@@ -1,11 +1,11 @@
-//! How an older and a newer process of a node split its limits.
+//! Splits the limits of a node between an older and a newer process.
 //!
-//! The newer process gets what the older one does not use or reserve. A process that both took the place of an older one and
-//! is being replaced by a newer one keeps half of its part.
+//! The newer process gets what the older one does not use or reserve. A process that has replaced an older one, and is itself
+//! being replaced by a newer one, keeps half of its part.
 
 use crate::resources::Resources;
 
-/// What happens between two processes of a node.
+/// An event between two processes of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// An older process is running.
@@ -14,7 +14,7 @@
     OlderReported(Resources),
     /// The older process has exited.
     OlderExited,
-    /// A newer process has connected to take this one's place.
+    /// A newer process has connected to replace this one.
     NewerConnected,
     /// The newer process has exited.
     NewerExited,
@@ -22,16 +22,16 @@
     Shutdown,
 }
 
-/// The older process, as this one knows it.
+/// What this process knows of the older one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OlderProcess {
     None,
-    /// It runs, and has reported nothing yet.
-    Silent,
+    /// It is running, and has not reported yet.
+    AwaitingReport,
     Reported(Resources),
 }
 
-/// The newer process, as this one knows it.
+/// What this process knows of the newer one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum NewerProcess {
     None,
@@ -41,34 +41,35 @@
     },
 }
 
-/// One process's view of the split.
+/// The split of a node's limits, as seen by one process.
 #[derive(Clone, Debug)]
 pub struct ResourceSplit {
-    /// The node's limits while one process runs alone.
-    alone: Resources,
-    /// The limits of two processes together: a second process needs some for itself.
-    together: Resources,
+    /// The limits of a single process.
+    single: Resources,
+    /// The limits of two processes together. They are lower, as a second process has an overhead.
+    combined: Resources,
     older: OlderProcess,
     newer: NewerProcess,
     shutting_down: bool,
 }
 
 impl ResourceSplit {
-    /// A process that has just started. `overhead` is what a second process needs for itself.
-    pub fn new(alone: Resources, overhead: Resources) -> Self {
+    /// The split of a process that has just started. `single` are the limits of a single process, `overhead` is what a second
+    /// process needs for itself.
+    pub fn new(single: Resources, overhead: Resources) -> Self {
         ResourceSplit {
-            alone,
-            together: alone.saturating_sub(overhead),
+            single,
+            combined: single.saturating_sub(overhead),
             older: OlderProcess::None,
             newer: NewerProcess::None,
             shutting_down: false,
         }
     }
 
-    /// Takes an event. A report after the older process has exited is ignored.
+    /// Handles an event. A report after the older process has exited is ignored.
     pub fn handle(&mut self, event: Event) {
         match event {
-            Event::OlderFound => self.older = OlderProcess::Silent,
+            Event::OlderFound => self.older = OlderProcess::AwaitingReport,
             Event::OlderReported(resources) => {
                 if self.older != OlderProcess::None {
                     self.older = OlderProcess::Reported(resources);
@@ -86,14 +87,14 @@
         self.shutting_down
     }
 
-    /// The limits of this process, which uses `in_use`. They may be lower than that: nothing is closed for it, and nothing
-    /// more is taken.
+    /// The limits of this process, which uses `in_use`. They may be lower than `in_use`: then nothing is closed, but nothing
+    /// more is allocated.
     pub fn limits(&self, in_use: Resources) -> Resources {
         let own_part = match (self.older, self.newer) {
-            (OlderProcess::None, NewerProcess::None) => return self.alone,
-            (OlderProcess::None, NewerProcess::Connected { .. }) => self.together,
-            (OlderProcess::Silent, _) => Resources::default(),
-            (OlderProcess::Reported(older), _) => self.together.saturating_sub(older),
+            (OlderProcess::None, NewerProcess::None) => return self.single,
+            (OlderProcess::None, NewerProcess::Connected { .. }) => self.combined,
+            (OlderProcess::AwaitingReport, _) => Resources::default(),
+            (OlderProcess::Reported(older), _) => self.combined.saturating_sub(older),
         };
         match self.newer {
             NewerProcess::None => own_part,
@@ -104,8 +105,9 @@
         }
     }
 
-    /// The limits of a process that is shutting down beside a newer one. What was reported to that one is never taken back,
-    /// and ever less of it is kept. Each client may still send one request, over one backend connection.
+    /// The limits of a process that is shutting down while a newer one is running. They are never raised above what was
+    /// reported to the newer process, and shrink with each report. Each client may still send one request, over one backend
+    /// connection.
     fn limits_at_shutdown(in_use: Resources, reported: Resources) -> Resources {
         let clients = in_use.client_connections;
         let needed = Resources {
@@ -120,7 +122,7 @@
         needed.min(reported).max(in_use)
     }
 
-    /// What to report to the newer process. Limits below what is in use count as that until it is released.
+    /// What to report to the newer process: the limits, or what is in use where that exceeds them until it is released.
     pub fn report(&mut self, in_use: Resources) -> Resources {
         let report = self.limits(in_use).max(in_use);
         if let NewerProcess::Connected { reported } = &mut self.newer {
--- a/crates/hot-restart/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -1,9 +1,9 @@
-//! Golden text of the line that an older process of a node writes to the newer one.
+//! Compares the report line that an older process of a node sends to a newer one with a golden file.
 
 use sillward_hot_restart::{Resources, decode, encode};
 
 #[test]
-fn a_report_keeps_its_text() {
+fn report_line_matches_the_golden_file() {
     let resources = Resources {
         client_connections: 12,
         backend_connections: 345,
--- a/crates/http1/src/backend.rs
+++ b/crates/http1/src/backend.rs
@@ -29,21 +29,22 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How many connections in a row may turn out broken before a request was written to them.
-const MAX_BROKEN_CONNECTIONS: usize = 4;
+/// The number of connections in a row that may fail before a request is written to them. Then the attempt has failed to
+/// connect.
+const MAX_FAILED_CONNECTIONS: usize = 4;
 
-/// How far an attempt has come.
+/// The progress of an attempt.
 #[derive(Default)]
 enum AttemptState {
-    /// It has not claimed its call: nothing was written.
+    /// The call is not claimed: nothing was written.
     #[default]
     Unclaimed,
-    /// It has claimed its call, and its request is being written or was.
+    /// The call is claimed: its request is being written, or has been.
     Claimed(Rc<WriteProgress>),
 }
 
 impl AttemptState {
-    /// Whether a backend may have run the request: only if its last byte was written.
+    /// Whether a backend may have run the request, which requires that its last byte was written.
     fn may_have_run(&self) -> bool {
         match self {
             AttemptState::Unclaimed => false,
@@ -110,7 +111,7 @@
 }
 
 impl BackendClient {
-    /// A client whose connections come from `pool`, and the memory for bodies from `budget`.
+    /// A client that takes connections from `pool` and the memory for bodies from `budget`.
     pub fn new(
         pool: Rc<Pool<Http1>>,
         budget: MemoryBudget,
@@ -125,14 +126,14 @@
         })
     }
 
-    /// Sends an attempt's request and receives the response. A request that was never written goes to another connection:
-    /// a broken connection does not mean that its backend is down.
+    /// Sends an attempt's request and receives the response. A request that was not written is sent again over another
+    /// connection: a failed connection does not mean that the backend is down.
     async fn exchange(
         self: &Rc<Self>,
         attempt: &Attempt,
         state: &RefCell<AttemptState>,
     ) -> Exchange {
-        for _ in 0..MAX_BROKEN_CONNECTIONS {
+        for _ in 0..MAX_FAILED_CONNECTIONS {
             let mut connection = match self.pool.acquire(attempt.server).await {
                 Ok(connection) => connection,
                 Err(outcome) => return Exchange::from(outcome),
@@ -150,7 +151,7 @@
                 Ok(response) => return self.receive(attempt, connection, response).await,
                 Err(error) => error,
             };
-            // Dropping the request returns an unsent body to its call, so that it lives until the call was looked at.
+            // Dropping an unsent request returns its body to the call, so it is kept until the call's body has been checked.
             let unsent_request = error.take_message();
             let never_ran = unsent_request.is_some() || !progress.is_complete();
             if never_ran && !attempt.call.is_body_consumed() {
@@ -159,7 +160,7 @@
                 continue;
             }
             if !progress.is_complete() {
-                // A long body that broke off is no evidence against its backend.
+                // A long body that was not written completely is no evidence against the backend.
                 return Exchange::from(Outcome::NotSent);
             }
             return Exchange::from(transport_failure(error.error()));
@@ -167,8 +168,8 @@
         Exchange::from(Outcome::ConnectFailed)
     }
 
-    /// Builds the attempt's request if it may still be sent. Time has passed since the decision: the attempt's deadline, the
-    /// backend's drain grace or the idempotency window may have ended, or the call may have its response.
+    /// Builds the attempt's request if it may still be sent. Since the attempt was decided on, its deadline, the backend's
+    /// drain grace or the idempotency window may have ended, or the call may have received its final response.
     fn claim_and_build_request(
         &self,
         attempt: &Attempt,
@@ -181,7 +182,7 @@
         if call.is_body_consumed() || !call.claim(now, attempt.deadline) {
             return None;
         }
-        // The time of a request whose body is still coming begins with its last byte.
+        // The time budget of a request whose body is still being received starts at the last byte of the body.
         let time_budget = match &call.streaming_body {
             Some(body) => body.time_budget,
             None => attempt.deadline - now,
@@ -190,7 +191,7 @@
         Some(request.into_http(address, time_budget, body))
     }
 
-    /// Receives the response to an attempt: all of it, or a long one as it comes.
+    /// Receives the response to an attempt. A long response is streamed to the client if the call permits it.
     async fn receive(
         self: &Rc<Self>,
         attempt: &Attempt,
@@ -208,7 +209,7 @@
         let is_written = connection.session.progress.is_complete();
         if outcome == Outcome::Served && !is_written {
             log_peer(format_args!(
-                "server {:x}: a response before the end of its request was dropped",
+                "server {:x}: dropped a response that arrived before its request was completely sent",
                 attempt.server.0
             ));
             return Exchange::failed(Outcome::NotSent, report);
@@ -224,7 +225,7 @@
                 return Exchange::from(streamed.await);
             }
             Some(ReceivedBody::Complete(bytes)) => {
-                // A connection whose request was answered before its end cannot be used again.
+                // A connection whose response arrived before its request was completely sent cannot be reused.
                 if is_written {
                     self.pool.release(connection);
                 }
@@ -232,7 +233,7 @@
             }
             None => None,
         };
-        checked_exchange(attempt, outcome, report, body)
+        validated_exchange(attempt, outcome, report, body)
     }
 
     async fn check_health(self: &Rc<Self>, server: ServerId) -> HealthCheckResponse {
@@ -278,7 +279,7 @@
 }
 
 impl LongResponses {
-    /// Whether a call's long responses can be streamed. A validator has to see all of a response.
+    /// Whether a call's long responses can be streamed. A response validator needs the complete response.
     fn of_call(call: &Call) -> Self {
         let can_stream = call.response_validator.is_none()
             && call.payload.format == PayloadFormat::PLAIN
@@ -291,8 +292,9 @@
     }
 }
 
-/// The result of an attempt whose response is complete. A served body that the call's validator does not accept is a failure.
-fn checked_exchange(
+/// The result of an attempt whose response is complete. A body that the call's response validator does not accept is an error
+/// of the backend.
+fn validated_exchange(
     attempt: &Attempt,
     outcome: Outcome,
     report: Option<LoadReport>,
@@ -309,7 +311,7 @@
     };
     let Some(bytes) = body.filter(is_valid) else {
         log_peer(format_args!(
-            "server {:x}: an invalid response body was dropped",
+            "server {:x}: dropped a response with an invalid body",
             attempt.server.0
         ));
         return Exchange::failed(Outcome::Error, report);
--- a/crates/http1/src/backend/request.rs
+++ b/crates/http1/src/backend/request.rs
@@ -1,4 +1,4 @@
-//! The requests that are sent to backends.
+//! Builds the requests for backends.
 
 use crate::headers::{CALL_ID, IDEMPOTENCY_KEY, TIME_BUDGET_MS};
 use crate::outgoing_body::OutgoingBody;
@@ -10,9 +10,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Asks a backend for its load.
+/// The path of a load report.
 const LOAD_REPORT_PATH: &str = "/stats";
-/// Asks a backend whether it is up.
+/// The path of a liveness check.
 const LIVENESS_PATH: &str = "/health/live";
 
 /// The parts of a call's request that are the same for all attempts.
@@ -25,12 +25,12 @@
 }
 
 impl CallRequest {
-    /// A call's request; `None` if HTTP cannot carry the call.
+    /// The request of a call; `None` if HTTP cannot carry the call.
     pub(super) fn new(call: &Call) -> Option<Self> {
         let format = call.payload.format;
         let is_plain = format == PayloadFormat::PLAIN;
-        // Backends of two protocols recognise a retry only by the very same key. A key that is missing, or that HTTP would
-        // alter, is not sent this way.
+        // Attempts over different protocols are recognised as the same request only if their keys are identical. A call
+        // without a key, or with a key that HTTP would alter, is therefore not sent over HTTP.
         if !is_plain && call.idempotency_window.is_some() {
             call.idempotency_key
                 .as_ref()
@@ -53,7 +53,7 @@
         })
     }
 
-    /// The request for a backend at `address`, which may take `time_budget` for its response.
+    /// The HTTP request for a backend at `address`, which has `time_budget` to respond.
     pub(super) fn into_http(
         self,
         address: SocketAddr,
@@ -78,7 +78,8 @@
     }
 }
 
-/// The health check of a backend at `address`: for its load report if backends send them, else for a sign that it is up.
+/// The health check of a backend at `address`: a request for its load report if backends send load reports, else a liveness
+/// check.
 pub(super) fn health_check_request(
     address: SocketAddr,
     reports_enabled: bool,
--- a/crates/http1/src/backend/response.rs
+++ b/crates/http1/src/backend/response.rs
@@ -1,5 +1,5 @@
-//! Reads the responses of backends. A short response is read completely, so that a broken one is a failed attempt and not half a
-//! response to the client.
+//! Reads the responses of backends. A short response is buffered completely, so that an incomplete one results in a failed
+//! attempt instead of a truncated response to the client.
 
 use super::BackendClient;
 use crate::headers::{LOAD_REPORT, REJECTED};
@@ -17,16 +17,16 @@
 use std::io::{self, ErrorKind};
 use std::time::Duration;
 
-/// How long a response of unknown length is buffered. Then it is streamed, however little has come: it may be a long one whose
-/// first bytes the client waits for.
+/// How long a response of unknown length is buffered before it is streamed, however few bytes have arrived: the client may be
+/// waiting for the first bytes of a long response.
 const STREAMING_DELAY: Duration = Duration::from_millis(100);
 
-/// What is done with a response that is too long to be buffered.
+/// How responses that are too long to be buffered are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LongResponses {
-    /// It goes to the client as it comes.
+    /// They are streamed to the client.
     Streamed,
-    /// It is dropped, and counts as an error of the backend.
+    /// They are dropped, and count as errors of the backend.
     Dropped,
 }
 
@@ -39,9 +39,9 @@
 
 /// The body of a backend's response.
 pub(super) enum ReceivedBody {
-    /// All of it.
+    /// The complete body.
     Complete(Bytes),
-    /// The first bytes of a long one, and its length if known.
+    /// The first bytes of a long body, and its length if known.
     Partial {
         first: Bytes,
         length: Option<u64>,
@@ -49,24 +49,24 @@
     },
 }
 
-/// Why a response is dropped.
+/// The reason for which a response is dropped.
 #[derive(Debug, thiserror::Error)]
 enum ResponseError {
-    /// Its end would look the same as a broken connection.
-    #[error("a response of no length")]
+    /// Its end could not be distinguished from a failed connection.
+    #[error("the response has no Content-Length, Transfer-Encoding or Connection: close")]
     MissingLength,
-    #[error("a response over 32 MiB")]
+    #[error("the response is longer than 32 MiB")]
     TooLarge,
-    #[error("a long response that cannot be streamed")]
+    #[error("the response is too long to be buffered and cannot be streamed")]
     NotStreamable,
-    #[error("no memory for a response's body")]
+    #[error("the memory budget for bodies is exhausted")]
     OutOfMemory,
-    #[error("an incomplete response")]
+    #[error("the response is incomplete")]
     Incomplete(#[source] hyper::Error),
 }
 
 impl BackendClient {
-    /// Reads a response: all of it, or the first bytes of a long one that can be streamed.
+    /// Reads a response: completely, or the first bytes if it is long and can be streamed.
     pub(super) async fn read_response(
         &self,
         server: ServerId,
@@ -88,7 +88,10 @@
             },
             Err(ResponseError::Incomplete(error)) => failed(transport_failure(&error), None),
             Err(error) => {
-                log_peer(format_args!("server {:x}: {error}: dropped", server.0));
+                log_peer(format_args!(
+                    "server {:x}: dropped a response: {error}",
+                    server.0
+                ));
                 failed(Outcome::Error, report)
             }
         }
@@ -102,7 +105,7 @@
     ) -> Result<ReceivedBody, ResponseError> {
         let can_stream = head.status == StatusCode::OK && long_responses == LongResponses::Streamed;
         let Some(length) = body.size_hint().exact() else {
-            if !has_visible_end(&head.headers) {
+            if !has_detectable_end(&head.headers) {
                 return Err(ResponseError::MissingLength);
             }
             return self.read_body_of_unknown_length(body, can_stream).await;
@@ -139,8 +142,8 @@
         Ok(ReceivedBody::Complete(reservation.attach(bytes.freeze())))
     }
 
-    /// Reads a body whose reservation grows with its buffer. If it can be streamed, it is read for [`STREAMING_DELAY`] and up to
-    /// [`MAX_BUFFERED_RESPONSE_BYTES`].
+    /// Reads a body whose memory reservation grows with its buffer. If it can be streamed, reading stops after
+    /// [`STREAMING_DELAY`] or [`MAX_BUFFERED_RESPONSE_BYTES`].
     async fn read_body_of_unknown_length(
         &self,
         mut body: Incoming,
@@ -194,23 +197,21 @@
             .ok()
             .and_then(|text| self.load_reports.parse(text));
         if report.is_none() {
-            log_peer(format_args!(
-                "a malformed load report was dropped: {value:?}"
-            ));
+            log_peer(format_args!("dropped a malformed load report: {value:?}"));
         }
         report
     }
 }
 
-/// The data of a frame; none if it is trailers.
+/// The data of a frame; empty for trailers.
 fn frame_data(frame: Result<Frame<Bytes>, hyper::Error>) -> Result<Bytes, ResponseError> {
     let frame = frame.map_err(ResponseError::Incomplete)?;
     Ok(frame.into_data().unwrap_or_default())
 }
 
-/// Whether the end of a body of unknown length can be told from a broken connection: it is chunked, or its head says that the
-/// connection closes with it.
-fn has_visible_end(headers: &HeaderMap) -> bool {
+/// Whether the end of a body of unknown length can be distinguished from a failed connection: it is chunked, or its head
+/// announces that the connection closes after it.
+fn has_detectable_end(headers: &HeaderMap) -> bool {
     headers.contains_key(TRANSFER_ENCODING)
         || headers.get_all(CONNECTION).iter().any(contains_close)
 }
@@ -222,7 +223,7 @@
         .any(|option| option.trim_ascii().eq_ignore_ascii_case(b"close"))
 }
 
-/// What a complete response means. Only a rejection promises that the request never ran.
+/// The outcome of a complete response. Only a rejection promises that the request never ran.
 fn outcome(head: &Parts) -> Outcome {
     let is_rejection = || head.headers.get(REJECTED).is_some_and(|value| value == "1");
     match head.status {
@@ -234,8 +235,8 @@
     }
 }
 
-/// What an incomplete exchange means for its backend. If the connection ended, the process may have died. If the bytes were no
-/// HTTP, something is running there: that is an error like another, and no reason to eject the backend.
+/// The outcome of an exchange that did not complete. If the connection ended, the backend's process may have died. Bytes that
+/// are not HTTP show that a process is running there: they count as an ordinary error, not as a reason to eject the backend.
 pub(super) fn transport_failure(error: &hyper::Error) -> Outcome {
     let is_malformed = error.is_parse()
         || error
--- a/crates/http1/src/backend/session.rs
+++ b/crates/http1/src/backend/session.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 on a connection to a backend.
+//! HTTP/1.1 sessions on connections to backends.
 
 use crate::hyper_io::HyperIo;
 use crate::outgoing_body::{OutgoingBody, WriteProgress};
@@ -13,10 +13,10 @@
 /// HTTP/1.1 as a protocol of the connection pool.
 pub struct Http1;
 
-/// Carries one request at a time over a connection. Dropped, it closes the connection.
+/// An HTTP/1.1 session, which carries one request at a time. Dropping it closes the connection.
 pub struct Session {
     pub(super) sender: SendRequest<OutgoingBody>,
-    /// How far the current request has been written.
+    /// The write progress of the current request.
     pub(super) progress: Rc<WriteProgress>,
     task: AbortHandle,
 }
@@ -39,7 +39,7 @@
             .await
             .map_err(io::Error::other)?;
         let task = spawn_local(async move {
-            let _ = connection.await; // an error shows in the request on the connection
+            let _ = connection.await; // errors are reported by the request on the connection
         });
         Ok(Session {
             sender,
--- a/crates/http1/src/backend/streaming.rs
+++ b/crates/http1/src/backend/streaming.rs
@@ -1,4 +1,4 @@
-//! Long responses, which go to the client as they come from the backend.
+//! Streams long responses from backends to clients.
 
 use super::{BackendClient, Http1};
 use crate::backend::response::transport_failure;
@@ -17,11 +17,11 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How long a backend may send nothing of a response before the response counts as broken.
+/// How long a backend may send no data of a streamed response before the attempt has timed out.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl BackendClient {
-    /// Hands a response to the client as it comes, and returns how it ended.
+    /// Streams a response to the client, and returns its outcome.
     pub(super) async fn stream_response(
         self: &Rc<Self>,
         attempt: &Attempt,
@@ -59,9 +59,9 @@
             .take()
             .is_some_and(|sender| sender.send(started).is_ok());
         if !is_sent {
-            return Outcome::Cancelled; // the node has ended
+            return Outcome::Cancelled; // the node has shut down
         }
-        // If the response is dropped before its end, its client has left or has another response.
+        // A response dropped before its end means that the client has disconnected or has received another response.
         ended.await.unwrap_or(Outcome::Cancelled)
     }
 }
@@ -70,7 +70,7 @@
 struct StreamingResponse {
     body: Incoming,
     received_bytes: u64,
-    /// The bytes in all, if known.
+    /// The total length in bytes, if known.
     length: Option<u64>,
     /// `None` once the response has ended.
     in_progress: Option<InProgress>,
@@ -78,15 +78,15 @@
     idle_timeout: Pin<Box<Sleep>>,
 }
 
-/// What a streamed response holds until its end.
+/// The resources of a streamed response until its end.
 struct InProgress {
     connection: Connection<Http1>,
-    /// Where its end is reported.
+    /// Reports the outcome.
     end_sender: oneshot::Sender<Outcome>,
 }
 
 impl StreamingResponse {
-    /// Counts further bytes. The end of a response of known length shows here: its client asks for no more.
+    /// Counts received bytes. A response of known length ends here, since its body is not polled after the last byte.
     fn receive(&mut self, data: Bytes) -> Result<Bytes, IncompleteBody> {
         self.received_bytes += data.len() as u64;
         if Some(self.received_bytes) == self.length {
@@ -100,14 +100,14 @@
 
     fn fail(&mut self, outcome: Outcome) -> IncompleteBody {
         log_peer(format_args!(
-            "a streamed response broke after {} bytes: {outcome:?}",
+            "a streamed response failed after {} bytes: {outcome:?}",
             self.received_bytes
         ));
         self.finish(outcome);
         IncompleteBody
     }
 
-    /// Reports the end, and returns the connection to the pool if it can be used again.
+    /// Reports the outcome, and returns the connection to the pool if it can be reused.
     fn finish(&mut self, outcome: Outcome) {
         let Some(InProgress {
             connection,
@@ -121,7 +121,7 @@
         } else {
             drop(connection);
         }
-        let _ = end_sender.send(outcome); // or the node has ended
+        let _ = end_sender.send(outcome); // fails if the node has shut down
     }
 }
 
--- a/crates/http1/src/discard.rs
+++ b/crates/http1/src/discard.rs
@@ -1,4 +1,4 @@
-//! Request bodies that are read only to be discarded.
+//! Reads and discards request bodies that are not needed.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -7,8 +7,8 @@
 use sillward_runtime::task::spawn_local;
 use sillward_runtime::time::{Instant, timeout_at};
 
-/// Reads and discards the rest of a request's body, for a while and within a bound. A connection that is closed with bytes
-/// unread is reset, and its client may not see the response.
+/// Reads and discards the rest of a request's body, up to a time and a size limit. Closing a connection with unread bytes
+/// resets it, and the client may then not receive the response.
 pub(crate) fn discard_in_background(body: Incoming) {
     let until = Instant::now() + LINGER_TIMEOUT / 2;
     spawn_local(discard(body, until));
--- a/crates/http1/src/frontend.rs
+++ b/crates/http1/src/frontend.rs
@@ -1,4 +1,4 @@
-//! The frontend: serves clients' connections, takes their requests, and writes the node's final responses.
+//! The frontend: serves client connections, receives their requests, and sends the node's final responses.
 
 mod open_calls;
 mod responses;
@@ -38,9 +38,9 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// The longest time that a request's body may take: 32 MiB at the least rate, and the time of a slow backend.
+/// The longest time that the upload of a request's body may take: 32 MiB at the minimum rate, and the time of a slow backend.
 const MAX_UPLOAD_TIME: Duration = Duration::from_secs(1200);
-/// Where the load balancer in front of the node asks whether to send clients.
+/// The path of health checks by the load balancer in front of the node.
 const READINESS_PATH: &str = "/health/ready";
 
 /// Serves clients that speak HTTP/1.1.
@@ -55,7 +55,7 @@
     open_calls: OpenCalls,
 }
 
-/// What a request came to.
+/// The result of handling a request.
 enum Handled {
     /// A health check by the load balancer in front of the node.
     Readiness { healthy: bool },
@@ -66,7 +66,7 @@
 }
 
 impl Frontend {
-    /// A frontend for the connections of `connections`, which hands its requests to `node`.
+    /// A frontend for the connections of `connections`, which submits requests to `node`.
     pub fn new(
         node: NodeHandle,
         settings: Rc<LiveSettings>,
@@ -96,7 +96,7 @@
         let is_http_10 = request.version() < Version::HTTP_11;
         let handled = self.handle(&connection, request, &head_scanner).await;
         let after_request = match handled {
-            // Where the next request would begin is unknown.
+            // The start of the next request on the connection is unknown.
             Err(_) | Ok(Handled::BodyUnread(_)) => AfterRequest::Close,
             Ok(_) => self.connections.after_request(),
         };
@@ -154,7 +154,7 @@
             .inspect_err(|_| self.counters.request_ended(class, RequestOutcome::Failed))
     }
 
-    /// Reads the request's body, hands the request to the node, and waits for the final response.
+    /// Reads the request's body, submits the request to the node, and waits for the final response.
     async fn forward(
         &self,
         connection: &Rc<ClientConnection>,
@@ -175,7 +175,7 @@
             }
         };
         let received_at = self.node.clock().now();
-        // Two open requests of one call id would be taken for one by the backends.
+        // Backends would treat two open requests with the same call ID as one.
         let Some(_open_call) = OpenCall::register(&self.open_calls, &head.call_id) else {
             return Err(RequestError::CallIdInUse);
         };
@@ -204,7 +204,7 @@
         body: RequestBody,
         settings: &PlatformSettings,
     ) -> Handled {
-        log_peer("no memory for a request's body: rejected");
+        log_peer("rejected a request: the memory budget for bodies is exhausted");
         self.counters.request_ended(class, RequestOutcome::Rejected);
         discard_in_background(body.into_unread());
         Handled::BodyUnread(FinalResponse::Rejected {
@@ -213,7 +213,7 @@
         })
     }
 
-    /// Submits a request while its body is still coming.
+    /// Submits a request while its body is still being received.
     async fn submit_streaming(
         &self,
         request: NewRequest,
@@ -226,13 +226,13 @@
         let body_received = async {
             match body_received.await {
                 Ok(at) => at,
-                Err(_) => std::future::pending().await, // the body broke, or nobody takes it
+                Err(_) => std::future::pending().await, // the body failed, or is not read to its end
             }
         };
         let response = self
             .node
             .submit_streaming(request, call, received_at, body_received);
-        // If the body breaks, dropping the submission tells the node that the client is gone.
+        // If the body fails, dropping the submission tells the node that the client has disconnected.
         tokio::select! {
             biased;
             response = response => Ok(response),
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Passes a body on as it comes, and reports when all of it has. Returns only if the body breaks.
+    /// Relays a body while it is received, and reports when it is complete. Returns only if the body fails.
     async fn relay_body(
         &self,
         body: &mut RequestBody,
@@ -251,11 +251,11 @@
             match body.next().await {
                 Ok(Some(bytes)) => {
                     if !sender.send(bytes).await {
-                        break; // the attempt is over; a response is on its way
+                        break; // the attempt has ended, and its response follows
                     }
                 }
                 Ok(None) => {
-                    let _ = body_received.send(self.node.clock().now()); // or the response is there
+                    let _ = body_received.send(self.node.clock().now()); // fails if the request has its final response
                     sender.finish().await;
                     break;
                 }
@@ -280,19 +280,19 @@
             read_ahead: read_ahead.clone(),
         };
         let http_connection = http1::Builder::new()
-            // hyper's timeout would run on idle connections too, which the connection manager times.
+            // hyper's timeout would also apply to idle connections, for which the connection manager has one.
             .header_read_timeout(None)
             .max_buf_size(READ_BUFFER_BYTES)
             .serve_connection(HyperIo::observed(stream, observer), service);
         let mut http_connection = Box::pin(http_connection);
         loop {
-            // A request that has come is read before the connection is closed.
+            // A request that has arrived is read before the connection is closed.
             tokio::select! {
                 biased;
                 _ = http_connection.as_mut() => break,
                 () = connection.close_requested() => http_connection.as_mut().graceful_shutdown(),
-                // The open request is dropped, which tells the node that the client is gone.
-                () = read_ahead.client_left(&observed_stream, &connection) => return,
+                // Dropping the open request tells the node that the client has disconnected.
+                () = read_ahead.client_disconnected(&observed_stream, &connection) => return,
             }
         }
         drop(http_connection);
@@ -322,7 +322,7 @@
     }
 }
 
-/// The call of a request whose body is complete.
+/// The call of a request, without the rest of a body that is still being received.
 fn new_call(
     head: &RequestHead,
     body: Bytes,
--- a/crates/http1/src/frontend/open_calls.rs
+++ b/crates/http1/src/frontend/open_calls.rs
@@ -1,13 +1,13 @@
-//! The calls that have no final response yet, by their `X-Call-Id`.
+//! The calls without a final response yet, by their `X-Call-Id`.
 
 use hyper::header::HeaderValue;
 use std::cell::RefCell;
 use std::collections::HashSet;
 
-/// The identifiers of the open calls.
+/// The identifiers of all open calls.
 pub(super) type OpenCalls = RefCell<HashSet<HeaderValue>>;
 
-/// An open call, until it is dropped.
+/// Keeps a call registered as open until it is dropped.
 pub(super) struct OpenCall<'a> {
     open_calls: &'a OpenCalls,
     id: HeaderValue,
--- a/crates/http1/src/frontend/responses.rs
+++ b/crates/http1/src/frontend/responses.rs
@@ -8,20 +8,20 @@
 use sillward_forwarding::FinalResponse;
 use std::time::Duration;
 
-/// The response to a request that the node has dealt with, other than a streamed one.
+/// The response for a final response of the node that is not streamed.
 pub(super) fn final_response(response: FinalResponse) -> Response<ResponseBody> {
     match response {
         FinalResponse::Complete(payload) => complete(StatusCode::OK, payload.bytes),
         FinalResponse::Rejected { retry_after, .. } => rejection(retry_after),
         FinalResponse::TimedOut => complete(StatusCode::GATEWAY_TIMEOUT, Bytes::new()),
-        // A client of HTTP/1.0 cannot tell the end of a response of unknown length from a broken connection.
+        // An HTTP/1.0 client cannot distinguish the end of a response of unknown length from a failed connection.
         FinalResponse::Failed | FinalResponse::Streamed { .. } => {
             complete(StatusCode::BAD_GATEWAY, Bytes::new())
         }
     }
 }
 
-/// The response to the load balancer in front.
+/// The response to a health check by the load balancer in front of the node.
 pub(super) fn health_response(healthy: bool) -> Response<ResponseBody> {
     let status = if healthy {
         StatusCode::OK
--- a/crates/http1/src/head_scanner.rs
+++ b/crates/http1/src/head_scanner.rs
@@ -1,5 +1,5 @@
-//! Detects request heads that frame their body in more than one way. The bytes are scanned as they come in, since hyper hides
-//! a `Content-Length` beside a `Transfer-Encoding`, and merges equal `Content-Length` headers.
+//! Detects request heads that frame their body in more than one way. The raw bytes are scanned, since hyper hides a
+//! `Content-Length` beside a `Transfer-Encoding`, and merges equal `Content-Length` headers.
 
 use crate::hyper_io::StreamObserver;
 use std::cell::{Cell, RefCell};
@@ -8,11 +8,11 @@
 const CONTENT_LENGTH: &[u8] = b"content-length:";
 const TRANSFER_ENCODING: &[u8] = b"transfer-encoding:";
 
-/// The longest line beginning that is looked at.
+/// The number of bytes at the start of a line that are compared with header names.
 const LINE_START_BYTES: usize = TRANSFER_ENCODING.len();
 
-/// Counts framing headers between empty lines. It knows no bodies: a body that contains two such lines counts like a head, and
-/// the request after it is rejected.
+/// Counts framing headers between empty lines. It does not parse bodies: a body that contains two such lines counts as a head,
+/// and the next request is not accepted.
 #[derive(Default)]
 struct LineScanner {
     /// The first bytes of the current line.
@@ -22,7 +22,7 @@
 }
 
 impl LineScanner {
-    /// Scans further bytes. Returns whether they end a head with more than one framing header.
+    /// Scans the next bytes. Returns whether they end a head with more than one framing header.
     fn scan(&mut self, bytes: &[u8]) -> bool {
         let mut rest = bytes;
         let mut ambiguous = false;
@@ -75,7 +75,7 @@
 }
 
 impl HeadScanner {
-    /// Whether a head has come that frames its body in more than one way.
+    /// Whether a head was received that frames its body in more than one way.
     pub(crate) fn is_ambiguous(&self) -> bool {
         self.ambiguous.get()
     }
--- a/crates/http1/src/head_scanner/tests.rs
+++ b/crates/http1/src/head_scanner/tests.rs
@@ -1,18 +1,18 @@
 use super::LineScanner;
 
-/// Scans a text, and checks that pieces of every size give the same result.
+/// Scans a text at once, and checks that chunks of every size give the same result.
 fn is_ambiguous(text: &str) -> bool {
     let whole = LineScanner::default().scan(text.as_bytes());
     for size in 1..text.len() {
         let mut scanner = LineScanner::default();
-        let pieces = text
+        let results = text
             .as_bytes()
             .chunks(size)
-            .map(|piece| scanner.scan(piece));
+            .map(|chunk| scanner.scan(chunk));
         assert_eq!(
-            pieces.fold(false, |a, b| a | b),
+            results.fold(false, |a, b| a | b),
             whole,
-            "{text:?} in pieces of {size}"
+            "{text:?} in chunks of {size} bytes"
         );
     }
     whole
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn accepts_one_framing_header_a_head() {
+fn accepts_one_framing_header_per_head() {
     for head in [
         "POST /a HTTP/1.1\r\nContent-Length: 5\r\n\r\nhelloPOST /a HTTP/1.1\r\nContent-Length: 5\r\n\r\n",
         "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
--- a/crates/http1/src/hyper_io.rs
+++ b/crates/http1/src/hyper_io.rs
@@ -1,4 +1,4 @@
-//! The runtime's stream, as hyper reads and writes it.
+//! Adapts the runtime's stream to hyper's I/O traits.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 use sillward_runtime::Stream;
@@ -7,28 +7,28 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
 
-/// The most that one read takes in.
+/// The maximum size of one read.
 pub(crate) const READ_CHUNK_BYTES: usize = 8 * 1024;
 
 thread_local! {
-    /// The target of a read, on its way to hyper. It is used within one poll only.
+    /// Holds the bytes of a read until they are copied to hyper, within one poll.
     static READ_CHUNK: RefCell<[u8; READ_CHUNK_BYTES]> = const { RefCell::new([0; READ_CHUNK_BYTES]) };
 }
 
-/// Lends the thread's read buffer, whose contents are undefined.
+/// Calls `use_chunk` with the thread's read buffer, whose contents are unspecified.
 pub(crate) fn with_read_chunk<T>(use_chunk: impl FnOnce(&mut [u8; READ_CHUNK_BYTES]) -> T) -> T {
     READ_CHUNK.with_borrow_mut(use_chunk)
 }
 
 /// Observes the bytes of a stream.
 pub trait StreamObserver {
-    /// These bytes go to hyper.
+    /// Called with the bytes that hyper receives.
     fn bytes_read(&self, _bytes: &[u8]) {}
-    /// Copies bytes that were read before hyper asked for them into `target`, and returns how many.
+    /// Copies bytes that were read ahead of hyper into `target`, and returns their number.
     fn take_read_ahead(&self, _target: &mut [u8]) -> usize {
         0
     }
-    /// All that hyper had to write has been written.
+    /// Called when everything that hyper had buffered has been written.
     fn flushed(&self) {}
 }
 
@@ -41,14 +41,14 @@
 }
 
 impl HyperIo {
-    /// A stream that nobody observes.
+    /// A stream without an observer.
     pub fn new(stream: Stream) -> Self {
         HyperIo::observed(stream, ())
     }
 }
 
 impl<O: StreamObserver> HyperIo<O> {
-    /// A stream whose bytes `observer` sees.
+    /// A stream observed by `observer`.
     pub(crate) fn observed(stream: Stream, observer: O) -> Self {
         HyperIo { stream, observer }
     }
@@ -60,7 +60,7 @@
         cx: &mut Context<'_>,
         mut target: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        // One buffer for all reads: clearing a fresh one for each would cost more than the read.
+        // All reads share one buffer: zeroing a new one for each would cost more than the read.
         with_read_chunk(|chunk| {
             let max_count = target.remaining().min(READ_CHUNK_BYTES);
             let chunk = &mut chunk[..max_count];
@@ -97,7 +97,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // The stream buffers nothing: hyper asks for this once its own buffers are empty.
+        // The stream buffers nothing, and hyper calls this once its own buffers are empty.
         self.observer.flushed();
         Poll::Ready(Ok(()))
     }
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1: the frontend that serves clients, the client for backends, and their messages.
+//! HTTP/1.1: the frontend that serves clients and the client for backends.
 //!
-//! hyper reads and writes the messages; this package decides what they contain. [`Frontend`] turns a client's request into a
-//! call for the node and the node's final response into HTTP. [`BackendClient`] sends a call's attempts to backends.
+//! hyper parses and serialises the messages; this package determines their contents. [`Frontend`] converts a client's request
+//! into a call for the node, and the node's final response into HTTP. [`BackendClient`] sends a call's attempts to backends.
 #![forbid(unsafe_code)]
 
 mod backend;
--- a/crates/http1/src/outgoing_body.rs
+++ b/crates/http1/src/outgoing_body.rs
@@ -1,5 +1,5 @@
-//! The body of a request to a backend, and how far the request has been written. Whether its last byte was written decides
-//! whether an attempt that fails may have run.
+//! The body of a request to a backend, and the write progress of the request. A failed attempt may have run only if its last
+//! byte was written.
 
 use crate::hyper_io::StreamObserver;
 use bytes::Bytes;
@@ -12,19 +12,19 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, ready};
 
-/// How far a request has been written.
+/// The write state of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum WriteState {
-    /// Bytes of the body are still to be taken by hyper.
+    /// hyper has not taken the last byte.
     #[default]
     Writing,
-    /// hyper has taken the last byte.
+    /// hyper has taken the last byte, but may not have written it.
     Buffered,
     /// The kernel has taken the last byte.
     Written,
 }
 
-/// How far the current request on a connection has been written.
+/// The write progress of the current request on a connection.
 #[derive(Default)]
 pub(crate) struct WriteProgress {
     state: Cell<WriteState>,
@@ -33,7 +33,7 @@
 }
 
 impl WriteProgress {
-    /// Whether the kernel has all of the request. Before that, no backend can have begun to run it.
+    /// Whether the kernel has accepted the whole request. Before that, no backend can have started to run it.
     pub(crate) fn is_complete(&self) -> bool {
         self.state.get() == WriteState::Written
     }
@@ -43,7 +43,7 @@
         self.counters.replace(counters);
     }
 
-    /// hyper has taken the last byte.
+    /// Called when hyper has taken the last byte.
     fn set_buffered(&self) {
         if self.state.get() == WriteState::Writing {
             self.state.set(WriteState::Buffered);
@@ -63,13 +63,13 @@
     }
 }
 
-/// What follows a body's first bytes.
+/// The part of a body that follows its first bytes.
 enum BodyRest {
-    /// Nothing.
-    Nothing,
-    /// What the client still sends, which no attempt has taken yet.
+    /// The first bytes are the whole body.
+    Empty,
+    /// Still being received from the client, and not taken by an attempt yet.
     Available(Rc<Call>),
-    /// What the client still sends, taken by this attempt.
+    /// Still being received from the client, and taken by this attempt.
     Taken {
         call: Rc<Call>,
         receiver: BodyReceiver,
@@ -80,28 +80,28 @@
 
 /// The body of a request to a backend.
 pub(crate) struct OutgoingBody {
-    /// The bytes that are there.
+    /// The bytes that were received before the attempt.
     first: Bytes,
     rest: BodyRest,
-    /// The bytes that are still to be taken by hyper, if known.
+    /// The number of bytes that hyper has not taken yet, if known.
     remaining: Option<u64>,
     progress: Rc<WriteProgress>,
 }
 
 impl OutgoingBody {
-    /// An empty body, on a connection whose last request is over.
+    /// An empty body, on a connection whose previous request has ended.
     pub(crate) fn empty(progress: Rc<WriteProgress>) -> Self {
         progress.begin(None);
         progress.set_buffered();
         OutgoingBody {
             first: Bytes::new(),
-            rest: BodyRest::Nothing,
+            rest: BodyRest::Empty,
             remaining: Some(0),
             progress,
         }
     }
 
-    /// A call's body, on a connection whose last request is over.
+    /// A call's body, on a connection whose previous request has ended.
     pub(crate) fn of_call(
         call: &Rc<Call>,
         progress: Rc<WriteProgress>,
@@ -111,7 +111,7 @@
         let first = call.payload.bytes.clone();
         let (rest, remaining) = match &call.streaming_body {
             Some(body) => (BodyRest::Available(call.clone()), body.length),
-            None => (BodyRest::Nothing, Some(first.len() as u64)),
+            None => (BodyRest::Empty, Some(first.len() as u64)),
         };
         if remaining == Some(0) {
             progress.set_buffered();
@@ -141,7 +141,7 @@
         }
     }
 
-    /// The frame of bytes that hyper takes now.
+    /// The frame for bytes that hyper takes now.
     fn frame(&mut self, bytes: Bytes) -> Frame<Bytes> {
         self.remaining = self
             .remaining
@@ -155,12 +155,12 @@
 
 impl Drop for OutgoingBody {
     fn drop(&mut self) {
-        // A rest of which nothing was sent is there for the next attempt.
+        // The next attempt may take a rest of which nothing was sent.
         if let BodyRest::Taken {
             call,
             receiver,
             sent: false,
-        } = std::mem::replace(&mut self.rest, BodyRest::Nothing)
+        } = std::mem::replace(&mut self.rest, BodyRest::Empty)
         {
             if let Some(body) = &call.streaming_body {
                 body.return_rest(receiver);
@@ -184,7 +184,7 @@
         }
         this.take_rest();
         let next = match &mut this.rest {
-            BodyRest::Nothing => return Poll::Ready(None),
+            BodyRest::Empty => return Poll::Ready(None),
             BodyRest::Available(_) => return Poll::Ready(Some(Err(incomplete_body()))),
             BodyRest::Taken { receiver, sent, .. } => {
                 let next = ready!(receiver.poll_next(cx));
--- a/crates/http1/src/read_ahead.rs
+++ b/crates/http1/src/read_ahead.rs
@@ -1,6 +1,6 @@
-//! Reads what a client sends behind an open request, within a bound, so that the end of the connection shows behind it. hyper
-//! reads no further than the next request's first bytes, and a client that sent more and left would seem to wait for its
-//! response.
+//! Reads ahead, up to a limit, what a client sends after a request that is still open, so that the end of the connection is
+//! detected. hyper reads no further than the first bytes of the next request: a client that sent more and disconnected would
+//! seem to wait for its response.
 
 use crate::head_scanner::HeadScanner;
 use crate::hyper_io::{READ_CHUNK_BYTES, StreamObserver, with_read_chunk};
@@ -14,10 +14,10 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// The most that is read ahead on a connection: the longest body that is buffered, and its head.
+/// The maximum that is read ahead on a connection: the longest body that is buffered, and its head.
 const MAX_READ_AHEAD_BYTES: usize = MAX_BUFFERED_RESPONSE_BYTES + READ_BUFFER_BYTES;
 
-/// Bytes that were read before hyper asked for them.
+/// Bytes that were read ahead of hyper.
 pub(crate) struct ReadAhead {
     budget: MemoryBudget,
     buffer: RefCell<Buffer>,
@@ -26,7 +26,7 @@
 #[derive(Default)]
 struct Buffer {
     bytes: BytesMut,
-    /// One for each chunk of the capacity.
+    /// One for every [`READ_CHUNK_BYTES`] of the buffer's capacity.
     reservations: Vec<MemoryReservation>,
 }
 
@@ -39,7 +39,7 @@
         })
     }
 
-    /// Moves bytes into `target`, as many as it takes, and returns how many.
+    /// Moves as many bytes into `target` as fit, and returns their number.
     fn take(&self, target: &mut [u8]) -> usize {
         let mut buffer = self.buffer.borrow_mut();
         let count = target.len().min(buffer.bytes.len());
@@ -50,19 +50,19 @@
         count
     }
 
-    /// Waits until a client that has a request open has left. It is to be polled after hyper's connection, in the same task.
-    pub(crate) async fn client_left(&self, stream: &Stream, connection: &ClientConnection) {
-        std::future::poll_fn(|cx| self.poll_client_left(stream, connection, cx)).await;
+    /// Waits until a client with an open request has disconnected. Must be polled after hyper's connection, in the same task.
+    pub(crate) async fn client_disconnected(&self, stream: &Stream, connection: &ClientConnection) {
+        std::future::poll_fn(|cx| self.poll_client_disconnected(stream, connection, cx)).await;
     }
 
-    fn poll_client_left(
+    fn poll_client_disconnected(
         &self,
         stream: &Stream,
         connection: &ClientConnection,
         cx: &mut Context<'_>,
     ) -> Poll<()> {
         if !connection.has_open_request() {
-            return Poll::Pending; // hyper reads the next request, and sees the end
+            return Poll::Pending; // hyper reads the next request, and detects the end
         }
         let mut buffer = self.buffer.borrow_mut();
         let mut received = false;
@@ -80,7 +80,7 @@
             }
         }
         if received {
-            cx.waker().wake_by_ref(); // hyper may wait for these bytes
+            cx.waker().wake_by_ref(); // hyper may be waiting for these bytes
         }
         Poll::Pending
     }
@@ -88,7 +88,7 @@
 
 enum ReadResult {
     Received,
-    /// The stream has ended or is broken.
+    /// The stream has ended or failed.
     Ended,
 }
 
--- a/crates/http1/src/request_body.rs
+++ b/crates/http1/src/request_body.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a client's request, at the client's pace.
+//! Reads the body of a client's request, and enforces a minimum rate.
 
 use crate::request_error::RequestError;
 use crate::request_head::Framing;
@@ -13,19 +13,20 @@
 use sillward_runtime::time::{Instant, timeout};
 use std::time::Duration;
 
-/// A body of known length up to this is short: as long as a response that is buffered.
+/// The maximum length of a short body, which is read completely before its request is submitted. The same as for responses
+/// that are buffered.
 const MAX_SHORT_BODY_BYTES: usize = MAX_BUFFERED_RESPONSE_BYTES;
-/// How long a client may send nothing of a body. The platform wants bad clients gone within 3 s.
+/// How long a client may send no data of a body. The platform requires that misbehaving clients are disconnected within 3 s.
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a client may keep this node waiting in all, in addition to the time of its bytes at the least rate.
+/// The total time for which a client may keep this node waiting, beyond the time of its bytes at the minimum rate.
 const BODY_DELAY_ALLOWANCE: Duration = Duration::from_secs(2);
-/// The least rate: half of what the platform promises to slow clients.
+/// The minimum rate: half of the rate that the platform promises slow clients.
 const MIN_BODY_BYTES_PER_SECOND: f64 = 32_000.0;
 
 /// A body that is being read.
 pub(crate) struct RequestBody {
     body: Incoming,
-    /// How long this node has waited for bytes in all.
+    /// The total time for which this node has waited for bytes.
     waited: Duration,
     received_bytes: u64,
     ended: bool,
@@ -33,16 +34,16 @@
 
 /// The first part of a body.
 pub(crate) enum BodyStart {
-    /// All of it.
+    /// The complete body.
     Complete(Bytes),
-    /// What is kept for retries of a long body, whose rest is still to be read.
+    /// The start of a long body, kept for retries; the rest is still to be read.
     Partial(Bytes),
-    /// There was no memory for it.
+    /// The memory budget for bodies is exhausted.
     OutOfMemory,
 }
 
 impl RequestBody {
-    /// A body of which nothing was read.
+    /// A body of which nothing has been read.
     pub(crate) fn new(body: Incoming) -> Self {
         RequestBody {
             body,
@@ -63,7 +64,7 @@
             self.waited += wait_began.elapsed();
             let Ok(frame) = frame else {
                 log_peer(format_args!(
-                    "a client's body was too slow: {} bytes in {:?} of waiting",
+                    "a client sent its request body too slowly: {} bytes in {:?} of waiting",
                     self.received_bytes, self.waited
                 ));
                 return Err(RequestError::BodyTooSlow);
@@ -84,8 +85,8 @@
         }
     }
 
-    /// How long the client may take for its next bytes. Only the time that this node waits for the client counts, not the
-    /// time of a slow backend.
+    /// How long the client may take to send the next bytes. Only the time that this node waits for the client counts, not
+    /// the time of a slow backend.
     fn next_timeout(&self) -> Duration {
         let time_of_bytes =
             Duration::from_secs_f64(self.received_bytes as f64 / MIN_BODY_BYTES_PER_SECOND);
@@ -93,7 +94,7 @@
         allowed.saturating_sub(self.waited).min(BODY_IDLE_TIMEOUT)
     }
 
-    /// Reads all of a short body, or what is kept of a long one.
+    /// Reads a short body completely, or the part of a long body that is kept for retries.
     ///
     /// # Errors
     /// As [`RequestBody::next`].
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Reads a body whose memory is reserved before it is read.
+    /// Reads a short body, whose memory is reserved before it is read.
     async fn read_short_body(
         &mut self,
         length: usize,
@@ -136,7 +137,7 @@
         Ok(BodyStart::Complete(reservation.attach(bytes.freeze())))
     }
 
-    /// Reads a body whose reservation grows with its buffer, from the memory that short bodies leave.
+    /// Reads the start of a long body, whose memory reservation grows with its buffer, out of what short bodies leave.
     async fn read_start_of_long_body(
         &mut self,
         budget: &MemoryBudget,
@@ -148,7 +149,7 @@
         let mut bytes = BytesMut::with_capacity(READ_BUFFER_BYTES);
         while let Some(data) = self.next().await? {
             bytes.extend_from_slice(&data);
-            // A buffer that grows doubles.
+            // The buffer doubles its capacity when it grows.
             while bytes.capacity() > reserved
                 && reservation.try_grow_for_long_body(MAX_SHORT_BODY_BYTES)
             {
@@ -161,12 +162,12 @@
         Ok(BodyStart::Complete(reservation.attach(bytes.freeze())))
     }
 
-    /// Whether all of it has been read.
+    /// Whether the body has been read completely.
     pub(crate) fn is_ended(&self) -> bool {
         self.ended
     }
 
-    /// What has not been read.
+    /// The part that has not been read.
     pub(crate) fn into_unread(self) -> Incoming {
         self.body
     }
--- a/crates/http1/src/request_error.rs
+++ b/crates/http1/src/request_error.rs
@@ -1,11 +1,11 @@
-//! Why a client's request is not accepted.
+//! The reasons for which a client's request is not accepted.
 
 use hyper::StatusCode;
 
-/// A request that is not accepted. The text is the body of the response, and part of the interface to clients.
+/// The reason for which a request is not accepted. Its text is the response's body, and part of the interface to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum RequestError {
-    /// The body might end in two places, and hide a second request.
+    /// The body might end in two places, which permits request smuggling.
     #[error("a head that frames its body twice")]
     AmbiguousFraming,
     #[error("no coding but chunked, please")]
@@ -41,7 +41,7 @@
 }
 
 impl RequestError {
-    /// The status of the response. None of them promises that a retry is harmless.
+    /// The status of the response. No status promises that a retry is safe.
     pub(crate) fn status(self) -> StatusCode {
         match self {
             RequestError::AmbiguousFraming
--- a/crates/http1/src/request_head.rs
+++ b/crates/http1/src/request_head.rs
@@ -1,4 +1,4 @@
-//! The checks of a client's request head. A request that does not pass never reaches a backend.
+//! Checks the head of a client's request. A request that fails a check never reaches a backend.
 
 use crate::head_scanner::HeadScanner;
 use crate::headers::{CALL_COST, CALL_ID, CALLER, CLIENT_RETRY, IDEMPOTENCY_KEY, TIME_BUDGET_MS};
@@ -15,10 +15,10 @@
 
 const MAX_TIME_BUDGET_MS: u64 = 600_000;
 const MAX_CALL_ID_BYTES: usize = 256;
-/// Headers that may occur once: of several, a backend might read another one than this node.
+/// Headers that may occur only once: of repeated ones, a backend might use another value than this node.
 const UNIQUE_HEADERS: [&str; 4] = [CALL_ID, TIME_BUDGET_MS, IDEMPOTENCY_KEY, CALLER];
 
-/// A head that passed the checks.
+/// A request head that passed the checks.
 pub(crate) struct RequestHead {
     pub(crate) target: PathAndQuery,
     pub(crate) call_id: HeaderValue,
@@ -33,18 +33,18 @@
     pub(crate) time_budget: Duration,
     /// How long backends remember the idempotency key, if the class has one.
     pub(crate) idempotency_window: Option<Duration>,
-    /// The work that the client expects the request to cost.
+    /// The work that the client expects of the request.
     pub(crate) expected_work: Option<Duration>,
-    /// Whether the client repeats the request.
+    /// Whether the request is a retry by the client.
     pub(crate) client_retry: bool,
 }
 
-/// How a body ends.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Framing {
-    /// After so many bytes.
+    /// By its length in bytes.
     Length(u64),
-    /// With its last chunk.
+    /// By its last chunk.
     Chunked,
 }
 
@@ -91,7 +91,7 @@
     /// Checks a head against the settings.
     ///
     /// # Errors
-    /// The first check that the head does not pass.
+    /// The error of the first check that fails.
     pub(crate) fn check(
         settings: &PlatformSettings,
         head: Parts,
@@ -195,7 +195,7 @@
         .ok_or(RequestError::InvalidTimeBudget)
 }
 
-/// The tenant's index. Where the settings name no tenants, there is one, whatever the header.
+/// The tenant's index; 0 whatever the header if the settings name no tenants.
 fn tenant(settings: &PlatformSettings, headers: &HeaderMap) -> Result<usize, RequestError> {
     let tenant = text(headers, CALLER).and_then(|caller| settings.tenant(caller.as_bytes()));
     if tenant.is_none() && !settings.tenant_names.is_empty() {
--- a/crates/http1/src/response_body.rs
+++ b/crates/http1/src/response_body.rs
@@ -1,4 +1,4 @@
-//! The body of a response to a client: complete, or as it comes from its backend.
+//! The body of a response to a client: complete, or streamed from its backend.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
@@ -7,19 +7,19 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
 
-/// The body.
+/// The body of a response to a client.
 pub(crate) enum ResponseBody {
-    /// All of it.
+    /// The complete body.
     Complete(Bytes),
-    /// The rest is still coming.
+    /// A body whose rest is still being received.
     Streamed(StreamedBody),
 }
 
-/// A body that is sent on as it comes.
+/// A body that is sent to the client while it is received from its backend.
 pub(crate) struct StreamedBody {
     first: Bytes,
     rest: Box<dyn BodyStream>,
-    /// The bytes that are still to be sent, if known.
+    /// The number of bytes that hyper has not taken yet, if known.
     remaining: Option<u64>,
     /// Called when hyper has taken all of the body, or drops it.
     on_end: Option<Box<dyn FnOnce()>>,
@@ -51,7 +51,7 @@
         let bytes = if self.first.is_empty() {
             match ready!(self.rest.poll_next(cx)) {
                 Some(Ok(bytes)) => bytes,
-                // The error ends the connection without the body's last chunk, so that the client sees it is incomplete.
+                // The error closes the connection without the body's last chunk, so that the client detects the missing end.
                 Some(Err(_)) => {
                     let error = io::Error::other("the backend's response is incomplete");
                     return Poll::Ready(Some(Err(error)));
--- a/crates/http1/tests/backend_client.rs
+++ b/crates/http1/tests/backend_client.rs
@@ -1,4 +1,4 @@
-//! Attempts that something overtakes between the decision and the moment when their request could be sent.
+//! Attempts whose conditions change between the decision to make them and the moment when their request could be sent.
 
 use bytes::Bytes;
 use sillward_balancer::{
@@ -24,14 +24,14 @@
 const SERVER: ServerId = ServerId(1);
 const MINUTE: Duration = Duration::from_secs(60);
 
-/// Makes an attempt that was changed by `overtake` after it was decided on. Returns its outcome and what its backend received.
+/// Makes an attempt after `change` was applied to it or to the pool. Returns its outcome and what its backend received.
 fn outcome_and_received_bytes(
-    overtake: impl FnOnce(&Pool<Http1>, &mut Attempt, BackendUpdate, Duration),
+    change: impl FnOnce(&Pool<Http1>, &mut Attempt, BackendUpdate, Duration),
 ) -> (Outcome, String) {
     block_on(async {
         let listener = TcpListener::bind(([127, 0, 0, 1], 0).into())
             .await
-            .expect("a port");
+            .expect("bind the listener");
         let timeouts = PoolTimeouts {
             idle_timeout: MINUTE,
             connect_timeout: MINUTE,
@@ -43,7 +43,7 @@
             state: ServerState::Ready,
             ..Endpoint::default()
         };
-        let address = listener.local_addr().expect("its address");
+        let address = listener.local_addr().expect("the listener's address");
         let update = |kind| BackendUpdate {
             kind,
             backends: vec![Backend { endpoint, address }],
@@ -58,7 +58,7 @@
             call: Rc::new(empty_call(now)),
             response_started: Cell::default(),
         };
-        overtake(
+        change(
             &pool,
             &mut attempt,
             update(EndpointUpdate::Incremental),
@@ -66,7 +66,7 @@
         );
         let (_stop, stopped) = oneshot::channel();
         let backend = spawn_local(async move {
-            let (stream, _) = listener.accept().await.expect("a connection");
+            let (stream, _) = listener.accept().await.expect("accept a connection");
             let mut received = [0; 15];
             let count = Stream::new(stream)
                 .0
@@ -76,7 +76,7 @@
             String::from_utf8_lossy(&received[..count]).into_owned()
         });
         let load_reports = LoadReportParser::new(LiveSettings::new(
-            settings::parse(SETTINGS).expect("settings"),
+            settings::parse(SETTINGS).expect("valid settings"),
         ));
         let client = BackendClient::new(
             pool.clone(),
@@ -86,9 +86,9 @@
         );
         let result = client.attempt(attempt, stopped).await;
         pool.close_idle(SERVER);
-        (result.outcome, backend.await.expect("the backend's part"))
+        (result.outcome, backend.await.expect("the backend's task"))
     })
-    .expect("a runtime")
+    .expect("start the runtime")
 }
 
 fn not_sent() -> (Outcome, String) {
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn sends_an_attempt_that_nothing_has_overtaken() {
+fn sends_an_attempt_whose_conditions_are_unchanged() {
     assert_eq!(
         outcome_and_received_bytes(|_, _, _, _| {}),
         (Outcome::Reset, "POST /submit/1 ".to_owned())
@@ -129,13 +129,13 @@
 }
 
 #[test]
-fn does_not_send_once_the_client_has_left() {
-    let left = outcome_and_received_bytes(|_, attempt, _, now| {
+fn does_not_send_once_the_client_has_disconnected() {
+    let disconnected = outcome_and_received_bytes(|_, attempt, _, now| {
         let mut call = empty_call(now);
         call.client_connected_check = Some(Rc::new(|| false));
         attempt.call = Rc::new(call);
     });
-    assert_eq!(left, not_sent());
+    assert_eq!(disconnected, not_sent());
 }
 
 #[test]
@@ -147,11 +147,11 @@
 
 #[test]
 fn does_not_send_after_the_idempotency_window() {
-    let forgotten = outcome_and_received_bytes(|_, attempt, _, now| {
+    let expired = outcome_and_received_bytes(|_, attempt, _, now| {
         let first_sent_at = Some(now - 2 * MINUTE);
         attempt.call.progress.first_sent_at.set(first_sent_at);
     });
-    assert_eq!(forgotten, not_sent());
+    assert_eq!(expired, not_sent());
 }
 
 #[test]
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,5 +1,5 @@
-//! Log lines for the operators, on standard error. A thread of its own writes them: a reader that is slow or stops must not
-//! stop the node. What it cannot take in time is dropped.
+//! Log lines for the operators, on standard error. A separate thread writes them, so that a slow or stopped reader does not
+//! block the node. Lines are dropped while its queue is full.
 #![forbid(unsafe_code)]
 
 use sillward_runtime::simulation;
@@ -11,22 +11,22 @@
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::time::Duration;
 
-/// Lines that may wait to be written.
+/// The maximum number of lines that wait to be written.
 const QUEUE_LENGTH: usize = 256;
-/// Most lines a second about what peers do: they could fill any disk.
+/// The maximum rate of lines about peers, which could otherwise fill the disk.
 const PEER_LINES_PER_SECOND: u32 = 10;
-/// How long [`flush`] waits.
+/// The longest time that [`flush`] waits.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
-/// The stack of the writing thread, in bytes.
+/// The stack size of the writer thread.
 const STACK_BYTES: usize = 64 * 1024;
 
 enum Entry {
     Line(String),
-    /// Answered when everything before it has been written.
+    /// Signals that all entries before it have been written.
     Flush(SyncSender<()>),
 }
 
-/// The queue of the writing thread; `None` if that could not be started.
+/// The queue of the writer thread; `None` if the thread could not be started.
 static QUEUE: OnceLock<Option<SyncSender<Entry>>> = OnceLock::new();
 
 fn queue() -> Option<&'static SyncSender<Entry>> {
@@ -59,16 +59,17 @@
     }
 }
 
-/// Lines of the current second.
+/// The lines about peers in the current second.
 #[derive(Clone, Copy)]
 struct PeerLines {
     second_began: Option<Instant>,
     logged: u32,
-    /// Lines dropped since the last one that was logged.
+    /// Lines dropped since the last logged one.
     dropped: u64,
 }
 
-/// Logs a line about something that peers can cause as often as they like: ten a second, with the number of dropped ones.
+/// Logs a line about an event that peers can cause at any rate: at most 10 lines a second are logged, and the first one after
+/// dropped lines states their number.
 pub fn log_peer(text: impl Display) {
     thread_local! {
         static LINES: Cell<PeerLines> = const {
@@ -76,7 +77,7 @@
         };
     }
     if simulation::current().is_some() {
-        return log(text); // a simulation keeps all lines, and its time is not this thread's
+        return log(text); // a simulation keeps all lines, and its time is not that of this thread
     }
     let mut lines = LINES.get();
     let now = Instant::now();
@@ -97,12 +98,12 @@
     match dropped {
         0 => log(text),
         count => log(format_args!(
-            "{text} ({count} lines about peers were left out before this one)"
+            "{text} ({count} earlier lines about peers were dropped)"
         )),
     }
 }
 
-/// Waits until the lines so far are written, or for a reader that has stopped no longer than 200 ms.
+/// Waits until all lines logged so far are written, at most 200 ms in case the reader has stopped.
 pub fn flush() {
     let (done, written) = sync_channel(1);
     if queue().is_some_and(|queue| queue.try_send(Entry::Flush(done)).is_ok()) {
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,22 +1,22 @@
-//! What a node counts since its process started, and the text form in which operators read it.
+//! The counters of a node since the start of its process, and their text form for operators.
 #![forbid(unsafe_code)]
 
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// How a request ended, as its client sees it.
+/// How a request ended, from the client's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Served.
+    /// A backend gave the final response.
     Served,
-    /// Rejected: a retry is safe.
+    /// The client may retry safely.
     Rejected,
-    /// Failed: it may have run.
+    /// The request may have run.
     Failed,
 }
 
-/// The requests of a class, by how they ended.
+/// The numbers of requests of a class, by outcome.
 #[derive(Default)]
 struct ClassCounts {
     name: String,
@@ -25,28 +25,28 @@
     failed: u64,
 }
 
-/// Values that are read when the counters are rendered, since they are no counts.
+/// The gauges of the endpoint list, passed in when the counters are rendered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointGauges {
-    /// Endpoints in the list.
+    /// The number of endpoints in the list.
     pub known: usize,
-    /// Those of them that the node avoids now.
+    /// The number of endpoints that the node currently avoids.
     pub avoided: usize,
 }
 
-/// What became of a configuration that was read again.
+/// The outcome of reloading a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReloadOutcome {
-    /// It is in use.
+    /// The configuration is in use.
     Applied,
-    /// It was invalid, and changed nothing.
+    /// The configuration was invalid and was ignored.
     Rejected,
 }
 
 /// The counters of a process.
 #[derive(Default)]
 pub struct Counters {
-    /// By class index. A class stays once it was in use.
+    /// By class index. Classes are never removed.
     classes: RefCell<Vec<ClassCounts>>,
     in_progress: Cell<u64>,
     attempts: Cell<u64>,
@@ -60,7 +60,7 @@
         Rc::default()
     }
 
-    /// Names the classes by their index. A later call may add classes, and never renames one.
+    /// Registers the class names by class index. A later call may add classes, but never renames one.
     pub fn register_classes(&self, names: &[String]) {
         let mut classes = self.classes.borrow_mut();
         for name in names.iter().skip(classes.len()) {
@@ -94,7 +94,7 @@
         self.attempts.set(self.attempts.get() + 1);
     }
 
-    /// Counts a configuration that was read again.
+    /// Counts a configuration reload.
     pub fn config_reloaded(&self, outcome: ReloadOutcome) {
         let count = match outcome {
             ReloadOutcome::Applied => &self.reloads,
@@ -113,7 +113,7 @@
                 ("bad_gateway", counts.failed),
             ];
             for (outcome, count) in outcomes {
-                // A write into a string cannot fail.
+                // Writing to a string cannot fail.
                 let _ = writeln!(out, "node.handled.{}.{outcome}={count}", counts.name);
             }
         }
--- a/crates/metrics/tests/counters.rs
+++ b/crates/metrics/tests/counters.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn renders_every_class_ever_registered_with_its_counts() {
+fn renders_the_counts_of_every_class_that_was_ever_registered() {
     let counters = Counters::new();
     counters.register_classes(&names(&["read", "submit"]));
     counters.request_ended(0, RequestOutcome::Served);
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -3,81 +3,82 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The node's clock: the Unix time of its start, advanced by the monotonic clock. So a backend's `since_ms` and the
-/// times of events are on one scale, which never runs backwards.
+/// The node's clock: the Unix time of its start, advanced by the monotonic clock. Thus a backend's `since_ms` and the
+/// times of events share one time scale, which never goes backwards.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
-    unix: Duration,
+    unix_at_start: Duration,
     #[cfg(feature = "faults")]
     fault: faults::Fault,
 }
 
 impl Clock {
-    /// A clock that starts at the present time of day.
+    /// A clock that starts at the current system time.
     pub fn start() -> Self {
         let system = || {
             std::time::SystemTime::now()
                 .duration_since(std::time::UNIX_EPOCH)
                 .unwrap_or_default()
         };
-        let unix = crate::simulation::current().map_or_else(system, |machine| machine.unix_time());
+        let unix_at_start =
+            crate::simulation::current().map_or_else(system, |machine| machine.unix_time());
         Clock {
             started: Instant::now(),
-            unix,
+            unix_at_start,
             #[cfg(feature = "faults")]
             fault: faults::Fault::from_environment(),
         }
     }
 
-    /// The time since 1970.
+    /// The time since the Unix epoch.
     pub fn now(self) -> Duration {
-        self.unix + self.shown(self.started.elapsed())
+        self.unix_at_start + self.reading_at(self.started.elapsed())
     }
 
     /// The moment at which [`Clock::now`] is `at`.
     pub fn instant(self, at: Duration) -> Instant {
-        self.started + self.true_time(at.saturating_sub(self.unix))
+        self.started + self.elapsed_at(at.saturating_sub(self.unix_at_start))
     }
 
     #[cfg(not(feature = "faults"))]
-    fn shown(self, elapsed: Duration) -> Duration {
+    fn reading_at(self, elapsed: Duration) -> Duration {
         elapsed
     }
 
     #[cfg(not(feature = "faults"))]
-    fn true_time(self, shown: Duration) -> Duration {
-        shown
+    fn elapsed_at(self, reading: Duration) -> Duration {
+        reading
     }
 
     #[cfg(feature = "faults")]
-    fn shown(self, elapsed: Duration) -> Duration {
-        self.fault.shown(elapsed)
+    fn reading_at(self, elapsed: Duration) -> Duration {
+        self.fault.reading_at(elapsed)
     }
 
     #[cfg(feature = "faults")]
-    fn true_time(self, shown: Duration) -> Duration {
-        self.fault.elapsed(shown)
+    fn elapsed_at(self, reading: Duration) -> Duration {
+        self.fault.elapsed_at(reading)
     }
 }
 
-/// Injected fault: a clock that runs wrong.
+/// Injected fault: a clock with a wrong rate, which may jump.
 #[cfg(feature = "faults")]
 mod faults {
     use std::time::Duration;
 
-    /// Runs at another rate, and jumps ahead once.
+    /// A clock that runs at another rate, and jumps ahead once.
     #[derive(Clone, Copy)]
     pub(super) struct Fault {
         rate: f64,
         jump: Duration,
-        /// When it jumps, in true time since the start.
+        /// The time of the jump, in true time since the start.
         jump_at: Duration,
     }
 
     impl Fault {
-        /// Reads `SILLWARD_FAULT_CLOCK_RATE` (1 is right) and `SILLWARD_FAULT_CLOCK_JUMP` (`MS@MS`: how far, and when since
-        /// the start). A value that is no number is ignored.
+        /// Reads `SILLWARD_FAULT_CLOCK_RATE` (1 is the true rate) and `SILLWARD_FAULT_CLOCK_JUMP` (`MS@MS`: the distance,
+        /// and the time since the start). Malformed values are ignored.
         pub(super) fn from_environment() -> Self {
             let variable = |name| std::env::var(name).ok();
             let rate = variable("SILLWARD_FAULT_CLOCK_RATE").and_then(|rate| rate.parse().ok());
@@ -98,8 +99,8 @@
             }
         }
 
-        /// What the clock shows when so much time has passed.
-        pub(super) fn shown(self, elapsed: Duration) -> Duration {
+        /// The clock's reading after `elapsed` of true time, since the start.
+        pub(super) fn reading_at(self, elapsed: Duration) -> Duration {
             let jumped = if !self.jump.is_zero() && elapsed >= self.jump_at {
                 self.jump
             } else {
@@ -108,15 +109,15 @@
             elapsed.mul_f64(self.rate) + jumped
         }
 
-        /// How much time has passed when the clock shows that.
-        pub(super) fn elapsed(self, shown: Duration) -> Duration {
-            let before = self.jump_at.mul_f64(self.rate);
-            if self.jump.is_zero() || shown <= before {
-                return shown.div_f64(self.rate);
+        /// The true time that has elapsed at a reading, since the start.
+        pub(super) fn elapsed_at(self, reading: Duration) -> Duration {
+            let before_jump = self.jump_at.mul_f64(self.rate);
+            if self.jump.is_zero() || reading <= before_jump {
+                return reading.div_f64(self.rate);
             }
-            // A time within the jump is shown at the moment of the jump.
+            // A reading within the jump is reached at the moment of the jump.
             self.jump_at
-                .max(shown.saturating_sub(self.jump).div_f64(self.rate))
+                .max(reading.saturating_sub(self.jump).div_f64(self.rate))
         }
     }
 }
--- a/crates/runtime/src/files.rs
+++ b/crates/runtime/src/files.rs
@@ -1,4 +1,4 @@
-//! Small files that outlast the process: read completely, and replaced atomically.
+//! Small files that persist across restarts: read completely, and replaced atomically.
 
 use crate::simulation;
 use std::fs::{self, File};
@@ -11,7 +11,7 @@
 /// Reads a file, at most `max_bytes` of it; `None` if it does not exist.
 ///
 /// # Errors
-/// The system's error.
+/// An operating system error.
 pub fn read(path: &Path, max_bytes: u64) -> io::Result<Option<Vec<u8>>> {
     if let Some(machine) = simulation::current() {
         return Ok(machine.read_file(path));
@@ -26,26 +26,26 @@
     Ok(Some(bytes))
 }
 
-/// Reads a file that only its owner may read, at most `max_bytes` of it.
+/// Reads a file that only its owner may access, at most `max_bytes` of it.
 ///
 /// # Errors
-/// The system's error, [`ErrorKind::NotFound`], or [`ErrorKind::PermissionDenied`] if others may read or write it.
+/// An operating system error, [`ErrorKind::NotFound`], or [`ErrorKind::PermissionDenied`] if others may access it.
 pub fn read_secret(path: &Path, max_bytes: u64) -> io::Result<Vec<u8>> {
     use std::os::unix::fs::MetadataExt;
     if simulation::current().is_none() && fs::metadata(path)?.mode() & GROUP_AND_OTHERS != 0 {
-        let what = "others than its owner may read or write it; its mode must be 0600 or 0400";
-        return Err(io::Error::new(ErrorKind::PermissionDenied, what));
+        let reason = "others than its owner may read or write it; its mode must be 0600 or 0400";
+        return Err(io::Error::new(ErrorKind::PermissionDenied, reason));
     }
     read(path, max_bytes)?.ok_or_else(|| ErrorKind::NotFound.into())
 }
 
-/// Replaces a file atomically; it is on the disk when this returns.
+/// Replaces a file atomically; the new contents are durable when this returns.
 ///
-/// Blocks for as long as the disk takes, so it is called on a thread that may block
-/// ([`write_atomic_in_background`]) or before anybody is served.
+/// Blocks until the disk has written them, so it must be called on a thread that may block
+/// ([`write_atomic_in_background`]) or before the node serves requests.
 ///
 /// # Errors
-/// The system's error; the old file is then unchanged.
+/// An operating system error; the old file is then unchanged.
 pub fn write_atomic(path: &Path, bytes: &[u8]) -> io::Result<()> {
     if let Some(machine) = simulation::current() {
         return machine.write_file(path, bytes);
@@ -56,8 +56,8 @@
     file.sync_all()?;
     fs::rename(&temporary, path)?;
     match path.parent() {
-        // The new name is on the disk only once its folder is.
-        Some(folder) if !folder.as_os_str().is_empty() => File::open(folder)?.sync_all(),
+        // The rename is durable only after a sync of the directory.
+        Some(directory) if !directory.as_os_str().is_empty() => File::open(directory)?.sync_all(),
         _ => Ok(()),
     }
 }
@@ -65,7 +65,7 @@
 /// As [`write_atomic`], on a thread that may block.
 ///
 /// # Errors
-/// As there, or the thread could not be started.
+/// As [`write_atomic`], or the thread could not be started.
 pub async fn write_atomic_in_background(path: &Path, bytes: Vec<u8>) -> io::Result<()> {
     if simulation::current().is_some() {
         return write_atomic(path, &bytes);
@@ -76,10 +76,10 @@
     written.map_err(|error| io::Error::other(error.to_string()))?
 }
 
-/// Creates a folder and those above it, if they don't exist.
+/// Creates a directory and its parents if they do not exist.
 ///
 /// # Errors
-/// The system's error.
+/// An operating system error.
 pub fn create_dir_all(path: &Path) -> io::Result<()> {
     if simulation::current().is_some() {
         return Ok(());
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,8 +1,8 @@
-//! The only access to the outside: time, sockets, signals, files, tasks and random numbers.
+//! The only access to the operating system: time, sockets, signals, files, tasks and random numbers.
 //!
-//! Every other package uses these modules and nothing else, so that a virtual clock and a simulated network
-//! ([`simulation::SimulatedMachine`]) can take the place of the system. `tests/seam.rs` of the root package fails when code reaches
-//! past them.
+//! All other packages use only these modules, so that a simulation with a virtual clock and a simulated network
+//! ([`simulation::SimulatedMachine`]) can replace the operating system. `tests/seam.rs` of the root package fails if
+//! other code bypasses them.
 #![deny(unsafe_code)]
 
 mod clock;
@@ -17,13 +17,13 @@
 pub use clock::Clock;
 pub use stream::{Stream, StreamHandle};
 
-/// A variable of the environment by which tests inject a fault. Not in what ships.
+/// An environment variable by which tests inject a fault. Never part of release builds.
 #[cfg(feature = "faults")]
 pub fn fault_variable(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-/// Monotonic time, and waiting for it.
+/// Monotonic time and timers.
 pub mod time {
     pub use tokio::time::{Instant, Sleep, sleep, sleep_until, timeout, timeout_at};
 }
--- a/crates/runtime/src/net.rs
+++ b/crates/runtime/src/net.rs
@@ -1,4 +1,4 @@
-//! TCP and UDP: the system's, or those of a simulated [`SimulatedMachine`](crate::simulation::SimulatedMachine).
+//! TCP and UDP sockets of the operating system or of a [`SimulatedMachine`](crate::simulation::SimulatedMachine).
 
 mod tcp_listener;
 mod tcp_stream;
--- a/crates/runtime/src/net/tcp_stream.rs
+++ b/crates/runtime/src/net/tcp_stream.rs
@@ -9,7 +9,7 @@
 use std::task::{Context, Poll, Waker, ready};
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 
-/// A connection.
+/// A TCP connection.
 pub struct TcpStream(Inner);
 
 enum Inner {
@@ -21,7 +21,7 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// The system's error.
+    /// An operating system error.
     pub async fn connect(address: SocketAddr) -> io::Result<Self> {
         Ok(match simulation::current() {
             None => Self::from_system(tokio::net::TcpStream::connect(address).await?),
@@ -29,10 +29,10 @@
         })
     }
 
-    /// Opens a connection from an address of this machine.
+    /// Opens a connection from the local address `from`.
     ///
     /// # Errors
-    /// The system's error.
+    /// An operating system error.
     pub async fn connect_from(from: IpAddr, address: SocketAddr) -> io::Result<Self> {
         if let Some(machine) = simulation::current() {
             return Ok(Self::from_simulated(machine.connect(address).await?));
@@ -45,9 +45,9 @@
         Ok(Self::from_system(socket.connect(address).await?))
     }
 
-    /// Sends what is written without delay: bytes that the kernel holds back are lost when a connection is reset.
+    /// Disables Nagle's algorithm: bytes that the kernel delays are lost when the connection is reset.
     pub(super) fn from_system(stream: tokio::net::TcpStream) -> Self {
-        let _ = stream.set_nodelay(true); // fails only if the peer has closed it already
+        let _ = stream.set_nodelay(true); // fails only if the peer has already closed the connection
         TcpStream(Inner::System(stream))
     }
 
@@ -55,8 +55,8 @@
         TcpStream(Inner::Simulated(socket))
     }
 
-    /// Whether the peer has closed its sending side or reset the connection, as far as the kernel and the runtime know
-    /// without reading: behind unread bytes, only the runtime knows of it.
+    /// Whether the peer has closed its sending side or reset the connection, as far as the kernel and Tokio can tell
+    /// without reading: if there are unread bytes, only Tokio can.
     pub(crate) fn has_peer_closed(&self) -> bool {
         let stream = match &self.0 {
             Inner::System(stream) => stream,
@@ -73,17 +73,17 @@
         }
     }
 
-    /// Limits the bytes that the kernel accepts before the peer has received them.
+    /// Sets the size of the kernel's send buffer: the limit for bytes that the peer has not received yet.
     pub(crate) fn set_send_buffer_size(&self, bytes: usize) {
         match &self.0 {
             Inner::System(stream) => {
-                let _ = SockRef::from(stream).set_send_buffer_size(bytes); // else it stays as it is
+                let _ = SockRef::from(stream).set_send_buffer_size(bytes); // on an error, the size stays unchanged
             }
             Inner::Simulated(socket) => socket.set_send_buffer_size(bytes),
         }
     }
 
-    /// Whether it is open and has nothing to read. Asks the kernel: what the runtime knows may be out of date.
+    /// Whether the connection is open and has nothing to read. Asks the kernel, since Tokio's readiness may be out of date.
     pub(crate) fn read_would_block(&self) -> bool {
         match &self.0 {
             Inner::System(stream) => {
@@ -108,7 +108,7 @@
             ready!(stream.poll_read_ready(cx))?;
             match stream.try_read(buffer) {
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {}
-                done => return Poll::Ready(done),
+                result => return Poll::Ready(result),
             }
         }
     }
@@ -130,7 +130,7 @@
             ready!(stream.poll_write_ready(cx))?;
             match stream.try_write_vectored(bytes) {
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {}
-                done => return Poll::Ready(done),
+                result => return Poll::Ready(result),
             }
         }
     }
@@ -144,7 +144,7 @@
     }
 }
 
-// For libraries that read and write the stream themselves.
+// For libraries that read from and write to the stream themselves.
 impl AsyncRead for TcpStream {
     fn poll_read(
         self: Pin<&mut Self>,
--- a/crates/runtime/src/net/udp_socket.rs
+++ b/crates/runtime/src/net/udp_socket.rs
@@ -1,10 +1,10 @@
-//! Sockets for datagrams.
+//! UDP sockets.
 
 use crate::simulation::{self, DatagramSocket};
 use std::io;
 use std::net::SocketAddr;
 
-/// A socket for datagrams.
+/// A UDP socket.
 pub struct UdpSocket(Inner);
 
 enum Inner {
@@ -16,7 +16,7 @@
     /// Binds to an address; to a free port if its port is 0.
     ///
     /// # Errors
-    /// The system's error.
+    /// An operating system error.
     pub async fn bind(address: SocketAddr) -> io::Result<Self> {
         Ok(UdpSocket(match simulation::current() {
             None => Inner::System(tokio::net::UdpSocket::bind(address).await?),
@@ -24,10 +24,10 @@
         }))
     }
 
-    /// The address it receives at.
+    /// The address at which it receives.
     ///
     /// # Errors
-    /// The system's error.
+    /// An operating system error.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         match &self.0 {
             Inner::System(socket) => socket.local_addr(),
@@ -35,28 +35,29 @@
         }
     }
 
-    /// Receives the next datagram: how many of its bytes fitted, and its sender's address. Cancellation safe.
+    /// Receives the next datagram. Returns how many of its bytes fit into `buffer`, and its sender's address. Cancellation
+    /// safe.
     ///
     /// # Errors
-    /// The system's error, also that of an earlier send to an address where nobody listens.
+    /// An operating system error, also one caused by an earlier datagram to an address where nothing listens.
     pub async fn receive(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         match &self.0 {
             Inner::System(socket) => socket.recv_from(buffer).await,
             Inner::Simulated(socket) => {
                 let max_bytes = buffer.len();
-                let (bytes, from) =
+                let (bytes, sender) =
                     std::future::poll_fn(|cx| socket.poll_receive(cx, max_bytes)).await?;
                 let count = bytes.len().min(max_bytes);
                 buffer[..count].copy_from_slice(&bytes[..count]);
-                Ok((count, from))
+                Ok((count, sender))
             }
         }
     }
 
-    /// Sends a datagram, or drops it if the system's buffer is full: datagrams may be lost anywhere.
+    /// Sends a datagram, or drops it if the send buffer is full: datagrams may be lost anyway.
     ///
     /// # Errors
-    /// The buffer is full, there is no route, or nobody listened there the last time.
+    /// The buffer is full, there is no route, or an earlier datagram found nothing listening there.
     pub fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
         match &self.0 {
             Inner::System(socket) => socket.try_send_to(bytes, to).map(drop),
--- a/crates/runtime/src/stream.rs
+++ b/crates/runtime/src/stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream, and a handle that shows its state to whoever manages the connection.
+//! A TCP stream, and a handle that exposes its state for connection management.
 
 use crate::net::TcpStream;
 use std::cell::Cell;
@@ -10,7 +10,7 @@
 /// A TCP stream.
 pub struct Stream(Rc<Shared>);
 
-/// Shows the state of a stream without keeping it open.
+/// Exposes the state of a stream without keeping it open.
 #[derive(Clone)]
 pub struct StreamHandle(Weak<Shared>);
 
@@ -18,7 +18,7 @@
     stream: TcpStream,
     /// When the first bytes were received since [`StreamHandle::reset_first_received`].
     first_received_at: Cell<Option<Instant>>,
-    /// Since when the peer has received nothing of what waits to be written.
+    /// Since when no bytes could be written although some are waiting.
     write_blocked_since: Cell<Option<Instant>>,
 }
 
@@ -29,28 +29,28 @@
         self.0.upgrade()?.first_received_at.get()
     }
 
-    /// Since when the peer has received nothing of what waits to be written; `None` if nothing waits or the stream is
+    /// Since when no bytes could be written although some are waiting; `None` if no write is blocked or the stream is
     /// closed.
     pub fn write_blocked_since(&self) -> Option<Instant> {
         self.0.upgrade()?.write_blocked_since.get()
     }
 
-    /// Forgets when bytes were received.
+    /// Clears the time at which the first bytes were received.
     pub fn reset_first_received(&self) {
         if let Some(shared) = self.0.upgrade() {
             shared.first_received_at.set(None);
         }
     }
 
-    /// Whether the peer has closed its sending side, or either side the connection, as far as can be seen without
-    /// reading.
+    /// Whether the peer has closed its sending side, or either side has closed the connection, as far as can be detected
+    /// without reading.
     pub fn has_peer_closed(&self) -> bool {
         self.0
             .upgrade()
             .is_none_or(|shared| shared.stream.has_peer_closed())
     }
 
-    /// Whether it is open and has nothing to read. Asks the kernel: what the runtime knows may be out of date.
+    /// Whether the stream is open and has nothing to read. Asks the kernel, since Tokio's readiness may be out of date.
     pub fn read_would_block(&self) -> bool {
         self.0
             .upgrade()
@@ -70,13 +70,13 @@
         (Stream(shared), handle)
     }
 
-    /// Another owner of the same stream: it is closed when all are dropped.
+    /// Returns another owner of the same stream, which is closed when all owners are dropped.
     pub fn share(&self) -> Stream {
         Stream(self.0.clone())
     }
 
-    /// Limits the bytes that the kernel accepts before the peer has received them. The kernel counts them in its own
-    /// way, and has a minimum.
+    /// Sets the size of the kernel's send buffer: the limit for bytes that the peer has not received yet. The kernel
+    /// counts them in its own way, and enforces a minimum.
     pub fn set_send_buffer_size(&self, bytes: usize) {
         self.0.stream.set_send_buffer_size(bytes);
     }
@@ -84,7 +84,7 @@
     /// Reads what is available, at most the length of `buffer`; 0 at the end of the stream.
     ///
     /// # Errors
-    /// The connection is broken.
+    /// The connection has failed.
     pub fn poll_read(&self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
         let count = ready!(self.0.stream.poll_read_shared(cx, buffer))?;
         if self.0.first_received_at.get().is_none() && count > 0 {
@@ -93,10 +93,10 @@
         Poll::Ready(Ok(count))
     }
 
-    /// Hands the kernel as many of these bytes as it accepts, and returns how many.
+    /// Writes as many of these bytes as the kernel accepts, and returns their number.
     ///
     /// # Errors
-    /// The connection is broken; none of these bytes were accepted.
+    /// The connection has failed; none of these bytes were accepted.
     pub fn poll_write(
         &self,
         cx: &mut Context<'_>,
@@ -123,7 +123,7 @@
     /// As [`Stream::poll_read`]. Cancellation safe.
     ///
     /// # Errors
-    /// As there.
+    /// As [`Stream::poll_read`].
     pub async fn read(&self, buffer: &mut [u8]) -> io::Result<usize> {
         std::future::poll_fn(|cx| self.poll_read(cx, buffer)).await
     }
@@ -131,7 +131,7 @@
     /// As [`Stream::poll_write`], of one slice. Cancellation safe: if dropped, it has written nothing.
     ///
     /// # Errors
-    /// As there.
+    /// As [`Stream::poll_write`].
     pub async fn write(&self, bytes: &[u8]) -> io::Result<usize> {
         std::future::poll_fn(|cx| self.poll_write(cx, &[io::IoSlice::new(bytes)])).await
     }
--- a/crates/runtime/src/task.rs
+++ b/crates/runtime/src/task.rs
@@ -1,4 +1,4 @@
-//! Tasks of the single thread that everything runs on.
+//! Tasks on the single thread of the program.
 
 use crate::simulation::{self, SimulatedMachine};
 use std::future::Future;
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 pub use tokio::task::{AbortHandle, JoinHandle, LocalSet, yield_now};
 
-/// Notifies a simulated world of the start of a task, and of its end when dropped.
+/// Notifies a simulation of the start of a task, and of its end when dropped.
 struct TaskGuard(Rc<dyn SimulatedMachine>);
 
 impl TaskGuard {
@@ -24,42 +24,42 @@
     }
 }
 
-/// Starts a task.
-pub fn spawn_local<F: Future<Output: 'static> + 'static>(work: F) -> JoinHandle<F::Output> {
+/// Spawns a task on the current thread.
+pub fn spawn_local<F: Future<Output: 'static> + 'static>(future: F) -> JoinHandle<F::Output> {
     match TaskGuard::start() {
-        None => tokio::task::spawn_local(work),
+        None => tokio::task::spawn_local(future),
         Some(guard) => tokio::task::spawn_local(async move {
             let _guard = guard;
-            work.await
+            future.await
         }),
     }
 }
 
-/// Tasks whose ends are waited for together. Dropping it aborts those that run.
+/// A set of tasks whose results are awaited together. Dropping it aborts the tasks that are still running.
 pub struct JoinSet<T>(tokio::task::JoinSet<T>);
 
 impl<T: 'static> JoinSet<T> {
-    /// A set without tasks.
+    /// An empty set.
     #[expect(
         clippy::new_without_default,
-        reason = "a set without tasks is nothing to default to"
+        reason = "an empty set is not a meaningful default"
     )]
     pub fn new() -> Self {
         JoinSet(tokio::task::JoinSet::new())
     }
 
-    /// Starts a task.
-    pub fn spawn_local(&mut self, work: impl Future<Output = T> + 'static) {
+    /// Spawns a task on the current thread.
+    pub fn spawn_local(&mut self, future: impl Future<Output = T> + 'static) {
         match TaskGuard::start() {
-            None => self.0.spawn_local(work),
+            None => self.0.spawn_local(future),
             Some(guard) => self.0.spawn_local(async move {
                 let _guard = guard;
-                work.await
+                future.await
             }),
         };
     }
 
-    /// Whether there is no task.
+    /// Whether the set has no tasks.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -69,13 +69,13 @@
         self.0.len()
     }
 
-    /// The result of the next task that ends; `None` if there is no task. Cancellation safe.
+    /// The result of the next task that ends; `None` if the set is empty. Cancellation safe.
     pub async fn join_next(&mut self) -> Option<Result<T, tokio::task::JoinError>> {
         self.0.join_next().await
     }
 }
 
-/// Runs `main` and the tasks that it starts, until `main` ends.
+/// Runs `main`, and the tasks that it spawns, until `main` ends.
 ///
 /// # Errors
 /// The runtime could not be started.
