--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// The maximum number of lines that wait to be written.
-const QUEUE_LENGTH: usize = 256;
+const MAX_QUEUED_LINES: usize = 256;
 /// The maximum rate of lines about peers, which could otherwise fill the disk.
 const PEER_LINES_PER_SECOND: u32 = 10;
 /// The longest time that [`flush`] waits.
@@ -34,7 +34,7 @@
 }
 
 fn start_writer() -> Option<SyncSender<Entry>> {
-    let (sender, receiver) = sync_channel(QUEUE_LENGTH);
+    let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
     let thread = std::thread::Builder::new().stack_size(STACK_BYTES);
     thread.spawn(move || write_entries(receiver)).ok()?;
     Some(sender)
