--- a/crates/balancer/tests/characterization.rs
+++ b/crates/balancer/tests/characterization.rs
@@ -23,29 +23,29 @@
 const THREADS: u64 = 4;
 
 /// A seed's line of the fixture: the seed, events handled, actions, digest.
-fn line(seed: u64) -> String {
-    let played = sequence::play(seed, EVENTS);
+fn fixture_line(seed: u64) -> String {
+    let sequence = sequence::run(seed, EVENTS);
     format!(
         "{seed} {} {} {}",
-        played.events,
-        played.digest.actions,
-        played.digest.finish()
+        sequence.events,
+        sequence.digest.actions,
+        sequence.digest.finish()
     )
 }
 
 /// The lines of all seeds, in their order.
-fn lines() -> Vec<String> {
+fn fixture_lines() -> Vec<String> {
     let mut lines: Vec<(u64, String)> = std::thread::scope(|scope| {
-        let play_part = |part: u64| {
+        let run_part = |part: u64| {
             move || {
                 (part..SEEDS)
                     .step_by(THREADS as usize)
-                    .map(|s| (s, line(s)))
+                    .map(|s| (s, fixture_line(s)))
                     .collect()
             }
         };
         let parts: Vec<_> = (0..THREADS)
-            .map(|part| scope.spawn(play_part(part)))
+            .map(|part| scope.spawn(run_part(part)))
             .collect();
         parts
             .into_iter()
@@ -62,9 +62,9 @@
     let mut finished = BTreeSet::new();
     let mut held = BTreeSet::new();
     for seed in 0..SEEDS {
-        let played = sequence::play(seed, EVENTS / 4);
-        finished.extend(played.balancer().finish_counts().keys().copied());
-        held.extend(played.balancer().hold_counts().keys().copied());
+        let sequence = sequence::run(seed, EVENTS / 4);
+        finished.extend(sequence.balancer().finish_counts().keys().copied());
+        held.extend(sequence.balancer().hold_counts().keys().copied());
     }
     let expected_holds = [
         HoldReason::NoEligibleServer,
@@ -85,8 +85,8 @@
 }
 
 #[test]
-fn decides_as_before_on_generated_sequences() {
-    let lines = lines();
+fn generated_sequences_keep_their_decision_digests() {
+    let lines = fixture_lines();
     if std::env::var_os("CHARACTERIZATION_WRITE").is_some() {
         println!("{}", lines.join("\n"));
         return;
--- a/crates/balancer/tests/characterization/conditions.rs
+++ b/crates/balancer/tests/characterization/conditions.rs
@@ -29,7 +29,7 @@
             ReportSource::None,
         ]),
         limits: limits(random),
-        safety: rules(random),
+        safety: safety_rules(random),
         penalties: Penalties {
             health_check: random.pick(&[0.0, 0.002, 0.05, 0.2]),
             cross_zone: random.pick(&[0.0, 0.01]),
@@ -50,19 +50,19 @@
 }
 
 fn class(random: &mut Random) -> Class {
-    let aim = random.between(20, 600);
+    let objective_ms = random.between(20, 600);
     Class {
-        latency_objective: ms(aim),
+        latency_objective: ms(objective_ms),
         objective_stretch: random.pick(&[0.0, 0.0, 0.5, 2.0]),
-        deadline: ms(aim + random.between(0, 1500)),
+        deadline: ms(objective_ms + random.between(0, 1500)),
         priority_weight: random.pick(&[0.5, 1.0, 2.0, 10.0]),
         late_weight: random.pick(&[0.0, 0.0, 0.3]),
-        idempotency: repeat(random),
+        idempotency: idempotency(random),
         streamed: random.chance(0.2),
     }
 }
 
-fn repeat(random: &mut Random) -> Idempotency {
+fn idempotency(random: &mut Random) -> Idempotency {
     let window = ms(random.between(30, 900));
     match random.below(6) {
         0 | 1 => Idempotency::Idempotent,
@@ -100,7 +100,7 @@
     }
 }
 
-fn rules(random: &mut Random) -> SafetyRules {
+fn safety_rules(random: &mut Random) -> SafetyRules {
     SafetyRules {
         drain_grace: ms(random.between(100, 2000)),
         slow_start_capacity: random.pick(&[0.1, 0.3, 0.6, 1.0]),
@@ -112,13 +112,13 @@
 }
 
 /// Changes some of the settings, as a new configuration would.
-pub fn change(random: &mut Random, settings: &mut Settings) {
+pub fn change_settings(random: &mut Random, settings: &mut Settings) {
     match random.below(7) {
         0 => settings.limits = limits(random),
-        1 => settings.safety = rules(random),
+        1 => settings.safety = safety_rules(random),
         2 => {
             let class = random.below(settings.classes.len() as u64) as usize;
-            settings.classes[class].idempotency = repeat(random);
+            settings.classes[class].idempotency = idempotency(random);
         }
         3 => settings.classes.push(class(random)),
         4 => settings.tenants.push(tenant(random)),
@@ -143,12 +143,12 @@
     Resetting,
     Rejecting,
     Unreachable,
-    LateConnections,
+    SlowConnect,
 }
 
 /// A simulated server.
 pub struct SimulatedServer {
-    pub entry: Endpoint,
+    pub endpoint: Endpoint,
     pub listed: bool,
     /// Work a request takes there, in microseconds.
     pub work_us: u64,
@@ -159,7 +159,7 @@
 
 pub fn server(random: &mut Random, number: u64) -> SimulatedServer {
     SimulatedServer {
-        entry: Endpoint {
+        endpoint: Endpoint {
             id: ServerId(number * 7 + 3),
             zone: random.below(3) as u8,
             machine_type: random.below(2) as u8,
@@ -187,6 +187,6 @@
         Behaviour::Resetting,
         Behaviour::Rejecting,
         Behaviour::Unreachable,
-        Behaviour::LateConnections,
+        Behaviour::SlowConnect,
     ])
 }
--- a/crates/balancer/tests/characterization/random.rs
+++ b/crates/balancer/tests/characterization/random.rs
@@ -17,8 +17,8 @@
     }
 
     /// A number in `0..below`.
-    pub fn below(&mut self, below: u64) -> u64 {
-        self.next() % below.max(1)
+    pub fn below(&mut self, limit: u64) -> u64 {
+        self.next() % limit.max(1)
     }
 
     /// A number in `from..=to`.
@@ -35,7 +35,7 @@
         self.unit() < probability
     }
 
-    pub fn pick<T: Clone>(&mut self, among: &[T]) -> T {
-        among[self.below(among.len() as u64) as usize].clone()
+    pub fn pick<T: Clone>(&mut self, choices: &[T]) -> T {
+        choices[self.below(choices.len() as u64) as usize].clone()
     }
 }
--- a/crates/balancer/tests/characterization/sequence.rs
+++ b/crates/balancer/tests/characterization/sequence.rs
@@ -8,22 +8,22 @@
 use std::time::Duration;
 
 /// The longest that a sequence runs, in microseconds of its own clock.
-const LONGEST_US: u64 = 600_000_000;
+const MAX_DURATION_US: u64 = 600_000_000;
 
-/// What is due at a time.
-enum Due {
+/// What is event at a time.
+enum ScheduledEvent {
     Arrival,
     BodyComplete(RequestId),
-    AnswerStarted(RequestId, u32),
+    ResponseStarted(RequestId, u32),
     AttemptEnd(RequestId, u32, Outcome),
     ClientGone(RequestId),
     Timer(u64),
-    ProbeEnd(ServerId, Outcome),
+    HealthCheckEnd(ServerId, Outcome),
     ListChange,
     SettingsChange,
     FaultChange,
     LoadChange,
-    OddEvent,
+    UnexpectedEvent,
 }
 
 struct SimulatedAttempt {
@@ -39,13 +39,13 @@
     balancer: Balancer,
     settings: Settings,
     now_us: u64,
-    queue: BTreeMap<(u64, u64), Due>,
+    queue: BTreeMap<(u64, u64), ScheduledEvent>,
     scheduled: u64,
     servers: Vec<SimulatedServer>,
     /// Attempts of requests whose attempts have not all ended, in the order of sending.
     attempts: BTreeMap<RequestId, Vec<SimulatedAttempt>>,
-    answered: BTreeSet<RequestId>,
-    probes: BTreeMap<ServerId, u64>,
+    finished: BTreeSet<RequestId>,
+    health_checks: BTreeMap<ServerId, u64>,
     next_request: u64,
     arrival_gap_us: u64,
     pub digest: Digest,
@@ -53,7 +53,7 @@
 }
 
 /// Plays the sequence of a seed and returns it when so many events have been handled.
-pub fn play(seed: u64, events: u64) -> Sequence {
+pub fn run(seed: u64, events: u64) -> Sequence {
     let mut random = Random::new(seed);
     let settings = conditions::settings(&mut random);
     let count = random.pick(&[1, 2, 3, 6, 12, 40, 90]);
@@ -68,16 +68,16 @@
         scheduled: 0,
         servers,
         attempts: BTreeMap::new(),
-        answered: BTreeSet::new(),
-        probes: BTreeMap::new(),
+        finished: BTreeSet::new(),
+        health_checks: BTreeMap::new(),
         next_request: 1,
         arrival_gap_us: 0,
         digest: Digest::new(),
         events: 0,
         random,
     };
-    sequence.begin();
-    while sequence.events < events && sequence.now_us < LONGEST_US {
+    sequence.start();
+    while sequence.events < events && sequence.now_us < MAX_DURATION_US {
         sequence.step();
     }
     sequence
@@ -88,83 +88,84 @@
         &self.balancer
     }
 
-    fn begin(&mut self) {
+    fn start(&mut self) {
         self.change_load();
         if self.random.chance(0.5) {
-            let entries = self.whole_list();
+            let endpoints = self.listed_endpoints();
             self.handle(Event::EndpointList {
                 update: EndpointUpdate::Cached,
-                endpoints: entries,
+                endpoints,
             });
         }
         if self.random.chance(0.9) {
-            let entries = self.whole_list();
+            let endpoints = self.listed_endpoints();
             self.handle(Event::EndpointList {
                 update: EndpointUpdate::Full,
-                endpoints: entries,
+                endpoints,
             });
         }
-        for due in [
-            Due::Arrival,
-            Due::ListChange,
-            Due::SettingsChange,
-            Due::FaultChange,
-            Due::LoadChange,
+        for event in [
+            ScheduledEvent::Arrival,
+            ScheduledEvent::ListChange,
+            ScheduledEvent::SettingsChange,
+            ScheduledEvent::FaultChange,
+            ScheduledEvent::LoadChange,
         ] {
             let after = self.random.between(100, 900_000);
-            self.schedule(after, due);
+            self.schedule(after, event);
         }
-        self.schedule(50_000, Due::OddEvent);
+        self.schedule(50_000, ScheduledEvent::UnexpectedEvent);
     }
 
-    fn schedule(&mut self, after_us: u64, due: Due) {
+    fn schedule(&mut self, after_us: u64, event: ScheduledEvent) {
         self.scheduled += 1;
         self.queue
-            .insert((self.now_us + after_us, self.scheduled), due);
+            .insert((self.now_us + after_us, self.scheduled), event);
     }
 
     fn step(&mut self) {
-        let Some(((at, _), due)) = self.queue.pop_first() else {
+        let Some(((at, _), event)) = self.queue.pop_first() else {
             return;
         };
         self.now_us = self.now_us.max(at);
-        match due {
-            Due::Arrival => self.arrival(),
-            Due::BodyComplete(id) => {
-                let spent = self.random.chance(0.3);
-                self.handle(Event::BodyComplete {
-                    id,
-                    body_consumed: spent,
-                });
+        match event {
+            ScheduledEvent::Arrival => self.arrival(),
+            ScheduledEvent::BodyComplete(id) => {
+                let body_consumed = self.random.chance(0.3);
+                self.handle(Event::BodyComplete { id, body_consumed });
+            }
+            ScheduledEvent::ResponseStarted(id, attempt) => self.response_started(id, attempt),
+            ScheduledEvent::AttemptEnd(id, attempt, outcome) => {
+                self.attempt_end(id, attempt, outcome)
             }
-            Due::AnswerStarted(id, attempt) => self.answer_started(id, attempt),
-            Due::AttemptEnd(id, attempt, outcome) => self.attempt_end(id, attempt, outcome),
-            Due::ClientGone(id) => {
-                if self.answered.insert(id) {
+            ScheduledEvent::ClientGone(id) => {
+                if self.finished.insert(id) {
                     self.handle(Event::ClientGone { id });
                 }
             }
-            Due::Timer(token) => self.handle(Event::Timer { token }),
-            Due::ProbeEnd(server, outcome) => self.probe_end(server, outcome),
-            Due::ListChange => self.list_change(),
-            Due::SettingsChange => {
-                conditions::change(&mut self.random, &mut self.settings);
+            ScheduledEvent::Timer(token) => self.handle(Event::Timer { token }),
+            ScheduledEvent::HealthCheckEnd(server, outcome) => {
+                self.health_check_end(server, outcome)
+            }
+            ScheduledEvent::ListChange => self.list_change(),
+            ScheduledEvent::SettingsChange => {
+                conditions::change_settings(&mut self.random, &mut self.settings);
                 self.handle(Event::Settings(Box::new(self.settings.clone())));
                 let after = self.random.between(500_000, 6_000_000);
-                self.schedule(after, Due::SettingsChange);
+                self.schedule(after, ScheduledEvent::SettingsChange);
             }
-            Due::FaultChange => {
+            ScheduledEvent::FaultChange => {
                 let server = self.random.below(self.servers.len() as u64) as usize;
                 self.servers[server].behaviour = conditions::behaviour(&mut self.random);
                 let after = self.random.between(50_000, 1_500_000);
-                self.schedule(after, Due::FaultChange);
+                self.schedule(after, ScheduledEvent::FaultChange);
             }
-            Due::LoadChange => {
+            ScheduledEvent::LoadChange => {
                 self.change_load();
                 let after = self.random.between(300_000, 3_000_000);
-                self.schedule(after, Due::LoadChange);
+                self.schedule(after, ScheduledEvent::LoadChange);
             }
-            Due::OddEvent => self.odd_event(),
+            ScheduledEvent::UnexpectedEvent => self.unexpected_event(),
         }
     }
 
@@ -189,11 +190,11 @@
         self.digest.number(counts.ejected as u64);
         for action in actions {
             self.digest.action(&action);
-            self.obey(action);
+            self.perform(action);
         }
     }
 
-    fn obey(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Send {
                 id,
@@ -201,19 +202,25 @@
                 timeout,
             } => self.send(id, server, timeout),
             Action::Reject { id, .. } | Action::Fail { id } => {
-                self.answered.insert(id);
+                self.finished.insert(id);
             }
             Action::CancelAttempt { id, attempt } => {
                 let after = self.random.between(0, 2000);
-                self.schedule(after, Due::AttemptEnd(id, attempt, Outcome::Cancelled));
+                self.schedule(
+                    after,
+                    ScheduledEvent::AttemptEnd(id, attempt, Outcome::Cancelled),
+                );
             }
             Action::SetTimer { after, token } => {
                 let late = self
                     .random
                     .below(self.settings.timer_resolution.as_micros() as u64 + 1);
-                self.schedule(after.as_micros() as u64 + late, Due::Timer(token));
+                self.schedule(
+                    after.as_micros() as u64 + late,
+                    ScheduledEvent::Timer(token),
+                );
             }
-            Action::HealthCheck { server } => self.probe(server),
+            Action::HealthCheck { server } => self.start_health_check(server),
             Action::WatchEndpoints { .. } | Action::FetchEndpoints => self.poll(),
             _ => {}
         }
@@ -230,44 +237,44 @@
             1 => self.random.between(1, 20_000),
             _ => deadline_us,
         };
-        let cost_us = self.random.chance(0.4).then(|| match self.random.below(6) {
+        let expected_work_us = self.random.chance(0.4).then(|| match self.random.below(6) {
             0 => self.random.between(1, 3_000_000),
             _ => self.random.between(5_000, 60_000),
         });
-        let arriving = self.random.chance(0.06);
+        let body_pending = self.random.chance(0.06);
         let new = NewRequest {
             id,
             class: number,
             tenant: self.random.below(self.settings.tenants.len() as u64 + 1) as usize,
             key: self.random.below(100),
             remaining: Duration::from_micros(remaining_us),
-            expected_work: cost_us.map(Duration::from_micros),
+            expected_work: expected_work_us.map(Duration::from_micros),
             client_retry: self.random.chance(0.2),
-            body_pending: arriving,
+            body_pending,
         };
         self.attempts.insert(id, Vec::new());
-        if arriving {
+        if body_pending {
             let after = self.random.between(1_000, 400_000);
-            self.schedule(after, Due::BodyComplete(id));
+            self.schedule(after, ScheduledEvent::BodyComplete(id));
         }
         if self.random.chance(0.04) {
             let after = self.random.between(0, 300_000);
-            self.schedule(after, Due::ClientGone(id));
+            self.schedule(after, ScheduledEvent::ClientGone(id));
         }
         self.handle(Event::Request(new));
         let gap = (-self.random.unit().max(1e-6).ln() * self.arrival_gap_us as f64) as u64;
-        self.schedule(gap, Due::Arrival);
+        self.schedule(gap, ScheduledEvent::Arrival);
     }
 
-    fn simulated(&mut self, server: ServerId) -> Option<&mut SimulatedServer> {
-        self.servers.iter_mut().find(|s| s.entry.id == server)
+    fn simulated_server(&mut self, server: ServerId) -> Option<&mut SimulatedServer> {
+        self.servers.iter_mut().find(|s| s.endpoint.id == server)
     }
 
     /// What a server reports of itself, noisy, and not always.
     fn report(&mut self, server: ServerId) -> Option<LoadReport> {
         let noise = self.random.unit() as f32;
         let kind = self.random.below(5);
-        let in_flight = self.simulated(server)?.in_flight as f32;
+        let in_flight = self.simulated_server(server)?.in_flight as f32;
         match kind {
             0 => None,
             1 => Some(LoadReport {
@@ -290,7 +297,7 @@
         let report = self.report(server);
         let draw = self.random.unit();
         let (mut outcome, mut after) = (Outcome::NotSent, 100);
-        if let Some(simulated) = self.simulated(server) {
+        if let Some(simulated) = self.simulated_server(server) {
             simulated.in_flight += 1;
             let wait = 1.0 + simulated.in_flight.saturating_sub(1) as f64 / simulated.cores as f64;
             let work = (simulated.work_us as f64 * wait * (0.3 - draw.max(1e-6).ln() * 0.7)) as u64;
@@ -298,12 +305,12 @@
                 Behaviour::Healthy if draw < 0.01 => (Outcome::Error, work),
                 Behaviour::Healthy => (Outcome::Served, work),
                 Behaviour::Slow => (Outcome::Served, work * 6),
-                Behaviour::Hanging => (Outcome::TimedOut, LONGEST_US),
+                Behaviour::Hanging => (Outcome::TimedOut, MAX_DURATION_US),
                 Behaviour::Failing => (Outcome::Error, 700),
                 Behaviour::Resetting => (Outcome::Reset, work / 2),
                 Behaviour::Rejecting => (Outcome::Rejected, 600),
                 Behaviour::Unreachable => (Outcome::ConnectFailed, 300),
-                Behaviour::LateConnections => (Outcome::ConnectFailed, connect_us + 100),
+                Behaviour::SlowConnect => (Outcome::ConnectFailed, connect_us + 100),
             };
         }
         let timeout_us = timeout.as_micros() as u64;
@@ -319,23 +326,23 @@
             ended: false,
         });
         if outcome == Outcome::Served && self.random.chance(0.06) {
-            self.schedule(after / 2, Due::AnswerStarted(id, attempt));
+            self.schedule(after / 2, ScheduledEvent::ResponseStarted(id, attempt));
         }
-        self.schedule(after, Due::AttemptEnd(id, attempt, outcome));
+        self.schedule(after, ScheduledEvent::AttemptEnd(id, attempt, outcome));
     }
 
-    fn answer_started(&mut self, id: RequestId, attempt: u32) {
-        let Some(one) = self
+    fn response_started(&mut self, id: RequestId, attempt: u32) {
+        let Some(sent) = self
             .attempts
             .get(&id)
             .and_then(|all| all.get(attempt as usize))
         else {
             return;
         };
-        if one.ended || self.answered.contains(&id) {
+        if sent.ended || self.finished.contains(&id) {
             return;
         }
-        let (server, report) = (one.server, one.report);
+        let (server, report) = (sent.server, sent.report);
         self.handle(Event::ResponseStarted {
             id,
             attempt,
@@ -346,25 +353,25 @@
 
     fn attempt_end(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
         let now_us = self.now_us;
-        let Some(one) = self
+        let Some(sent) = self
             .attempts
             .get_mut(&id)
             .and_then(|all| all.get_mut(attempt as usize))
         else {
             return;
         };
-        if std::mem::replace(&mut one.ended, true) {
+        if std::mem::replace(&mut sent.ended, true) {
             return;
         }
-        let (server, report, elapsed_us) = (one.server, one.report, now_us - one.sent_us);
-        if let Some(simulated) = self.simulated(server) {
+        let (server, report, elapsed_us) = (sent.server, sent.report, now_us - sent.sent_us);
+        if let Some(simulated) = self.simulated_server(server) {
             simulated.in_flight = simulated.in_flight.saturating_sub(1);
         }
-        let finished = self.answered.contains(&id) || outcome == Outcome::Served;
+        let finished = self.finished.contains(&id) || outcome == Outcome::Served;
         if outcome == Outcome::Served {
-            self.answered.insert(id);
+            self.finished.insert(id);
         }
-        let spent = self.random.chance(0.03);
+        let body_consumed = self.random.chance(0.03);
         let end = AttemptEnd {
             id,
             attempt,
@@ -372,27 +379,27 @@
             outcome,
             elapsed: Duration::from_micros(elapsed_us),
             has_final_response: finished,
-            body_consumed: spent,
+            body_consumed,
             report,
         };
         self.handle(Event::AttemptEnded(end));
     }
 
-    fn probe(&mut self, server: ServerId) {
-        self.probes.insert(server, self.now_us);
+    fn start_health_check(&mut self, server: ServerId) {
+        self.health_checks.insert(server, self.now_us);
         let draw = self.random.between(300, 6_000);
-        let (outcome, after) = match self.simulated(server).map(|s| s.behaviour) {
+        let (outcome, after) = match self.simulated_server(server).map(|s| s.behaviour) {
             None | Some(Behaviour::Unreachable) => (Outcome::ConnectFailed, 200),
             Some(Behaviour::Hanging) => (Outcome::TimedOut, 250_000),
             Some(Behaviour::Failing) => (Outcome::Error, 500),
             Some(Behaviour::Slow) => (Outcome::Served, draw * 5),
             Some(_) => (Outcome::Served, draw),
         };
-        self.schedule(after, Due::ProbeEnd(server, outcome));
+        self.schedule(after, ScheduledEvent::HealthCheckEnd(server, outcome));
     }
 
-    fn probe_end(&mut self, server: ServerId, outcome: Outcome) {
-        let Some(sent_us) = self.probes.remove(&server) else {
+    fn health_check_end(&mut self, server: ServerId, outcome: Outcome) {
+        let Some(sent_us) = self.health_checks.remove(&server) else {
             return;
         };
         let report = if outcome == Outcome::Served {
@@ -409,52 +416,49 @@
         }));
     }
 
-    fn whole_list(&self) -> Vec<Endpoint> {
+    fn listed_endpoints(&self) -> Vec<Endpoint> {
         self.servers
             .iter()
             .filter(|s| s.listed)
-            .map(|s| s.entry)
+            .map(|s| s.endpoint)
             .collect()
     }
 
     /// The list was asked for: it comes, or the call fails.
     fn poll(&mut self) {
-        let kind = if self.random.chance(0.25) {
+        let update = if self.random.chance(0.25) {
             EndpointUpdate::Failed
         } else {
             EndpointUpdate::Full
         };
-        let entries = if kind == EndpointUpdate::Full {
-            self.whole_list()
+        let endpoints = if update == EndpointUpdate::Full {
+            self.listed_endpoints()
         } else {
             Vec::new()
         };
-        self.handle(Event::EndpointList {
-            update: kind,
-            endpoints: entries,
-        });
+        self.handle(Event::EndpointList { update, endpoints });
     }
 
     fn list_change(&mut self) {
         let count = self.random.between(1, 1 + self.servers.len() as u64 / 4);
-        let changed: Vec<_> = (0..count).map(|_| self.change_one()).collect();
+        let changed: Vec<_> = (0..count).map(|_| self.change_server()).collect();
         match self.random.below(10) {
             0 => self.handle(Event::EndpointList {
                 update: EndpointUpdate::Failed,
                 endpoints: Vec::new(),
             }),
             1 | 2 => {
-                let entries = self.whole_list();
+                let endpoints = self.listed_endpoints();
                 self.handle(Event::EndpointList {
                     update: EndpointUpdate::Full,
-                    endpoints: entries,
+                    endpoints,
                 });
             }
             3 => {
-                let entries = self.whole_list();
+                let endpoints = self.listed_endpoints();
                 self.handle(Event::EndpointList {
                     update: EndpointUpdate::Cached,
-                    endpoints: entries,
+                    endpoints,
                 });
             }
             _ => self.handle(Event::EndpointList {
@@ -463,31 +467,31 @@
             }),
         }
         let after = self.random.between(50_000, 2_500_000);
-        self.schedule(after, Due::ListChange);
+        self.schedule(after, ScheduledEvent::ListChange);
     }
 
     /// One server drains, leaves, comes back or starts anew.
-    fn change_one(&mut self) -> Endpoint {
-        let place = self.random.below(self.servers.len() as u64) as usize;
+    fn change_server(&mut self) -> Endpoint {
+        let index = self.random.below(self.servers.len() as u64) as usize;
         let draw = self.random.below(8);
         let now = Duration::from_micros(self.now_us);
-        let server = &mut self.servers[place];
-        let listed = match draw {
+        let server = &mut self.servers[index];
+        let state = match draw {
             0 => ServerState::Draining,
             1 => ServerState::Removed,
             _ => ServerState::Ready,
         };
         if draw > 4 {
-            server.entry.started_at = Some(now);
+            server.endpoint.started_at = Some(now);
             server.behaviour = Behaviour::Healthy;
         }
-        server.entry.state = listed;
-        server.listed = listed != ServerState::Removed;
-        server.entry
+        server.endpoint.state = state;
+        server.listed = state != ServerState::Removed;
+        server.endpoint
     }
 
     /// Events that no well-behaved host sends, or that the balancer takes no notice of.
-    fn odd_event(&mut self) {
+    fn unexpected_event(&mut self) {
         let id = RequestId(self.random.below(self.next_request + 2));
         let server = ServerId(self.random.below(60));
         match self.random.below(9) {
@@ -544,6 +548,6 @@
             }),
         }
         let after = self.random.between(100_000, 2_000_000);
-        self.schedule(after, Due::OddEvent);
+        self.schedule(after, ScheduledEvent::UnexpectedEvent);
     }
 }
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -11,7 +11,7 @@
 }
 
 /// A ready server of long standing. Servers are in zone and cell `number % 3`.
-pub fn entry(number: u64) -> Endpoint {
+pub fn endpoint(number: u64) -> Endpoint {
     let (zone, cell) = ((number % 3) as u8, (number % 3) as u16);
     Endpoint {
         id: ServerId(number),
@@ -23,14 +23,14 @@
     }
 }
 
-pub fn class(repeat: Idempotency) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: ms(400),
         objective_stretch: 0.0,
         deadline: ms(1000),
         priority_weight: 1.0,
         late_weight: 0.0,
-        idempotency: repeat,
+        idempotency,
         streamed: false,
     }
 }
@@ -41,7 +41,7 @@
         scope,
         window: ms(300),
     };
-    let repeats = [
+    let idempotencies = [
         Idempotency::Idempotent,
         Idempotency::NonIdempotent,
         keyed(Scope::Zone),
@@ -50,7 +50,7 @@
     ];
     let mut settings = Settings {
         nodes: 3,
-        classes: repeats.map(class).to_vec(),
+        classes: idempotencies.map(class).to_vec(),
         ..Settings::default()
     };
     settings.limits.cancel_attempts = true;
@@ -75,8 +75,8 @@
 
 struct SentAttempt {
     server: ServerId,
-    sent: Duration,
-    ends: Duration,
+    sent_at: Duration,
+    ends_at: Duration,
     outcome: Option<Outcome>,
 }
 
@@ -84,12 +84,12 @@
     /// As its class allowed when it was accepted.
     idempotency: Idempotency,
     deadline: Duration,
-    answered: bool,
+    finished: bool,
     attempts: Vec<SentAttempt>,
 }
 
 /// One node and its environment. Panics when a rule is broken.
-pub struct World {
+pub struct Harness {
     pub now: Duration,
     pub settings: Settings,
     pub balancer: Balancer,
@@ -104,13 +104,13 @@
     next_id: u64,
 }
 
-impl World {
+impl Harness {
     pub fn new(settings: Settings) -> Self {
         Self::seeded(settings, 1)
     }
 
     pub fn seeded(settings: Settings, seed: u64) -> Self {
-        World {
+        Harness {
             now: ms(100_000),
             balancer: Balancer::new(settings.clone(), seed),
             settings,
@@ -124,11 +124,11 @@
         }
     }
 
-    /// A world whose node has a list of servers 0, 1, 2 ...
+    /// A harness whose node has a list of servers 0, 1, 2 ...
     pub fn with_servers(settings: Settings, count: u64) -> Self {
-        let mut world = World::new(settings);
-        world.list(EndpointUpdate::Full, (0..count).map(entry).collect());
-        world
+        let mut harness = Harness::new(settings);
+        harness.update_endpoints(EndpointUpdate::Full, (0..count).map(endpoint).collect());
+        harness
     }
 
     /// Lets the node handle an event, obeys and checks what it does, and returns it.
@@ -140,26 +140,27 @@
         actions
     }
 
-    pub fn list(&mut self, kind: EndpointUpdate, entries: Vec<Endpoint>) -> Vec<Action> {
+    pub fn update_endpoints(
+        &mut self,
+        update: EndpointUpdate,
+        endpoints: Vec<Endpoint>,
+    ) -> Vec<Action> {
         let now = self.now;
-        if matches!(kind, EndpointUpdate::Full | EndpointUpdate::Cached) {
+        if matches!(update, EndpointUpdate::Full | EndpointUpdate::Cached) {
             self.listed
                 .values_mut()
-                .for_each(|(_, stop)| *stop = stop.or(Some(now)));
+                .for_each(|(_, stopped_at)| *stopped_at = stopped_at.or(Some(now)));
         }
-        for entry in &entries {
+        for endpoint in &endpoints {
             let since = self
                 .listed
-                .get(&entry.id)
-                .and_then(|(_, stop)| *stop)
+                .get(&endpoint.id)
+                .and_then(|(_, stopped_at)| *stopped_at)
                 .unwrap_or(now);
-            let stop = (entry.state != ServerState::Ready).then_some(since);
-            self.listed.insert(entry.id, (*entry, stop));
+            let stopped_at = (endpoint.state != ServerState::Ready).then_some(since);
+            self.listed.insert(endpoint.id, (*endpoint, stopped_at));
         }
-        self.handle(Event::EndpointList {
-            update: kind,
-            endpoints: entries,
-        })
+        self.handle(Event::EndpointList { update, endpoints })
     }
 
     pub fn request(&mut self, class: usize) -> (RequestId, Vec<Action>) {
@@ -171,19 +172,19 @@
         class: usize,
         tenant: usize,
         remaining: Duration,
-        cost: Option<Duration>,
+        expected_work: Option<Duration>,
     ) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next_id);
         self.next_id += 1;
         (
             id,
-            self.take(NewRequest {
+            self.handle_request(NewRequest {
                 id,
                 class,
                 tenant,
                 key: 0,
                 remaining,
-                expected_work: cost,
+                expected_work,
                 client_retry: false,
                 body_pending: false,
             }),
@@ -191,12 +192,12 @@
     }
 
     /// Lets the node take a request.
-    pub fn take(&mut self, new: NewRequest) -> Vec<Action> {
+    pub fn handle_request(&mut self, new: NewRequest) -> Vec<Action> {
         let deadline = self.now + new.remaining;
         let request = AcceptedRequest {
             idempotency: self.settings.classes[new.class].idempotency,
             deadline,
-            answered: false,
+            finished: false,
             attempts: Vec::new(),
         };
         self.requests.insert(new.id, request);
@@ -204,7 +205,7 @@
     }
 
     /// Ends an attempt that is out.
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         id: RequestId,
         attempt: usize,
@@ -212,12 +213,12 @@
         load: Option<f32>,
     ) -> Vec<Action> {
         let request = self.requests.get_mut(&id).expect("a request");
-        let one = &mut request.attempts[attempt];
-        assert!(one.outcome.is_none(), "the test ends an attempt twice");
-        one.outcome = Some(outcome);
-        let (server, elapsed) = (one.server, self.now - one.sent);
-        request.answered |= outcome == Outcome::Served;
-        let finished = request.answered;
+        let sent = &mut request.attempts[attempt];
+        assert!(sent.outcome.is_none(), "the test ends an attempt twice");
+        sent.outcome = Some(outcome);
+        let (server, elapsed) = (sent.server, self.now - sent.sent_at);
+        request.finished |= outcome == Outcome::Served;
+        let finished = request.finished;
         let report = load.map(|load| LoadReport {
             in_flight: Some(load),
             ..LoadReport::default()
@@ -258,21 +259,21 @@
     }
 
     /// Answers all health_checks_in_flight: those of the named servers say idle, the others busy.
-    pub fn answer_health_checks(&mut self, idle: &[u64]) {
+    pub fn respond_to_health_checks(&mut self, idle: &[u64]) {
         while let Some((server, _)) = self.health_checks_in_flight.first() {
             let load = if idle.contains(&server.0) { 0.0 } else { 2.0 };
             self.end_health_check(Some(load));
         }
     }
 
-    pub fn client_leaves(&mut self, id: RequestId) {
-        self.requests.get_mut(&id).expect("a request").answered = true;
+    pub fn disconnect_client(&mut self, id: RequestId) {
+        self.requests.get_mut(&id).expect("a request").finished = true;
         self.handle(Event::ClientGone { id });
     }
 
     /// Lets time pass: timers come due, attempts and health_checks_in_flight run into their time-outs.
-    pub fn pass(&mut self, time: Duration) {
-        let end = self.now + time;
+    pub fn advance(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
             self.now = (self.now + self.settings.timer_resolution).min(end);
             while let Some((&due, _)) = self
@@ -283,10 +284,10 @@
                 let token = self.timers.remove(&due).expect("a timer");
                 self.handle(Event::Timer { token });
             }
-            for (id, attempt) in self.out() {
-                let one = &self.requests[&id].attempts[attempt];
-                if one.outcome.is_none() && one.ends <= self.now {
-                    self.end(id, attempt, Outcome::TimedOut, None);
+            for (id, attempt) in self.attempts_in_flight() {
+                let sent = &self.requests[&id].attempts[attempt];
+                if sent.outcome.is_none() && sent.ends_at <= self.now {
+                    self.end_attempt(id, attempt, Outcome::TimedOut, None);
                 }
             }
             while self
@@ -298,7 +299,7 @@
             }
             for (id, request) in &self.requests {
                 assert!(
-                    request.answered || self.now <= request.deadline + ms(5),
+                    request.finished || self.now <= request.deadline + ms(5),
                     "rule 1: {id:?} has no answer"
                 );
             }
@@ -306,24 +307,24 @@
     }
 
     /// The attempts that are out.
-    pub fn out(&self) -> Vec<(RequestId, usize)> {
-        let attempts = self
-            .requests
-            .iter()
-            .flat_map(|(id, t)| t.attempts.iter().enumerate().map(|(i, t)| (*id, i, t)));
+    pub fn attempts_in_flight(&self) -> Vec<(RequestId, usize)> {
+        let attempts = self.requests.iter().flat_map(|(id, request)| {
+            let attempts = request.attempts.iter().enumerate();
+            attempts.map(|(index, attempt)| (*id, index, attempt))
+        });
         attempts
-            .filter(|(_, _, t)| t.outcome.is_none())
-            .map(|(id, i, _)| (id, i))
+            .filter(|(_, _, attempt)| attempt.outcome.is_none())
+            .map(|(id, index, _)| (id, index))
             .collect()
     }
 
     /// How long ago the request came first to a server.
-    pub fn age(&self, id: RequestId) -> Duration {
-        self.now - self.requests[&id].attempts[0].sent
+    pub fn time_since_first_send(&self, id: RequestId) -> Duration {
+        self.now - self.requests[&id].attempts[0].sent_at
     }
 
-    pub fn answered(&self, id: RequestId) -> bool {
-        self.requests[&id].answered
+    pub fn is_finished(&self, id: RequestId) -> bool {
+        self.requests[&id].finished
     }
 
     pub fn server_of(&self, id: RequestId, attempt: usize) -> ServerId {
@@ -331,10 +332,10 @@
     }
 
     /// The requests that are still owed an answer.
-    pub fn open(&self) -> Vec<RequestId> {
+    pub fn unfinished_requests(&self) -> Vec<RequestId> {
         self.requests
             .iter()
-            .filter(|(_, t)| !t.answered)
+            .filter(|(_, request)| !request.finished)
             .map(|(id, _)| *id)
             .collect()
     }
@@ -351,8 +352,8 @@
                     .requests
                     .get_mut(id)
                     .expect("rule 1: refuses what it was not given");
-                assert!(!request.answered, "rule 1: a second answer for {id:?}");
-                let ran = request
+                assert!(!request.finished, "rule 1: a second answer for {id:?}");
+                let may_have_run = request
                     .attempts
                     .iter()
                     .any(|t| !t.outcome.is_some_and(proves_no_run));
@@ -361,27 +362,27 @@
                     | Idempotency::Keyed {
                         scope: Scope::All, ..
                     } => true,
-                    _ => !ran,
+                    _ => !may_have_run,
                 };
                 assert!(allowed, "rule 2: {id:?} may have run and is refused");
-                request.answered = true;
+                request.finished = true;
             }
             Action::Fail { id } => {
                 let request = self
                     .requests
                     .get_mut(id)
                     .expect("rule 1: fails what it was not given");
-                assert!(!request.answered, "rule 1: a second answer for {id:?}");
-                request.answered = true;
+                assert!(!request.finished, "rule 1: a second answer for {id:?}");
+                request.finished = true;
             }
             Action::CancelAttempt { id, attempt } => {
                 assert!(
                     self.settings.limits.cancel_attempts,
                     "cancels where that is not allowed"
                 );
-                let one =
+                let sent =
                     &mut self.requests.get_mut(id).expect("a request").attempts[*attempt as usize];
-                one.ends = self.now; // its outcome comes with the next round
+                sent.ends_at = self.now; // its outcome comes with the next round
             }
             Action::SetTimer { after, token } => {
                 // Never in the round that is being answered.
@@ -401,53 +402,56 @@
         }
     }
 
-    fn check_send(&mut self, id: RequestId, to: ServerId, timeout: Duration) {
+    fn check_send(&mut self, id: RequestId, server: ServerId, timeout: Duration) {
         let request = self
             .requests
             .get_mut(&id)
             .expect("rule 1: sends what it was not given");
-        assert!(!request.answered, "rule 1: {id:?} is sent after its answer");
-        let (entry, stop) = self
+        assert!(!request.finished, "rule 1: {id:?} is sent after its answer");
+        let (endpoint, stopped_at) = self
             .listed
-            .get(&to)
+            .get(&server)
             .expect("sends to a server that was never listed");
         let grace = self.settings.safety.drain_grace;
         assert!(
-            stop.is_none_or(|at| self.now <= at + grace),
-            "rule 3: {to:?} drains or is gone"
+            stopped_at.is_none_or(|at| self.now <= at + grace),
+            "rule 3: {server:?} drains or is gone"
         );
         let limits = &self.settings.limits;
         assert!(
             request.attempts.len() < limits.max_attempts as usize,
             "too many attempts"
         );
-        let parallel = request.attempts.iter().any(|t| t.outcome.is_none());
-        assert!(!parallel || limits.hedging, "two attempts at once");
-        let ran = request
+        let another_in_flight = request.attempts.iter().any(|t| t.outcome.is_none());
+        assert!(!another_in_flight || limits.hedging, "two attempts at once");
+        let may_have_run = request
             .attempts
             .iter()
             .find(|t| !t.outcome.is_some_and(proves_no_run));
-        if let Some(first) = ran {
-            let home = &self.listed[&first.server].0;
+        if let Some(first) = may_have_run {
+            let first_endpoint = &self.listed[&first.server].0;
             let allowed = match request.idempotency {
                 Idempotency::Idempotent => true,
                 Idempotency::NonIdempotent => false,
                 Idempotency::Keyed { scope, window } => {
-                    let group = match scope {
+                    let same_scope = match scope {
                         Scope::All => true,
-                        Scope::Zone => home.zone == entry.zone,
-                        Scope::Cell => home.cell == entry.cell,
+                        Scope::Zone => first_endpoint.zone == endpoint.zone,
+                        Scope::Cell => first_endpoint.cell == endpoint.cell,
                     };
-                    group && self.now <= first.sent + window
+                    same_scope && self.now <= first.sent_at + window
                 }
             };
-            assert!(allowed, "rule 2: {id:?} may have run and is sent to {to:?}");
+            assert!(
+                allowed,
+                "rule 2: {id:?} may have run and is sent to {server:?}"
+            );
         }
-        let ends = (self.now + timeout).min(request.deadline);
+        let ends_at = (self.now + timeout).min(request.deadline);
         request.attempts.push(SentAttempt {
-            server: to,
-            sent: self.now,
-            ends,
+            server,
+            sent_at: self.now,
+            ends_at,
             outcome: None,
         });
     }
--- a/crates/balancer/tests/decisions/actions.rs
+++ b/crates/balancer/tests/decisions/actions.rs
@@ -1,6 +1,6 @@
 //! Helpers of the decision tests: reading actions, playing requests.
 
-use crate::common::{World, entry, ms};
+use crate::common::{Harness, endpoint, ms};
 use sillward_balancer::*;
 use std::collections::BTreeMap;
 
@@ -21,41 +21,41 @@
 }
 
 /// Sends a request and has it served at once, with a report of that many requests in flight.
-pub fn serve(world: &mut World, load: f32) -> u64 {
-    let (id, actions) = world.request(0);
-    let to = sent_to(&actions);
+pub fn serve(harness: &mut Harness, load: f32) -> u64 {
+    let (id, actions) = harness.request(0);
+    let servers = sent_to(&actions);
     assert_eq!(
-        to.len(),
+        servers.len(),
         1,
         "a free fleet takes a request at once: {actions:?}"
     );
-    world.pass(ms(20));
-    world.end(id, 0, Outcome::Served, Some(load));
-    to[0]
+    harness.advance(ms(20));
+    harness.end_attempt(id, 0, Outcome::Served, Some(load));
+    servers[0]
 }
 
 /// Plays requests of 30 ms for a while; `ends` says how an attempt at a server ends.
-pub fn play(
-    world: &mut World,
+pub fn run_requests(
+    harness: &mut Harness,
     count: usize,
-    ends: impl Fn(u64) -> Outcome,
+    outcome_of: impl Fn(u64) -> Outcome,
 ) -> BTreeMap<u64, usize> {
-    let mut met = BTreeMap::new();
+    let mut sends_per_server = BTreeMap::new();
     for _ in 0..count {
-        world.request(1);
-        world.pass(ms(30));
-        for (id, attempt) in world.out() {
-            let server = world.server_of(id, attempt).0;
-            *met.entry(server).or_insert(0) += 1;
-            world.end(id, attempt, ends(server), Some(0.0));
+        harness.request(1);
+        harness.advance(ms(30));
+        for (id, attempt) in harness.attempts_in_flight() {
+            let server = harness.server_of(id, attempt).0;
+            *sends_per_server.entry(server).or_insert(0) += 1;
+            harness.end_attempt(id, attempt, outcome_of(server), Some(0.0));
         }
     }
-    met
+    sends_per_server
 }
 
 /// Two servers in the same zone and cell, so that only the class decides where a repeat may go.
-pub fn world_of_alike_servers(settings: Settings) -> World {
-    let mut world = World::new(settings);
-    world.list(EndpointUpdate::Full, vec![entry(0), entry(3)]);
-    world
+pub fn harness_with_servers_in_one_zone(settings: Settings) -> Harness {
+    let mut harness = Harness::new(settings);
+    harness.update_endpoints(EndpointUpdate::Full, vec![endpoint(0), endpoint(3)]);
+    harness
 }
--- a/crates/balancer/tests/decisions/bodies.rs
+++ b/crates/balancer/tests/decisions/bodies.rs
@@ -5,23 +5,23 @@
 use sillward_balancer::*;
 use std::time::Duration;
 
-/// A node of two servers in the same zone and cell, played by hand: what is on its way has other times than `World` knows.
-struct Bodies {
+/// A node of two servers in the same zone and cell, played by hand: what is on its way has other times than `Harness` knows.
+struct BodyHarness {
     node: Balancer,
     now: std::time::Duration,
 }
 
-impl Bodies {
+impl BodyHarness {
     fn new() -> Self {
-        let mut bodies = Bodies {
+        let mut harness = BodyHarness {
             node: Balancer::new(with_load_reports(), 1),
             now: ms(100_000),
         };
-        bodies.handle(Event::EndpointList {
+        harness.handle(Event::EndpointList {
             update: EndpointUpdate::Full,
-            endpoints: vec![entry(0), entry(3)],
+            endpoints: vec![endpoint(0), endpoint(3)],
         });
-        bodies
+        harness
     }
 
     fn handle(&mut self, event: Event) -> Vec<Action> {
@@ -30,18 +30,18 @@
         actions
     }
 
-    fn request(&mut self, id: u64, class: usize, arriving: bool) -> Vec<Action> {
+    fn request(&mut self, id: u64, class: usize, body_pending: bool) -> Vec<Action> {
         let (id, remaining) = (RequestId(id), ms(1000));
         self.handle(Event::Request(NewRequest {
             id,
             class,
             remaining,
-            body_pending: arriving,
+            body_pending,
             ..Default::default()
         }))
     }
 
-    fn end(&mut self, id: u64, server: u64, outcome: Outcome, spent: bool) -> Vec<Action> {
+    fn end(&mut self, id: u64, server: u64, outcome: Outcome, body_consumed: bool) -> Vec<Action> {
         self.handle(Event::AttemptEnded(AttemptEnd {
             id: RequestId(id),
             attempt: 0,
@@ -49,7 +49,7 @@
             outcome,
             elapsed: ms(1),
             has_final_response: false,
-            body_consumed: spent,
+            body_consumed,
             report: None,
         }))
     }
@@ -57,8 +57,8 @@
 
 #[test]
 fn counts_the_deadline_from_the_last_byte_of_the_body() {
-    let mut bodies = Bodies::new();
-    let actions = bodies.request(1, 1, true);
+    let mut harness = BodyHarness::new();
+    let actions = harness.request(1, 1, true);
     assert_eq!(
         sent_to(&actions).len(),
         1,
@@ -75,12 +75,12 @@
         timers(&actions).iter().all(|after| *after > ms(60_000)),
         "nobody hurries it: {actions:?}"
     );
-    bodies.now += ms(30_000);
+    harness.now += ms(30_000);
     assert!(
-        bodies.handle(Event::Timer { token: 1 }).is_empty(),
+        harness.handle(Event::Timer { token: 1 }).is_empty(),
         "it is not late"
     );
-    let actions = bodies.handle(Event::BodyComplete {
+    let actions = harness.handle(Event::BodyComplete {
         id: RequestId(1),
         body_consumed: true,
     });
@@ -89,14 +89,14 @@
         [ms(400)],
         "its aim, from now: {actions:?}"
     );
-    bodies.now += ms(400);
-    let actions = bodies.handle(Event::Timer { token: 1 });
+    harness.now += ms(400);
+    let actions = harness.handle(Event::Timer { token: 1 });
     assert!(
         failed(&actions) && sent_to(&actions).is_empty(),
         "{actions:?}"
     );
     assert!(
-        bodies
+        harness
             .handle(Event::BodyComplete {
                 id: RequestId(1),
                 body_consumed: true
@@ -108,20 +108,20 @@
 
 #[test]
 fn rejects_a_request_in_time_where_no_server_is_eligible_for_its_body() {
-    let mut bodies = Bodies::new();
-    bodies.handle(Event::EndpointList {
+    let mut harness = BodyHarness::new();
+    harness.handle(Event::EndpointList {
         update: EndpointUpdate::Full,
         endpoints: Vec::new(),
     });
     assert!(
-        sent_to(&bodies.request(1, 1, true)).is_empty(),
+        sent_to(&harness.request(1, 1, true)).is_empty(),
         "nobody is listed"
     );
     let mut waited = Duration::ZERO;
     let ended = loop {
-        bodies.now += ms(10);
+        harness.now += ms(10);
         waited += ms(10);
-        let actions = bodies.handle(Event::Timer { token: 1 });
+        let actions = harness.handle(Event::Timer { token: 1 });
         if rejected(&actions) || failed(&actions) {
             break actions;
         }
@@ -138,47 +138,47 @@
 
 #[test]
 fn counts_a_server_as_crowded_only_by_complete_bodies() {
-    let crowd = |arrived: bool| {
-        let mut bodies = Bodies::new();
+    let sends_after_24_requests = |complete: bool| {
+        let mut harness = BodyHarness::new();
         for id in 1..=24 {
-            let actions = bodies.request(id, 1, true);
-            if !arrived {
+            let actions = harness.request(id, 1, true);
+            if !complete {
                 assert_eq!(sent_to(&actions).len(), 1, "{id}: {actions:?}");
             } else {
-                bodies.handle(Event::BodyComplete {
+                harness.handle(Event::BodyComplete {
                     id: RequestId(id),
                     body_consumed: true,
                 });
             }
         }
-        sent_to(&bodies.request(99, 1, false)).len()
+        sent_to(&harness.request(99, 1, false)).len()
     };
-    assert_eq!(crowd(false), 1);
-    assert_eq!(crowd(true), 0);
+    assert_eq!(sends_after_24_requests(false), 1);
+    assert_eq!(sends_after_24_requests(true), 0);
 }
 
 #[test]
 fn never_retries_a_consumed_body_and_rejects_it_only_if_nothing_ran() {
-    let mut bodies = Bodies::new();
-    let first = sent_to(&bodies.request(1, 1, true))[0];
-    let actions = bodies.end(1, first, Outcome::NotSent, false);
+    let mut harness = BodyHarness::new();
+    let first = sent_to(&harness.request(1, 1, true))[0];
+    let actions = harness.end(1, first, Outcome::NotSent, false);
     assert_eq!(
         sent_to(&actions).len(),
         1,
         "its first part is kept: {actions:?}"
     );
-    let first = sent_to(&bodies.request(2, 1, true))[0];
-    let actions = bodies.end(2, first, Outcome::NotSent, true);
+    let first = sent_to(&harness.request(2, 1, true))[0];
+    let actions = harness.end(2, first, Outcome::NotSent, true);
     assert!(
         sent_to(&actions).is_empty() && rejected(&actions),
         "{actions:?}"
     );
-    let first = sent_to(&bodies.request(3, 1, true))[0];
-    bodies.handle(Event::BodyComplete {
+    let first = sent_to(&harness.request(3, 1, true))[0];
+    harness.handle(Event::BodyComplete {
         id: RequestId(3),
         body_consumed: true,
     });
-    let actions = bodies.end(3, first, Outcome::Reset, true);
+    let actions = harness.end(3, first, Outcome::Reset, true);
     assert!(
         sent_to(&actions).is_empty() && failed(&actions),
         "it may have run: {actions:?}"
@@ -187,10 +187,10 @@
 
 #[test]
 fn lets_a_started_response_be_the_only_one_and_never_times_it_out() {
-    let mut bodies = Bodies::new();
-    let first = sent_to(&bodies.request(1, 0, false))[0];
-    bodies.now += ms(399);
-    let second = sent_to(&bodies.handle(Event::Timer { token: 1 }));
+    let mut harness = BodyHarness::new();
+    let first = sent_to(&harness.request(1, 0, false))[0];
+    harness.now += ms(399);
+    let second = sent_to(&harness.handle(Event::Timer { token: 1 }));
     assert_eq!(second.len(), 1, "a silent one is followed by a copy");
     let started = Event::ResponseStarted {
         id: RequestId(1),
@@ -198,7 +198,7 @@
         server: ServerId(first),
         report: None,
     };
-    let actions = bodies.handle(started.clone());
+    let actions = harness.handle(started.clone());
     assert_eq!(
         actions,
         [Action::CancelAttempt {
@@ -206,12 +206,12 @@
             attempt: 1
         }]
     );
-    bodies.now += ms(5000);
+    harness.now += ms(5000);
     assert!(
-        bodies.handle(Event::Timer { token: 1 }).is_empty(),
+        harness.handle(Event::Timer { token: 1 }).is_empty(),
         "what the client is being given is not cut"
     );
-    assert!(bodies.handle(started).is_empty(), "once");
+    assert!(harness.handle(started).is_empty(), "once");
     let mut end = AttemptEnd {
         id: RequestId(1),
         attempt: 1,
@@ -222,9 +222,9 @@
         body_consumed: false,
         report: None,
     };
-    assert!(bodies.handle(Event::AttemptEnded(end.clone())).is_empty());
+    assert!(harness.handle(Event::AttemptEnded(end.clone())).is_empty());
     (end.attempt, end.server, end.outcome) = (0, ServerId(first), Outcome::Served);
-    assert!(bodies.handle(Event::AttemptEnded(end)).is_empty());
+    assert!(harness.handle(Event::AttemptEnded(end)).is_empty());
     // Both servers are free again: neither end was counted twice.
-    assert_eq!(sent_to(&bodies.request(2, 1, false)).len(), 1);
+    assert_eq!(sent_to(&harness.request(2, 1, false)).len(), 1);
 }
--- a/crates/balancer/tests/decisions/health_checks.rs
+++ b/crates/balancer/tests/decisions/health_checks.rs
@@ -4,7 +4,7 @@
 use crate::common::*;
 use sillward_balancer::*;
 
-fn health_checked(actions: &[Action]) -> usize {
+fn health_check_count(actions: &[Action]) -> usize {
     actions
         .iter()
         .filter(|a| matches!(a, Action::HealthCheck { .. }))
@@ -13,68 +13,68 @@
 
 #[test]
 fn waits_for_health_checks_and_sends_to_the_idle_server() {
-    let mut world = World::with_servers(with_health_checks(), 4);
-    let (id, actions) = world.request(0);
+    let mut harness = Harness::with_servers(with_health_checks(), 4);
+    let (id, actions) = harness.request(0);
     assert!(
-        health_checked(&actions) > 0 && sent_to(&actions).is_empty(),
+        health_check_count(&actions) > 0 && sent_to(&actions).is_empty(),
         "{actions:?}"
     );
-    world.pass(ms(1));
-    world.answer_health_checks(&[2]);
-    assert_eq!(world.server_of(id, 0), ServerId(2));
+    harness.advance(ms(1));
+    harness.respond_to_health_checks(&[2]);
+    assert_eq!(harness.server_of(id, 0), ServerId(2));
 }
 
 #[test]
 fn waits_only_briefly_for_an_unanswered_health_check() {
-    let mut world = World::with_servers(with_health_checks(), 4);
-    let (id, _) = world.request(0);
-    world.pass(ms(40));
-    assert_eq!(world.out(), [(id, 0)]);
+    let mut harness = Harness::with_servers(with_health_checks(), 4);
+    let (id, _) = harness.request(0);
+    harness.advance(ms(40));
+    assert_eq!(harness.attempts_in_flight(), [(id, 0)]);
 }
 
 #[test]
 fn keeps_health_checks_within_their_budget() {
     let mut settings = with_health_checks();
     settings.penalties.health_check = 0.05; // a hundredth of the service buys one probe in five requests
-    let mut world = World::with_servers(settings, 8);
-    let probes: usize = (0..100)
+    let mut harness = Harness::with_servers(settings, 8);
+    let health_checks: usize = (0..100)
         .map(|_| {
-            let before = world.log.len();
-            world.request(0);
-            world.pass(ms(1));
-            world.answer_health_checks(&[0, 1, 2, 3, 4, 5, 6, 7]);
-            world.pass(ms(30));
-            for (id, attempt) in world.out() {
-                world.end(id, attempt, Outcome::Served, None);
+            let before = harness.log.len();
+            harness.request(0);
+            harness.advance(ms(1));
+            harness.respond_to_health_checks(&[0, 1, 2, 3, 4, 5, 6, 7]);
+            harness.advance(ms(30));
+            for (id, attempt) in harness.attempts_in_flight() {
+                harness.end_attempt(id, attempt, Outcome::Served, None);
             }
-            health_checked(&world.log[before..])
+            health_check_count(&harness.log[before..])
         })
         .sum();
     assert!(
-        (10..=21).contains(&probes),
-        "{probes} probes for 100 requests"
+        (10..=21).contains(&health_checks),
+        "{health_checks} health_checks for 100 requests"
     );
 }
 
 #[test]
 fn checks_no_servers_in_place_of_ones_known_to_be_full() {
     // Those known to be full were set aside and the blind sends hit full ones.
-    let mut world = World::with_servers(with_health_checks(), 3);
+    let mut harness = Harness::with_servers(with_health_checks(), 3);
     for _ in 0..60 {
-        world.request(0);
+        harness.request(0);
         for _ in 0..4 {
-            world.pass(ms(1));
-            while world.end_health_check(Some(9.0)).is_some() {}
+            harness.advance(ms(1));
+            while harness.end_health_check(Some(9.0)).is_some() {}
         }
-        for (id, attempt) in world.out() {
-            world.end(id, attempt, Outcome::Rejected, None);
+        for (id, attempt) in harness.attempts_in_flight() {
+            harness.end_attempt(id, attempt, Outcome::Rejected, None);
         }
     }
-    let (_, actions) = world.request(0);
-    world.pass(ms(1));
-    let before = world.log.len();
-    while world.end_health_check(Some(9.0)).is_some() {}
-    let after = &world.log[before..];
+    let (_, actions) = harness.request(0);
+    harness.advance(ms(1));
+    let before = harness.log.len();
+    while harness.end_health_check(Some(9.0)).is_some() {}
+    let after = &harness.log[before..];
     assert!(
         rejected(&actions) || rejected(after),
         "{actions:?} {after:?}"
--- a/crates/balancer/tests/decisions/main.rs
+++ b/crates/balancer/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! Tests of single decisions, a file a subject. `World` checks the four safety rules in each.
+//! Tests of single decisions, a file a subject. `Harness` checks the four safety rules in each.
 #![allow(unreachable_pub)]
 
 mod actions;
--- a/crates/balancer/tests/decisions/many_nodes.rs
+++ b/crates/balancer/tests/decisions/many_nodes.rs
@@ -12,18 +12,19 @@
     (settings.nodes, settings.penalties.connections) = (40, 0.1);
     let mut nodes_of = BTreeMap::new();
     for node in 0..40 {
-        let mut world = World::seeded(
+        let mut harness = Harness::seeded(
             Settings {
                 node,
                 ..settings.clone()
             },
             node.into(),
         );
-        world.list(EndpointUpdate::Full, (0..20).map(entry).collect());
-        let met: std::collections::BTreeSet<u64> =
-            (0..100).map(|_| serve(&mut world, 1.0)).collect();
-        assert!((2..=5).contains(&met.len()), "{met:?}");
-        met.into_iter()
+        harness.update_endpoints(EndpointUpdate::Full, (0..20).map(endpoint).collect());
+        let servers_used: std::collections::BTreeSet<u64> =
+            (0..100).map(|_| serve(&mut harness, 1.0)).collect();
+        assert!((2..=5).contains(&servers_used.len()), "{servers_used:?}");
+        servers_used
+            .into_iter()
             .for_each(|server| *nodes_of.entry(server).or_insert(0) += 1);
     }
     let (fewest, most) = (nodes_of.values().min(), nodes_of.values().max());
@@ -33,19 +34,19 @@
 #[test]
 fn keeps_to_a_small_subset_on_a_quiet_node() {
     // The danger: among dozens of servers a quiet node meets each so seldom that it never learns who is slow.
-    let met = |pause: u64| {
-        let mut world = World::with_servers(with_load_reports(), 40);
-        let mut met = std::collections::BTreeSet::new();
+    let servers_used_with_pause = |pause: u64| {
+        let mut harness = Harness::with_servers(with_load_reports(), 40);
+        let mut servers_used = std::collections::BTreeSet::new();
         for step in 0..200 {
-            let to = serve(&mut world, 1.0);
-            world.pass(ms(pause));
+            let server = serve(&mut harness, 1.0);
+            harness.advance(ms(pause));
             if step >= 50 {
-                met.insert(to);
+                servers_used.insert(server);
             }
         }
-        met.len()
+        servers_used.len()
     };
-    let (quiet, busy) = (met(400), met(20));
+    let (quiet, busy) = (servers_used_with_pause(400), servers_used_with_pause(20));
     assert!(
         (6..=10).contains(&quiet) && busy > 30,
         "{quiet} by a quiet node, {busy} by a busy one"
@@ -55,7 +56,12 @@
 #[test]
 fn bounds_the_work_of_a_request_in_a_large_fleet() {
     // The danger: hundreds of servers, each looked at several times for each event, take all the CPU.
-    let mut world = World::with_servers(with_load_reports(), 500);
-    let met: std::collections::BTreeSet<u64> = (0..2000).map(|_| serve(&mut world, 1.0)).collect();
-    assert!((32..=64).contains(&met.len()), "{}", met.len());
+    let mut harness = Harness::with_servers(with_load_reports(), 500);
+    let servers_used: std::collections::BTreeSet<u64> =
+        (0..2000).map(|_| serve(&mut harness, 1.0)).collect();
+    assert!(
+        (32..=64).contains(&servers_used.len()),
+        "{}",
+        servers_used.len()
+    );
 }
--- a/crates/balancer/tests/decisions/settings_changes.rs
+++ b/crates/balancer/tests/decisions/settings_changes.rs
@@ -1,39 +1,41 @@
 //! New and extreme settings in a running node.
 
-use crate::actions::{failed, play, rejected, sent_to, serve, world_of_alike_servers};
+use crate::actions::{
+    failed, harness_with_servers_in_one_zone, rejected, run_requests, sent_to, serve,
+};
 use crate::common::*;
 use sillward_balancer::*;
 
-fn change_settings(world: &mut World, change: impl FnOnce(&mut Settings)) {
-    let mut settings = world.settings.clone();
+fn change_settings(harness: &mut Harness, change: impl FnOnce(&mut Settings)) {
+    let mut settings = harness.settings.clone();
     change(&mut settings);
-    world.settings = settings.clone();
-    world.handle(Event::Settings(Box::new(settings)));
+    harness.settings = settings.clone();
+    harness.handle(Event::Settings(Box::new(settings)));
 }
 
 #[test]
 fn keeps_the_idempotency_of_open_requests() {
     // Looser now: what must not run twice when it came must not later.
-    let mut world = world_of_alike_servers(with_load_reports());
-    let (id, _) = world.request(1);
-    change_settings(&mut world, |settings| {
+    let mut harness = harness_with_servers_in_one_zone(with_load_reports());
+    let (id, _) = harness.request(1);
+    change_settings(&mut harness, |settings| {
         settings.classes[1].idempotency = Idempotency::Idempotent
     });
-    let actions = world.end(id, 0, Outcome::Reset, None);
+    let actions = harness.end_attempt(id, 0, Outcome::Reset, None);
     assert!(
         sent_to(&actions).is_empty() && failed(&actions),
         "{actions:?}"
     );
     // Stricter now: what may be repeated when it came still may, and is refused as harmless where it can't.
-    let mut world = world_of_alike_servers(with_load_reports());
-    let (id, _) = world.request(0);
-    change_settings(&mut world, |settings| {
+    let mut harness = harness_with_servers_in_one_zone(with_load_reports());
+    let (id, _) = harness.request(0);
+    change_settings(&mut harness, |settings| {
         settings.classes[0].idempotency = Idempotency::NonIdempotent
     });
-    let actions = world.end(id, 0, Outcome::Reset, None);
+    let actions = harness.end_attempt(id, 0, Outcome::Reset, None);
     assert_eq!(sent_to(&actions).len(), 1, "{actions:?}");
-    let (id, _) = world.request(0);
-    let actions = world.end(id, 0, Outcome::Reset, None);
+    let (id, _) = harness.request(0);
+    let actions = harness.end_attempt(id, 0, Outcome::Reset, None);
     assert!(
         sent_to(&actions).is_empty() && failed(&actions),
         "a newcomer meets the new terms: {actions:?}"
@@ -42,21 +44,25 @@
 
 #[test]
 fn tightens_open_requests_where_settings_come_by_consensus() {
-    let stricter = |to: Idempotency| {
-        let mut world = world_of_alike_servers(with_load_reports());
-        let (id, _) = world.request(0);
-        change_settings(&mut world, |settings| {
+    let retries_after_change_to = |idempotency: Idempotency| {
+        let mut harness = harness_with_servers_in_one_zone(with_load_reports());
+        let (id, _) = harness.request(0);
+        change_settings(&mut harness, |settings| {
             settings.tighten_open_requests = true;
-            settings.classes[0].idempotency = to;
+            settings.classes[0].idempotency = idempotency;
         });
-        let actions = world.end(id, 0, Outcome::Reset, None);
+        let actions = harness.end_attempt(id, 0, Outcome::Reset, None);
         sent_to(&actions).len()
     };
-    assert_eq!(stricter(Idempotency::Idempotent), 1);
-    assert_eq!(stricter(Idempotency::NonIdempotent), 0, "it may have run");
+    assert_eq!(retries_after_change_to(Idempotency::Idempotent), 1);
+    assert_eq!(
+        retries_after_change_to(Idempotency::NonIdempotent),
+        0,
+        "it may have run"
+    );
     // No box was told to drop its repeats.
     assert_eq!(
-        stricter(Idempotency::Keyed {
+        retries_after_change_to(Idempotency::Keyed {
             scope: Scope::All,
             window: ms(900)
         }),
@@ -66,24 +72,24 @@
 
 #[test]
 fn binds_open_requests_to_fewer_attempts_and_not_to_more() {
-    let mut world = world_of_alike_servers(with_load_reports());
-    let (id, _) = world.request(0);
-    change_settings(&mut world, |settings| settings.limits.max_attempts = 1);
-    let actions = world.end(id, 0, Outcome::Reset, None);
+    let mut harness = harness_with_servers_in_one_zone(with_load_reports());
+    let (id, _) = harness.request(0);
+    change_settings(&mut harness, |settings| settings.limits.max_attempts = 1);
+    let actions = harness.end_attempt(id, 0, Outcome::Reset, None);
     assert!(
         sent_to(&actions).is_empty() && rejected(&actions),
         "{actions:?}"
     );
-    let (id, _) = world.request(0);
-    change_settings(&mut world, |settings| settings.limits.max_attempts = 3);
-    let actions = world.end(id, 0, Outcome::Reset, None);
+    let (id, _) = harness.request(0);
+    change_settings(&mut harness, |settings| settings.limits.max_attempts = 3);
+    let actions = harness.end_attempt(id, 0, Outcome::Reset, None);
     assert!(
         sent_to(&actions).is_empty() && rejected(&actions),
         "it came when one was allowed: {actions:?}"
     );
-    let (id, _) = world.request(0);
+    let (id, _) = harness.request(0);
     assert_eq!(
-        sent_to(&world.end(id, 0, Outcome::Reset, None)).len(),
+        sent_to(&harness.end_attempt(id, 0, Outcome::Reset, None)).len(),
         1,
         "a newcomer has three"
     );
@@ -91,20 +97,20 @@
 
 #[test]
 fn serves_new_classes_and_tenants_and_keeps_what_was_learnt() {
-    let mut world = world_of_alike_servers(with_load_reports());
+    let mut harness = harness_with_servers_in_one_zone(with_load_reports());
     for _ in 0..8 {
-        world.pass(ms(50));
-        serve(&mut world, 0.0);
+        harness.advance(ms(50));
+        serve(&mut harness, 0.0);
     }
-    play(&mut world, 40, |server| {
+    run_requests(&mut harness, 40, |server| {
         if server == 0 {
             Outcome::ConnectFailed
         } else {
             Outcome::Served
         }
     });
-    let before = world.balancer.endpoint_counts().ejected;
-    change_settings(&mut world, |settings| {
+    let before = harness.balancer.endpoint_counts().ejected;
+    change_settings(&mut harness, |settings| {
         settings.classes.push(class(Idempotency::Idempotent));
         settings.tenants.push(Tenant {
             quota_per_s: 10.0,
@@ -112,11 +118,11 @@
         });
     });
     assert_eq!(
-        (before, world.balancer.endpoint_counts().ejected),
+        (before, harness.balancer.endpoint_counts().ejected),
         (1, 1),
         "who is ejected stays so"
     );
-    let (_, actions) = world.request(5);
+    let (_, actions) = harness.request(5);
     assert_eq!(sent_to(&actions).len(), 1, "{actions:?}");
 }
 
@@ -126,46 +132,52 @@
         nodes: 1,
         ..with_health_checks()
     };
-    let free_probes = Settings {
+    let free_health_checks = Settings {
         penalties: Penalties::default(),
         ..with_health_checks()
     };
-    let mut blind = with_health_checks();
-    blind.limits.health_checks = false;
-    let silent = settings();
-    let mut never_cold = with_load_reports();
-    never_cold.safety = SafetyRules {
+    let mut without_health_checks = with_health_checks();
+    without_health_checks.limits.health_checks = false;
+    let without_reports = settings();
+    let mut without_slow_start = with_load_reports();
+    without_slow_start.safety = SafetyRules {
         slow_start_capacity: 1.0,
         slow_start_window: ms(0),
-        ..never_cold.safety
+        ..without_slow_start.safety
     };
-    for settings in [one_node, free_probes, blind, silent, never_cold] {
-        let mut world = World::new(settings);
-        let started = Some(world.now);
-        world.list(
+    for settings in [
+        one_node,
+        free_health_checks,
+        without_health_checks,
+        without_reports,
+        without_slow_start,
+    ] {
+        let mut harness = Harness::new(settings);
+        let started = Some(harness.now);
+        harness.update_endpoints(
             EndpointUpdate::Full,
             (0..4)
                 .map(|n| Endpoint {
                     started_at: started,
-                    ..entry(n)
+                    ..endpoint(n)
                 })
                 .collect(),
         );
         let mut served = 0;
         for _ in 0..100 {
-            world.request(1);
-            world.pass(ms(15));
-            world.answer_health_checks(&[0, 1, 2, 3]);
-            world.pass(ms(15));
-            for (id, attempt) in world.out() {
-                world.end(id, attempt, Outcome::Served, None);
+            harness.request(1);
+            harness.advance(ms(15));
+            harness.respond_to_health_checks(&[0, 1, 2, 3]);
+            harness.advance(ms(15));
+            for (id, attempt) in harness.attempts_in_flight() {
+                harness.end_attempt(id, attempt, Outcome::Served, None);
                 served += 1;
             }
         }
         assert!(
             served >= 90,
             "{served} of 100 served with {:?}",
-            world.settings
+            harness.settings
         );
     }
 }
--- a/crates/balancer/tests/decisions/slow_start.rs
+++ b/crates/balancer/tests/decisions/slow_start.rs
@@ -1,6 +1,6 @@
 //! Slow start: what warming servers are sent.
 
-use crate::actions::{play, sent_to};
+use crate::actions::{run_requests, sent_to};
 use crate::common::*;
 use sillward_balancer::*;
 
@@ -15,36 +15,42 @@
         overload_window: ms(1500),
         ..settings.safety
     };
-    let mut world = World::with_servers(settings, 10);
-    let mut cold = Vec::new();
+    let mut harness = Harness::with_servers(settings, 10);
+    let mut sends_to_warming = Vec::new();
     for step in 0..1500u64 {
         if step == 700 {
-            let started = Some(world.now);
-            world.list(
+            let started = Some(harness.now);
+            harness.update_endpoints(
                 EndpointUpdate::Incremental,
                 vec![Endpoint {
                     started_at: started,
-                    ..entry(10)
+                    ..endpoint(10)
                 }],
             );
         }
-        let (_, actions) = world.request(0);
-        cold.extend(
+        let (_, actions) = harness.request(0);
+        sends_to_warming.extend(
             sent_to(&actions)
                 .iter()
                 .filter(|s| **s == 10)
-                .map(|_| world.now),
+                .map(|_| harness.now),
         );
-        world.pass(ms(30));
-        for (id, attempt) in world.out() {
-            world.end(id, attempt, Outcome::Served, Some(0.0));
+        harness.advance(ms(30));
+        for (id, attempt) in harness.attempts_in_flight() {
+            harness.end_attempt(id, attempt, Outcome::Served, Some(0.0));
         }
     }
-    assert!(!cold.is_empty(), "a cold server is used");
+    assert!(!sends_to_warming.is_empty(), "a cold server is used");
     // This node sends 33 a second, 3.3 to a warm server; its third of 4 x 0.2 x 10 a second for 1.5 s is 4.
-    let start = cold[0];
-    let burst = cold.iter().filter(|at| **at < start + ms(1500)).count();
-    assert!(burst <= 4, "{burst} requests in the first 1.5 s");
+    let start = sends_to_warming[0];
+    let sends_in_window = sends_to_warming
+        .iter()
+        .filter(|at| **at < start + ms(1500))
+        .count();
+    assert!(
+        sends_in_window <= 4,
+        "{sends_in_window} requests in the first 1.5 s"
+    );
 }
 
 #[test]
@@ -55,18 +61,21 @@
         slow_start_window: ms(10_000),
         ..settings.safety
     };
-    let mut world = World::with_servers(settings, 5);
-    play(&mut world, 300, |_| Outcome::Served);
-    let started = Some(world.now);
-    world.list(
+    let mut harness = Harness::with_servers(settings, 5);
+    run_requests(&mut harness, 300, |_| Outcome::Served);
+    let started = Some(harness.now);
+    harness.update_endpoints(
         EndpointUpdate::Full,
         (0..5)
             .map(|n| Endpoint {
                 started_at: started,
-                ..entry(n)
+                ..endpoint(n)
             })
             .collect(),
     );
-    let met = play(&mut world, 100, |_| Outcome::Served);
-    assert!(met.values().sum::<usize>() > 20, "{met:?}"); // they can do three tenths
+    let sends_per_server = run_requests(&mut harness, 100, |_| Outcome::Served);
+    assert!(
+        sends_per_server.values().sum::<usize>() > 20,
+        "{sends_per_server:?}"
+    ); // they can do three tenths
 }
--- a/crates/balancer/tests/memory.rs
+++ b/crates/balancer/tests/memory.rs
@@ -3,19 +3,19 @@
 
 mod common;
 
-use common::{entry, ms, with_health_checks};
+use common::{endpoint, ms, with_health_checks};
 use sillward_balancer::*;
 use std::time::Duration;
 
 /// Resident memory in KiB, as Linux tells it.
-fn resident() -> Option<u64> {
+fn resident_memory_kib() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
 /// Plays requests to an ever changing fleet; obeys sends and probes, and drops the rest.
-fn play(balancer: &mut Balancer, requests: std::ops::Range<u64>) {
+fn run_requests(balancer: &mut Balancer, requests: std::ops::Range<u64>) {
     let mut actions = Vec::new();
     for number in requests {
         let now = ms(1000) + Duration::from_micros(number * 1500);
@@ -23,7 +23,7 @@
             let servers = number / 10..number / 10 + 4;
             let list = Event::EndpointList {
                 update: EndpointUpdate::Full,
-                endpoints: servers.map(entry).collect(),
+                endpoints: servers.map(endpoint).collect(),
             };
             balancer.handle(now, list, &mut actions);
         }
@@ -73,14 +73,16 @@
 }
 
 #[test]
-fn memory_does_not_grow_with_what_has_passed() {
+fn memory_does_not_grow_with_finished_requests_and_removed_servers() {
     let mut balancer = Balancer::new(with_health_checks(), 1);
-    play(&mut balancer, 1..20_000);
-    let Some(before) = resident() else {
+    run_requests(&mut balancer, 1..20_000);
+    let Some(before) = resident_memory_kib() else {
         return eprintln!("no /proc here: not checked");
     };
-    play(&mut balancer, 20_000..150_000);
-    let grown = resident().unwrap_or(before).saturating_sub(before);
+    run_requests(&mut balancer, 20_000..150_000);
+    let grown = resident_memory_kib()
+        .unwrap_or(before)
+        .saturating_sub(before);
     // One remembered request or server of a hundred bytes each would be 13 MB.
     assert!(grown < 2048, "{grown} KiB more after 130,000 requests");
 }
--- a/crates/balancer/tests/slow_start_fleet.rs
+++ b/crates/balancer/tests/slow_start_fleet.rs
@@ -1,7 +1,7 @@
 //! Rule 4 over a whole fleet: many nodes that know nothing of each other's sends, and one allowance for all of them.
 //!
-//! A cold server falls when the calls of a judged time, of all nodes together, are more than N + 2 root of N + 2, N being
-//! what the settings allow it then. Counted here from what the servers were sent, by an account of its own.
+//! A cold server falls when the sends of a judged time, of all nodes simultaneous_starts, are more than N + 2 root of N + 2, N being
+//! what the settings allow it then. WindowStats here from what the servers were sent, by an account of its own.
 
 use sillward_balancer::*;
 use std::cmp::Reverse;
@@ -18,9 +18,9 @@
 }
 
 /// Numbers of its own: none of the deciders' generators is drawn from.
-struct Dice(u64);
+struct Random(u64);
 
-impl Dice {
+impl Random {
     fn fraction(&mut self) -> f64 {
         self.0 = self
             .0
@@ -35,83 +35,83 @@
 
 /// How a fleet is used.
 #[derive(Clone, Copy)]
-struct Play {
+struct Scenario {
     nodes: u32,
     /// Of what all servers serve warm.
     load: f64,
     /// The first node sees so many times the mean.
-    busiest: f64,
+    busiest_node_factor: f64,
     /// So many servers start at once, each time.
-    together: u64,
+    simultaneous_starts: u64,
     /// Every start finds a third of the nodes just restarted.
-    forgets: bool,
+    nodes_restart: bool,
     /// So many processes of each node at once, which share its traffic and its number.
     processes: u32,
-    factor: f64,
-    probes: bool,
+    overload_factor: f64,
+    health_checks: bool,
     seconds: f64,
 }
 
-const PLAIN: Play = Play {
+const BASE_SCENARIO: Scenario = Scenario {
     nodes: 1,
     load: 0.75,
-    busiest: 1.0,
-    together: 1,
-    forgets: false,
+    busiest_node_factor: 1.0,
+    simultaneous_starts: 1,
+    nodes_restart: false,
     processes: 1,
-    factor: 4.0,
-    probes: false,
+    overload_factor: 4.0,
+    health_checks: false,
     seconds: 240.0,
 };
 
 #[derive(Debug, Default, PartialEq)]
-struct Counted {
+struct WindowStats {
     windows: usize,
-    breaks: usize,
+    violations: usize,
     /// The most of a window against its bound, and the mean of all against N.
-    worst: f64,
-    mean: f64,
+    worst_ratio: f64,
+    mean_ratio: f64,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum ScheduledEvent {
     Arrival(u32),
     Timer(u32, u32, u64),
-    Answer {
+    AttemptEnd {
         node: u32,
-        life: u32,
+        generation: u32,
         id: u64,
         attempt: u32,
         server: u64,
         sent: Duration,
         ok: bool,
     },
-    Probed(u32, u32, u64),
-    Starts,
+    HealthCheckEnd(u32, u32, u64),
+    ServerStarts,
 }
 
 struct Fleet {
-    play: Play,
+    scenario: Scenario,
     settings: Settings,
     nodes: Vec<(Balancer, u32)>,
-    dice: Dice,
-    due: BinaryHeap<Reverse<(Duration, u64, Due)>>,
-    set: u64,
+    random: Random,
+    queue: BinaryHeap<Reverse<(Duration, u64, ScheduledEvent)>>,
+    scheduled: u64,
     now: Duration,
     started: BTreeMap<u64, Duration>,
-    out: BTreeMap<u64, u32>,
+    in_flight: BTreeMap<u64, u32>,
     /// Until when each server is busy with what it has.
-    busy: BTreeMap<u64, Duration>,
+    busy_until: BTreeMap<u64, Duration>,
     /// What each server was sent, and when.
     sent: BTreeMap<u64, Vec<Duration>>,
     /// Times of starts, of each server.
     starts: BTreeMap<u64, Vec<Duration>>,
     attempts: BTreeMap<(u32, u32, u64), u32>,
-    next: u64,
+    last_request: u64,
 }
 
 impl Fleet {
-    fn new(play: Play, seed: u64) -> Self {
+    fn new(scenario: Scenario, seed: u64) -> Self {
         let class = Class {
             latency_objective: secs(0.4),
             objective_stretch: 0.0,
@@ -122,14 +122,14 @@
             streamed: false,
         };
         let mut settings = Settings {
-            nodes: play.nodes.div_ceil(play.processes),
+            nodes: scenario.nodes.div_ceil(scenario.processes),
             classes: vec![class],
             ..Settings::default()
         };
         settings.safety = SafetyRules {
             slow_start_capacity: 0.35,
             slow_start_window: secs(6.0),
-            overload_factor: play.factor,
+            overload_factor: scenario.overload_factor,
             overload_window: secs(1.5),
             drain_grace: secs(2.0),
             ..settings.safety
@@ -138,43 +138,43 @@
         settings.limits.cancel_attempts = true;
         settings.limits.hedging = true;
         settings.limits.max_attempts = 3;
-        if play.probes {
+        if scenario.health_checks {
             settings.reports = ReportSource::HealthChecks;
             settings.limits.health_checks = true;
             settings.penalties.health_check = 0.002;
         }
         let mut fleet = Fleet {
-            play,
+            scenario,
             settings,
             nodes: Vec::new(),
-            dice: Dice(seed.wrapping_mul(2).wrapping_add(77)),
-            due: BinaryHeap::new(),
-            set: 0,
+            random: Random(seed.wrapping_mul(2).wrapping_add(77)),
+            queue: BinaryHeap::new(),
+            scheduled: 0,
             now: STARTED_AT,
             started: BTreeMap::new(),
-            out: BTreeMap::new(),
-            busy: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
+            busy_until: BTreeMap::new(),
             sent: BTreeMap::new(),
             starts: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            next: 0,
+            last_request: 0,
         };
-        for node in 0..play.nodes {
-            let balancer = fleet.fresh(node, seed);
+        for node in 0..scenario.nodes {
+            let balancer = fleet.new_balancer(node, seed);
             fleet.nodes.push((balancer, 0));
         }
-        for node in 0..play.nodes {
-            fleet.list(node);
-            fleet.arrive(node);
+        for node in 0..scenario.nodes {
+            fleet.send_endpoint_list(node);
+            fleet.schedule_arrival(node);
         }
         // Calm for as long as rates are remembered.
-        fleet.at(STARTED_AT + secs(20.0), Due::Starts);
+        fleet.schedule(STARTED_AT + secs(20.0), ScheduledEvent::ServerStarts);
         fleet
     }
 
-    fn fresh(&self, node: u32, seed: u64) -> Balancer {
+    fn new_balancer(&self, node: u32, seed: u64) -> Balancer {
         let settings = Settings {
-            node: node / self.play.processes,
+            node: node / self.scenario.processes,
             ..self.settings.clone()
         };
         Balancer::new(
@@ -183,18 +183,18 @@
         )
     }
 
-    fn at(&mut self, when: Duration, due: Due) {
-        self.set += 1;
-        self.due.push(Reverse((when, self.set, due)));
+    fn schedule(&mut self, when: Duration, event: ScheduledEvent) {
+        self.scheduled += 1;
+        self.queue.push(Reverse((when, self.scheduled, event)));
     }
 
     /// What a node sees a second.
-    fn rate(&self, node: u32) -> f64 {
+    fn arrival_rate(&self, node: u32) -> f64 {
         let (all, nodes) = (
-            self.play.load * SERVERS as f64 * CAPACITY,
-            f64::from(self.play.nodes),
+            self.scenario.load * SERVERS as f64 * CAPACITY,
+            f64::from(self.scenario.nodes),
         );
-        let busy = all * (self.play.busiest / nodes).min(1.0);
+        let busy = all * (self.scenario.busiest_node_factor / nodes).min(1.0);
         if node == 0 {
             busy
         } else {
@@ -202,15 +202,15 @@
         }
     }
 
-    fn arrive(&mut self, node: u32) {
-        let rate = self.rate(node);
+    fn schedule_arrival(&mut self, node: u32) {
+        let rate = self.arrival_rate(node);
         if rate > 0.0 {
-            let after = self.dice.exponential(rate);
-            self.at(self.now + after, Due::Arrival(node));
+            let after = self.random.exponential(rate);
+            self.schedule(self.now + after, ScheduledEvent::Arrival(node));
         }
     }
 
-    fn list(&mut self, node: u32) {
+    fn send_endpoint_list(&mut self, node: u32) {
         let entries = (0..SERVERS).map(|id| Endpoint {
             id: ServerId(id),
             state: ServerState::Ready,
@@ -227,29 +227,33 @@
 
     fn handle(&mut self, node: u32, event: Event) {
         let mut actions = Vec::new();
-        let (balancer, life) = &mut self.nodes[node as usize];
-        let life = *life;
+        let (balancer, generation) = &mut self.nodes[node as usize];
+        let generation = *generation;
         balancer.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { id, server, .. } => self.send(node, life, id.0, server.0),
-                Action::SetTimer { after, token } => {
-                    self.at(self.now + after, Due::Timer(node, life, token))
-                }
+                Action::Send { id, server, .. } => self.send(node, generation, id.0, server.0),
+                Action::SetTimer { after, token } => self.schedule(
+                    self.now + after,
+                    ScheduledEvent::Timer(node, generation, token),
+                ),
                 Action::HealthCheck { server } => {
                     // A deep probe is served like a call.
                     self.sent.entry(server.0).or_default().push(self.now);
-                    self.at(self.now + secs(0.01), Due::Probed(node, life, server.0));
+                    self.schedule(
+                        self.now + secs(0.01),
+                        ScheduledEvent::HealthCheckEnd(node, generation, server.0),
+                    );
                 }
                 _ => {}
             }
         }
     }
 
-    fn send(&mut self, node: u32, life: u32, id: u64, server: u64) {
+    fn send(&mut self, node: u32, generation: u32, id: u64, server: u64) {
         self.sent.entry(server).or_default().push(self.now);
-        let out = self.out.entry(server).or_default();
-        *out += 1;
+        let in_flight = self.in_flight.entry(server).or_default();
+        *in_flight += 1;
         // It works off one call after the other, slower while it is cold. What would come after its time is dropped, and
         // one call in twenty fails; both are sent again.
         let warm = self.started.get(&server).map_or(1.0, |at| {
@@ -260,7 +264,7 @@
                 .min(1.0)
         });
         let begins = self
-            .busy
+            .busy_until
             .get(&server)
             .copied()
             .unwrap_or_default()
@@ -268,22 +272,22 @@
         let done = begins + secs(1.0 / (CAPACITY * warm));
         let late = done > self.now + secs(0.9);
         if !late {
-            self.busy.insert(server, done);
+            self.busy_until.insert(server, done);
         }
         let time = if late {
             secs(0.9)
         } else {
             done - self.now + secs(0.01)
         };
-        let ok = !late && self.dice.fraction() > 0.05;
-        let attempt = self.attempts.entry((node, life, id)).or_default();
+        let ok = !late && self.random.fraction() > 0.05;
+        let attempt = self.attempts.entry((node, generation, id)).or_default();
         let number = std::mem::replace(attempt, *attempt + 1);
         let sent = self.now;
-        self.at(
+        self.schedule(
             self.now + time,
-            Due::Answer {
+            ScheduledEvent::AttemptEnd {
                 node,
-                life,
+                generation,
                 id,
                 attempt: number,
                 server,
@@ -293,44 +297,46 @@
         );
     }
 
-    fn run(mut self) -> Counted {
-        let end = STARTED_AT + secs(self.play.seconds);
-        while let Some(Reverse((when, _, due))) = self.due.pop() {
+    fn run(mut self) -> WindowStats {
+        let end = STARTED_AT + secs(self.scenario.seconds);
+        while let Some(Reverse((when, _, event))) = self.queue.pop() {
             if when > end {
                 break;
             }
             self.now = when;
-            match due {
-                Due::Arrival(node) => {
-                    self.next += 1;
-                    let id = RequestId(self.next);
+            match event {
+                ScheduledEvent::Arrival(node) => {
+                    self.last_request += 1;
+                    let id = RequestId(self.last_request);
                     let new = NewRequest {
                         id,
                         remaining: secs(1.0),
                         ..NewRequest::default()
                     };
                     self.handle(node, Event::Request(new));
-                    self.arrive(node);
+                    self.schedule_arrival(node);
                 }
-                Due::Timer(node, life, token) if self.nodes[node as usize].1 == life => {
+                ScheduledEvent::Timer(node, generation, token)
+                    if self.nodes[node as usize].1 == generation =>
+                {
                     self.handle(node, Event::Timer { token });
                 }
-                Due::Answer {
+                ScheduledEvent::AttemptEnd {
                     node,
-                    life,
+                    generation,
                     id,
                     attempt,
                     server,
                     sent,
                     ok,
                 } => {
-                    let out = self.out.entry(server).or_default();
-                    *out -= 1;
+                    let in_flight = self.in_flight.entry(server).or_default();
+                    *in_flight -= 1;
                     let load = LoadReport {
-                        in_flight: Some(*out as f32),
+                        in_flight: Some(*in_flight as f32),
                         ..LoadReport::default()
                     };
-                    if self.nodes[node as usize].1 == life {
+                    if self.nodes[node as usize].1 == generation {
                         let end = AttemptEnd {
                             id: RequestId(id),
                             attempt,
@@ -344,8 +350,10 @@
                         self.handle(node, Event::AttemptEnded(end));
                     }
                 }
-                Due::Probed(node, life, server) if self.nodes[node as usize].1 == life => {
-                    let load = self.out.get(&server).copied().unwrap_or_default() as f32;
+                ScheduledEvent::HealthCheckEnd(node, generation, server)
+                    if self.nodes[node as usize].1 == generation =>
+                {
+                    let load = self.in_flight.get(&server).copied().unwrap_or_default() as f32;
                     let report = Some(LoadReport {
                         in_flight: Some(load),
                         ..LoadReport::default()
@@ -362,34 +370,36 @@
                         }),
                     );
                 }
-                Due::Timer(..) | Due::Probed(..) => {}
-                Due::Starts => self.servers_start(),
+                ScheduledEvent::Timer(..) | ScheduledEvent::HealthCheckEnd(..) => {}
+                ScheduledEvent::ServerStarts => self.start_servers(),
             }
         }
-        self.count()
+        self.window_stats()
     }
 
     /// Servers start anew, all nodes are told, and the next ones follow once these are warm.
-    fn servers_start(&mut self) {
-        let first = (self.dice.fraction() * SERVERS as f64) as u64;
-        for server in (0..self.play.together.min(SERVERS)).map(|i| (first + i) % SERVERS) {
+    fn start_servers(&mut self) {
+        let first = (self.random.fraction() * SERVERS as f64) as u64;
+        for server in
+            (0..self.scenario.simultaneous_starts.min(SERVERS)).map(|i| (first + i) % SERVERS)
+        {
             self.started.insert(server, self.now);
             self.starts.entry(server).or_default().push(self.now);
         }
-        for node in 0..self.play.nodes {
-            if self.play.forgets && node % 3 == 0 {
-                let life = self.nodes[node as usize].1 + 1;
-                let balancer = self.fresh(node, self.now.as_nanos() as u64);
-                self.nodes[node as usize] = (balancer, life);
+        for node in 0..self.scenario.nodes {
+            if self.scenario.nodes_restart && node % 3 == 0 {
+                let generation = self.nodes[node as usize].1 + 1;
+                let balancer = self.new_balancer(node, self.now.as_nanos() as u64);
+                self.nodes[node as usize] = (balancer, generation);
             }
-            self.list(node);
+            self.send_endpoint_list(node);
         }
-        self.at(self.now + secs(8.0), Due::Starts);
+        self.schedule(self.now + secs(8.0), ScheduledEvent::ServerStarts);
     }
 
-    fn count(&self) -> Counted {
+    fn window_stats(&self) -> WindowStats {
         let rules = self.settings.safety;
-        let (mut counted, mut ratios) = (Counted::default(), 0.0);
+        let (mut stats, mut ratios) = (WindowStats::default(), 0.0);
         for (server, starts) in &self.starts {
             let sent = self.sent.get(server).map_or(&[][..], Vec::as_slice);
             for start in starts {
@@ -404,104 +414,108 @@
                         * warm
                         * CAPACITY
                         * rules.overload_window.as_secs_f64();
-                    let calls = sent.iter().filter(|at| (from..to).contains(*at)).count() as f64;
+                    let sends = sent.iter().filter(|at| (from..to).contains(*at)).count() as f64;
                     let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
-                    counted.windows += 1;
-                    counted.breaks += usize::from(calls > bound);
-                    counted.worst = counted.worst.max(calls / bound);
-                    ratios += calls / allowed;
+                    stats.windows += 1;
+                    stats.violations += usize::from(sends > bound);
+                    stats.worst_ratio = stats.worst_ratio.max(sends / bound);
+                    ratios += sends / allowed;
                     from += rules.overload_window / 4;
                 }
             }
         }
-        counted.mean = ratios / counted.windows.max(1) as f64;
-        counted
+        stats.mean_ratio = ratios / stats.windows.max(1) as f64;
+        stats
     }
 }
 
 /// Plays it on several seeds.
-fn played(play: Play, seeds: u64) -> Counted {
-    let mut all = Counted::default();
+fn run_seeds(scenario: Scenario, seeds: u64) -> WindowStats {
+    let mut all = WindowStats::default();
     for seed in 0..seeds {
-        let one = Fleet::new(play, seed).run();
-        all.mean += one.mean * one.windows as f64;
-        (all.windows, all.breaks) = (all.windows + one.windows, all.breaks + one.breaks);
-        all.worst = all.worst.max(one.worst);
+        let one = Fleet::new(scenario, seed).run();
+        all.mean_ratio += one.mean_ratio * one.windows as f64;
+        (all.windows, all.violations) =
+            (all.windows + one.windows, all.violations + one.violations);
+        all.worst_ratio = all.worst_ratio.max(one.worst_ratio);
     }
-    all.mean /= all.windows.max(1) as f64;
+    all.mean_ratio /= all.windows.max(1) as f64;
     all
 }
 
-/// The hard cases: traffic uneven, nodes that restarted and forgot, more calls than all can serve, servers that may be sent
+/// The hard cases: traffic uneven, nodes that restarted and forgot, more sends than all can serve, servers that may be sent
 /// little more than they serve, some or all of them cold at once, probes.
-fn plays(nodes: u32) -> Vec<(&'static str, Play)> {
-    let plain = Play { nodes, ..PLAIN };
-    let all = Play {
-        together: SERVERS,
-        ..plain
+fn scenarios(nodes: u32) -> Vec<(&'static str, Scenario)> {
+    let base = Scenario {
+        nodes,
+        ..BASE_SCENARIO
+    };
+    let all = Scenario {
+        simultaneous_starts: SERVERS,
+        ..base
     };
     vec![
         (
             "uneven",
-            Play {
-                busiest: 6.0,
-                ..plain
+            Scenario {
+                busiest_node_factor: 6.0,
+                ..base
             },
         ),
         (
             "uneven, forgets",
-            Play {
-                busiest: 4.0,
-                forgets: true,
-                ..plain
+            Scenario {
+                busiest_node_factor: 4.0,
+                nodes_restart: true,
+                ..base
             },
         ),
         (
             "little to spare",
-            Play {
-                factor: 1.2,
+            Scenario {
+                overload_factor: 1.2,
                 load: 1.6,
-                ..plain
+                ..base
             },
         ),
         (
             "half cold, overload",
-            Play {
-                together: SERVERS / 2,
+            Scenario {
+                simultaneous_starts: SERVERS / 2,
                 load: 3.0,
-                ..plain
+                ..base
             },
         ),
         (
             "half cold, two processes",
-            Play {
-                together: SERVERS / 2,
+            Scenario {
+                simultaneous_starts: SERVERS / 2,
                 load: 3.0,
                 processes: 2,
-                ..plain
+                ..base
             },
         ),
         (
             "all cold",
-            Play {
-                busiest: 4.0,
+            Scenario {
+                busiest_node_factor: 4.0,
                 ..all
             },
         ),
-        ("all cold, overload", Play { load: 3.0, ..all }),
+        ("all cold, overload", Scenario { load: 3.0, ..all }),
         (
             "all cold, overload, forgets",
-            Play {
+            Scenario {
                 load: 3.0,
-                forgets: true,
+                nodes_restart: true,
                 ..all
             },
         ),
         (
             "all cold, probes",
-            Play {
+            Scenario {
                 load: 1.6,
-                probes: true,
+                health_checks: true,
                 ..all
             },
         ),
@@ -513,15 +527,15 @@
     std::thread::scope(|threads| {
         for nodes in [1, 3, 20, 30, 300] {
             threads.spawn(move || {
-                for (name, play) in plays(nodes) {
-                    let counted = played(play, 1);
+                for (name, scenario) in scenarios(nodes) {
+                    let stats = run_seeds(scenario, 1);
                     println!(
                         "{nodes:4} nodes, {name:28} {} of {} windows break; worst {:.2} of the bound, mean {:.3} of N",
-                        counted.breaks, counted.windows, counted.worst, counted.mean
+                        stats.violations, stats.windows, stats.worst_ratio, stats.mean_ratio
                     );
-                    assert_eq!(counted.breaks, 0, "{nodes} nodes, {name}: {counted:?}");
+                    assert_eq!(stats.violations, 0, "{nodes} nodes, {name}: {stats:?}");
                     // And they are used: else nothing would be shown.
-                    assert!(counted.windows > 300 && counted.mean > 0.0, "{nodes} nodes, {name}: {counted:?}");
+                    assert!(stats.windows > 300 && stats.mean_ratio > 0.0, "{nodes} nodes, {name}: {stats:?}");
                 }
             });
         }
@@ -533,21 +547,21 @@
 #[test]
 fn few_nodes_use_most_of_what_a_warming_server_may_get() {
     for nodes in [1, 3] {
-        let counted = played(
-            Play {
+        let stats = run_seeds(
+            Scenario {
                 nodes,
-                factor: 1.2,
+                overload_factor: 1.2,
                 load: 1.6,
-                ..PLAIN
+                ..BASE_SCENARIO
             },
             2,
         );
         println!(
             "{nodes:4} nodes: mean {:.3} of N, worst {:.2} of the bound",
-            counted.mean, counted.worst
+            stats.mean_ratio, stats.worst_ratio
         );
-        assert_eq!(counted.breaks, 0, "{nodes} nodes: {counted:?}");
-        assert!(counted.mean > 0.62, "{nodes} nodes: {counted:?}");
+        assert_eq!(stats.violations, 0, "{nodes} nodes: {stats:?}");
+        assert!(stats.mean_ratio > 0.62, "{nodes} nodes: {stats:?}");
     }
 }
 
@@ -555,20 +569,20 @@
 #[test]
 fn uses_a_warming_server_where_load_is_health_checked() {
     for nodes in [3, 20] {
-        let counted = played(
-            Play {
+        let stats = run_seeds(
+            Scenario {
                 nodes,
-                probes: true,
+                health_checks: true,
                 load: 0.5,
-                ..PLAIN
+                ..BASE_SCENARIO
             },
             2,
         );
         println!(
             "{nodes:4} nodes: mean {:.3} of N, worst {:.2} of the bound",
-            counted.mean, counted.worst
+            stats.mean_ratio, stats.worst_ratio
         );
-        assert_eq!(counted.breaks, 0, "{nodes} nodes: {counted:?}");
-        assert!(counted.mean > 0.18, "{nodes} nodes: {counted:?}");
+        assert_eq!(stats.violations, 0, "{nodes} nodes: {stats:?}");
+        assert!(stats.mean_ratio > 0.18, "{nodes} nodes: {stats:?}");
     }
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -15,7 +15,7 @@
 const INPUT_BUFFER: usize = 1 << 16;
 
 /// Handles a batch and returns the frame of its reply.
-fn answer(
+fn handle_batch(
     batch: &Batch,
     instances: &mut BTreeMap<InstanceId, Instance>,
 ) -> Result<Vec<u8>, AdapterError> {
@@ -25,7 +25,7 @@
         match input {
             Input::Start { seed, settings } => {
                 let instance = Instance::start(&settings, seed)
-                    .map_err(|fault| batch.record_error(position, RecordError::from(fault)))?;
+                    .map_err(|error| batch.record_error(position, RecordError::from(error)))?;
                 instances.insert(id, instance);
             }
             Input::Stop => {
@@ -39,7 +39,7 @@
                 match instance.handle(batch.clock, event, report) {
                     Ok(actions) => actions.iter().for_each(|action| reply.push(id, action)),
                     Err(panic) => {
-                        reply.push_fault(id, &panic.to_string());
+                        reply.push_panic(id, &panic.to_string());
                         instances.remove(&id);
                     }
                 }
@@ -53,7 +53,7 @@
 fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut instances = BTreeMap::new();
     while let Some(batch) = read_batch(input)? {
-        let frame = answer(&batch, &mut instances)?;
+        let frame = handle_batch(&batch, &mut instances)?;
         let written = output.write_all(&frame).and_then(|()| output.flush());
         written.map_err(AdapterError::Write)?;
     }
--- a/crates/simulator-adapter/src/wire/decode.rs
+++ b/crates/simulator-adapter/src/wire/decode.rs
@@ -114,17 +114,17 @@
         let records = records.chunks_exact(EVENT_RECORD).enumerate();
         records.map(move |(position, record)| {
             let fields = Fields(record);
-            let input = decode(fields, tail).map_err(|fault| self.record_error(position, fault))?;
+            let input = decode(fields, tail).map_err(|error| self.record_error(position, error))?;
             Ok((fields.u16(1), input))
         })
     }
 
     /// A fault of one of its records.
-    pub(crate) fn record_error(&self, record: usize, fault: RecordError) -> AdapterError {
+    pub(crate) fn record_error(&self, record: usize, error: RecordError) -> AdapterError {
         AdapterError::Record {
             batch: self.number,
             record,
-            fault,
+            error,
         }
     }
 }
--- a/crates/simulator-adapter/src/wire/encode.rs
+++ b/crates/simulator-adapter/src/wire/encode.rs
@@ -10,7 +10,7 @@
 const CODE_SET_TIMER: u8 = 68;
 const CODE_CANCEL_ATTEMPT: u8 = 69;
 const CODE_WATCH_ENDPOINTS: u8 = 70;
-const CODE_FAULT: u8 = 71;
+const CODE_PANIC: u8 = 71;
 const CODE_FETCH_ENDPOINTS: u8 = 72;
 const CODE_SEND_TO_PEER: u8 = 73;
 const CODE_CLOSE_IDLE: u8 = 74;
@@ -72,8 +72,8 @@
     }
 
     /// Reports that the decisions of an instance panicked.
-    pub(crate) fn push_fault(&mut self, instance: InstanceId, message: &str) {
-        self.record(CODE_FAULT, instance)
+    pub(crate) fn push_panic(&mut self, instance: InstanceId, message: &str) {
+        self.record(CODE_PANIC, instance)
             .in_tail(message.as_bytes());
         self.close_record();
     }
--- a/crates/simulator-adapter/src/wire/error.rs
+++ b/crates/simulator-adapter/src/wire/error.rs
@@ -27,12 +27,12 @@
         records: usize,
         length: usize,
     },
-    #[error("batch {batch}: record {record}: {fault}")]
+    #[error("batch {batch}: record {record}: {error}")]
     Record {
         batch: u32,
         record: usize,
         #[source]
-        fault: RecordError,
+        error: RecordError,
     },
 }
 
--- a/crates/simulator-adapter/src/wire/tests.rs
+++ b/crates/simulator-adapter/src/wire/tests.rs
@@ -39,7 +39,7 @@
     batch.records().collect()
 }
 
-fn one(record: &str, tail: &str) -> (u16, Input) {
+fn read_record(record: &str, tail: &str) -> (u16, Input) {
     read(&batch(&[padded(record, EVENT_RECORD)], &hex(tail)))
         .expect("legal")
         .remove(0)
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_shown_batch_of_two_instances_reads_as_told() {
+fn reads_a_batch_of_two_instances() {
     let records = [
         padded(
             "03 0003 000fb0475d3a91c4 0000 0000 91f03b7c55d20a64 406e000000000000 4028000000000000 01",
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn the_shown_reply_of_two_records_and_a_log_line_is_byte_exact() {
+fn encodes_a_reply_of_actions_and_a_log_line_byte_for_byte() {
     let mut reply = Reply::default();
     let server = ServerId(0x0a12_4a07_1b5b);
     reply.push(
@@ -142,11 +142,11 @@
 }
 
 #[test]
-fn the_shown_list_reads_as_told() {
+fn reads_an_endpoint_list() {
     let tail = "0a124a07 1b5b 00 00 0000 02 3f800000 0000000000000000
                 0a9011f2 1b84 01 00 0000 02 3fc00000 40b7d40000000000";
-    let (_, input) = one("02 0003 02 00000029 00000000 00000002", tail);
-    let near = Endpoint {
+    let (_, input) = read_record("02 0003 02 00000029 00000000 00000002", tail);
+    let first = Endpoint {
         id: ServerId(0x0a12_4a07_1b5b),
         zone: 0,
         machine_type: 0,
@@ -155,23 +155,23 @@
         weight: 1.0,
         started_at: None,
     };
-    let far = Endpoint {
+    let second = Endpoint {
         id: ServerId(0x0a90_11f2_1b84),
         zone: 1,
         weight: 1.5,
         started_at: Some(ms(6100.0)),
-        ..near
+        ..first
     };
     let list = Event::EndpointList {
         update: EndpointUpdate::Cached,
-        endpoints: vec![near, far],
+        endpoints: vec![first, second],
     };
     assert_eq!(input, Input::Event(list, None));
 }
 
 #[test]
-fn the_shown_outcome_reads_as_told() {
-    let (_, input) = one(
+fn reads_an_attempt_end() {
+    let (_, input) = read_record(
         "05 0003 000fb0475d3a91c4 00 0a124a07 1b5b 01 4032800000000000 01 00",
         "",
     );
@@ -189,8 +189,8 @@
 }
 
 #[test]
-fn a_probe_result_brings_its_report_under_the_columns_names() {
-    let (_, input) = one(
+fn names_the_load_report_values_of_a_health_check_by_the_instances_fields() {
+    let (_, input) = read_record(
         "08 0001 0a124a07 1b5b 01 3ff0000000000000 03 40400000 3f800000 3f000000",
         "",
     );
@@ -221,10 +221,10 @@
 }
 
 #[test]
-fn starts_stops_streams_and_peers_read_as_told() {
-    let (who, input) = one("01 0007 0000000000000009 00000001 00000002", "ff7b7d");
+fn reads_starts_stops_response_starts_and_peer_messages() {
+    let (instance, input) = read_record("01 0007 0000000000000009 00000001 00000002", "ff7b7d");
     assert_eq!(
-        (who, input),
+        (instance, input),
         (
             7,
             Input::Start {
@@ -233,8 +233,8 @@
             }
         )
     );
-    assert_eq!(one("0a 0007", "").1, Input::Stop);
-    let (_, input) = one(
+    assert_eq!(read_record("0a 0007", "").1, Input::Stop);
+    let (_, input) = read_record(
         "04 0001 0000000000000005 4000000000000000 02 00000000 0007",
         "",
     );
@@ -245,7 +245,7 @@
         report: None,
     };
     assert_eq!(input, Input::Event(started, None));
-    let (_, input) = one("09 0001 00000002 00000000 00000002", "6869");
+    let (_, input) = read_record("09 0001 00000002 00000000 00000002", "6869");
     assert_eq!(
         input,
         Input::Event(
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn the_other_actions_are_byte_exact() {
+fn encodes_each_further_action_byte_for_byte() {
     let (id, server) = (RequestId(5), ServerId(0x0102_0304_0506));
     let cases = [
         (Action::Fail { id }, "41 0003 0000000000000005", ""),
@@ -304,7 +304,7 @@
         assert_eq!(reply.frame(1)[12..], expected, "{action:?}");
     }
     let mut reply = Reply::default();
-    reply.push_fault(3, "hi");
+    reply.push_panic(3, "hi");
     assert_eq!(
         reply.frame(1)[12..],
         [
@@ -316,7 +316,7 @@
 }
 
 #[test]
-fn bad_frames_are_named_by_batch_record_and_fault() {
+fn errors_name_the_batch_and_record_of_a_bad_frame() {
     let good = padded("0a 0001", EVENT_RECORD);
     let with = |bad: &str| batch(&[good.clone(), padded(bad, EVENT_RECORD)], b"tail");
     let cases = [
@@ -353,11 +353,11 @@
         ),
     ];
     for (frame, expected) in cases {
-        let fault = read(&frame).expect_err(expected).to_string();
-        assert!(fault.starts_with(expected), "{fault} instead of {expected}");
+        let error = read(&frame).expect_err(expected).to_string();
+        assert!(error.starts_with(expected), "{error} instead of {expected}");
     }
     let entry = padded("0a124a07 1b5b 00 00 0000 03", ENDPOINT_ENTRY);
-    let fault = read(&batch(
+    let error = read(&batch(
         &[padded(
             "02 0001 01 00000001 00000000 00000001",
             EVENT_RECORD,
@@ -365,30 +365,24 @@
         &entry,
     ));
     assert_eq!(
-        fault.expect_err("bad state").to_string(),
+        error.expect_err("bad state").to_string(),
         "batch 12: record 0: unknown server state 3"
     );
 }
 
 #[test]
-fn the_end_of_the_input_is_no_fault() {
+fn the_end_of_the_input_is_not_an_error() {
     assert!(read_batch(&mut &[][..]).expect("legal").is_none());
 }
 
 #[test]
-fn ids_go_out_as_they_came_in() {
+fn keeps_request_and_server_ids_unchanged() {
     let tail = "0a90ffff 1b84 02 00 0000 02 3f800000 0000000000000000";
-    let (_, input) = one("02 0003 01 00000001 00000000 00000001", tail);
-    let Input::Event(
-        Event::EndpointList {
-            endpoints: entries, ..
-        },
-        None,
-    ) = input
-    else {
+    let (_, input) = read_record("02 0003 01 00000001 00000000 00000001", tail);
+    let Input::Event(Event::EndpointList { endpoints, .. }, None) = input else {
         panic!("{input:?}")
     };
-    let (_, input) = one(
+    let (_, input) = read_record(
         "03 0003 000fffffffffffff 0001 0002 0000000000000000 406e000000000000",
         "",
     );
@@ -401,7 +395,7 @@
         3,
         &Action::Send {
             id: new.id,
-            server: entries[0].id,
+            server: endpoints[0].id,
             timeout: new.remaining,
         },
     );
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -32,9 +32,9 @@
             tail: Vec::new(),
         }
     }
-    fn record(mut self, code: u8, who: u16, fields: &[&[u8]]) -> Self {
+    fn record(mut self, code: u8, instance: u16, fields: &[&[u8]]) -> Self {
         let mut record = vec![code];
-        record.extend(who.to_be_bytes());
+        record.extend(instance.to_be_bytes());
         fields.iter().for_each(|field| record.extend(*field));
         record.resize(48, 0);
         self.records.extend(record);
@@ -42,12 +42,12 @@
         self
     }
     /// A start, with its settings at the end of the tail so far.
-    fn spawn(mut self, who: u16, settings: &[u8]) -> Self {
+    fn start(mut self, instance: u16, settings: &[u8]) -> Self {
         let at = (self.tail.len() as u32).to_be_bytes();
         self.tail.extend(settings);
         self.record(
             1,
-            who,
+            instance,
             &[
                 &9u64.to_be_bytes(),
                 &at,
@@ -56,7 +56,7 @@
         )
     }
     /// A complete list of so many ready servers.
-    fn list(mut self, who: u16, servers: u16) -> Self {
+    fn list(mut self, instance: u16, servers: u16) -> Self {
         let at = (self.tail.len() as u32).to_be_bytes();
         for number in 0..servers {
             let mut entry = vec![10, 0, 0, 1];
@@ -67,7 +67,7 @@
         }
         self.record(
             2,
-            who,
+            instance,
             &[
                 &[1],
                 &1u32.to_be_bytes(),
@@ -76,9 +76,9 @@
             ],
         )
     }
-    fn request(self, who: u16, id: u64) -> Self {
+    fn request(self, instance: u16, id: u64) -> Self {
         let remaining = 900f64.to_be_bytes();
-        self.record(3, who, &[&id.to_be_bytes(), &[0; 12], &remaining])
+        self.record(3, instance, &[&id.to_be_bytes(), &[0; 12], &remaining])
     }
     fn frame(self, number: u32) -> Vec<u8> {
         let mut frame = Vec::new();
@@ -94,11 +94,11 @@
 
 /// The codes of the actions of each reply.
 fn replies(output: &[u8]) -> Vec<Vec<u8>> {
-    let word =
+    let u32_at =
         |at: usize| u32::from_be_bytes(output[at..at + 4].try_into().expect("four bytes")) as usize;
     let (mut at, mut replies) = (0, Vec::new());
     while at < output.len() {
-        let (length, count) = (word(at + 4), word(at + 8));
+        let (length, count) = (u32_at(at + 4), u32_at(at + 8));
         replies.push((0..count).map(|i| output[at + 12 + 32 * i]).collect());
         at += 12 + length;
     }
@@ -106,19 +106,19 @@
 }
 
 #[test]
-fn instances_run_side_by_side_restart_in_a_batch_and_end_with_the_input() {
+fn instances_are_independent_restart_within_a_batch_and_end_with_the_input() {
     let settings = SETTINGS.as_bytes();
     let first = Batch::new()
-        .spawn(1, settings)
+        .start(1, settings)
         .list(1, 2)
-        .spawn(2, settings)
+        .start(2, settings)
         .list(2, 2)
         .frame(1);
     let requests = Batch::new().request(1, 5).request(2, 6).frame(2);
     // Instance 1 restarts in one batch; what comes for instance 2 after its stop is late.
     let restart = Batch::new()
         .record(10, 1, &[])
-        .spawn(1, settings)
+        .start(1, settings)
         .list(1, 1)
         .request(1, 7)
         .record(10, 2, &[])
@@ -136,9 +136,9 @@
 }
 
 #[test]
-fn a_megabyte_batch_is_answered_whole() {
+fn a_batch_of_over_a_megabyte_gets_a_complete_reply() {
     let start = Batch::new()
-        .spawn(1, SETTINGS.as_bytes())
+        .start(1, SETTINGS.as_bytes())
         .list(1, 40)
         .frame(1);
     let many = (0..25_000)
@@ -149,17 +149,17 @@
     assert!(output.status.success());
     let replies = replies(&output.stdout);
     // Each request is sent, refused or held for a while.
-    let told = replies[1]
+    let decided = replies[1]
         .iter()
         .filter(|code| [76, 75, 68].contains(code))
         .count();
-    assert!(told >= 25_000);
+    assert!(decided >= 25_000);
 }
 
 #[test]
-fn bad_input_ends_with_one_plain_line_and_no_half_reply() {
+fn bad_input_ends_with_one_error_line_and_no_partial_reply() {
     let good = Batch::new()
-        .spawn(1, SETTINGS.as_bytes())
+        .start(1, SETTINGS.as_bytes())
         .list(1, 2)
         .frame(1);
     let cases = [
@@ -169,15 +169,15 @@
             "batch 9: record 0: unknown event code 77",
         ),
         (
-            Batch::new().spawn(1, b"{\"Classes\": 5}").frame(3),
+            Batch::new().start(1, b"{\"Classes\": 5}").frame(3),
             "batch 3: record 0: bad settings:",
         ),
         (
-            Batch::new().spawn(1, b"{\"Classes\": []}").frame(3),
+            Batch::new().start(1, b"{\"Classes\": []}").frame(3),
             "batch 3: record 0: bad settings: no classes",
         ),
         (
-            Batch::new().spawn(1, b"\xff\xfe").frame(3),
+            Batch::new().start(1, b"\xff\xfe").frame(3),
             "batch 3: record 0: bad settings:",
         ),
         (
@@ -187,19 +187,19 @@
     ];
     for (input, expected) in cases {
         let output = run(&input);
-        let said = String::from_utf8_lossy(&output.stderr);
+        let stderr = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{expected}");
         assert!(
-            said.starts_with(&format!("sillward-simulator-adapter: {expected}")),
-            "{said}"
+            stderr.starts_with(&format!("sillward-simulator-adapter: {expected}")),
+            "{stderr}"
         );
-        assert_eq!(said.lines().count(), 1, "{said}");
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
         replies(&output.stdout);
     }
 }
 
 #[test]
-fn a_length_that_is_only_claimed_takes_no_memory() {
+fn does_not_allocate_the_declared_length_before_the_bytes_arrive() {
     let mut frame = Batch::new().frame(1);
     frame[8..12].copy_from_slice(&u32::MAX.to_be_bytes());
     let output = run(&frame);
@@ -208,12 +208,12 @@
 
 /// All bytes of the replies to batches of every kind of event, as hexadecimal digits.
 #[test]
-fn replies_keep_their_bytes() {
+fn replies_match_the_golden_file() {
     let settings = SETTINGS.as_bytes();
     let start = Batch::new()
-        .spawn(1, settings)
+        .start(1, settings)
         .list(1, 2)
-        .spawn(2, settings)
+        .start(2, settings)
         .list(2, 3)
         .frame(1);
     let requests = (1..12)
