--- a/crates/balancer/benches/request.rs
+++ b/crates/balancer/benches/request.rs
@@ -1,4 +1,4 @@
-//! Time of a request and its outcome in the balancer, at a usual and at a large number of servers.
+//! Measures the time that the balancer takes for a request and its outcome, with a typical and a large number of servers.
 
 #![allow(missing_docs)] // the macros define functions without documentation
 
@@ -9,7 +9,7 @@
 };
 use std::time::Duration;
 
-/// A node that knows so many servers, with load reports in answers or from health checks.
+/// A node with load reports in responses or from health checks.
 struct Node {
     balancer: Balancer,
     now: Duration,
@@ -49,7 +49,7 @@
         self.balancer.handle(self.now, event, &mut self.actions);
     }
 
-    /// A request, and the ends of all attempts and health checks that come of it.
+    /// Runs a request and ends all resulting attempts and health checks.
     fn request(&mut self) {
         self.now += Duration::from_micros(700);
         let id = RequestId(self.next);
--- a/crates/balancer/tests/characterization.rs
+++ b/crates/balancer/tests/characterization.rs
@@ -1,5 +1,5 @@
-//! Characterization of the decisions: digests of all actions for generated sequences of events, as the program
-//! gave them before the code was put into other words. A digest that differs means that a decision differs.
+//! Characterization test of the decisions: compares digests of all actions for generated event sequences with digests
+//! recorded before a refactoring. A digest that differs means that a decision changed.
 //!
 //! `CHARACTERIZATION_WRITE=1` prints the fixture instead of comparing with it.
 
@@ -22,7 +22,7 @@
 const EVENTS: u64 = 4000;
 const THREADS: u64 = 4;
 
-/// A seed's line of the fixture: the seed, events handled, actions, digest.
+/// The fixture line of a seed: the seed, number of events, number of actions, digest.
 fn fixture_line(seed: u64) -> String {
     let sequence = sequence::run(seed, EVENTS);
     format!(
@@ -33,7 +33,7 @@
     )
 }
 
-/// The lines of all seeds, in their order.
+/// The fixture lines of all seeds, ordered by seed.
 fn fixture_lines() -> Vec<String> {
     let mut lines: Vec<(u64, String)> = std::thread::scope(|scope| {
         let run_part = |part: u64| {
@@ -49,14 +49,14 @@
             .collect();
         parts
             .into_iter()
-            .flat_map(|part| -> Vec<_> { part.join().expect("a sequence that plays") })
+            .flat_map(|part| -> Vec<_> { part.join().expect("a sequence runs without panicking") })
             .collect()
     });
     lines.sort();
     lines.into_iter().map(|(_, line)| line).collect()
 }
 
-/// Sequences that reach no end for some reason hold nothing of it.
+/// The digests cover a finish or hold reason only if some sequence reaches it.
 #[test]
 fn generated_sequences_reach_every_reason() {
     let mut finished = BTreeSet::new();
@@ -100,7 +100,7 @@
         .collect();
     assert!(
         differing.is_empty(),
-        "{} sequences differ, first {:?}",
+        "{} sequences differ, the first is {:?}",
         differing.len(),
         differing[0]
     );
--- a/crates/balancer/tests/characterization/conditions.rs
+++ b/crates/balancer/tests/characterization/conditions.rs
@@ -1,4 +1,4 @@
-//! What a sequence is played under: settings and the simulated fleet, drawn from the seed.
+//! The settings and simulated servers of a sequence, generated from its seed.
 
 use super::random::Random;
 use sillward_balancer::*;
@@ -8,7 +8,7 @@
     Duration::from_millis(ms)
 }
 
-/// Settings of every kind: with and without health checks, hedging, polled lists, tenants, slow start.
+/// Generates settings with and without health checks, hedging, endpoint polling, tenants and slow start.
 pub fn settings(random: &mut Random) -> Settings {
     let nodes = random.pick(&[1, 2, 3, 8, 40, 300]);
     Settings {
@@ -111,7 +111,7 @@
     }
 }
 
-/// Changes some of the settings, as a new configuration would.
+/// Changes one part of the settings, as a configuration update does.
 pub fn change_settings(random: &mut Random, settings: &mut Settings) {
     match random.below(7) {
         0 => settings.limits = limits(random),
@@ -133,7 +133,7 @@
     }
 }
 
-/// How a simulated server behaves at the time.
+/// The current behaviour of a simulated server.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Behaviour {
     Healthy,
@@ -146,11 +146,10 @@
     SlowConnect,
 }
 
-/// A simulated server.
 pub struct SimulatedServer {
     pub endpoint: Endpoint,
     pub listed: bool,
-    /// Work a request takes there, in microseconds.
+    /// Processor time of a request, in microseconds.
     pub work_us: u64,
     pub cores: u64,
     pub in_flight: u64,
--- a/crates/balancer/tests/characterization/encoding.rs
+++ b/crates/balancer/tests/characterization/encoding.rs
@@ -1,12 +1,12 @@
-//! Actions as numbers: the digests depend on what is decided and not on what anything is called.
+//! Encodes actions as numbers, so that the digests depend on the decisions and not on the names of types and fields.
 
 use sillward_balancer::Action;
 use std::time::Duration;
 
-/// Stands for what is absent.
+/// Encodes an absent value.
 const ABSENT: u64 = u64::MAX;
 
-/// A digest of all actions of a sequence, in their order.
+/// A digest of all actions of a sequence, in order.
 pub struct Digest {
     hasher: blake3::Hasher,
     pub actions: u64,
@@ -24,7 +24,6 @@
         self.hasher.finalize().to_hex()[..32].to_owned()
     }
 
-    /// Adds one number.
     pub fn number(&mut self, number: u64) {
         self.hasher.update(&number.to_le_bytes());
     }
@@ -39,7 +38,6 @@
         self.hasher.update(bytes);
     }
 
-    /// Adds one action.
     pub fn action(&mut self, action: &Action) {
         match action {
             Action::Send {
--- a/crates/balancer/tests/characterization/random.rs
+++ b/crates/balancer/tests/characterization/random.rs
@@ -1,4 +1,4 @@
-//! A generator of random numbers of the test's own, so that no library's change moves the sequences.
+//! A random number generator that no dependency update can change, so that the sequences stay the same.
 
 /// SplitMix64.
 pub struct Random(u64);
@@ -16,7 +16,7 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// A number in `0..below`.
+    /// A number in `0..limit`.
     pub fn below(&mut self, limit: u64) -> u64 {
         self.next() % limit.max(1)
     }
@@ -26,7 +26,7 @@
         from + self.below(to - from + 1)
     }
 
-    /// A number from 0 up to 1.
+    /// A number in `0.0..1.0`.
     pub fn unit(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
--- a/crates/balancer/tests/characterization/sequence.rs
+++ b/crates/balancer/tests/characterization/sequence.rs
@@ -1,4 +1,4 @@
-//! Generated sequences of events: a balancer amid simulated servers, clients and an endpoint list.
+//! Generated event sequences: runs a balancer with simulated servers, clients and an endpoint list.
 
 use super::conditions::{self, Behaviour, SimulatedServer};
 use super::encoding::Digest;
@@ -7,10 +7,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The longest that a sequence runs, in microseconds of its own clock.
+/// The longest duration of a sequence, in simulated microseconds.
 const MAX_DURATION_US: u64 = 600_000_000;
 
-/// What is event at a time.
 enum ScheduledEvent {
     Arrival,
     BodyComplete(RequestId),
@@ -33,7 +32,7 @@
     ended: bool,
 }
 
-/// One sequence as it is played.
+/// A running sequence.
 pub struct Sequence {
     random: Random,
     balancer: Balancer,
@@ -42,7 +41,7 @@
     queue: BTreeMap<(u64, u64), ScheduledEvent>,
     scheduled: u64,
     servers: Vec<SimulatedServer>,
-    /// Attempts of requests whose attempts have not all ended, in the order of sending.
+    /// The attempts of each request, in the order of sending.
     attempts: BTreeMap<RequestId, Vec<SimulatedAttempt>>,
     finished: BTreeSet<RequestId>,
     health_checks: BTreeMap<ServerId, u64>,
@@ -52,7 +51,7 @@
     pub events: u64,
 }
 
-/// Plays the sequence of a seed and returns it when so many events have been handled.
+/// Runs the sequence of a seed until `events` events have been handled.
 pub fn run(seed: u64, events: u64) -> Sequence {
     let mut random = Random::new(seed);
     let settings = conditions::settings(&mut random);
@@ -169,7 +168,7 @@
         }
     }
 
-    /// Between a quiet time and twice of what the servers can carry.
+    /// Sets the request rate to between 5% and 200% of the servers' capacity.
     fn change_load(&mut self) {
         let capacity: f64 = self
             .servers
@@ -270,7 +269,7 @@
         self.servers.iter_mut().find(|s| s.endpoint.id == server)
     }
 
-    /// What a server reports of itself, noisy, and not always.
+    /// A server's load report: sometimes noisy, sometimes absent.
     fn report(&mut self, server: ServerId) -> Option<LoadReport> {
         let noise = self.random.unit() as f32;
         let kind = self.random.below(5);
@@ -424,7 +423,7 @@
             .collect()
     }
 
-    /// The list was asked for: it comes, or the call fails.
+    /// Answers a poll of the endpoint list with the full list or a failure.
     fn poll(&mut self) {
         let update = if self.random.chance(0.25) {
             EndpointUpdate::Failed
@@ -470,7 +469,7 @@
         self.schedule(after, ScheduledEvent::ListChange);
     }
 
-    /// One server drains, leaves, comes back or starts anew.
+    /// Makes one server drain, leave, return or restart.
     fn change_server(&mut self) -> Endpoint {
         let index = self.random.below(self.servers.len() as u64) as usize;
         let draw = self.random.below(8);
@@ -490,7 +489,7 @@
         server.endpoint
     }
 
-    /// Events that no well-behaved host sends, or that the balancer takes no notice of.
+    /// Sends an event that a correct host never sends or that the balancer ignores.
     fn unexpected_event(&mut self) {
         let id = RequestId(self.random.below(self.next_request + 2));
         let server = ServerId(self.random.below(60));
@@ -537,7 +536,7 @@
                 });
             }
             7 => {
-                // A clock that steps back.
+                // The clock steps back.
                 let now_us = self.now_us;
                 self.now_us = now_us.saturating_sub(3_000);
                 self.handle(Event::Timer { token: id.0 });
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,6 +1,11 @@
-//! A simulated environment of one balancer: it plays legal events, performs the actions, and checks the four safety rules
-//! with bookkeeping of its own.
-#![allow(dead_code, unreachable_pub)] // each test file uses its own part of this
+//! A test harness for one balancer. It delivers valid events, performs the actions, and checks the safety rules with its
+//! own bookkeeping:
+//!
+//! 1. Each request gets exactly one final response, by its deadline.
+//! 2. A request that may have run is sent again, or rejected as safe to retry, only as its idempotency allows.
+//! 3. No request is sent to a draining or removed server after the drain grace.
+//! 4. A warming server is sent no more than its allowance (checked by the tests of slow start).
+#![allow(dead_code, unreachable_pub)] // no test file uses all helpers
 
 use sillward_balancer::*;
 use std::collections::BTreeMap;
@@ -10,7 +15,7 @@
     Duration::from_millis(ms)
 }
 
-/// A ready server of long standing. Servers are in zone and cell `number % 3`.
+/// A ready server that is not warming up, in zone and cell `number % 3`.
 pub fn endpoint(number: u64) -> Endpoint {
     let (zone, cell) = ((number % 3) as u8, (number % 3) as u16);
     Endpoint {
@@ -35,7 +40,8 @@
     }
 }
 
-/// Three nodes; class 0 safe, 1 unsafe, 2 keyed in a zone, 3 keyed in a cell, 4 keyed everywhere.
+/// Settings of a fleet of three nodes. Class 0 is idempotent, 1 non-idempotent, 2 keyed per zone, 3 keyed per cell and 4
+/// keyed across all servers.
 pub fn settings() -> Settings {
     let keyed = |scope| Idempotency::Keyed {
         scope,
@@ -81,24 +87,24 @@
 }
 
 struct AcceptedRequest {
-    /// As its class allowed when it was accepted.
+    /// The idempotency of its class when it was accepted.
     idempotency: Idempotency,
     deadline: Duration,
     finished: bool,
     attempts: Vec<SentAttempt>,
 }
 
-/// One node and its environment. Panics when a rule is broken.
+/// One node and its simulated environment. Panics when a safety rule is violated.
 pub struct Harness {
     pub now: Duration,
     pub settings: Settings,
     pub balancer: Balancer,
-    /// All actions so far.
+    /// All actions so far, in order.
     pub log: Vec<Action>,
     requests: BTreeMap<RequestId, AcceptedRequest>,
     timers: BTreeMap<(Duration, usize), u64>,
     timers_set: usize,
-    /// Each server as the node last had it listed, and since when it must get nothing new.
+    /// Each server's last entry in the endpoint list, and since when it has been draining or removed.
     listed: BTreeMap<ServerId, (Endpoint, Option<Duration>)>,
     health_checks_in_flight: Vec<(ServerId, Duration)>,
     next_id: u64,
@@ -106,10 +112,10 @@
 
 impl Harness {
     pub fn new(settings: Settings) -> Self {
-        Self::seeded(settings, 1)
+        Self::with_seed(settings, 1)
     }
 
-    pub fn seeded(settings: Settings, seed: u64) -> Self {
+    pub fn with_seed(settings: Settings, seed: u64) -> Self {
         Harness {
             now: ms(100_000),
             balancer: Balancer::new(settings.clone(), seed),
@@ -124,14 +130,14 @@
         }
     }
 
-    /// A harness whose node has a list of servers 0, 1, 2 ...
+    /// A harness whose node knows servers 0, 1, 2 ...
     pub fn with_servers(settings: Settings, count: u64) -> Self {
         let mut harness = Harness::new(settings);
         harness.update_endpoints(EndpointUpdate::Full, (0..count).map(endpoint).collect());
         harness
     }
 
-    /// Lets the node handle an event, obeys and checks what it does, and returns it.
+    /// Delivers an event; performs, checks and returns the resulting actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
@@ -191,7 +197,7 @@
         )
     }
 
-    /// Lets the node take a request.
+    /// Delivers a new request.
     pub fn handle_request(&mut self, new: NewRequest) -> Vec<Action> {
         let deadline = self.now + new.remaining;
         let request = AcceptedRequest {
@@ -204,7 +210,7 @@
         self.handle(Event::Request(new))
     }
 
-    /// Ends an attempt that is out.
+    /// Ends an attempt that is in flight.
     pub fn end_attempt(
         &mut self,
         id: RequestId,
@@ -213,10 +219,13 @@
         load: Option<f32>,
     ) -> Vec<Action> {
         let request = self.requests.get_mut(&id).expect("a request");
-        let sent = &mut request.attempts[attempt];
-        assert!(sent.outcome.is_none(), "the test ends an attempt twice");
-        sent.outcome = Some(outcome);
-        let (server, elapsed) = (sent.server, self.now - sent.sent_at);
+        let sent_attempt = &mut request.attempts[attempt];
+        assert!(
+            sent_attempt.outcome.is_none(),
+            "the test ends an attempt twice"
+        );
+        sent_attempt.outcome = Some(outcome);
+        let (server, elapsed) = (sent_attempt.server, self.now - sent_attempt.sent_at);
         request.finished |= outcome == Outcome::Served;
         let finished = request.finished;
         let report = load.map(|load| LoadReport {
@@ -236,7 +245,7 @@
         }))
     }
 
-    /// Ends the oldest probe that is out; without a load it got no answer.
+    /// Ends the oldest health check in flight: with a load report, or timed out where `load` is `None`.
     pub fn end_health_check(&mut self, load: Option<f32>) -> Option<ServerId> {
         let (server, sent) = (!self.health_checks_in_flight.is_empty())
             .then(|| self.health_checks_in_flight.remove(0))?;
@@ -258,7 +267,7 @@
         Some(server)
     }
 
-    /// Answers all health_checks_in_flight: those of the named servers say idle, the others busy.
+    /// Ends all health checks in flight: the servers in `idle` report no load, the others two requests in flight.
     pub fn respond_to_health_checks(&mut self, idle: &[u64]) {
         while let Some((server, _)) = self.health_checks_in_flight.first() {
             let load = if idle.contains(&server.0) { 0.0 } else { 2.0 };
@@ -271,7 +280,7 @@
         self.handle(Event::ClientGone { id });
     }
 
-    /// Lets time pass: timers come due, attempts and health_checks_in_flight run into their time-outs.
+    /// Advances the clock: fires timers, and times out attempts and health checks.
     pub fn advance(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
@@ -285,8 +294,8 @@
                 self.handle(Event::Timer { token });
             }
             for (id, attempt) in self.attempts_in_flight() {
-                let sent = &self.requests[&id].attempts[attempt];
-                if sent.outcome.is_none() && sent.ends_at <= self.now {
+                let sent_attempt = &self.requests[&id].attempts[attempt];
+                if sent_attempt.outcome.is_none() && sent_attempt.ends_at <= self.now {
                     self.end_attempt(id, attempt, Outcome::TimedOut, None);
                 }
             }
@@ -300,13 +309,12 @@
             for (id, request) in &self.requests {
                 assert!(
                     request.finished || self.now <= request.deadline + ms(5),
-                    "rule 1: {id:?} has no answer"
+                    "rule 1: {id:?} has no final response"
                 );
             }
         }
     }
 
-    /// The attempts that are out.
     pub fn attempts_in_flight(&self) -> Vec<(RequestId, usize)> {
         let attempts = self.requests.iter().flat_map(|(id, request)| {
             let attempts = request.attempts.iter().enumerate();
@@ -318,7 +326,7 @@
             .collect()
     }
 
-    /// How long ago the request came first to a server.
+    /// The time since the request's first attempt was sent.
     pub fn time_since_first_send(&self, id: RequestId) -> Duration {
         self.now - self.requests[&id].attempts[0].sent_at
     }
@@ -331,7 +339,7 @@
         self.requests[&id].attempts[attempt].server
     }
 
-    /// The requests that are still owed an answer.
+    /// The requests that still need a final response.
     pub fn unfinished_requests(&self) -> Vec<RequestId> {
         self.requests
             .iter()
@@ -351,8 +359,11 @@
                 let request = self
                     .requests
                     .get_mut(id)
-                    .expect("rule 1: refuses what it was not given");
-                assert!(!request.finished, "rule 1: a second answer for {id:?}");
+                    .expect("rule 1: rejects an unknown request");
+                assert!(
+                    !request.finished,
+                    "rule 1: a second final response for {id:?}"
+                );
                 let may_have_run = request
                     .attempts
                     .iter()
@@ -364,28 +375,31 @@
                     } => true,
                     _ => !may_have_run,
                 };
-                assert!(allowed, "rule 2: {id:?} may have run and is refused");
+                assert!(allowed, "rule 2: {id:?} may have run and is rejected");
                 request.finished = true;
             }
             Action::Fail { id } => {
                 let request = self
                     .requests
                     .get_mut(id)
-                    .expect("rule 1: fails what it was not given");
-                assert!(!request.finished, "rule 1: a second answer for {id:?}");
+                    .expect("rule 1: fails an unknown request");
+                assert!(
+                    !request.finished,
+                    "rule 1: a second final response for {id:?}"
+                );
                 request.finished = true;
             }
             Action::CancelAttempt { id, attempt } => {
                 assert!(
                     self.settings.limits.cancel_attempts,
-                    "cancels where that is not allowed"
+                    "cancels an attempt although the settings forbid it"
                 );
-                let sent =
+                let sent_attempt =
                     &mut self.requests.get_mut(id).expect("a request").attempts[*attempt as usize];
-                sent.ends_at = self.now; // its outcome comes with the next round
+                sent_attempt.ends_at = self.now; // `advance` ends it
             }
             Action::SetTimer { after, token } => {
-                // Never in the round that is being answered.
+                // A timer without delay fires in the next step, not in the current one.
                 let due = (self.now + *after).max(self.now + Duration::from_nanos(1));
                 self.timers_set += 1;
                 self.timers.insert((due, self.timers_set), *token);
@@ -393,7 +407,7 @@
             Action::HealthCheck { server } => {
                 assert!(
                     self.settings.limits.health_checks,
-                    "health_checks_in_flight where that is not allowed"
+                    "sends a health check although the settings forbid it"
                 );
                 self.health_checks_in_flight.push((*server, self.now));
             }
@@ -406,8 +420,11 @@
         let request = self
             .requests
             .get_mut(&id)
-            .expect("rule 1: sends what it was not given");
-        assert!(!request.finished, "rule 1: {id:?} is sent after its answer");
+            .expect("rule 1: sends an unknown request");
+        assert!(
+            !request.finished,
+            "rule 1: {id:?} is sent after its final response"
+        );
         let (endpoint, stopped_at) = self
             .listed
             .get(&server)
@@ -415,7 +432,7 @@
         let grace = self.settings.safety.drain_grace;
         assert!(
             stopped_at.is_none_or(|at| self.now <= at + grace),
-            "rule 3: {server:?} drains or is gone"
+            "rule 3: {server:?} is draining or removed"
         );
         let limits = &self.settings.limits;
         assert!(
@@ -423,7 +440,10 @@
             "too many attempts"
         );
         let another_in_flight = request.attempts.iter().any(|t| t.outcome.is_none());
-        assert!(!another_in_flight || limits.hedging, "two attempts at once");
+        assert!(
+            !another_in_flight || limits.hedging,
+            "a second attempt in flight although the settings forbid hedging"
+        );
         let may_have_run = request
             .attempts
             .iter()
@@ -457,7 +477,7 @@
     }
 }
 
-/// The outcomes that the rules count as proof.
+/// The outcomes that prove that the request did not run.
 fn proves_no_run(outcome: Outcome) -> bool {
     matches!(
         outcome,
--- a/crates/balancer/tests/decisions/actions.rs
+++ b/crates/balancer/tests/decisions/actions.rs
@@ -1,4 +1,4 @@
-//! Helpers of the decision tests: reading actions, playing requests.
+//! Helpers of the decision tests: inspect actions, run requests.
 
 use crate::common::{Harness, endpoint, ms};
 use sillward_balancer::*;
@@ -20,21 +20,22 @@
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-/// Sends a request and has it served at once, with a report of that many requests in flight.
+/// Runs one request of 20 ms that is served with a report of `load` requests in flight; returns its server.
 pub fn serve(harness: &mut Harness, load: f32) -> u64 {
     let (id, actions) = harness.request(0);
     let servers = sent_to(&actions);
     assert_eq!(
         servers.len(),
         1,
-        "a free fleet takes a request at once: {actions:?}"
+        "idle servers are sent a request at once: {actions:?}"
     );
     harness.advance(ms(20));
     harness.end_attempt(id, 0, Outcome::Served, Some(load));
     servers[0]
 }
 
-/// Plays requests of 30 ms for a while; `ends` says how an attempt at a server ends.
+/// Runs `count` requests, one every 30 ms; `outcome_of` gives the outcome of an attempt at a server. Returns the sends per
+/// server.
 pub fn run_requests(
     harness: &mut Harness,
     count: usize,
@@ -53,7 +54,7 @@
     sends_per_server
 }
 
-/// Two servers in the same zone and cell, so that only the class decides where a repeat may go.
+/// Two servers in the same zone and cell, so that a scope never excludes the other server from a retry.
 pub fn harness_with_servers_in_one_zone(settings: Settings) -> Harness {
     let mut harness = Harness::new(settings);
     harness.update_endpoints(EndpointUpdate::Full, vec![endpoint(0), endpoint(3)]);
--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: crowding, priority, quotas, deadlines.
+//! Admission: concurrency, priority, quotas, deadlines.
 
 use crate::actions::{rejected, sent_to, serve};
 use crate::common::*;
@@ -6,7 +6,7 @@
 
 #[test]
 fn reduces_admission_when_idle_looking_servers_are_late_and_recovers() {
-    // Hundreds of nodes may choke the servers with one request each: none of them looks crowded to its node.
+    // Hundreds of nodes can overload the servers with one request each, while no node sees high concurrency.
     let mut harness = Harness::with_servers(with_load_reports(), 4);
     let sent = |harness: &mut Harness, response_ms: u64| {
         let mut sent = 0;
@@ -29,14 +29,14 @@
 
 #[test]
 fn rejects_a_request_whose_expected_work_exceeds_its_deadline() {
-    // The danger: in a busy fleet, heavy requests that can't be in time take the work of many light ones.
+    // In a busy fleet, expensive requests that can't finish in time would use the work of many cheap ones.
     let mut harness = Harness::with_servers(with_load_reports(), 4);
     for _ in 0..60 {
-        serve(&mut harness, 3.0); // nobody is idle
+        serve(&mut harness, 3.0); // no server is idle
     }
     assert!(
         rejected(&harness.request_with(1, 0, ms(1000), Some(ms(420))).1),
-        "420 ms of work, 400 to the aim"
+        "420 ms of work, 400 ms to the latency objective"
     );
     assert_eq!(
         sent_to(&harness.request_with(1, 0, ms(1000), Some(ms(200))).1).len(),
@@ -48,7 +48,7 @@
     assert_eq!(
         sent_to(&harness.request_with(1, 0, ms(1000), Some(ms(420))).1).len(),
         1,
-        "most are idle: it may try"
+        "most servers are idle, so it is admitted"
     );
 }
 
@@ -64,7 +64,7 @@
     ];
     settings.over_quota_weight = 0.1;
     let mut harness = Harness::with_servers(settings, 2);
-    // Tenant 0 floods, tenant 1 keeps to its share; nothing crowded comes back in time.
+    // Tenant 0 exceeds its quota, tenant 1 stays within it; the servers are overloaded and finish few requests in time.
     let mut rejections = [0, 0];
     for step in 0..2000 {
         let tenant = usize::from(step % 23 == 0);
@@ -85,7 +85,7 @@
 
 #[test]
 fn fills_no_server_when_started_into_an_overload() {
-    // The danger: dozens of requests of one node at a server before its first time-out is seen.
+    // One node could send a server dozens of requests before the first of them times out.
     let mut harness = Harness::with_servers(with_load_reports(), 4);
     for _ in 0..300 {
         harness.request(1);
@@ -93,14 +93,14 @@
     }
     assert!(
         harness.attempts_in_flight().len() <= 4 * 2,
-        "{} out at four silent servers",
+        "{} in flight at four unresponsive servers",
         harness.attempts_in_flight().len()
     );
 }
 
 #[test]
-fn rejects_nothing_at_a_few_fast_servers_while_crowding_is_unexplored() {
-    // The danger: a node learns one level of crowding after the other, and refuses all that goes beyond meanwhile.
+fn rejects_nothing_at_a_few_fast_servers_while_higher_concurrency_is_unexplored() {
+    // A node explores one concurrency level after the other, and must not reject the requests beyond the level meanwhile.
     for servers in [1, 2] {
         let mut harness = Harness::with_servers(with_load_reports(), servers);
         let mut rejections = 0;
@@ -123,7 +123,7 @@
             .iter()
             .filter(|action| matches!(action, Action::Reject { .. }))
             .count();
-        assert_eq!((rejections, reject_actions), (0, 0), "a list of {servers}");
+        assert_eq!((rejections, reject_actions), (0, 0), "{servers} servers");
         assert!(
             harness
                 .log
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn bounds_requests_held_for_unexplored_crowding_and_rejects_them_once_a_server_is_late() {
+fn bounds_requests_held_for_unexplored_concurrency_and_rejects_them_once_a_server_is_late() {
     let mut harness = Harness::with_servers(with_load_reports(), 1);
     let requests: Vec<_> = (0..100).map(|_| harness.request(1)).collect();
     let at_once = requests
@@ -146,9 +146,9 @@
     assert_eq!(
         (harness.attempts_in_flight().len(), at_once),
         (2, 100 - 2 - 64),
-        "two are out, 64 are held"
+        "two are in flight, 64 are held"
     );
-    // All of it comes in time for the next, and is late for the aim: no more room, and that is said at once.
+    // Responses after 390 of 400 ms leave no time for a higher concurrency, so the held requests are rejected at once.
     harness.advance(ms(390));
     for (id, attempt) in harness.attempts_in_flight() {
         harness.end_attempt(id, attempt, Outcome::Served, None);
@@ -162,8 +162,8 @@
 }
 
 #[test]
-fn closes_a_crowding_level_after_slow_answers() {
-    // The danger: servers choke while nearly all answers are still in time.
+fn closes_a_concurrency_level_after_slow_responses() {
+    // Servers could become overloaded while nearly all responses are still in time.
     let most_in_flight = |response_ms: u64| {
         let mut harness = Harness::with_servers(with_load_reports(), 4);
         let mut in_flight = 0;
@@ -185,17 +185,17 @@
     let (fast, slow) = (most_in_flight(100), most_in_flight(390));
     assert!(
         fast >= 4 * 4,
-        "{fast} out at four servers: answers with time to spare open the levels"
+        "{fast} in flight at four servers: responses well before the latency objective open concurrency levels"
     );
     assert!(
         slow <= 4 * 2,
-        "{slow} out at four servers: answers at the last moment keep them closed"
+        "{slow} in flight at four servers: responses just before the latency objective keep concurrency levels closed"
     );
 }
 
 #[test]
 fn rejects_a_client_retry_past_its_latency_objective_without_an_attempt() {
-    // The danger: clients that gave up come again, and work for answers worth nothing keeps a jam alive.
+    // Clients that gave up retry, and work on responses that come too late for them would prolong an overload.
     let mut harness = Harness::with_servers(with_load_reports(), 4);
     let client_retry_with = |harness: &mut Harness, remaining_ms: u64| {
         let mut new = NewRequest {
@@ -207,26 +207,26 @@
         new.client_retry = true;
         harness.handle_request(new)
     };
-    harness.request_with(0, 0, ms(450), None); // a first try waits for 450 of the 1000 ms
+    harness.request_with(0, 0, ms(450), None); // a first request with 450 of the 1000 ms left
     assert!(
         rejected(&client_retry_with(&mut harness, 550)),
-        "450 ms have gone by, the aim is 400"
+        "450 ms have passed, the latency objective is 400 ms"
     );
     assert_eq!(
         sent_to(&client_retry_with(&mut harness, 650)).len(),
         1,
-        "350 ms have gone by"
+        "350 ms have passed"
     );
     assert_eq!(
         sent_to(&client_retry_with(&mut harness, 449)).len(),
         1,
-        "like a first try: it may have been refused at once"
+        "the same time as the first request, which may have been rejected at once"
     );
 }
 
 #[test]
 fn admits_higher_priority_first_in_an_overload() {
-    // The danger: a share of all alike is refused, and with it most of the worth.
+    // Rejecting the same share of every class would lose most of the total priority weight.
     let mut settings = with_load_reports();
     settings.classes[1].priority_weight = 10.0;
     let mut harness = Harness::with_servers(settings, 4);
@@ -236,7 +236,7 @@
         let (id, actions) = harness.request(class);
         if !sent_to(&actions).is_empty() {
             sent[class] += 1;
-            harness.advance(ms(390)); // with nothing to spare
+            harness.advance(ms(390)); // just before the latency objective
             harness.end_attempt(id, 0, Outcome::Served, Some(3.0));
         }
     }
@@ -244,8 +244,8 @@
 }
 
 #[test]
-fn sends_no_request_to_a_crowded_server_that_a_free_one_did_not_admit() {
-    // The danger: in a jam the free servers are closed by chance and the crowded ones, known to serve, stay open.
+fn sends_no_request_to_a_busy_server_that_an_idle_one_did_not_admit() {
+    // In an overload, idle servers could be closed by chance while busy ones, known to serve, stay open.
     let mut settings = with_load_reports();
     settings.limits.max_attempts = 1;
     let mut harness = Harness::with_servers(settings, 2);
@@ -264,7 +264,7 @@
             harness.end_attempt(id, 0, Outcome::Served, None);
         }
     }
-    let (blocker, actions) = harness.request(1); // one server has an attempt out, the other is free
+    let (blocker, actions) = harness.request(1); // one server has an attempt in flight, the other is idle
     let busy = sent_to(&actions)[0];
     for _ in 0..60 {
         let (id, actions) = harness.request(1);
@@ -274,7 +274,7 @@
         assert_ne!(
             sent_to(&actions),
             [busy],
-            "the free server is open or nobody is"
+            "a request that the idle server does not admit goes to no server"
         );
         harness.advance(ms(1));
         harness.end_attempt(id, 0, Outcome::Rejected, None);
--- a/crates/balancer/tests/decisions/bodies.rs
+++ b/crates/balancer/tests/decisions/bodies.rs
@@ -5,7 +5,8 @@
 use sillward_balancer::*;
 use std::time::Duration;
 
-/// A node of two servers in the same zone and cell, played by hand: what is on its way has other times than `Harness` knows.
+/// A node with two servers in the same zone and cell. It does not use `Harness`, whose deadlines don't apply to requests
+/// with a pending body.
 struct BodyHarness {
     node: Balancer,
     now: std::time::Duration,
@@ -62,7 +63,7 @@
     assert_eq!(
         sent_to(&actions).len(),
         1,
-        "it goes on while it comes: {actions:?}"
+        "it is sent while its body arrives: {actions:?}"
     );
     let timers = |actions: &[Action]| {
         let timer = |action: &Action| match action {
@@ -73,12 +74,12 @@
     };
     assert!(
         timers(&actions).iter().all(|after| *after > ms(60_000)),
-        "nobody hurries it: {actions:?}"
+        "no deadline while its body arrives: {actions:?}"
     );
     harness.now += ms(30_000);
     assert!(
         harness.handle(Event::Timer { token: 1 }).is_empty(),
-        "it is not late"
+        "it is not past its deadline"
     );
     let actions = harness.handle(Event::BodyComplete {
         id: RequestId(1),
@@ -87,7 +88,7 @@
     assert_eq!(
         timers(&actions),
         [ms(400)],
-        "its aim, from now: {actions:?}"
+        "the latency objective counts from now: {actions:?}"
     );
     harness.now += ms(400);
     let actions = harness.handle(Event::Timer { token: 1 });
@@ -102,7 +103,7 @@
                 body_consumed: true
             })
             .is_empty(),
-        "once"
+        "a repeated event has no effect"
     );
 }
 
@@ -115,7 +116,7 @@
     });
     assert!(
         sent_to(&harness.request(1, 1, true)).is_empty(),
-        "nobody is listed"
+        "no server is listed"
     );
     let mut waited = Duration::ZERO;
     let ended = loop {
@@ -127,17 +128,17 @@
         }
         assert!(
             waited < ms(2000),
-            "nothing of it is read on, and nobody tells its client"
+            "the body is not read, and the client gets no response"
         );
     };
     assert!(
         rejected(&ended) && waited >= ms(400),
-        "after its aim: {waited:?} {ended:?}"
+        "rejected after its latency objective: {waited:?} {ended:?}"
     );
 }
 
 #[test]
-fn counts_a_server_as_crowded_only_by_complete_bodies() {
+fn counts_only_requests_with_complete_bodies_towards_overload() {
     let sends_after_24_requests = |complete: bool| {
         let mut harness = BodyHarness::new();
         for id in 1..=24 {
@@ -165,7 +166,7 @@
     assert_eq!(
         sent_to(&actions).len(),
         1,
-        "its first part is kept: {actions:?}"
+        "its body is still buffered: {actions:?}"
     );
     let first = sent_to(&harness.request(2, 1, true))[0];
     let actions = harness.end(2, first, Outcome::NotSent, true);
@@ -191,7 +192,7 @@
     let first = sent_to(&harness.request(1, 0, false))[0];
     harness.now += ms(399);
     let second = sent_to(&harness.handle(Event::Timer { token: 1 }));
-    assert_eq!(second.len(), 1, "a silent one is followed by a copy");
+    assert_eq!(second.len(), 1, "an attempt without a response is hedged");
     let started = Event::ResponseStarted {
         id: RequestId(1),
         attempt: 0,
@@ -209,9 +210,12 @@
     harness.now += ms(5000);
     assert!(
         harness.handle(Event::Timer { token: 1 }).is_empty(),
-        "what the client is being given is not cut"
+        "a response that has started is not timed out"
+    );
+    assert!(
+        harness.handle(started).is_empty(),
+        "a repeated event has no effect"
     );
-    assert!(harness.handle(started).is_empty(), "once");
     let mut end = AttemptEnd {
         id: RequestId(1),
         attempt: 1,
@@ -225,6 +229,6 @@
     assert!(harness.handle(Event::AttemptEnded(end.clone())).is_empty());
     (end.attempt, end.server, end.outcome) = (0, ServerId(first), Outcome::Served);
     assert!(harness.handle(Event::AttemptEnded(end)).is_empty());
-    // Both servers are free again: neither end was counted twice.
+    // Both servers are idle again: neither end was counted twice.
     assert_eq!(sent_to(&harness.request(2, 1, false)).len(), 1);
 }
--- a/crates/balancer/tests/decisions/endpoint_list.rs
+++ b/crates/balancer/tests/decisions/endpoint_list.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn polls_the_list_and_repeats_a_failed_poll() {
+fn polls_the_list_and_retries_a_failed_poll() {
     let watch_requests = |actions: &[Action]| {
         actions
             .iter()
@@ -40,11 +40,11 @@
     for _ in 0..5 {
         let before = harness.log.len();
         harness.update_endpoints(EndpointUpdate::Failed, Vec::new());
-        harness.advance(ms(6000)); // within the 10 s after which a node counts as told
+        harness.advance(ms(6000)); // less than the 10 s after which a node counts as informed
         assert!(watch_requests(&harness.log[before..]) >= 1);
         assert!(
             watch_requests(&harness.log[before..]) <= 2,
-            "calls jam the list's service"
+            "polls must not overload the discovery service"
         );
     }
     harness.update_endpoints(EndpointUpdate::Full, vec![endpoint(0)]);
@@ -53,13 +53,13 @@
     assert_eq!(
         watch_requests(&harness.log[before..]),
         0,
-        "a subscription needs no calls"
+        "no polls while a watch is active"
     );
 }
 
 #[test]
 fn starts_a_new_server_with_the_usual_estimate() {
-    // The danger: it stands at zero at all nodes, and each sends it the next requests.
+    // With an estimate of zero at all nodes, a new server would get the next requests of every node.
     let mut harness = Harness::with_servers(with_load_reports(), 5);
     for _ in 0..60 {
         serve(&mut harness, 1.0);
@@ -71,6 +71,6 @@
     }
     assert!(
         sent_at_once < 20,
-        "{sent_at_once} of 40 new servers were joined at once"
+        "{sent_at_once} of 40 new servers got the next request"
     );
 }
--- a/crates/balancer/tests/decisions/health_checks.rs
+++ b/crates/balancer/tests/decisions/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks: when they are sent, their budget, and who waits for them.
+//! Health checks: when they are sent, their budget, and which requests wait for them.
 
 use crate::actions::{rejected, sent_to};
 use crate::common::*;
@@ -35,7 +35,7 @@
 #[test]
 fn keeps_health_checks_within_their_budget() {
     let mut settings = with_health_checks();
-    settings.penalties.health_check = 0.05; // a hundredth of the service buys one probe in five requests
+    settings.penalties.health_check = 0.05; // a hundredth of the service pays for one health check in five requests
     let mut harness = Harness::with_servers(settings, 8);
     let health_checks: usize = (0..100)
         .map(|_| {
@@ -52,13 +52,13 @@
         .sum();
     assert!(
         (10..=21).contains(&health_checks),
-        "{health_checks} health_checks for 100 requests"
+        "{health_checks} health checks for 100 requests"
     );
 }
 
 #[test]
 fn checks_no_servers_in_place_of_ones_known_to_be_full() {
-    // Those known to be full were set aside and the blind sends hit full ones.
+    // Servers known to be busy were set aside, and requests sent without any information hit other busy ones.
     let mut harness = Harness::with_servers(with_health_checks(), 3);
     for _ in 0..60 {
         harness.request(0);
--- a/crates/balancer/tests/decisions/main.rs
+++ b/crates/balancer/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! Tests of single decisions, a file a subject. `Harness` checks the four safety rules in each.
+//! Tests of individual decisions, one file per subject. `Harness` also checks the safety rules in each test.
 #![allow(unreachable_pub)]
 
 mod actions;
--- a/crates/balancer/tests/decisions/many_nodes.rs
+++ b/crates/balancer/tests/decisions/many_nodes.rs
@@ -1,4 +1,4 @@
-//! Subsets of servers, many nodes, large fleets.
+//! Subsets of servers, with many nodes and in large fleets.
 
 use crate::actions::serve;
 use crate::common::*;
@@ -7,12 +7,12 @@
 
 #[test]
 fn keeps_to_a_subset_where_connections_cost_and_uses_all_servers_evenly() {
-    // The danger: each node connects to each server, and most connects fail.
+    // With every node connected to every server, most connection attempts would fail.
     let mut settings = with_load_reports();
     (settings.nodes, settings.penalties.connections) = (40, 0.1);
     let mut nodes_of = BTreeMap::new();
     for node in 0..40 {
-        let mut harness = Harness::seeded(
+        let mut harness = Harness::with_seed(
             Settings {
                 node,
                 ..settings.clone()
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn keeps_to_a_small_subset_on_a_quiet_node() {
-    // The danger: among dozens of servers a quiet node meets each so seldom that it never learns who is slow.
+fn keeps_to_a_small_subset_on_a_node_with_little_traffic() {
+    // Among dozens of servers, a node with little traffic uses each too rarely to learn which are slow.
     let servers_used_with_pause = |pause: u64| {
         let mut harness = Harness::with_servers(with_load_reports(), 40);
         let mut servers_used = std::collections::BTreeSet::new();
@@ -49,13 +49,13 @@
     let (quiet, busy) = (servers_used_with_pause(400), servers_used_with_pause(20));
     assert!(
         (6..=10).contains(&quiet) && busy > 30,
-        "{quiet} by a quiet node, {busy} by a busy one"
+        "{quiet} by a node with little traffic, {busy} by a busy one"
     );
 }
 
 #[test]
 fn bounds_the_work_of_a_request_in_a_large_fleet() {
-    // The danger: hundreds of servers, each looked at several times for each event, take all the CPU.
+    // Examining hundreds of servers several times per event would use all processor time.
     let mut harness = Harness::with_servers(with_load_reports(), 500);
     let servers_used: std::collections::BTreeSet<u64> =
         (0..2000).map(|_| serve(&mut harness, 1.0)).collect();
--- a/crates/balancer/tests/decisions/outliers.rs
+++ b/crates/balancer/tests/decisions/outliers.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: ejection and trials.
+//! Outlier detection: ejection and trial requests.
 
 use crate::actions::{run_requests, sent_to};
 use crate::common::*;
@@ -8,7 +8,7 @@
 
 #[test]
 fn ejects_unreachable_servers_however_many_they_are() {
-    // The danger: half of the servers stay in use whatever happens, though this node reaches only a few.
+    // Half of the servers must not stay in use regardless of their failures when this node can reach only a few.
     let mut harness = Harness::with_servers(with_load_reports(), 10);
     let outcome_of = |server: u64| {
         if server < 2 {
@@ -27,8 +27,7 @@
 
 #[test]
 fn ejects_after_two_refused_connections_in_a_row_and_not_after_one() {
-    // Connections that come up late, or break under a request, come in between answers: a backend was max_ejected for each,
-    // half of the fleet at a time.
+    // Single slow or broken connections between responses once ejected their servers, half of the fleet at a time.
     let max_ejected = |pattern: &[Outcome], connect_time: Duration| {
         let mut harness = Harness::with_servers(with_load_reports(), 4);
         let (mut sends, mut ejected) = (0, 0);
@@ -51,13 +50,14 @@
             }
             ejected = ejected.max(harness.balancer.endpoint_counts().ejected);
         }
-        assert!(sends > 2, "server 0 was sent {sends}");
+        assert!(sends > 2, "server 0 was sent {sends} requests");
         ejected
     };
     let (served, refused) = (Outcome::Served, Outcome::ConnectFailed);
     assert_eq!(max_ejected(&[refused, served, served], ms(20)), 0);
     assert_eq!(max_ejected(&[refused, refused, served], ms(20)), 1);
-    // Turned down, nobody is there; one that took too long may yet come up, and is a failure like others.
+    // A refused connection means that nothing listens there. One that timed out may still succeed, so it counts like any
+    // other failure.
     let two_of_six = [refused, refused, served, served, served, served];
     assert_eq!(max_ejected(&two_of_six, ms(20)), 1);
     assert_eq!(max_ejected(&two_of_six, ms(260)), 0);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn returns_an_ejected_server_after_a_trial() {
+fn returns_an_ejected_server_after_a_trial_request() {
     let mut harness = Harness::with_servers(with_load_reports(), 4);
     run_requests(&mut harness, 100, |server| {
         if server == 0 {
@@ -95,10 +95,10 @@
 }
 
 #[test]
-fn ejects_nobody_when_all_servers_fail() {
+fn ejects_no_server_when_all_fail() {
     let mut harness = Harness::with_servers(with_load_reports(), 6);
     run_requests(&mut harness, 200, |_| Outcome::Error);
-    // Errors reset no estimate, so whoever serves first is the lowest: only requests at once meet more.
+    // Errors reset no estimate, so the first server that serves has the lowest: only concurrent requests use more servers.
     for _ in 0..10 {
         (0..6).for_each(|_| drop(harness.request(1)));
         harness.advance(ms(30));
@@ -133,7 +133,7 @@
     let sends_to_silent = sent_to(&harness.log).iter().filter(|s| **s == 0).count();
     assert!(
         sends_to_silent < 20,
-        "{sends_to_silent} of 200 sends to the silent server, {sends_per_server:?}"
+        "{sends_to_silent} of 200 requests sent to the unresponsive server, {sends_per_server:?}"
     );
 }
 
@@ -142,12 +142,12 @@
     let mut harness = Harness::with_servers(with_load_reports(), 6);
     run_requests(&mut harness, 100, |_| Outcome::Served);
     let ids: Vec<_> = (0..30).map(|_| harness.request(1).0).collect();
-    // The node stands still long past every aim, then finds all its time-outs at once.
+    // The node stalls far past every latency objective, then sees all timeouts at once.
     harness.now += ms(900);
     for (id, attempt) in harness.attempts_in_flight() {
         harness.end_attempt(id, attempt, Outcome::TimedOut, None);
     }
-    // Those that were held for want of news have their timers.
+    // Requests that were held while outcomes were missing are finished by their timers.
     harness.advance(ms(5));
     assert!(ids.iter().all(|id| harness.is_finished(*id)));
     let mut servers_used: Vec<u64> = (0..6)
@@ -159,8 +159,8 @@
 }
 
 #[test]
-fn spends_a_small_part_of_requests_on_trials() {
-    // The danger: a quiet node with several outcome_of servers sends most of its requests there on trial.
+fn uses_a_small_part_of_requests_as_trial_requests() {
+    // A node with little traffic and several dead servers could send them most of its requests as trial requests.
     let mut harness = Harness::with_servers(with_load_reports(), 8);
     let outcome_of = |server: u64| {
         if server < 3 {
--- a/crates/balancer/tests/decisions/retries.rs
+++ b/crates/balancer/tests/decisions/retries.rs
@@ -1,4 +1,4 @@
-//! Retries by idempotency, their budget, hedged requests, final answers.
+//! Retries by idempotency, the retry budget, hedged requests, final responses.
 
 use crate::actions::{failed, rejected, run_requests, sent_to};
 use crate::common::*;
@@ -21,28 +21,28 @@
         run_requests(&mut harness, 100, |_| Outcome::Served);
         harness
     };
-    let retry_timeout_limit = ms(200);
-    // Safe work beside another server, keyed work beside one of its group (servers 0 and 3 are in one zone).
-    assert!(attempt_timeout(&mut warmed_up(2, &settings), 0).expect("sent") < retry_timeout_limit);
+    let early_timeout_limit = ms(200);
+    // Idempotent requests may be retried on any other server, keyed ones only in their scope (0 and 3 are in one zone).
+    assert!(attempt_timeout(&mut warmed_up(2, &settings), 0).expect("sent") < early_timeout_limit);
     assert!(
-        attempt_timeout(&mut warmed_up(1, &settings), 0).expect("sent") > retry_timeout_limit,
-        "a list of one"
+        attempt_timeout(&mut warmed_up(1, &settings), 0).expect("sent") > early_timeout_limit,
+        "a single server"
     );
     assert!(
-        attempt_timeout(&mut warmed_up(3, &settings), 2).expect("sent") > retry_timeout_limit,
-        "alone in its zone"
+        attempt_timeout(&mut warmed_up(3, &settings), 2).expect("sent") > early_timeout_limit,
+        "the only server in its zone"
     );
-    assert!(attempt_timeout(&mut warmed_up(6, &settings), 2).expect("sent") < retry_timeout_limit);
+    assert!(attempt_timeout(&mut warmed_up(6, &settings), 2).expect("sent") < early_timeout_limit);
     assert!(
-        attempt_timeout(&mut warmed_up(6, &settings), 1).expect("sent") > retry_timeout_limit,
-        "may not run twice"
+        attempt_timeout(&mut warmed_up(6, &settings), 1).expect("sent") > early_timeout_limit,
+        "a non-idempotent request"
     );
     settings.limits.max_attempts = 1;
     assert!(
-        attempt_timeout(&mut warmed_up(6, &settings), 0).expect("sent") > retry_timeout_limit,
-        "its only attempt"
+        attempt_timeout(&mut warmed_up(6, &settings), 0).expect("sent") > early_timeout_limit,
+        "only one attempt is allowed"
     );
-    // Beside a server that is out of reach.
+    // The other server can't be reached.
     settings.limits.max_attempts = 2;
     let mut harness = Harness::with_servers(settings.clone(), 2);
     let outcome_of = |server| {
@@ -63,22 +63,22 @@
     });
     assert!(
         timeouts
-            .filter(|attempt_timeout| *attempt_timeout > retry_timeout_limit)
+            .filter(|attempt_timeout| *attempt_timeout > early_timeout_limit)
             .count()
             >= 18,
-        "an ejected server is no place to go"
+        "an ejected server is not eligible for the retry"
     );
 }
 
 #[test]
 fn hedges_or_retries_a_silent_attempt_as_far_as_idempotency_allows() {
-    // The danger: an answer that never comes takes the request's whole time.
+    // A response that never comes would use up the request's whole time.
     for (class, retried) in [(0, true), (1, false), (4, true)] {
         for hedging in [false, true] {
             let mut settings = with_load_reports();
             settings.limits.hedging = hedging;
             let mut harness = Harness::with_servers(settings, 6);
-            run_requests(&mut harness, 100, |_| Outcome::Served); // answers take 30 ms
+            run_requests(&mut harness, 100, |_| Outcome::Served); // responses take 30 ms
             let (id, _) = harness.request(class);
             harness.advance(ms(200));
             let attempts = harness
@@ -137,13 +137,13 @@
         let actions = harness.end_attempt(id, 0, Outcome::Reset, None);
         assert!(
             failed(&actions) && sent_to(&actions).is_empty(),
-            "the window is over: {actions:?}"
+            "the window has passed: {actions:?}"
         );
     }
 }
 
 #[test]
-fn rejects_a_keyed_request_of_all_servers_after_it_may_have_run() {
+fn rejects_a_request_keyed_across_all_servers_after_it_may_have_run() {
     let mut harness = Harness::with_servers(with_load_reports(), 1);
     let (id, _) = harness.request(4);
     assert!(rejected(&harness.end_attempt(id, 0, Outcome::Error, None)));
--- a/crates/balancer/tests/decisions/selection.rs
+++ b/crates/balancer/tests/decisions/selection.rs
@@ -8,7 +8,7 @@
 #[test]
 fn sends_one_to_every_server_before_any_gets_two() {
     for seed in 0..20 {
-        let mut harness = Harness::seeded(with_load_reports(), seed);
+        let mut harness = Harness::with_seed(with_load_reports(), seed);
         harness.update_endpoints(EndpointUpdate::Full, (0..5).map(endpoint).collect());
         let mut servers_used: Vec<u64> = (0..5)
             .flat_map(|_| sent_to(&harness.request(0).1))
@@ -21,7 +21,7 @@
 #[test]
 fn breaks_ties_at_random() {
     let first: BTreeMap<u64, u32> = (0..200).fold(BTreeMap::new(), |mut seen, seed| {
-        let mut harness = Harness::seeded(with_load_reports(), seed);
+        let mut harness = Harness::with_seed(with_load_reports(), seed);
         harness.update_endpoints(EndpointUpdate::Full, (0..4).map(endpoint).collect());
         *seen.entry(sent_to(&harness.request(0).1)[0]).or_default() += 1;
         seen
@@ -38,7 +38,7 @@
     for _ in 0..300 {
         serve(&mut harness, 1.0);
     }
-    // All are at the cap now, so the pick is random; the one that shows idle is below it alone.
+    // All estimates are at the cap, so the pick is random until one server sends an idle signal.
     let (id, actions) = harness.request(0);
     harness.end_attempt(id, 0, Outcome::Served, Some(0.0));
     for _ in 0..3 {
@@ -54,12 +54,12 @@
         Outcome::TimedOut,
         Outcome::ConnectFailed,
     ];
-    // Also with a report of nothing in flight: a server that returns quick errors looks idle.
+    // Also with a report of nothing in flight: a server that fails fast looks idle.
     let cases = failures
         .iter()
         .flat_map(|outcome| [(*outcome, None), (*outcome, Some(0.0))]);
     for ((outcome, report), seed) in cases.flat_map(|case| (0..20).map(move |seed| (case, seed))) {
-        let mut harness = Harness::seeded(with_load_reports(), seed);
+        let mut harness = Harness::with_seed(with_load_reports(), seed);
         harness.update_endpoints(EndpointUpdate::Full, (0..2).map(endpoint).collect());
         let (id, actions) = harness.request(1);
         let first = sent_to(&actions);
@@ -105,7 +105,7 @@
     let busy = sent_to(&actions)[0];
     let (other, _) = harness.request(0);
     harness.end_attempt(other, 0, Outcome::Served, Some(1.0));
-    // An answer from the busy server's past says idle while `held` is still out there.
+    // Late responses report the busy server idle while `held` is still in flight there.
     for _ in 0..50 {
         let (id, actions) = harness.request(0);
         let server = sent_to(&actions)[0];
@@ -116,7 +116,7 @@
     assert_ne!(
         sent_to(&harness.request(0).1),
         [busy],
-        "the idle server is the lower one"
+        "the idle server has the lower estimate"
     );
 }
 
@@ -129,7 +129,7 @@
         harness.advance(ms(1));
         harness.respond_to_health_checks(&[0]);
         harness.advance(ms(20));
-        // The frozen server answers too late for most; the others are in time.
+        // Server 0 hangs on most requests although it reports idle; the others respond in time.
         for (id, attempt) in harness.attempts_in_flight() {
             let server = harness.server_of(id, attempt).0;
             if server != 0 || step % 40 == 0 {
--- a/crates/balancer/tests/decisions/settings_changes.rs
+++ b/crates/balancer/tests/decisions/settings_changes.rs
@@ -1,4 +1,4 @@
-//! New and extreme settings in a running node.
+//! Settings that change at run time, and extreme settings.
 
 use crate::actions::{
     failed, harness_with_servers_in_one_zone, rejected, run_requests, sent_to, serve,
@@ -14,8 +14,8 @@
 }
 
 #[test]
-fn keeps_the_idempotency_of_open_requests() {
-    // Looser now: what must not run twice when it came must not later.
+fn keeps_the_idempotency_of_unfinished_requests() {
+    // Relaxed: a request that was non-idempotent when it arrived stays so.
     let mut harness = harness_with_servers_in_one_zone(with_load_reports());
     let (id, _) = harness.request(1);
     change_settings(&mut harness, |settings| {
@@ -26,7 +26,7 @@
         sent_to(&actions).is_empty() && failed(&actions),
         "{actions:?}"
     );
-    // Stricter now: what may be repeated when it came still may, and is refused as harmless where it can't.
+    // Tightened: a request that was idempotent when it arrived may still be retried.
     let mut harness = harness_with_servers_in_one_zone(with_load_reports());
     let (id, _) = harness.request(0);
     change_settings(&mut harness, |settings| {
@@ -38,12 +38,12 @@
     let actions = harness.end_attempt(id, 0, Outcome::Reset, None);
     assert!(
         sent_to(&actions).is_empty() && failed(&actions),
-        "a newcomer meets the new terms: {actions:?}"
+        "a new request follows the new settings: {actions:?}"
     );
 }
 
 #[test]
-fn tightens_open_requests_where_settings_come_by_consensus() {
+fn applies_stricter_idempotency_to_unfinished_requests_where_settings_come_by_consensus() {
     let retries_after_change_to = |idempotency: Idempotency| {
         let mut harness = harness_with_servers_in_one_zone(with_load_reports());
         let (id, _) = harness.request(0);
@@ -60,7 +60,7 @@
         0,
         "it may have run"
     );
-    // No box was told to drop its repeats.
+    // No server was told to discard duplicates of this request.
     assert_eq!(
         retries_after_change_to(Idempotency::Keyed {
             scope: Scope::All,
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn binds_open_requests_to_fewer_attempts_and_not_to_more() {
+fn applies_a_lower_attempt_limit_to_unfinished_requests_but_not_a_higher_one() {
     let mut harness = harness_with_servers_in_one_zone(with_load_reports());
     let (id, _) = harness.request(0);
     change_settings(&mut harness, |settings| settings.limits.max_attempts = 1);
@@ -85,18 +85,18 @@
     let actions = harness.end_attempt(id, 0, Outcome::Reset, None);
     assert!(
         sent_to(&actions).is_empty() && rejected(&actions),
-        "it came when one was allowed: {actions:?}"
+        "it arrived when one attempt was allowed: {actions:?}"
     );
     let (id, _) = harness.request(0);
     assert_eq!(
         sent_to(&harness.end_attempt(id, 0, Outcome::Reset, None)).len(),
         1,
-        "a newcomer has three"
+        "a new request may have three attempts"
     );
 }
 
 #[test]
-fn serves_new_classes_and_tenants_and_keeps_what_was_learnt() {
+fn serves_new_classes_and_tenants_and_keeps_ejected_servers() {
     let mut harness = harness_with_servers_in_one_zone(with_load_reports());
     for _ in 0..8 {
         harness.advance(ms(50));
@@ -120,14 +120,14 @@
     assert_eq!(
         (before, harness.balancer.endpoint_counts().ejected),
         (1, 1),
-        "who is ejected stays so"
+        "the ejected server stays ejected"
     );
     let (_, actions) = harness.request(5);
     assert_eq!(sent_to(&actions).len(), 1, "{actions:?}");
 }
 
 #[test]
-fn acts_sensibly_under_extreme_settings() {
+fn serves_under_extreme_settings() {
     let one_node = Settings {
         nodes: 1,
         ..with_health_checks()
--- a/crates/balancer/tests/decisions/slow_start.rs
+++ b/crates/balancer/tests/decisions/slow_start.rs
@@ -1,12 +1,12 @@
-//! Slow start: what warming servers are sent.
+//! Slow start: how many requests warming servers are sent.
 
 use crate::actions::{run_requests, sent_to};
 use crate::common::*;
 use sillward_balancer::*;
 
 #[test]
-fn sends_a_warming_server_no_more_than_this_nodes_part() {
-    // Ten warm servers carry 100 requests a second of three nodes, so a warm one has at least 10 a second.
+fn sends_a_warming_server_no_more_than_this_nodes_share() {
+    // Ten warm servers serve 100 requests/s of three nodes, so the capacity of a warm one is at least 10 requests/s.
     let mut settings = with_load_reports();
     settings.safety = SafetyRules {
         slow_start_capacity: 0.2,
@@ -40,8 +40,8 @@
             harness.end_attempt(id, attempt, Outcome::Served, Some(0.0));
         }
     }
-    assert!(!sends_to_warming.is_empty(), "a cold server is used");
-    // This node sends 33 a second, 3.3 to a warm server; its third of 4 x 0.2 x 10 a second for 1.5 s is 4.
+    assert!(!sends_to_warming.is_empty(), "the warming server is used");
+    // This node sends 33 requests/s, 3.3 to a warm server. Its third of 4 x 0.2 x 10 requests/s over 1.5 s is 4.
     let start = sends_to_warming[0];
     let sends_in_window = sends_to_warming
         .iter()
@@ -77,5 +77,5 @@
     assert!(
         sends_per_server.values().sum::<usize>() > 20,
         "{sends_per_server:?}"
-    ); // they can do three tenths
+    ); // warming servers have 0.3 of their capacity
 }
--- a/crates/balancer/tests/faults.rs
+++ b/crates/balancer/tests/faults.rs
@@ -1,12 +1,12 @@
-//! Troubles in combination and troubles on no list. `Harness` checks the four rules on the side; here it is
-//! checked that service goes on, that further attempts stay within their budget, and that no jam lasts.
+//! Single and combined faults. `Harness` checks the safety rules; these tests check that requests are still served, that
+//! retries stay within their budget, and that an overload does not persist.
 
 mod common;
 
 use common::*;
 use sillward_balancer::*;
 
-/// What came of a stretch of requests.
+/// Totals of one run of requests.
 #[derive(Debug, Default)]
 struct RequestCounts {
     sends: usize,
@@ -14,8 +14,8 @@
     watch_requests: usize,
 }
 
-/// Plays requests of all classes, one every 30 ms; `ends` says how an attempt at a server outcome_of within that
-/// time, `None` that it stays out. Further attempts are counted against their budget at the end.
+/// Runs requests of all classes, one every 30 ms. `outcome_of` gives the outcome of an attempt at a server within that
+/// time, or `None` if it stays in flight. Checks the retry budget at the end.
 fn run_requests(
     harness: &mut Harness,
     requests: usize,
@@ -39,15 +39,15 @@
         counts.sends += usize::from(matches!(action, Action::Send { .. }));
         counts.watch_requests += usize::from(matches!(action, Action::WatchEndpoints { .. }));
     }
-    // Two fifths of the requests, and what has been saved up: twice the burst of a fresh node.
+    // Two fifths of the requests, and the saved budget: twice the burst of a new node.
     assert!(
         counts.sends <= requests + requests * 2 / 5 + 10,
-        "retries beyond their budget: {counts:?}"
+        "retries exceed their budget: {counts:?}"
     );
     counts
 }
 
-/// Both ways of reporting, and a node that has had the time to learn that all is well.
+/// One node with each source of load reports, after enough requests to learn that all servers are healthy.
 fn harnesses(servers: u64) -> [Harness; 2] {
     [with_load_reports(), with_health_checks()].map(|settings| {
         let mut harness = Harness::with_servers(settings, servers);
@@ -56,11 +56,11 @@
     })
 }
 
-/// All is well again: after some requests to find that out, nearly all are served.
+/// Checks that, once all servers are healthy, nearly all requests are served after a short learning phase.
 fn assert_recovers(harness: &mut Harness) {
     run_requests(harness, 300, |_| Some(Outcome::Served));
     let counts = run_requests(harness, 200, |_| Some(Outcome::Served));
-    assert!(counts.served >= 196, "a jam that lasts: {counts:?}");
+    assert!(counts.served >= 196, "the overload persists: {counts:?}");
 }
 
 #[test]
@@ -104,19 +104,19 @@
     }
 }
 
-/// What the list has counts as told within seconds of when it could be had, whatever calls failed before: each call that
-/// fails is followed by another within half a second, and never at once.
+/// A node must learn of endpoint updates within seconds of when it can get them, however many polls failed before: each
+/// failed poll is repeated within half a second, but not immediately.
 #[test]
 fn polls_again_within_half_a_second_while_no_list_comes() {
     let mut harness = Harness::new(Settings {
         poll_endpoint_list: true,
         ..with_health_checks()
     });
-    let (mut failed, mut calls) = (None, 0);
+    let (mut failed, mut polls) = (None, 0);
     let end = harness.now + ms(24_000);
     while harness.now < end {
         let (before, at) = (harness.log.len(), harness.now);
-        harness.request(calls % 3);
+        harness.request(polls % 3);
         harness.advance(harness.settings.timer_resolution);
         let asked = harness.log[before..]
             .iter()
@@ -125,15 +125,15 @@
             let waited = harness.now - since;
             assert!(
                 waited >= ms(60) && waited <= ms(500 + 70),
-                "call {calls} after {waited:?}"
+                "poll {polls} after {waited:?}"
             );
         }
         if asked {
             harness.update_endpoints(EndpointUpdate::Failed, vec![]);
-            (failed, calls) = (Some(at), calls + 1);
+            (failed, polls) = (Some(at), polls + 1);
         }
         let late = failed.is_some_and(|since| harness.now > since + ms(570));
-        assert!(!late, "call {calls} is not followed by another");
+        assert!(!late, "poll {polls} is not followed by another");
     }
     assert!(
         harness
@@ -141,8 +141,8 @@
             .iter()
             .all(|action| !matches!(action, Action::Send { .. }))
     );
-    // Far fewer calls than requests, and more than any wait that grows would leave.
-    assert!((40..=100).contains(&calls), "{calls}");
+    // Far fewer polls than requests, and more than with an increasing backoff.
+    assert!((40..=100).contains(&polls), "{polls}");
     harness.update_endpoints(EndpointUpdate::Full, (0..4).map(endpoint).collect());
     assert_recovers(&mut harness);
 }
@@ -151,7 +151,7 @@
 fn recovers_from_an_overload_with_client_retries() {
     for mut harness in harnesses(4) {
         run_requests(&mut harness, 400, |_| None);
-        // Errors close no level: only the budget stands in the way of further attempts.
+        // Errors close no concurrency level: only the retry budget limits retries.
         run_requests(&mut harness, 400, |_| Some(Outcome::Error));
         assert_recovers(&mut harness);
     }
@@ -173,7 +173,7 @@
 #[test]
 fn recovers_from_a_deploy_during_a_stale_list() {
     for mut harness in harnesses(6) {
-        // Three have left, and the list does not say so yet.
+        // Three servers are gone but still listed.
         let counts = run_requests(&mut harness, 200, |s| {
             Some(if s < 3 {
                 Outcome::Reset
@@ -182,35 +182,35 @@
             })
         });
         assert!(counts.served >= 170, "{counts:?}");
-        let cold = |number| Endpoint {
+        let warming = |number| Endpoint {
             started_at: Some(harness.now),
             ..endpoint(number)
         };
-        let successors = (6..9).map(cold).chain((3..6).map(endpoint)).collect();
+        let successors = (6..9).map(warming).chain((3..6).map(endpoint)).collect();
         harness.update_endpoints(EndpointUpdate::Full, successors);
         assert_recovers(&mut harness);
     }
 }
 
 #[test]
-fn serves_light_requests_beside_heavy_ones_at_a_slow_server() {
+fn serves_cheap_requests_beside_expensive_ones_with_one_hanging_server() {
     for mut harness in harnesses(4) {
         let mut served = 0;
         for i in 0..400 {
-            let heavy = i % 10 == 0;
+            let expensive = i % 10 == 0;
             let (id, _) =
-                harness.request_with(1, 0, ms(1000), Some(ms(if heavy { 390 } else { 40 })));
+                harness.request_with(1, 0, ms(1000), Some(ms(if expensive { 390 } else { 40 })));
             harness.respond_to_health_checks(&[]);
             harness.advance(ms(40));
             for (out, attempt) in harness
                 .attempts_in_flight()
                 .into_iter()
-                .filter(|(out, _)| *out == id || !heavy)
+                .filter(|(out, _)| *out == id || !expensive)
             {
                 if harness.server_of(out, attempt).0 != 0
                     && harness.time_since_first_send(out) >= ms(if out == id { 40 } else { 320 })
                 {
-                    served += usize::from(out == id && !heavy);
+                    served += usize::from(out == id && !expensive);
                     harness.end_attempt(out, attempt, Outcome::Served, Some(1.0));
                 }
             }
@@ -220,8 +220,8 @@
 }
 
 #[test]
-fn learns_that_servers_serve_though_they_are_never_idle() {
-    // Crowding levels start closed: while no server was ever seen below a closed level, all was refused for ever.
+fn learns_that_servers_serve_although_they_are_never_idle() {
+    // Concurrency levels start closed: where no server was ever seen below a closed level, all requests were rejected forever.
     let mut harness = Harness::with_servers(with_health_checks(), 4);
     assert_recovers(&mut harness);
 }
--- a/crates/balancer/tests/memory.rs
+++ b/crates/balancer/tests/memory.rs
@@ -1,5 +1,5 @@
-//! Nothing grows with requests that have ended or servers that have left. Alone in its process, so that the
-//! process's memory is the balancer's.
+//! Checks that memory does not grow with finished requests and removed servers. The only test in its process, because it
+//! measures the memory of the process.
 
 mod common;
 
@@ -7,14 +7,14 @@
 use sillward_balancer::*;
 use std::time::Duration;
 
-/// Resident memory in KiB, as Linux tells it.
+/// Resident memory in KiB; `None` without Linux's `/proc`.
 fn resident_memory_kib() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Plays requests to an ever changing fleet; obeys sends and probes, and drops the rest.
+/// Runs requests while the endpoint list changes. Performs sends and health checks and ignores other actions.
 fn run_requests(balancer: &mut Balancer, requests: std::ops::Range<u64>) {
     let mut actions = Vec::new();
     for number in requests {
@@ -77,12 +77,12 @@
     let mut balancer = Balancer::new(with_health_checks(), 1);
     run_requests(&mut balancer, 1..20_000);
     let Some(before) = resident_memory_kib() else {
-        return eprintln!("no /proc here: not checked");
+        return eprintln!("not checked: /proc is not available");
     };
     run_requests(&mut balancer, 20_000..150_000);
     let grown = resident_memory_kib()
         .unwrap_or(before)
         .saturating_sub(before);
-    // One remembered request or server of a hundred bytes each would be 13 MB.
+    // A leak of 100 bytes per request would be 13 MB.
     assert!(grown < 2048, "{grown} KiB more after 130,000 requests");
 }
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Random legal histories: the four rules hold in each, and the same history gives the same actions.
+//! Property tests with random valid histories: the safety rules (see `common`) hold in each, and the same history gives
+//! the same actions.
 
 mod common;
 
@@ -7,7 +8,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 use sillward_balancer::*;
 
-/// One step of a history. The numbers choose among what is there at that point.
+/// One step of a history. An index selects, modulo their number, among the attempts or requests of that moment.
 #[derive(Clone, Debug)]
 enum Step {
     Request {
@@ -63,7 +64,7 @@
 ];
 
 fn run_history(settings: Settings, seed: u64, steps: &[Step]) -> Vec<Action> {
-    let mut harness = Harness::seeded(settings, seed);
+    let mut harness = Harness::with_seed(settings, seed);
     harness.update_endpoints(EndpointUpdate::Cached, (0..4).map(endpoint).collect());
     for step in steps {
         match step {
@@ -127,7 +128,7 @@
     harness.advance(ms(1600));
     assert!(
         harness.unfinished_requests().is_empty(),
-        "rule 1: {:?} left without an answer",
+        "rule 1: {:?} have no final response",
         harness.unfinished_requests()
     );
     assert!(harness.attempts_in_flight().is_empty());
@@ -175,30 +176,30 @@
     }
 }
 
-/// Rule 4, by an account of its own. This node is the only one with traffic, so the whole allowance of a sends_to_warming
-/// server is its to keep: multiple x present capacity x span, with one request of slack.
+/// Checks rule 4 for one node by counting its sends. It is the only node with traffic, so it may use the warming server's
+/// whole allowance: overload factor x current capacity x window, plus one request.
 fn check_warming_server_allowance(
     seed: u64,
     arrivals: &[(usize, u64)],
 ) -> Result<(), TestCaseError> {
     const WARMING: ServerId = ServerId(9);
-    let work = ms(20); // so a warm server's capacity is 50 requests a second
+    let work = ms(20); // a warm server's capacity is 50 requests/s
     let mut settings = with_load_reports();
     settings.safety.slow_start_capacity = 0.05;
     settings.safety.slow_start_window = ms(20_000);
     settings.safety.overload_factor = 4.0;
     settings.safety.overload_window = ms(1500);
-    let mut harness = Harness::seeded(settings, seed);
+    let mut harness = Harness::with_seed(settings, seed);
     harness.update_endpoints(EndpointUpdate::Full, (0..3).map(endpoint).collect());
     let mut free_at = std::collections::BTreeMap::new();
-    let (mut seen, mut sends_to_warming, mut began) = (0, Vec::new(), None);
+    let (mut seen, mut sends_to_warming, mut started_at) = (0, Vec::new(), None);
     for (step, (requests, pause)) in arrivals.iter().enumerate() {
         if step == arrivals.len() / 3 {
-            began = Some(harness.now);
+            started_at = Some(harness.now);
             harness.update_endpoints(
                 EndpointUpdate::Incremental,
                 vec![Endpoint {
-                    started_at: began,
+                    started_at,
                     ..endpoint(WARMING.0)
                 }],
             );
@@ -206,7 +207,7 @@
         (0..*requests).for_each(|_| drop(harness.request(0)));
         for _ in 0..*pause {
             harness.advance(ms(1));
-            // Each server serves one request after the other.
+            // Each server serves one request at a time.
             for (id, attempt) in harness.attempts_in_flight() {
                 let server = harness.server_of(id, attempt);
                 let free = free_at.entry(server).or_insert(harness.now);
@@ -228,8 +229,8 @@
         let sends = harness.log[seen..].iter().filter(to_warming).count();
         sends_to_warming.extend(std::iter::repeat_n(harness.now, sends));
         seen = harness.log.len();
-        if let Some(began) = began {
-            let capacity_fraction = 0.05 + 0.95 * (harness.now - began).as_secs_f64() / 20.0;
+        if let Some(started_at) = started_at {
+            let capacity_fraction = 0.05 + 0.95 * (harness.now - started_at).as_secs_f64() / 20.0;
             let sent_in_window = sends_to_warming
                 .iter()
                 .filter(|at| **at + ms(1500) >= harness.now)
@@ -237,7 +238,7 @@
             let allowed = 4.0 * capacity_fraction * 50.0 * 1.5 + 1.0;
             prop_assert!(
                 sent_in_window <= allowed,
-                "rule 4: {} sent within a span, {} allowed",
+                "rule 4: {} sent within a window, {} allowed",
                 sent_in_window,
                 allowed
             );
@@ -255,8 +256,8 @@
     }
 }
 
-/// Rule 4 at full size: hundreds of quiet nodes, none of index alone sends much, and one cold server that has
-/// been listed for a while when all of them turn to it at once. Counts what all together send it in a span.
+/// Checks rule 4 for a fleet of nodes with little traffic each. The warming server has been listed for a while when most
+/// other servers drain and all nodes turn to it at once. Counts the sends of all nodes within a window.
 fn check_warming_server_allowance_of_many_nodes(seed: u64) -> Result<(), TestCaseError> {
     const NODES: u32 = 200;
     let mut settings = with_load_reports();
@@ -268,7 +269,7 @@
     let nodes = 0..NODES;
     let mut harnesses: Vec<_> = nodes
         .map(|node| {
-            let mut harness = Harness::seeded(
+            let mut harness = Harness::with_seed(
                 Settings {
                     node,
                     ..settings.clone()
@@ -283,7 +284,7 @@
         let mut sent = Vec::new();
         for round in rounds {
             for (node, harness) in harnesses.iter_mut().enumerate() {
-                // Each node has a request every 500 ms, 400 a second in all: 40 a second for each of ten.
+                // Each node has a request every 500 ms: 400 requests/s in all, 40 for each of ten servers.
                 if node as u32 % 10 == round % 10 {
                     let before = harness.log.len();
                     harness.request(0);
@@ -311,7 +312,7 @@
             }],
         );
     }
-    // Four seconds later most of the others drain.
+    // Four seconds later most of the other servers drain.
     run_rounds(&mut harnesses, 200..280);
     for harness in &mut harnesses {
         let drain = |n| Endpoint {
@@ -321,7 +322,7 @@
         harness.update_endpoints(EndpointUpdate::Incremental, (3..10).map(drain).collect());
     }
     let sent = run_rounds(&mut harnesses, 280..340);
-    let capacity = 40.0 / 0.6; // the servers were in use for six tenths
+    let capacity = 40.0 / 0.6; // the servers' utilisation was 0.6
     for round in 310..340 {
         let capacity_fraction = 0.12 + 0.88 * f64::from(round - 200) * 0.05 / 19.0;
         let sent_in_window = sent
@@ -331,7 +332,7 @@
         let allowed = 1.5 * capacity_fraction * capacity * 1.5;
         prop_assert!(
             sent_in_window <= allowed,
-            "rule 4: {} sent within a span, {} allowed",
+            "rule 4: {} sent within a window, {} allowed",
             sent_in_window,
             allowed
         );
--- a/crates/balancer/tests/slow_start_fleet.rs
+++ b/crates/balancer/tests/slow_start_fleet.rs
@@ -1,7 +1,7 @@
-//! Rule 4 over a whole fleet: many nodes that know nothing of each other's sends, and one allowance for all of them.
+//! Slow start across a fleet: many nodes, which do not know each other's sends, share one allowance per warming server.
 //!
-//! A cold server falls when the sends of a judged time, of all nodes simultaneous_starts, are more than N + 2 root of N + 2, N being
-//! what the settings allow it then. WindowStats here from what the servers were sent, by an account of its own.
+//! A warming server is overloaded when all nodes together send it more than N + 2 sqrt(N) + 2 requests in a window, where N
+//! is the allowance that the settings give it at that time. The test counts the sends itself.
 
 use sillward_balancer::*;
 use std::cmp::Reverse;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 const SERVERS: u64 = 12;
-/// What a warm server serves a second.
+/// Capacity of a warm server, in requests per second.
 const CAPACITY: f64 = 10.0;
 const STARTED_AT: Duration = Duration::from_secs(1_000_000);
 
@@ -17,7 +17,7 @@
     Duration::from_secs_f64(s)
 }
 
-/// Numbers of its own: none of the deciders' generators is drawn from.
+/// A generator of its own, so that the test does not draw from the balancers' generators.
 struct Random(u64);
 
 impl Random {
@@ -33,19 +33,19 @@
     }
 }
 
-/// How a fleet is used.
+/// The load and the events of a simulated fleet.
 #[derive(Clone, Copy)]
 struct Scenario {
     nodes: u32,
-    /// Of what all servers serve warm.
+    /// Request rate as a fraction of the capacity of all servers when warm.
     load: f64,
-    /// The first node sees so many times the mean.
+    /// Request rate of node 0, as a multiple of the nodes' mean.
     busiest_node_factor: f64,
-    /// So many servers start at once, each time.
+    /// Number of servers that start at the same time.
     simultaneous_starts: u64,
-    /// Every start finds a third of the nodes just restarted.
+    /// Whether a third of the nodes restarts, and loses its state, whenever servers start.
     nodes_restart: bool,
-    /// So many processes of each node at once, which share its traffic and its number.
+    /// Number of concurrent processes per node, which share its traffic and node number.
     processes: u32,
     overload_factor: f64,
     health_checks: bool,
@@ -68,8 +68,9 @@
 struct WindowStats {
     windows: usize,
     violations: usize,
-    /// The most of a window against its bound, and the mean of all against N.
+    /// The highest ratio of a window's sends to its bound.
     worst_ratio: f64,
+    /// The mean ratio of a window's sends to its allowance N.
     mean_ratio: f64,
 }
 
@@ -100,11 +101,11 @@
     now: Duration,
     started: BTreeMap<u64, Duration>,
     in_flight: BTreeMap<u64, u32>,
-    /// Until when each server is busy with what it has.
+    /// When each server finishes the requests that it has.
     busy_until: BTreeMap<u64, Duration>,
-    /// What each server was sent, and when.
+    /// The times of all sends to each server.
     sent: BTreeMap<u64, Vec<Duration>>,
-    /// Times of starts, of each server.
+    /// The start times of each server.
     starts: BTreeMap<u64, Vec<Duration>>,
     attempts: BTreeMap<(u32, u32, u64), u32>,
     last_request: u64,
@@ -167,7 +168,7 @@
             fleet.send_endpoint_list(node);
             fleet.schedule_arrival(node);
         }
-        // Calm for as long as rates are remembered.
+        // No server starts within the time over which the nodes measure request rates.
         fleet.schedule(STARTED_AT + secs(20.0), ScheduledEvent::ServerStarts);
         fleet
     }
@@ -188,7 +189,7 @@
         self.queue.push(Reverse((when, self.scheduled, event)));
     }
 
-    /// What a node sees a second.
+    /// Request rate of a node, per second.
     fn arrival_rate(&self, node: u32) -> f64 {
         let (all, nodes) = (
             self.scenario.load * SERVERS as f64 * CAPACITY,
@@ -238,7 +239,7 @@
                     ScheduledEvent::Timer(node, generation, token),
                 ),
                 Action::HealthCheck { server } => {
-                    // A deep probe is served like a call.
+                    // A health check costs the server as much as a request.
                     self.sent.entry(server.0).or_default().push(self.now);
                     self.schedule(
                         self.now + secs(0.01),
@@ -254,8 +255,8 @@
         self.sent.entry(server).or_default().push(self.now);
         let in_flight = self.in_flight.entry(server).or_default();
         *in_flight += 1;
-        // It works off one call after the other, slower while it is cold. What would come after its time is dropped, and
-        // one call in twenty fails; both are sent again.
+        // A server processes one request at a time, more slowly while it warms up. Requests that would finish too late are
+        // dropped and one in twenty fails, so the nodes retry both.
         let warm = self.started.get(&server).map_or(1.0, |at| {
             let age = (self.now - *at).as_secs_f64()
                 / self.settings.safety.slow_start_window.as_secs_f64();
@@ -377,7 +378,7 @@
         self.window_stats()
     }
 
-    /// Servers start anew, all nodes are told, and the next ones follow once these are warm.
+    /// Restarts servers, sends all nodes the new endpoint list, and schedules the next start for when these are warm.
     fn start_servers(&mut self) {
         let first = (self.random.fraction() * SERVERS as f64) as u64;
         for server in
@@ -429,22 +430,24 @@
     }
 }
 
-/// Plays it on several seeds.
+/// Runs a scenario with several seeds and combines the results.
 fn run_seeds(scenario: Scenario, seeds: u64) -> WindowStats {
     let mut all = WindowStats::default();
     for seed in 0..seeds {
-        let one = Fleet::new(scenario, seed).run();
-        all.mean_ratio += one.mean_ratio * one.windows as f64;
-        (all.windows, all.violations) =
-            (all.windows + one.windows, all.violations + one.violations);
-        all.worst_ratio = all.worst_ratio.max(one.worst_ratio);
+        let result = Fleet::new(scenario, seed).run();
+        all.mean_ratio += result.mean_ratio * result.windows as f64;
+        (all.windows, all.violations) = (
+            all.windows + result.windows,
+            all.violations + result.violations,
+        );
+        all.worst_ratio = all.worst_ratio.max(result.worst_ratio);
     }
     all.mean_ratio /= all.windows.max(1) as f64;
     all
 }
 
-/// The hard cases: traffic uneven, nodes that restarted and forgot, more sends than all can serve, servers that may be sent
-/// little more than they serve, some or all of them cold at once, probes.
+/// The difficult cases: uneven traffic, restarted nodes, overload, an allowance just above the capacity, some or all servers
+/// warming up at once, and health checks.
 fn scenarios(nodes: u32) -> Vec<(&'static str, Scenario)> {
     let base = Scenario {
         nodes,
@@ -463,7 +466,7 @@
             },
         ),
         (
-            "uneven, forgets",
+            "uneven, restarts",
             Scenario {
                 busiest_node_factor: 4.0,
                 nodes_restart: true,
@@ -471,7 +474,7 @@
             },
         ),
         (
-            "little to spare",
+            "small allowance, overload",
             Scenario {
                 overload_factor: 1.2,
                 load: 1.6,
@@ -479,7 +482,7 @@
             },
         ),
         (
-            "half cold, overload",
+            "half warming, overload",
             Scenario {
                 simultaneous_starts: SERVERS / 2,
                 load: 3.0,
@@ -487,7 +490,7 @@
             },
         ),
         (
-            "half cold, two processes",
+            "half warming, two processes",
             Scenario {
                 simultaneous_starts: SERVERS / 2,
                 load: 3.0,
@@ -496,15 +499,15 @@
             },
         ),
         (
-            "all cold",
+            "all warming",
             Scenario {
                 busiest_node_factor: 4.0,
                 ..all
             },
         ),
-        ("all cold, overload", Scenario { load: 3.0, ..all }),
+        ("all warming, overload", Scenario { load: 3.0, ..all }),
         (
-            "all cold, overload, forgets",
+            "all warming, overload, restarts",
             Scenario {
                 load: 3.0,
                 nodes_restart: true,
@@ -512,7 +515,7 @@
             },
         ),
         (
-            "all cold, probes",
+            "all warming, health checks",
             Scenario {
                 load: 1.6,
                 health_checks: true,
@@ -523,18 +526,18 @@
 }
 
 #[test]
-fn all_nodes_together_keep_the_bound_of_every_warming_server() {
+fn all_nodes_together_stay_within_the_bound_of_every_warming_server() {
     std::thread::scope(|threads| {
         for nodes in [1, 3, 20, 30, 300] {
             threads.spawn(move || {
                 for (name, scenario) in scenarios(nodes) {
                     let stats = run_seeds(scenario, 1);
                     println!(
-                        "{nodes:4} nodes, {name:28} {} of {} windows break; worst {:.2} of the bound, mean {:.3} of N",
+                        "{nodes:4} nodes, {name:32} {} of {} windows violate the bound; worst {:.2} of the bound, mean {:.3} of N",
                         stats.violations, stats.windows, stats.worst_ratio, stats.mean_ratio
                     );
                     assert_eq!(stats.violations, 0, "{nodes} nodes, {name}: {stats:?}");
-                    // And they are used: else nothing would be shown.
+                    // The warming servers must be used, or the test would show nothing.
                     assert!(stats.windows > 300 && stats.mean_ratio > 0.0, "{nodes} nodes, {name}: {stats:?}");
                 }
             });
@@ -542,10 +545,10 @@
     });
 }
 
-/// Permits that come at even times add up with less chance than draws that know nothing of each other, so few nodes may aim
-/// nearer to the bound, and use what they may.
+/// Evenly spaced permits add up with less variance than independent random draws, so with few nodes the sends may come
+/// closer to the bound. The test checks that they do.
 #[test]
-fn few_nodes_use_most_of_what_a_warming_server_may_get() {
+fn few_nodes_use_most_of_a_warming_servers_allowance() {
     for nodes in [1, 3] {
         let stats = run_seeds(
             Scenario {
@@ -565,9 +568,10 @@
     }
 }
 
-/// Where load is probed a cold server shows no sign, since it is not probed: its permit stands for one.
+/// Where load comes from health checks, a warming server gives no idle signal because it is not checked: a permit takes its
+/// place.
 #[test]
-fn uses_a_warming_server_where_load_is_health_checked() {
+fn uses_a_warming_server_where_load_comes_from_health_checks() {
     for nodes in [3, 20] {
         let stats = run_seeds(
             Scenario {
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! A simulated node: its balancer, and the order in which its load reports list their fields.
+//! A simulated node.
 
 use crate::wire::{RawReport, named_report};
 use sillward_balancer::settings::{self, ReportField, SettingsError};
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The decisions of an instance panicked. Its state cannot be used any more.
+/// The message of a panic in an instance's balancer, whose state is unusable afterwards.
 #[derive(Debug, Error, PartialEq)]
 #[error("{0}")]
 pub(crate) struct DecisionPanic(String);
@@ -15,11 +15,12 @@
 /// A running instance.
 pub(crate) struct Instance {
     balancer: Balancer,
+    /// The fields of its load reports, in the order of the values on the wire.
     report_fields: Vec<ReportField>,
 }
 
 impl Instance {
-    /// Starts an instance with its settings, as JSON, and the seed of its random numbers.
+    /// Starts an instance with its settings (JSON) and random seed.
     pub(crate) fn start(settings: &[u8], seed: u64) -> Result<Self, SettingsError> {
         let platform = settings::parse(settings)?;
         Ok(Instance {
--- a/crates/simulator-adapter/src/instance/tests.rs
+++ b/crates/simulator-adapter/src/instance/tests.rs
@@ -1,7 +1,7 @@
 use super::{DecisionPanic, catch_panic};
 
 #[test]
-fn a_panic_in_the_decisions_becomes_its_message() {
+fn a_panic_is_returned_as_its_message() {
     let panic = |message: &str| Err(DecisionPanic(message.to_owned()));
     assert_eq!(catch_panic(|| ()), Ok(()));
     assert_eq!(catch_panic(|| panic!("plain")), panic("plain"));
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Hosts many nodes on the simulator's wire: one [`sillward_balancer::Balancer`] for each instance. Batches of events come
-//! on standard input, replies with actions go to standard output. Bad input ends it with one line and exit code 1.
+//! Runs one [`sillward_balancer::Balancer`] per simulated node (instance) for the simulator. Reads batches of events from
+//! standard input and writes replies with actions to standard output. Invalid input ends the process with one line on
+//! standard error and exit code 1.
 #![forbid(unsafe_code)]
 
 mod instance;
@@ -32,7 +33,7 @@
                 instances.remove(&id);
             }
             Input::Event(event, report) => {
-                // An event for an instance that has stopped is late, and has no effect.
+                // Events may arrive after their instance has stopped; they are ignored.
                 let Some(instance) = instances.get_mut(&id) else {
                     continue;
                 };
@@ -49,7 +50,7 @@
     Ok(reply.frame(batch.number))
 }
 
-/// Answers batches until the end of the input.
+/// Handles batches until the end of the input.
 fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut instances = BTreeMap::new();
     while let Some(batch) = read_batch(input)? {
--- a/crates/simulator-adapter/src/wire/decode.rs
+++ b/crates/simulator-adapter/src/wire/decode.rs
@@ -1,4 +1,4 @@
-//! Reads batches of events.
+//! Decodes batches of events.
 
 use super::error::{AdapterError, RecordError};
 use super::{BATCH_HEADER, ENDPOINT_ENTRY, EVENT_RECORD, InstanceId, MAX_REPORT_VALUES};
@@ -14,14 +14,14 @@
 const FLAG_EXPECTED_WORK: u8 = 1;
 const FLAG_CLIENT_RETRY: u8 = 2;
 
-/// What one record of a batch says.
+/// The contents of one record of a batch.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Input {
-    /// The instance starts, with a seed and its settings as JSON.
+    /// The instance starts with this random seed and these settings (JSON).
     Start { seed: u64, settings: Vec<u8> },
     /// The instance was killed.
     Stop,
-    /// An event for its balancer. The report, if any, is not yet named by the instance's fields.
+    /// An event for its balancer. The load report is separate, because the instance's settings name its values.
     Event(Event, Option<RawReport>),
 }
 
@@ -32,7 +32,7 @@
     count: usize,
 }
 
-/// Names the values of a report.
+/// Assigns the values of a report to the instance's report fields, in order.
 pub(crate) fn named_report(raw: RawReport, fields: &[ReportField]) -> LoadReport {
     let mut report = LoadReport::default();
     for (field, value) in fields.iter().zip(&raw.values[..raw.count]) {
@@ -95,7 +95,8 @@
     }))
 }
 
-/// Reads that many bytes, or fewer at the end of the input. Memory grows with what arrives: the length is only a claim.
+/// Reads `length` bytes, or fewer at the end of the input. Does not allocate the declared length up front, because it may
+/// be wrong.
 fn read_up_to(input: &mut impl Read, length: usize) -> Result<Vec<u8>, AdapterError> {
     let mut bytes = Vec::new();
     let mut limited = input.by_ref().take(length as u64);
@@ -119,7 +120,7 @@
         })
     }
 
-    /// A fault of one of its records.
+    /// Adds the batch and record number to an error.
     pub(crate) fn record_error(&self, record: usize, error: RecordError) -> AdapterError {
         AdapterError::Record {
             batch: self.number,
@@ -205,7 +206,7 @@
     Ok(Input::Event(Event::HealthChecked(end), fields.report(18)?))
 }
 
-/// The part of the tail that a start and a count at `position` point to; the count is of items of `size` bytes.
+/// The part of the tail given by a start offset and a number of items of `size` bytes, both at `position` in the record.
 fn tail_slice<'a>(
     tail: &'a [u8],
     fields: Fields<'_>,
@@ -299,7 +300,7 @@
         f64::from_be_bytes(self.bytes(offset))
     }
 
-    /// Four bytes of address and a port, as one number.
+    /// An IPv4 address and a port, as one number.
     fn server(self, offset: usize) -> ServerId {
         ServerId(u64::from(self.u32(offset)) << 16 | u64::from(self.u16(offset + 4)))
     }
--- a/crates/simulator-adapter/src/wire/encode.rs
+++ b/crates/simulator-adapter/src/wire/encode.rs
@@ -1,4 +1,4 @@
-//! Writes replies with actions.
+//! Encodes replies with actions.
 
 use super::{ACTION_RECORD, InstanceId};
 use sillward_balancer::{Action, ServerId};
@@ -16,10 +16,10 @@
 const CODE_CLOSE_IDLE: u8 = 74;
 const CODE_REJECT: u8 = 75;
 const CODE_SEND: u8 = 76;
-/// The receiver's number that stands for all nodes.
+/// The receiver number that addresses all nodes.
 const ALL_NODES: u16 = u16::MAX;
 
-/// The reply to one batch, as it grows.
+/// The reply to one batch, under construction.
 #[derive(Default)]
 pub(crate) struct Reply {
     count: u32,
@@ -28,7 +28,7 @@
 }
 
 impl Reply {
-    /// Adds an action of an instance.
+    /// Appends an action of an instance.
     pub(crate) fn push(&mut self, instance: InstanceId, action: &Action) {
         match action {
             Action::Fail { id } => self.record(CODE_FAIL, instance).u64(id.0),
@@ -71,14 +71,14 @@
         self.close_record();
     }
 
-    /// Reports that the decisions of an instance panicked.
+    /// Appends a report that the balancer of an instance panicked.
     pub(crate) fn push_panic(&mut self, instance: InstanceId, message: &str) {
         self.record(CODE_PANIC, instance)
             .in_tail(message.as_bytes());
         self.close_record();
     }
 
-    /// The finished frame.
+    /// The frame of the complete reply.
     pub(crate) fn frame(mut self, batch: u32) -> Vec<u8> {
         let length = self.records.len() + self.tail.len();
         let mut frame = Vec::with_capacity(12 + length);
@@ -99,7 +99,7 @@
         self.records.resize(self.count as usize * ACTION_RECORD, 0);
     }
 
-    /// Puts bytes into the tail, and their place there into the record.
+    /// Appends bytes to the tail, and their offset and length to the record.
     fn in_tail(&mut self, bytes: &[u8]) -> &mut Self {
         let start = self.tail.len() as u32;
         self.tail.extend(bytes);
--- a/crates/simulator-adapter/src/wire/error.rs
+++ b/crates/simulator-adapter/src/wire/error.rs
@@ -1,10 +1,10 @@
-//! What can be wrong with the input.
+//! Errors in the input.
 
 use sillward_balancer::settings::SettingsError;
 use std::io;
 use thiserror::Error;
 
-/// Why the adapter ends.
+/// An error that ends the adapter.
 #[derive(Debug, Error)]
 pub(crate) enum AdapterError {
     #[error("cannot read: {0}")]
@@ -36,7 +36,7 @@
     },
 }
 
-/// What can be wrong with a record.
+/// An error in one record of a batch.
 #[derive(Debug, Error)]
 pub(crate) enum RecordError {
     #[error("unknown event code {0}")]
--- a/crates/simulator-adapter/src/wire/tests.rs
+++ b/crates/simulator-adapter/src/wire/tests.rs
@@ -41,7 +41,7 @@
 
 fn read_record(record: &str, tail: &str) -> (u16, Input) {
     read(&batch(&[padded(record, EVENT_RECORD)], &hex(tail)))
-        .expect("legal")
+        .expect("a valid batch")
         .remove(0)
 }
 
@@ -53,7 +53,7 @@
 fn an_empty_batch_gets_an_empty_reply() {
     let frame = hex("00000001 00000000 00000000 40c06e2000000000");
     let batch = read_batch(&mut &frame[..])
-        .expect("legal")
+        .expect("a valid batch")
         .expect("a batch");
     assert_eq!(
         (batch.number, batch.clock, batch.records().count()),
@@ -85,7 +85,7 @@
         body_pending: false,
     };
     assert_eq!(
-        read(&frame).expect("legal"),
+        read(&frame).expect("a valid batch"),
         [
             (3, Input::Event(Event::Request(request), None)),
             (3, Input::Event(Event::Timer { token: 0x4d }, None)),
@@ -372,7 +372,7 @@
 
 #[test]
 fn the_end_of_the_input_is_not_an_error() {
-    assert!(read_batch(&mut &[][..]).expect("legal").is_none());
+    assert!(read_batch(&mut &[][..]).expect("a valid batch").is_none());
 }
 
 #[test]
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: whole frames in, whole frames out, and plain words for bad input.
+//! Runs the adapter as a process: complete frames as input and output, and error messages for invalid input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -13,9 +13,13 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may stop reading at bad input.
-    let _ = child.stdin.take().expect("its input").write_all(input);
-    child.wait_with_output().expect("it ends with its input")
+    // The write fails if the adapter stops reading at invalid input.
+    let _ = child
+        .stdin
+        .take()
+        .expect("a piped standard input")
+        .write_all(input);
+    child.wait_with_output().expect("the adapter ends")
 }
 
 struct Batch {
@@ -41,7 +45,7 @@
         self.count += 1;
         self
     }
-    /// A start, with its settings at the end of the tail so far.
+    /// Adds the start of an instance, with its settings in the tail.
     fn start(mut self, instance: u16, settings: &[u8]) -> Self {
         let at = (self.tail.len() as u32).to_be_bytes();
         self.tail.extend(settings);
@@ -55,7 +59,7 @@
             ],
         )
     }
-    /// A complete list of so many ready servers.
+    /// Adds a full endpoint list of `servers` ready servers.
     fn list(mut self, instance: u16, servers: u16) -> Self {
         let at = (self.tail.len() as u32).to_be_bytes();
         for number in 0..servers {
@@ -92,7 +96,7 @@
     }
 }
 
-/// The codes of the actions of each reply.
+/// The action codes of each reply.
 fn replies(output: &[u8]) -> Vec<Vec<u8>> {
     let u32_at =
         |at: usize| u32::from_be_bytes(output[at..at + 4].try_into().expect("four bytes")) as usize;
@@ -115,7 +119,7 @@
         .list(2, 2)
         .frame(1);
     let requests = Batch::new().request(1, 5).request(2, 6).frame(2);
-    // Instance 1 restarts in one batch; what comes for instance 2 after its stop is late.
+    // Instance 1 restarts within one batch; the request for instance 2 comes after its stop and is ignored.
     let restart = Batch::new()
         .record(10, 1, &[])
         .start(1, settings)
@@ -148,7 +152,7 @@
     let output = run(&[start, many].concat());
     assert!(output.status.success());
     let replies = replies(&output.stdout);
-    // Each request is sent, refused or held for a while.
+    // Each request is sent, rejected or held with a timer.
     let decided = replies[1]
         .iter()
         .filter(|code| [76, 75, 68].contains(code))
@@ -206,7 +210,7 @@
     assert!(String::from_utf8_lossy(&output.stderr).contains("batch 1: 0 of 4294967295 bytes"));
 }
 
-/// All bytes of the replies to batches of every kind of event, as hexadecimal digits.
+/// Compares all bytes of the replies to several kinds of events with the golden file.
 #[test]
 fn replies_match_the_golden_file() {
     let settings = SETTINGS.as_bytes();
@@ -221,7 +225,7 @@
             batch.request(1 + id as u16 % 2, id)
         })
         .frame(2);
-    // Request 1 of instance 2 is served, 2 of instance 1 fails, a timer is due, a client leaves.
+    // Request 1 of instance 2 is served, request 2 of instance 1 is rejected by its server, a timer fires, a client disconnects.
     let elapsed = 20f64.to_be_bytes();
     let end = |id: u64, outcome: u8| {
         let mut fields = id.to_be_bytes().to_vec();
