--- a/crates/balancer/tests/decisions/health_checks.rs
+++ b/crates/balancer/tests/decisions/health_checks.rs
@@ -35,7 +35,7 @@
 #[test]
 fn keeps_health_checks_within_their_budget() {
     let mut settings = with_health_checks();
-    settings.penalties.health_check = 0.05; // a hundredth of the service pays for one health check in five requests
+    settings.penalties.health_check = 0.05; // a budget of 0.01 per request pays for one health check in five requests
     let mut harness = Harness::with_servers(settings, 8);
     let health_checks: usize = (0..100)
         .map(|_| {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn checks_no_servers_in_place_of_ones_known_to_be_full() {
+fn sends_no_health_checks_in_place_of_servers_known_to_be_busy() {
     // Servers known to be busy were set aside, and requests sent without any information hit other busy ones.
     let mut harness = Harness::with_servers(with_health_checks(), 3);
     for _ in 0..60 {
--- a/crates/balancer/tests/faults.rs
+++ b/crates/balancer/tests/faults.rs
@@ -118,17 +118,17 @@
         let (before, at) = (harness.log.len(), harness.now);
         harness.request(polls % 3);
         harness.advance(harness.settings.timer_resolution);
-        let asked = harness.log[before..]
+        let polled = harness.log[before..]
             .iter()
             .any(|a| matches!(a, Action::WatchEndpoints { on: true }));
-        if let (Some(since), true) = (failed, asked) {
+        if let (Some(since), true) = (failed, polled) {
             let waited = harness.now - since;
             assert!(
                 waited >= ms(60) && waited <= ms(500 + 70),
                 "poll {polls} after {waited:?}"
             );
         }
-        if asked {
+        if polled {
             harness.update_endpoints(EndpointUpdate::Failed, vec![]);
             (failed, polls) = (Some(at), polls + 1);
         }
@@ -202,16 +202,17 @@
                 harness.request_with(1, 0, ms(1000), Some(ms(if expensive { 390 } else { 40 })));
             harness.respond_to_health_checks(&[]);
             harness.advance(ms(40));
-            for (out, attempt) in harness
+            for (sent_id, attempt) in harness
                 .attempts_in_flight()
                 .into_iter()
-                .filter(|(out, _)| *out == id || !expensive)
+                .filter(|(sent_id, _)| *sent_id == id || !expensive)
             {
-                if harness.server_of(out, attempt).0 != 0
-                    && harness.time_since_first_send(out) >= ms(if out == id { 40 } else { 320 })
+                if harness.server_of(sent_id, attempt).0 != 0
+                    && harness.time_since_first_send(sent_id)
+                        >= ms(if sent_id == id { 40 } else { 320 })
                 {
-                    served += usize::from(out == id && !expensive);
-                    harness.end_attempt(out, attempt, Outcome::Served, Some(1.0));
+                    served += usize::from(sent_id == id && !expensive);
+                    harness.end_attempt(sent_id, attempt, Outcome::Served, Some(1.0));
                 }
             }
         }
