--- a/crates/balancer/tests/characterization/sequence.rs
+++ b/crates/balancer/tests/characterization/sequence.rs
@@ -272,9 +272,9 @@
     /// A server's load report: sometimes noisy, sometimes absent.
     fn report(&mut self, server: ServerId) -> Option<LoadReport> {
         let noise = self.random.unit() as f32;
-        let kind = self.random.below(5);
+        let report_kind = self.random.below(5);
         let in_flight = self.simulated_server(server)?.in_flight as f32;
-        match kind {
+        match report_kind {
             0 => None,
             1 => Some(LoadReport {
                 queue: Some((in_flight - 2.0).max(0.0)),
@@ -423,7 +423,7 @@
             .collect()
     }
 
-    /// Answers a poll of the endpoint list with the full list or a failure.
+    /// Responds to a poll of the endpoint list with the full list or a failure.
     fn poll(&mut self) {
         let update = if self.random.chance(0.25) {
             EndpointUpdate::Failed
--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn fills_no_server_when_started_into_an_overload() {
+fn limits_attempts_per_server_when_started_during_an_overload() {
     // One node could send a server dozens of requests before the first of them times out.
     let mut harness = Harness::with_servers(with_load_reports(), 4);
     for _ in 0..300 {
--- a/crates/balancer/tests/decisions/health_checks.rs
+++ b/crates/balancer/tests/decisions/health_checks.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn waits_only_briefly_for_an_unanswered_health_check() {
+fn waits_only_briefly_for_a_health_check_without_a_response() {
     let mut harness = Harness::with_servers(with_health_checks(), 4);
     let (id, _) = harness.request(0);
     harness.advance(ms(40));
--- a/crates/balancer/tests/decisions/outliers.rs
+++ b/crates/balancer/tests/decisions/outliers.rs
@@ -98,7 +98,7 @@
 fn ejects_no_server_when_all_fail() {
     let mut harness = Harness::with_servers(with_load_reports(), 6);
     run_requests(&mut harness, 200, |_| Outcome::Error);
-    // Errors reset no estimate, so the first server that serves has the lowest: only concurrent requests use more servers.
+    // Errors reset no estimate, so the first server that serves has the lowest one: only concurrent requests use more servers.
     for _ in 0..10 {
         (0..6).for_each(|_| drop(harness.request(1)));
         harness.advance(ms(30));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn avoids_a_server_that_accepts_and_never_answers() {
+fn avoids_a_server_that_accepts_and_never_responds() {
     let mut harness = Harness::with_servers(with_load_reports(), 4);
     let mut sends_per_server = BTreeMap::new();
     for _ in 0..200 {
@@ -130,10 +130,10 @@
             }
         }
     }
-    let sends_to_silent = sent_to(&harness.log).iter().filter(|s| **s == 0).count();
+    let sends_to_unresponsive = sent_to(&harness.log).iter().filter(|s| **s == 0).count();
     assert!(
-        sends_to_silent < 20,
-        "{sends_to_silent} of 200 requests sent to the unresponsive server, {sends_per_server:?}"
+        sends_to_unresponsive < 20,
+        "{sends_to_unresponsive} of 200 requests sent to the unresponsive server, {sends_per_server:?}"
     );
 }
 
--- a/crates/balancer/tests/decisions/retries.rs
+++ b/crates/balancer/tests/decisions/retries.rs
@@ -5,7 +5,7 @@
 use sillward_balancer::*;
 
 #[test]
-fn times_out_a_silent_attempt_only_if_another_server_is_eligible() {
+fn times_out_an_attempt_without_a_response_only_if_another_server_is_eligible() {
     let attempt_timeout = |harness: &mut Harness, class: usize| {
         let (_, actions) = harness.request(class);
         actions.iter().find_map(|action| match action {
@@ -16,30 +16,40 @@
     let mut settings = with_load_reports();
     settings.limits.hedging = false;
     settings.limits.max_attempts = 2;
-    let warmed_up = |servers: u64, settings: &Settings| {
+    let harness_after_100_requests = |servers: u64, settings: &Settings| {
         let mut harness = Harness::with_servers(settings.clone(), servers);
         run_requests(&mut harness, 100, |_| Outcome::Served);
         harness
     };
     let early_timeout_limit = ms(200);
     // Idempotent requests may be retried on any other server, keyed ones only in their scope (0 and 3 are in one zone).
-    assert!(attempt_timeout(&mut warmed_up(2, &settings), 0).expect("sent") < early_timeout_limit);
     assert!(
-        attempt_timeout(&mut warmed_up(1, &settings), 0).expect("sent") > early_timeout_limit,
+        attempt_timeout(&mut harness_after_100_requests(2, &settings), 0).expect("sent")
+            < early_timeout_limit
+    );
+    assert!(
+        attempt_timeout(&mut harness_after_100_requests(1, &settings), 0).expect("sent")
+            > early_timeout_limit,
         "a single server"
     );
     assert!(
-        attempt_timeout(&mut warmed_up(3, &settings), 2).expect("sent") > early_timeout_limit,
+        attempt_timeout(&mut harness_after_100_requests(3, &settings), 2).expect("sent")
+            > early_timeout_limit,
         "the only server in its zone"
     );
-    assert!(attempt_timeout(&mut warmed_up(6, &settings), 2).expect("sent") < early_timeout_limit);
     assert!(
-        attempt_timeout(&mut warmed_up(6, &settings), 1).expect("sent") > early_timeout_limit,
+        attempt_timeout(&mut harness_after_100_requests(6, &settings), 2).expect("sent")
+            < early_timeout_limit
+    );
+    assert!(
+        attempt_timeout(&mut harness_after_100_requests(6, &settings), 1).expect("sent")
+            > early_timeout_limit,
         "a non-idempotent request"
     );
     settings.limits.max_attempts = 1;
     assert!(
-        attempt_timeout(&mut warmed_up(6, &settings), 0).expect("sent") > early_timeout_limit,
+        attempt_timeout(&mut harness_after_100_requests(6, &settings), 0).expect("sent")
+            > early_timeout_limit,
         "only one attempt is allowed"
     );
     // The other server can't be reached.
@@ -71,7 +81,7 @@
 }
 
 #[test]
-fn hedges_or_retries_a_silent_attempt_as_far_as_idempotency_allows() {
+fn hedges_or_retries_an_attempt_without_a_response_as_far_as_idempotency_allows() {
     // A response that never comes would use up the request's whole time.
     for (class, retried) in [(0, true), (1, false), (4, true)] {
         for hedging in [false, true] {
--- a/crates/balancer/tests/slow_start_fleet.rs
+++ b/crates/balancer/tests/slow_start_fleet.rs
@@ -94,18 +94,20 @@
 struct Fleet {
     scenario: Scenario,
     settings: Settings,
+    /// Each node's balancer, and how often the node has restarted.
     nodes: Vec<(Balancer, u32)>,
     random: Random,
     queue: BinaryHeap<Reverse<(Duration, u64, ScheduledEvent)>>,
     scheduled: u64,
     now: Duration,
+    /// The last start time of each server that has restarted.
     started: BTreeMap<u64, Duration>,
     in_flight: BTreeMap<u64, u32>,
     /// When each server finishes the requests that it has.
     busy_until: BTreeMap<u64, Duration>,
     /// The times of all sends to each server.
     sent: BTreeMap<u64, Vec<Duration>>,
-    /// The start times of each server.
+    /// All start times of each server.
     starts: BTreeMap<u64, Vec<Duration>>,
     attempts: BTreeMap<(u32, u32, u64), u32>,
     last_request: u64,
@@ -257,7 +259,7 @@
         *in_flight += 1;
         // A server processes one request at a time, more slowly while it warms up. Requests that would finish too late are
         // dropped and one in twenty fails, so the nodes retry both.
-        let warm = self.started.get(&server).map_or(1.0, |at| {
+        let capacity_fraction = self.started.get(&server).map_or(1.0, |at| {
             let age = (self.now - *at).as_secs_f64()
                 / self.settings.safety.slow_start_window.as_secs_f64();
             (self.settings.safety.slow_start_capacity
@@ -270,7 +272,7 @@
             .copied()
             .unwrap_or_default()
             .max(self.now);
-        let done = begins + secs(1.0 / (CAPACITY * warm));
+        let done = begins + secs(1.0 / (CAPACITY * capacity_fraction));
         let late = done > self.now + secs(0.9);
         if !late {
             self.busy_until.insert(server, done);
@@ -408,11 +410,11 @@
                 while from + rules.overload_window < *start + rules.slow_start_window {
                     let to = from + rules.overload_window;
                     let age = (from + rules.overload_window / 2 - *start).as_secs_f64();
-                    let warm = rules.slow_start_capacity
+                    let capacity_fraction = rules.slow_start_capacity
                         + (1.0 - rules.slow_start_capacity) * age
                             / rules.slow_start_window.as_secs_f64();
                     let allowed = rules.overload_factor
-                        * warm
+                        * capacity_fraction
                         * CAPACITY
                         * rules.overload_window.as_secs_f64();
                     let sends = sent.iter().filter(|at| (from..to).contains(*at)).count() as f64;
