--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,6 +1,11 @@
-//! A simulated environment of one balancer: it plays legal events, performs the actions, and checks the four safety rules
-//! with bookkeeping of its own.
-#![allow(dead_code, unreachable_pub)] // each test file uses its own part of this
+//! A test harness for one balancer. It delivers valid events, performs the actions, and checks the safety rules with its
+//! own bookkeeping:
+//!
+//! 1. Each request gets exactly one final response, by its deadline.
+//! 2. A request that may have run is sent again, or rejected as safe to retry, only as its idempotency allows.
+//! 3. No request is sent to a draining or removed server after the drain grace.
+//! 4. A warming server is sent no more than its allowance (checked by the tests of slow start).
+#![allow(dead_code, unreachable_pub)] // no test file uses all helpers
 
 use sillward_balancer::*;
 use std::collections::BTreeMap;
@@ -10,8 +15,8 @@
     Duration::from_millis(ms)
 }
 
-/// A ready server of long standing. Servers are in zone and cell `number % 3`.
-pub fn entry(number: u64) -> Endpoint {
+/// A ready server that is not warming up, in zone and cell `number % 3`.
+pub fn endpoint(number: u64) -> Endpoint {
     let (zone, cell) = ((number % 3) as u8, (number % 3) as u16);
     Endpoint {
         id: ServerId(number),
@@ -23,25 +28,26 @@
     }
 }
 
-pub fn class(repeat: Idempotency) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: ms(400),
         objective_stretch: 0.0,
         deadline: ms(1000),
         priority_weight: 1.0,
         late_weight: 0.0,
-        idempotency: repeat,
+        idempotency,
         streamed: false,
     }
 }
 
-/// Three nodes; class 0 safe, 1 unsafe, 2 keyed in a zone, 3 keyed in a cell, 4 keyed everywhere.
+/// Settings of a fleet of three nodes. Class 0 is idempotent, 1 non-idempotent, 2 keyed per zone, 3 keyed per cell and 4
+/// keyed across all servers.
 pub fn settings() -> Settings {
     let keyed = |scope| Idempotency::Keyed {
         scope,
         window: ms(300),
     };
-    let repeats = [
+    let idempotencies = [
         Idempotency::Idempotent,
         Idempotency::NonIdempotent,
         keyed(Scope::Zone),
@@ -50,7 +56,7 @@
     ];
     let mut settings = Settings {
         nodes: 3,
-        classes: repeats.map(class).to_vec(),
+        classes: idempotencies.map(class).to_vec(),
         ..Settings::default()
     };
     settings.limits.cancel_attempts = true;
@@ -75,42 +81,42 @@
 
 struct SentAttempt {
     server: ServerId,
-    sent: Duration,
-    ends: Duration,
+    sent_at: Duration,
+    ends_at: Duration,
     outcome: Option<Outcome>,
 }
 
 struct AcceptedRequest {
-    /// As its class allowed when it was accepted.
+    /// The idempotency of its class when it was accepted.
     idempotency: Idempotency,
     deadline: Duration,
-    answered: bool,
+    finished: bool,
     attempts: Vec<SentAttempt>,
 }
 
-/// One node and its environment. Panics when a rule is broken.
-pub struct World {
+/// One node and its simulated environment. Panics when a safety rule is violated.
+pub struct Harness {
     pub now: Duration,
     pub settings: Settings,
     pub balancer: Balancer,
-    /// All actions so far.
+    /// All actions so far, in order.
     pub log: Vec<Action>,
     requests: BTreeMap<RequestId, AcceptedRequest>,
     timers: BTreeMap<(Duration, usize), u64>,
     timers_set: usize,
-    /// Each server as the node last had it listed, and since when it must get nothing new.
+    /// Each server's last entry in the endpoint list, and since when it has been draining or removed.
     listed: BTreeMap<ServerId, (Endpoint, Option<Duration>)>,
     health_checks_in_flight: Vec<(ServerId, Duration)>,
     next_id: u64,
 }
 
-impl World {
+impl Harness {
     pub fn new(settings: Settings) -> Self {
-        Self::seeded(settings, 1)
+        Self::with_seed(settings, 1)
     }
 
-    pub fn seeded(settings: Settings, seed: u64) -> Self {
-        World {
+    pub fn with_seed(settings: Settings, seed: u64) -> Self {
+        Harness {
             now: ms(100_000),
             balancer: Balancer::new(settings.clone(), seed),
             settings,
@@ -124,14 +130,14 @@
         }
     }
 
-    /// A world whose node has a list of servers 0, 1, 2 ...
+    /// A harness whose node knows servers 0, 1, 2 ...
     pub fn with_servers(settings: Settings, count: u64) -> Self {
-        let mut world = World::new(settings);
-        world.list(EndpointUpdate::Full, (0..count).map(entry).collect());
-        world
+        let mut harness = Harness::new(settings);
+        harness.update_endpoints(EndpointUpdate::Full, (0..count).map(endpoint).collect());
+        harness
     }
 
-    /// Lets the node handle an event, obeys and checks what it does, and returns it.
+    /// Delivers an event; performs, checks and returns the resulting actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
@@ -140,26 +146,27 @@
         actions
     }
 
-    pub fn list(&mut self, kind: EndpointUpdate, entries: Vec<Endpoint>) -> Vec<Action> {
+    pub fn update_endpoints(
+        &mut self,
+        update: EndpointUpdate,
+        endpoints: Vec<Endpoint>,
+    ) -> Vec<Action> {
         let now = self.now;
-        if matches!(kind, EndpointUpdate::Full | EndpointUpdate::Cached) {
+        if matches!(update, EndpointUpdate::Full | EndpointUpdate::Cached) {
             self.listed
                 .values_mut()
-                .for_each(|(_, stop)| *stop = stop.or(Some(now)));
+                .for_each(|(_, stopped_at)| *stopped_at = stopped_at.or(Some(now)));
         }
-        for entry in &entries {
+        for endpoint in &endpoints {
             let since = self
                 .listed
-                .get(&entry.id)
-                .and_then(|(_, stop)| *stop)
+                .get(&endpoint.id)
+                .and_then(|(_, stopped_at)| *stopped_at)
                 .unwrap_or(now);
-            let stop = (entry.state != ServerState::Ready).then_some(since);
-            self.listed.insert(entry.id, (*entry, stop));
+            let stopped_at = (endpoint.state != ServerState::Ready).then_some(since);
+            self.listed.insert(endpoint.id, (*endpoint, stopped_at));
         }
-        self.handle(Event::EndpointList {
-            update: kind,
-            endpoints: entries,
-        })
+        self.handle(Event::EndpointList { update, endpoints })
     }
 
     pub fn request(&mut self, class: usize) -> (RequestId, Vec<Action>) {
@@ -171,40 +178,40 @@
         class: usize,
         tenant: usize,
         remaining: Duration,
-        cost: Option<Duration>,
+        expected_work: Option<Duration>,
     ) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next_id);
         self.next_id += 1;
         (
             id,
-            self.take(NewRequest {
+            self.handle_request(NewRequest {
                 id,
                 class,
                 tenant,
                 key: 0,
                 remaining,
-                expected_work: cost,
+                expected_work,
                 client_retry: false,
                 body_pending: false,
             }),
         )
     }
 
-    /// Lets the node take a request.
-    pub fn take(&mut self, new: NewRequest) -> Vec<Action> {
+    /// Delivers a new request.
+    pub fn handle_request(&mut self, new: NewRequest) -> Vec<Action> {
         let deadline = self.now + new.remaining;
         let request = AcceptedRequest {
             idempotency: self.settings.classes[new.class].idempotency,
             deadline,
-            answered: false,
+            finished: false,
             attempts: Vec::new(),
         };
         self.requests.insert(new.id, request);
         self.handle(Event::Request(new))
     }
 
-    /// Ends an attempt that is out.
-    pub fn end(
+    /// Ends an attempt that is in flight.
+    pub fn end_attempt(
         &mut self,
         id: RequestId,
         attempt: usize,
@@ -212,12 +219,15 @@
         load: Option<f32>,
     ) -> Vec<Action> {
         let request = self.requests.get_mut(&id).expect("a request");
-        let one = &mut request.attempts[attempt];
-        assert!(one.outcome.is_none(), "the test ends an attempt twice");
-        one.outcome = Some(outcome);
-        let (server, elapsed) = (one.server, self.now - one.sent);
-        request.answered |= outcome == Outcome::Served;
-        let finished = request.answered;
+        let sent_attempt = &mut request.attempts[attempt];
+        assert!(
+            sent_attempt.outcome.is_none(),
+            "the test ends an attempt twice"
+        );
+        sent_attempt.outcome = Some(outcome);
+        let (server, elapsed) = (sent_attempt.server, self.now - sent_attempt.sent_at);
+        request.finished |= outcome == Outcome::Served;
+        let finished = request.finished;
         let report = load.map(|load| LoadReport {
             in_flight: Some(load),
             ..LoadReport::default()
@@ -235,7 +245,7 @@
         }))
     }
 
-    /// Ends the oldest probe that is out; without a load it got no answer.
+    /// Ends the oldest health check in flight: with a load report, or timed out where `load` is `None`.
     pub fn end_health_check(&mut self, load: Option<f32>) -> Option<ServerId> {
         let (server, sent) = (!self.health_checks_in_flight.is_empty())
             .then(|| self.health_checks_in_flight.remove(0))?;
@@ -257,22 +267,22 @@
         Some(server)
     }
 
-    /// Answers all health_checks_in_flight: those of the named servers say idle, the others busy.
-    pub fn answer_health_checks(&mut self, idle: &[u64]) {
+    /// Ends all health checks in flight: the servers in `idle` report no load, the others two requests in flight.
+    pub fn respond_to_health_checks(&mut self, idle: &[u64]) {
         while let Some((server, _)) = self.health_checks_in_flight.first() {
             let load = if idle.contains(&server.0) { 0.0 } else { 2.0 };
             self.end_health_check(Some(load));
         }
     }
 
-    pub fn client_leaves(&mut self, id: RequestId) {
-        self.requests.get_mut(&id).expect("a request").answered = true;
+    pub fn disconnect_client(&mut self, id: RequestId) {
+        self.requests.get_mut(&id).expect("a request").finished = true;
         self.handle(Event::ClientGone { id });
     }
 
-    /// Lets time pass: timers come due, attempts and health_checks_in_flight run into their time-outs.
-    pub fn pass(&mut self, time: Duration) {
-        let end = self.now + time;
+    /// Advances the clock: fires timers, and times out attempts and health checks.
+    pub fn advance(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
             self.now = (self.now + self.settings.timer_resolution).min(end);
             while let Some((&due, _)) = self
@@ -283,10 +293,10 @@
                 let token = self.timers.remove(&due).expect("a timer");
                 self.handle(Event::Timer { token });
             }
-            for (id, attempt) in self.out() {
-                let one = &self.requests[&id].attempts[attempt];
-                if one.outcome.is_none() && one.ends <= self.now {
-                    self.end(id, attempt, Outcome::TimedOut, None);
+            for (id, attempt) in self.attempts_in_flight() {
+                let sent_attempt = &self.requests[&id].attempts[attempt];
+                if sent_attempt.outcome.is_none() && sent_attempt.ends_at <= self.now {
+                    self.end_attempt(id, attempt, Outcome::TimedOut, None);
                 }
             }
             while self
@@ -298,43 +308,42 @@
             }
             for (id, request) in &self.requests {
                 assert!(
-                    request.answered || self.now <= request.deadline + ms(5),
-                    "rule 1: {id:?} has no answer"
+                    request.finished || self.now <= request.deadline + ms(5),
+                    "rule 1: {id:?} has no final response"
                 );
             }
         }
     }
 
-    /// The attempts that are out.
-    pub fn out(&self) -> Vec<(RequestId, usize)> {
-        let attempts = self
-            .requests
-            .iter()
-            .flat_map(|(id, t)| t.attempts.iter().enumerate().map(|(i, t)| (*id, i, t)));
+    pub fn attempts_in_flight(&self) -> Vec<(RequestId, usize)> {
+        let attempts = self.requests.iter().flat_map(|(id, request)| {
+            let attempts = request.attempts.iter().enumerate();
+            attempts.map(|(index, attempt)| (*id, index, attempt))
+        });
         attempts
-            .filter(|(_, _, t)| t.outcome.is_none())
-            .map(|(id, i, _)| (id, i))
+            .filter(|(_, _, attempt)| attempt.outcome.is_none())
+            .map(|(id, index, _)| (id, index))
             .collect()
     }
 
-    /// How long ago the request came first to a server.
-    pub fn age(&self, id: RequestId) -> Duration {
-        self.now - self.requests[&id].attempts[0].sent
+    /// The time since the request's first attempt was sent.
+    pub fn time_since_first_send(&self, id: RequestId) -> Duration {
+        self.now - self.requests[&id].attempts[0].sent_at
     }
 
-    pub fn answered(&self, id: RequestId) -> bool {
-        self.requests[&id].answered
+    pub fn is_finished(&self, id: RequestId) -> bool {
+        self.requests[&id].finished
     }
 
     pub fn server_of(&self, id: RequestId, attempt: usize) -> ServerId {
         self.requests[&id].attempts[attempt].server
     }
 
-    /// The requests that are still owed an answer.
-    pub fn open(&self) -> Vec<RequestId> {
+    /// The requests that still need a final response.
+    pub fn unfinished_requests(&self) -> Vec<RequestId> {
         self.requests
             .iter()
-            .filter(|(_, t)| !t.answered)
+            .filter(|(_, request)| !request.finished)
             .map(|(id, _)| *id)
             .collect()
     }
@@ -350,9 +359,12 @@
                 let request = self
                     .requests
                     .get_mut(id)
-                    .expect("rule 1: refuses what it was not given");
-                assert!(!request.answered, "rule 1: a second answer for {id:?}");
-                let ran = request
+                    .expect("rule 1: rejects an unknown request");
+                assert!(
+                    !request.finished,
+                    "rule 1: a second final response for {id:?}"
+                );
+                let may_have_run = request
                     .attempts
                     .iter()
                     .any(|t| !t.outcome.is_some_and(proves_no_run));
@@ -361,30 +373,33 @@
                     | Idempotency::Keyed {
                         scope: Scope::All, ..
                     } => true,
-                    _ => !ran,
+                    _ => !may_have_run,
                 };
-                assert!(allowed, "rule 2: {id:?} may have run and is refused");
-                request.answered = true;
+                assert!(allowed, "rule 2: {id:?} may have run and is rejected");
+                request.finished = true;
             }
             Action::Fail { id } => {
                 let request = self
                     .requests
                     .get_mut(id)
-                    .expect("rule 1: fails what it was not given");
-                assert!(!request.answered, "rule 1: a second answer for {id:?}");
-                request.answered = true;
+                    .expect("rule 1: fails an unknown request");
+                assert!(
+                    !request.finished,
+                    "rule 1: a second final response for {id:?}"
+                );
+                request.finished = true;
             }
             Action::CancelAttempt { id, attempt } => {
                 assert!(
                     self.settings.limits.cancel_attempts,
-                    "cancels where that is not allowed"
+                    "cancels an attempt although the settings forbid it"
                 );
-                let one =
+                let sent_attempt =
                     &mut self.requests.get_mut(id).expect("a request").attempts[*attempt as usize];
-                one.ends = self.now; // its outcome comes with the next round
+                sent_attempt.ends_at = self.now; // `advance` ends it
             }
             Action::SetTimer { after, token } => {
-                // Never in the round that is being answered.
+                // A timer without delay fires in the next step, not in the current one.
                 let due = (self.now + *after).max(self.now + Duration::from_nanos(1));
                 self.timers_set += 1;
                 self.timers.insert((due, self.timers_set), *token);
@@ -392,7 +407,7 @@
             Action::HealthCheck { server } => {
                 assert!(
                     self.settings.limits.health_checks,
-                    "health_checks_in_flight where that is not allowed"
+                    "sends a health check although the settings forbid it"
                 );
                 self.health_checks_in_flight.push((*server, self.now));
             }
@@ -401,59 +416,68 @@
         }
     }
 
-    fn check_send(&mut self, id: RequestId, to: ServerId, timeout: Duration) {
+    fn check_send(&mut self, id: RequestId, server: ServerId, timeout: Duration) {
         let request = self
             .requests
             .get_mut(&id)
-            .expect("rule 1: sends what it was not given");
-        assert!(!request.answered, "rule 1: {id:?} is sent after its answer");
-        let (entry, stop) = self
+            .expect("rule 1: sends an unknown request");
+        assert!(
+            !request.finished,
+            "rule 1: {id:?} is sent after its final response"
+        );
+        let (endpoint, stopped_at) = self
             .listed
-            .get(&to)
+            .get(&server)
             .expect("sends to a server that was never listed");
         let grace = self.settings.safety.drain_grace;
         assert!(
-            stop.is_none_or(|at| self.now <= at + grace),
-            "rule 3: {to:?} drains or is gone"
+            stopped_at.is_none_or(|at| self.now <= at + grace),
+            "rule 3: {server:?} is draining or removed"
         );
         let limits = &self.settings.limits;
         assert!(
             request.attempts.len() < limits.max_attempts as usize,
             "too many attempts"
         );
-        let parallel = request.attempts.iter().any(|t| t.outcome.is_none());
-        assert!(!parallel || limits.hedging, "two attempts at once");
-        let ran = request
+        let another_in_flight = request.attempts.iter().any(|t| t.outcome.is_none());
+        assert!(
+            !another_in_flight || limits.hedging,
+            "a second attempt in flight although the settings forbid hedging"
+        );
+        let may_have_run = request
             .attempts
             .iter()
             .find(|t| !t.outcome.is_some_and(proves_no_run));
-        if let Some(first) = ran {
-            let home = &self.listed[&first.server].0;
+        if let Some(first) = may_have_run {
+            let first_endpoint = &self.listed[&first.server].0;
             let allowed = match request.idempotency {
                 Idempotency::Idempotent => true,
                 Idempotency::NonIdempotent => false,
                 Idempotency::Keyed { scope, window } => {
-                    let group = match scope {
+                    let same_scope = match scope {
                         Scope::All => true,
-                        Scope::Zone => home.zone == entry.zone,
-                        Scope::Cell => home.cell == entry.cell,
+                        Scope::Zone => first_endpoint.zone == endpoint.zone,
+                        Scope::Cell => first_endpoint.cell == endpoint.cell,
                     };
-                    group && self.now <= first.sent + window
+                    same_scope && self.now <= first.sent_at + window
                 }
             };
-            assert!(allowed, "rule 2: {id:?} may have run and is sent to {to:?}");
+            assert!(
+                allowed,
+                "rule 2: {id:?} may have run and is sent to {server:?}"
+            );
         }
-        let ends = (self.now + timeout).min(request.deadline);
+        let ends_at = (self.now + timeout).min(request.deadline);
         request.attempts.push(SentAttempt {
-            server: to,
-            sent: self.now,
-            ends,
+            server,
+            sent_at: self.now,
+            ends_at,
             outcome: None,
         });
     }
 }
 
-/// The outcomes that the rules count as proof.
+/// The outcomes that prove that the request did not run.
 fn proves_no_run(outcome: Outcome) -> bool {
     matches!(
         outcome,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Hosts many nodes on the simulator's wire: one [`sillward_balancer::Balancer`] for each instance. Batches of events come
-//! on standard input, replies with actions go to standard output. Bad input ends it with one line and exit code 1.
+//! Runs one [`sillward_balancer::Balancer`] per simulated node (instance) for the simulator. Reads batches of events from
+//! standard input and writes replies with actions to standard output. Invalid input ends the process with one line on
+//! standard error and exit code 1.
 #![forbid(unsafe_code)]
 
 mod instance;
@@ -15,7 +16,7 @@
 const INPUT_BUFFER: usize = 1 << 16;
 
 /// Handles a batch and returns the frame of its reply.
-fn answer(
+fn handle_batch(
     batch: &Batch,
     instances: &mut BTreeMap<InstanceId, Instance>,
 ) -> Result<Vec<u8>, AdapterError> {
@@ -25,21 +26,21 @@
         match input {
             Input::Start { seed, settings } => {
                 let instance = Instance::start(&settings, seed)
-                    .map_err(|fault| batch.record_error(position, RecordError::from(fault)))?;
+                    .map_err(|error| batch.record_error(position, RecordError::from(error)))?;
                 instances.insert(id, instance);
             }
             Input::Stop => {
                 instances.remove(&id);
             }
             Input::Event(event, report) => {
-                // An event for an instance that has stopped is late, and has no effect.
+                // Events may arrive after their instance has stopped; they are ignored.
                 let Some(instance) = instances.get_mut(&id) else {
                     continue;
                 };
                 match instance.handle(batch.clock, event, report) {
                     Ok(actions) => actions.iter().for_each(|action| reply.push(id, action)),
                     Err(panic) => {
-                        reply.push_fault(id, &panic.to_string());
+                        reply.push_panic(id, &panic.to_string());
                         instances.remove(&id);
                     }
                 }
@@ -49,11 +50,11 @@
     Ok(reply.frame(batch.number))
 }
 
-/// Answers batches until the end of the input.
+/// Handles batches until the end of the input.
 fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut instances = BTreeMap::new();
     while let Some(batch) = read_batch(input)? {
-        let frame = answer(&batch, &mut instances)?;
+        let frame = handle_batch(&batch, &mut instances)?;
         let written = output.write_all(&frame).and_then(|()| output.flush());
         written.map_err(AdapterError::Write)?;
     }
--- a/crates/simulator-adapter/src/wire/error.rs
+++ b/crates/simulator-adapter/src/wire/error.rs
@@ -1,10 +1,10 @@
-//! What can be wrong with the input.
+//! Errors in the input.
 
 use sillward_balancer::settings::SettingsError;
 use std::io;
 use thiserror::Error;
 
-/// Why the adapter ends.
+/// An error that ends the adapter.
 #[derive(Debug, Error)]
 pub(crate) enum AdapterError {
     #[error("cannot read: {0}")]
@@ -27,16 +27,16 @@
         records: usize,
         length: usize,
     },
-    #[error("batch {batch}: record {record}: {fault}")]
+    #[error("batch {batch}: record {record}: {error}")]
     Record {
         batch: u32,
         record: usize,
         #[source]
-        fault: RecordError,
+        error: RecordError,
     },
 }
 
-/// What can be wrong with a record.
+/// An error in one record of a batch.
 #[derive(Debug, Error)]
 pub(crate) enum RecordError {
     #[error("unknown event code {0}")]
