--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -1,4 +1,4 @@
-//! What the balancer asks its host to do, in the order given.
+//! Actions that the balancer requests from its host, to be executed in order.
 
 use crate::ids::{RequestId, ServerId};
 use std::time::Duration;
@@ -12,17 +12,17 @@
         id: RequestId,
         /// The server to send it to.
         server: ServerId,
-        /// The attempt times out after this.
+        /// The timeout of the attempt.
         timeout: Duration,
     },
-    /// Final answer: rejected. The client may safely retry.
+    /// Final response: rejected. The client may safely retry.
     Reject {
         /// The request.
         id: RequestId,
-        /// How long the client should wait before it retries; `None` where clients are not told.
+        /// How long the client should wait before it retries; `None` if clients get no `Retry-After`.
         retry_after: Option<Duration>,
     },
-    /// Final answer: failed. The request may have run.
+    /// Final response: failed. The request may have run.
     Fail {
         /// The request.
         id: RequestId,
@@ -31,10 +31,10 @@
     CancelAttempt {
         /// The request.
         id: RequestId,
-        /// The attempt's number, in the order of sending, from 0.
+        /// The attempt's number within the request, in send order, from 0.
         attempt: u32,
     },
-    /// Report an [`crate::Event::Timer`] later.
+    /// Report an [`crate::Event::Timer`] after a delay.
     SetTimer {
         /// Delay from now.
         after: Duration,
@@ -46,26 +46,26 @@
         /// The server.
         server: ServerId,
     },
-    /// Close idle connections to a server. Part of the wire; never sent today.
+    /// Close idle connections to a server. Part of the wire protocol; not emitted at present.
     CloseIdle {
         /// The server.
         server: ServerId,
     },
     /// Open a watch on the endpoint list, or close it.
     WatchEndpoints {
-        /// Whether to open it. Always true today.
+        /// Whether to open it. Always true at present.
         on: bool,
     },
-    /// Fetch the whole endpoint list once. Part of the wire; never sent today.
+    /// Fetch the whole endpoint list once. Part of the wire protocol; not emitted at present.
     FetchEndpoints,
-    /// Send a message to another node, or to all of them. Part of the wire; never sent today.
+    /// Send a message to one node or to all nodes. Part of the wire protocol; not emitted at present.
     SendToPeer {
         /// The receiver's node number; `None` for all nodes.
         to: Option<u32>,
-        /// At most 256 bytes.
+        /// The message, at most 256 bytes.
         data: Vec<u8>,
     },
-    /// Write a line to the log. Part of the wire; never sent today.
+    /// Write a line to the log. Part of the wire protocol; not emitted at present.
     Log {
         /// The line.
         text: String,
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: servers, their states, and updates of the list.
+//! The endpoint list: servers, their states, and updates to the list.
 
 use crate::ids::ServerId;
 use std::time::Duration;
@@ -30,19 +30,19 @@
     pub state: ServerState,
     /// Its weight relative to other servers.
     pub weight: f32,
-    /// When it last started; `None` if that is too long ago to matter.
+    /// When it last started; `None` if it started too long ago to be warming up.
     pub started_at: Option<Duration>,
 }
 
-/// What an event about the endpoint list brings.
+/// The kind of an endpoint update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// Changed entries only.
+    /// Only entries that changed.
     Incremental,
     /// The whole list.
     Full,
-    /// The whole list as this node last had it before it started. It may be stale.
+    /// The whole list as cached before this node started. It may be stale.
     Cached,
-    /// A poll failed, or the watch ended. No entries.
+    /// A poll failed or the watch ended. Carries no entries.
     Failed,
 }
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -1,4 +1,4 @@
-//! What a host reports to the balancer: requests, ends of attempts and health checks, endpoint updates, timers.
+//! Events that the host reports to the balancer: requests, ended attempts and health checks, endpoint updates, timers.
 
 use crate::endpoint::{Endpoint, EndpointUpdate};
 use crate::ids::{RequestId, ServerId};
@@ -9,21 +9,22 @@
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The server answered.
+    /// The server responded without an error.
     Served,
     /// The server returned an error; the request may have run.
     Error,
-    /// The server rejected it without running it: its queue is full, or it is draining.
+    /// The server rejected the request without running it: its queue is full, or it is draining.
     Rejected,
-    /// No answer within the attempt's timeout; the request may have run.
+    /// No response within the attempt's timeout; the request may have run.
     TimedOut,
-    /// No connection could be made.
+    /// The connection could not be established.
     ConnectFailed,
-    /// The connection broke; the request may have run.
+    /// The connection was lost; the request may have run.
     Reset,
     /// Cancelled by this node; the request may have run.
     Cancelled,
-    /// Never sent: by the time a connection was available the request was answered, past its deadline, or out of attempts.
+    /// Never sent: when a connection became available, the request already had its final response, was past its
+    /// deadline, or had no attempts left.
     NotSent,
 }
 
@@ -46,24 +47,24 @@
     pub class: usize,
     /// The position of its tenant in [`Settings::tenants`].
     pub tenant: usize,
-    /// A hash of the object that it is about; 0 for none. No policy uses it.
+    /// A hash of the object that the request addresses; 0 for none. No policy uses it.
     pub key: u64,
     /// How long the client waits for this request, from now.
     pub remaining: Duration,
-    /// Its expected processor time on a standard core, where the client gives one.
+    /// Its expected processor time on a standard core, if the client states it.
     pub expected_work: Option<Duration>,
-    /// Whether the client marks it as a retry of its own.
+    /// Whether the client marks it as one of its own retries.
     pub client_retry: bool,
-    /// Whether its body is still being received: `remaining` then counts from [`Event::BodyComplete`].
+    /// Whether its body is still being received; `remaining` then counts from [`Event::BodyComplete`].
     pub body_pending: bool,
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
     /// The request.
     pub id: RequestId,
-    /// The attempt's number, in the order of sending, from 0.
+    /// The attempt's number within the request, in send order, from 0.
     pub attempt: u32,
     /// The server.
     pub server: ServerId,
@@ -71,15 +72,15 @@
     pub outcome: Outcome,
     /// Time since it was sent.
     pub elapsed: Duration,
-    /// Whether the client has the request's final answer; otherwise the node still owes it.
+    /// Whether the client has received the request's final response; otherwise the node still owes it.
     pub has_final_response: bool,
-    /// Whether the request's body is consumed: it was not buffered and cannot be sent again.
+    /// Whether the request's body is consumed: it was not buffered, so it cannot be sent again.
     pub body_consumed: bool,
-    /// The server's load report, if the answer carried one.
+    /// The server's load report, if the response carried one.
     pub report: Option<LoadReport>,
 }
 
-/// How a health check ended.
+/// The end of a health check.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HealthCheckEnd {
     /// The server.
@@ -88,46 +89,47 @@
     pub outcome: Outcome,
     /// Time since it was sent.
     pub elapsed: Duration,
-    /// The server's load report, if the answer carried one.
+    /// The server's load report, if the response carried one.
     pub report: Option<LoadReport>,
 }
 
-/// Something that has happened.
+/// An event reported by the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The settings have changed. Classes and tenants keep their positions and none is removed; open requests keep the
-    /// terms under which they were accepted.
+    /// deadline, idempotency and attempt limit under which they were accepted. A lower attempt limit applies to them
+    /// too, and so does a stricter idempotency with [`Settings::tighten_open_requests`].
     Settings(Box<Settings>),
-    /// An update of the endpoint list, or the failure to get one.
+    /// An endpoint update, or a failure to get one.
     EndpointList {
-        /// What the entries are.
+        /// The kind of update.
         update: EndpointUpdate,
         /// The entries.
         endpoints: Vec<Endpoint>,
     },
-    /// A request was accepted. The node owes it exactly one final answer.
+    /// A request was accepted. The node owes it exactly one final response.
     Request(NewRequest),
-    /// The last byte of a request's body was received: its deadline counts from now.
+    /// The last byte of a request's body was received; its deadline counts from now.
     BodyComplete {
         /// The request.
         id: RequestId,
-        /// Whether its body is consumed and cannot be sent again.
+        /// Whether the body is consumed and cannot be sent again.
         body_consumed: bool,
     },
-    /// The client has received the first bytes of this attempt's response; no other attempt can answer any more.
+    /// The client has received the first bytes of this attempt's response, so no other attempt can serve the request.
     ResponseStarted {
         /// The request.
         id: RequestId,
-        /// The attempt's number, in the order of sending, from 0.
+        /// The attempt's number within the request, in send order, from 0.
         attempt: u32,
         /// The server.
         server: ServerId,
-        /// The server's load report, if the answer carried one.
+        /// The server's load report, if the response carried one.
         report: Option<LoadReport>,
     },
-    /// An attempt has ended. Each [`crate::Action::Send`] has exactly one such event.
+    /// An attempt has ended. Reported exactly once for each [`crate::Action::Send`].
     AttemptEnded(AttemptEnd),
-    /// The client has disconnected; no answer is owed any more.
+    /// The client has disconnected; no response is owed any more.
     ClientGone {
         /// The request.
         id: RequestId,
@@ -139,7 +141,7 @@
     },
     /// A health check has ended.
     HealthChecked(HealthCheckEnd),
-    /// A message from another node. Ignored today.
+    /// A message from another node. Ignored at present.
     PeerMessage {
         /// The sender's node number.
         from: u32,
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,12 +1,14 @@
 //! The decisions of a load-balancing proxy, without the proxy.
 //!
-//! A [`Balancer`] is given the [`Event`]s of one node and answers with [`Action`]s: which server each request is sent to,
-//! when it is retried or hedged, rejected or failed. Its ordinary choice is Join-Up-To(m). It does no input or output, reads
-//! no clock and shares nothing with other nodes; the same events always give the same actions.
+//! A [`Balancer`] takes the [`Event`]s of one node and returns [`Action`]s: which server each request is sent to, and
+//! when it is retried, hedged, rejected or failed. Servers are selected by Join-Up-To(m) by default. It does no input or
+//! output, reads no clock and shares no state with other nodes; the same seed, settings and events always give the same
+//! actions.
 //!
-//! Times are [`std::time::Duration`]s. A point in time is the time since a fixed moment of the host's monotonic clock.
+//! Times are [`std::time::Duration`]s. A point in time is the time elapsed since a fixed origin of the host's monotonic
+//! clock.
 //!
-//! Each policy is a type in a file of `policy`; [`Balancer`] composes them.
+//! Each policy is a type in its own file under `policy`; [`Balancer`] composes them.
 #![forbid(unsafe_code)]
 
 mod action;
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -1,16 +1,16 @@
-//! The decisions, a file a policy, and the [`Balancer`], which composes them.
+//! The policies, one per file, and the [`Balancer`], which composes them.
 //!
-//! | file | decides |
+//! | files | responsibility |
 //! | --- | --- |
-//! | `dispatch`, `selection` | which server a request goes to, or that it is held back |
-//! | `join_up_to`, `subset`, `endpoint_table` | estimates and the cap m; how many servers a node uses; the ring |
-//! | `concurrency`, `priority`, `deadline` | admission: by crowding, by weight and quota, by time |
-//! | `slow_start` | how much a warming server is sent |
-//! | `outlier` | when a server is ejected and when it returns |
-//! | `retry`, `send_gate` | when a request is retried or hedged; the rules before a send |
-//! | `health_check`, `polling` | when servers are checked, and the endpoint list polled |
-//! | `final_response` | when a request is rejected or failed, and which of the two |
-//! | `arrival`, `completion` | what each policy takes from an event |
+//! | `dispatch`, `selection` | select a server for a request, or hold the request |
+//! | `join_up_to`, `subset`, `endpoint_table` | Join-Up-To(m) estimates and cap; size of the subset; the ring of servers |
+//! | `concurrency`, `priority`, `deadline` | admission by server concurrency, by priority weight and quota, by deadline |
+//! | `slow_start` | limit the requests sent to a server that is warming up |
+//! | `outlier` | eject failing servers and readmit them |
+//! | `retry`, `send_gate` | retries and hedged requests; the safety checks before each send |
+//! | `health_check`, `polling` | schedule health checks and polls of the endpoint list |
+//! | `final_response` | reject or fail a request |
+//! | `arrival`, `completion` | pass requests and outcomes to the policies |
 
 mod arrival;
 mod completion;
@@ -48,14 +48,14 @@
 use crate::settings::Settings;
 use concurrency::ConcurrencyGate;
 use context::Context;
-use deadline::FirstRequestTimes;
+use deadline::FirstRequestTimeouts;
 use endpoint_table::EndpointTable;
 use estimators::{DecayedRate, LatencyEstimates};
 use health_check::HealthChecks;
 use join_up_to::JoinUpTo;
 use outlier::OutlierDetector;
 use polling::EndpointPoller;
-use priority::{Priorities, UsualWork};
+use priority::{AverageWork, Priorities};
 use random::RandomSource;
 use request_table::RequestTable;
 use retry::RetryBudget;
@@ -63,13 +63,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The token of the housekeeping timer. A request's timers carry its id.
+/// The token of the housekeeping timer. Timers of a request carry its id.
 const TICK_TOKEN: u64 = u64::MAX;
 
-/// Time counts from here at the earliest: zero stands for "never".
+/// The earliest value of `now`: a time of zero means "never".
 const EARLIEST: Duration = Duration::from_nanos(1);
 
-/// The decisions of one node.
+/// The load balancer of one node.
 pub struct Balancer {
     settings: Settings,
     random: RandomSource,
@@ -79,13 +79,13 @@
     endpoints: EndpointTable,
     requests: RequestTable,
     latency: LatencyEstimates,
-    /// Own attempts.
+    /// Rate of attempts sent by this node.
     send_rate: DecayedRate,
     join_up_to: JoinUpTo,
     concurrency_gate: ConcurrencyGate,
     priorities: Priorities,
-    usual_work: UsualWork,
-    first_request_times: FirstRequestTimes,
+    average_work: AverageWork,
+    first_request_timeouts: FirstRequestTimeouts,
     slow_start: SlowStart,
     outliers: OutlierDetector,
     retry_budget: RetryBudget,
@@ -95,7 +95,7 @@
     hold_counts: BTreeMap<HoldReason, u64>,
 }
 
-/// The context of judgements, from the parts of a balancer that it borrows.
+/// Builds a [`Context`] from single fields of a balancer, so that its other fields can be borrowed mutably.
 fn context_of<'a>(
     settings: &'a Settings,
     now: Duration,
@@ -109,7 +109,7 @@
 }
 
 impl Balancer {
-    /// A node that has just started. Its random numbers follow from `seed`.
+    /// The balancer of a node that has just started. `seed` initialises its random number generator.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
         let shortest_objective = objectives.min().unwrap_or_default();
@@ -124,8 +124,8 @@
             join_up_to: JoinUpTo::new(),
             concurrency_gate: ConcurrencyGate::new(),
             priorities: Priorities::new(&settings),
-            usual_work: UsualWork::default(),
-            first_request_times: FirstRequestTimes::new(&settings),
+            average_work: AverageWork::default(),
+            first_request_timeouts: FirstRequestTimeouts::new(&settings),
             slow_start: SlowStart::default(),
             outliers: OutlierDetector::default(),
             retry_budget: RetryBudget::new(),
@@ -137,9 +137,9 @@
         }
     }
 
-    /// Handles an event that happened at `now`, and appends what is to be done to `actions`, in order.
+    /// Handles an event that happened at `now` and appends the resulting actions to `actions`, in order.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
-        // A clock that steps back is ignored.
+        // Time never moves backwards, even if the host's clock does.
         self.now = now.max(self.now).max(EARLIEST);
         let is_first = !std::mem::replace(&mut self.started, true);
         if is_first && self.settings.poll_endpoint_list {
@@ -167,17 +167,17 @@
         }
     }
 
-    /// How many servers are listed, and how many of the ready ones are ejected. Draining servers are not ejected.
+    /// The number of listed servers, and of ready servers that are ejected. Draining servers do not count as ejected.
     pub fn endpoint_counts(&self) -> EndpointCounts {
         self.endpoints.counts()
     }
 
-    /// How many requests got their final answer from this node, by reason. For tests: no page shows it.
+    /// The number of requests that this node rejected or failed, by reason. Only for tests; not exported as a metric.
     pub fn finish_counts(&self) -> &BTreeMap<FinishReason, u64> {
         &self.finish_counts
     }
 
-    /// How often requests were held back, by reason. For tests: no page shows it.
+    /// How many times requests were held, by reason. Only for tests; not exported as a metric.
     pub fn hold_counts(&self) -> &BTreeMap<HoldReason, u64> {
         &self.hold_counts
     }
@@ -186,7 +186,7 @@
         context_of(&self.settings, self.now, &self.latency)
     }
 
-    /// The number of servers that this node chooses among.
+    /// The number of servers in this node's subset.
     fn subset_size(&self) -> usize {
         subset::size(
             &self.context(),
@@ -203,10 +203,10 @@
             .accrue_permits(&context, &mut self.endpoints, subset_size, random);
     }
 
-    /// Takes new settings. Estimates of servers and latencies are kept.
+    /// Applies new settings. Estimates for servers and latencies are kept.
     fn on_settings(&mut self, settings: Settings) {
         self.priorities.on_settings(&settings);
-        self.first_request_times.on_settings(&settings);
+        self.first_request_timeouts.on_settings(&settings);
         if settings.tighten_open_requests {
             for request in self.requests.all_mut() {
                 if let Some(class) = settings.classes.get(request.class) {
@@ -217,8 +217,8 @@
         self.settings = settings;
     }
 
-    /// A timer of a request has expired: for its deadline, while it was held back or waited for health checks, or for a hedged
-    /// request. Which one is not known; a late one ends the wait for health checks early.
+    /// A timer of a request has expired. It was set for the deadline, a held request, a wait for health checks or a hedged
+    /// request. The token does not tell which, so a timer of an earlier step may end the wait for health checks early.
     fn on_request_timer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -226,7 +226,7 @@
         if self.now >= request.deadline {
             return self.finish(id, FinishReason::DeadlinePassed, actions);
         }
-        request.health_checks_done = true;
+        request.skips_health_checks = true;
         self.health_checks.stop_waiting(id);
         self.dispatch(id, actions);
     }
@@ -243,13 +243,13 @@
         let subset_size = self.subset_size();
         let context = context_of(&self.settings, self.now, &self.latency);
         self.slow_start
-            .before_list_update(&context, &self.endpoints, subset_size);
-        let initial_estimate = self.usual_estimate(subset_size);
+            .before_endpoint_update(&context, &self.endpoints, subset_size);
+        let initial_estimate = self.mean_estimate(subset_size);
         self.endpoints.apply(update, endpoints, initial_estimate);
     }
 
-    /// The mean estimate of the servers that this node uses.
-    fn usual_estimate(&self, subset_size: usize) -> u32 {
+    /// The mean Join-Up-To(m) estimate of the servers in this node's subset.
+    fn mean_estimate(&self, subset_size: usize) -> u32 {
         let count = subset_size.min(self.endpoints.ready_count());
         let subset = self.endpoints.in_ring_order(&self.settings).take(count);
         let sum: u32 = subset.map(|server| server.sends_since_idle).sum();
--- a/crates/balancer/src/policy/arrival.rs
+++ b/crates/balancer/src/policy/arrival.rs
@@ -1,4 +1,4 @@
-//! New requests and the ends of their bodies.
+//! Handles new requests and the completion of their bodies.
 
 use super::Balancer;
 use super::deadline::MAX_BODY_TIME;
@@ -9,11 +9,12 @@
 use crate::ids::RequestId;
 use std::time::Duration;
 
-/// Where fewer reports than this are of busy servers, a request may take twice its expected work: estimates are rough.
-const MOSTLY_IDLE: f64 = 0.5;
+/// Below this fraction of busy load reports a request is accepted with up to twice the work that its deadline allows,
+/// because estimates of expected work are rough.
+const MOSTLY_IDLE_BUSY_FRACTION: f64 = 0.5;
 
 impl Balancer {
-    /// Accepts a request and finds a server for it.
+    /// Accepts a request and dispatches it.
     pub(super) fn on_request(&mut self, new: NewRequest, actions: &mut Vec<Action>) {
         let id = new.id;
         let request = self.new_request(&new);
@@ -23,7 +24,7 @@
         };
         let timer = request.deadline;
         self.requests.insert(id, request);
-        if self.is_too_much_work(new.expected_work, time) {
+        if self.exceeds_available_time(new.expected_work, time) {
             return self.finish(id, FinishReason::ExpectedWorkTooLong, actions);
         }
         actions.push(Action::SetTimer {
@@ -33,14 +34,14 @@
         self.dispatch(id, actions);
     }
 
-    /// Makes the table entry of a request, and updates every policy that counts requests.
+    /// Creates the table entry of a request and updates every policy that counts requests.
     fn new_request(&mut self, new: &NewRequest) -> Request {
         let now = self.now;
         let class = new.class.min(self.settings.classes.len() - 1);
         let deadline = self
-            .first_request_times
+            .first_request_timeouts
             .deadline(&self.settings, now, new, class);
-        let relative_work = self.usual_work.relative(new.expected_work);
+        let relative_work = self.average_work.relative(new.expected_work);
         let context = super::context_of(&self.settings, now, &self.latency);
         self.slow_start.on_request(&context, relative_work);
         self.retry_budget.on_request();
@@ -62,20 +63,21 @@
             } else {
                 deadline
             },
-            health_checks_done: !self.context().load_by_health_check(),
+            skips_health_checks: !self.context().load_by_health_check(),
             time_after_body: new.body_pending.then_some(time),
             ..Request::default()
         }
     }
 
-    /// Whether not even a free server could answer in time.
-    fn is_too_much_work(&self, expected_work: Option<Duration>, time: Duration) -> bool {
-        let mostly_idle = self.join_up_to.busy_fraction() < MOSTLY_IDLE;
+    /// Whether even an idle server could not respond in time.
+    fn exceeds_available_time(&self, expected_work: Option<Duration>, time: Duration) -> bool {
+        let mostly_idle = self.join_up_to.busy_fraction() < MOSTLY_IDLE_BUSY_FRACTION;
         let limit = if mostly_idle { time * 2 } else { time };
         expected_work.unwrap_or_default() >= limit
     }
 
-    /// A request's body is complete: its deadline counts from now on, and what is in flight is work of its server's.
+    /// A request's body is complete: its deadline counts from now, and its attempts in flight now count as work of their
+    /// servers.
     pub(super) fn on_body_complete(
         &mut self,
         id: RequestId,
--- a/crates/balancer/src/policy/completion.rs
+++ b/crates/balancer/src/policy/completion.rs
@@ -1,4 +1,4 @@
-//! Ends of attempts and health checks, starts of responses, and what each policy learns from them.
+//! Handles ended attempts, ended health checks and started responses, and updates the policies with the outcomes.
 
 use super::Balancer;
 use super::outlier::{self, HealthSignal};
@@ -9,34 +9,35 @@
 use crate::load_report::LoadReport;
 use std::time::Duration;
 
-/// An outcome noticed later than this fraction of the mean latency after the deadline is due to a pause of this node.
-const OVERDUE_WITHIN: f64 = 1.0 / 4.0;
-/// An answer is slow after this many quarters of the time it had.
+/// An attempt that ended later after the deadline than this fraction of the mean latency is attributed to a pause of this
+/// node, not to the server.
+const MAX_OVERDUE_FRACTION: f64 = 1.0 / 4.0;
+/// A response is slow if it took more than this many quarters of the time available to it.
 const SLOW_QUARTERS: u32 = 3;
-/// The same where late answers still have weight.
-const SLOW_QUARTERS_LATE: u32 = 5;
+/// As [`SLOW_QUARTERS`], for classes whose late responses still have weight.
+const SLOW_QUARTERS_IF_LATE_COUNTS: u32 = 5;
 
-/// The end of an attempt, judged by its request.
+/// An ended attempt, evaluated against the deadline and latency objective of its request.
 struct EndedAttempt {
     end: AttemptEnd,
-    /// It ended at its request's deadline, after at least a mean latency.
+    /// It ended at its request's deadline and took at least the mean latency.
     overdue: bool,
-    /// It had little time to spare.
+    /// It used up most of the time available to it.
     slow: bool,
-    /// The server's crowding level at the send.
+    /// The server's concurrency level when the attempt was sent.
     concurrency_level: usize,
     relative_work: f64,
 }
 
 impl EndedAttempt {
-    /// Whether the server was late: the attempt was ended at the deadline.
+    /// Whether the server was too late: the attempt timed out or was cancelled at the deadline.
     fn is_late(&self) -> bool {
         self.overdue && matches!(self.end.outcome, Outcome::TimedOut | Outcome::Cancelled)
     }
 }
 
 impl Balancer {
-    /// An attempt has ended: learns from it, and retries, finishes or closes the request.
+    /// Handles an ended attempt: updates the policies, then retries, finishes or closes the request.
     pub(super) fn on_attempt_end(&mut self, end: AttemptEnd, actions: &mut Vec<Action>) {
         let id = end.id;
         let Some(attempt) = self.record_end(end) else {
@@ -49,8 +50,8 @@
         let none_in_flight = request.in_flight() == 0;
         let served = attempt.end.outcome == Outcome::Served;
         self.on_load_report(attempt.end.server, attempt.end.report, served);
-        self.learn_health(&attempt);
-        self.learn_concurrency(&attempt);
+        self.update_server_health(&attempt);
+        self.update_concurrency_gate(&attempt);
         if closed {
             self.close(id, actions);
         } else if none_in_flight {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Notes an outcome at its request and server; `None` if there is no such attempt or it had ended.
+    /// Records an outcome in its request and server. Returns `None` if the attempt is unknown or has already ended.
     fn record_end(&mut self, end: AttemptEnd) -> Option<EndedAttempt> {
         let mean_latency_s = self.latency.mean_s();
         let request = self.requests.get_mut(end.id)?;
@@ -72,11 +73,11 @@
         let counted_at_server = !request.body_pending() && request.streaming != Some(end.attempt);
 
         let past_deadline_s = self.now.as_secs_f64() - request.deadline.as_secs_f64();
-        let at_deadline = (0.0..mean_latency_s * OVERDUE_WITHIN).contains(&past_deadline_s);
+        let at_deadline = (0.0..mean_latency_s * MAX_OVERDUE_FRACTION).contains(&past_deadline_s);
         let class = &self.settings.classes[request.class];
         let time = class.latency_objective.min(request.deadline - sent_at);
         let quarters = if class.late_weight > 0.0 {
-            SLOW_QUARTERS_LATE
+            SLOW_QUARTERS_IF_LATE_COUNTS
         } else {
             SLOW_QUARTERS
         };
@@ -94,17 +95,17 @@
         })
     }
 
-    /// Latency, slow start and outlier detection learn from an outcome.
-    fn learn_health(&mut self, attempt: &EndedAttempt) {
+    /// Updates latency estimates, slow start and outlier detection with an outcome.
+    fn update_server_health(&mut self, attempt: &EndedAttempt) {
         let end = &attempt.end;
         match end.outcome {
             Outcome::Served => {
                 self.latency.observe(end.elapsed, attempt.relative_work);
-                self.learn_from_warm(end.server, attempt.relative_work);
+                self.record_served_by_warm(end.server, attempt.relative_work);
                 let signal = if attempt.slow {
-                    HealthSignal::AnsweredSlowly
+                    HealthSignal::ServedSlowly
                 } else {
-                    HealthSignal::Answered
+                    HealthSignal::Served
                 };
                 self.observe_health(end.server, signal);
             }
@@ -119,18 +120,18 @@
         }
     }
 
-    /// The crowding gate learns from an outcome.
-    fn learn_concurrency(&mut self, attempt: &EndedAttempt) {
+    /// Updates the concurrency gate with an outcome.
+    fn update_concurrency_gate(&mut self, attempt: &EndedAttempt) {
         let level = attempt.concurrency_level;
         match attempt.end.outcome {
-            Outcome::Served if !attempt.slow => self.concurrency_gate.on_in_time(level),
+            Outcome::Served if !attempt.slow => self.concurrency_gate.on_served_in_time(level),
             Outcome::Served | Outcome::Rejected => self.concurrency_gate.on_late(level),
             _ if attempt.is_late() => self.concurrency_gate.on_late(level),
             _ => {}
         }
     }
 
-    fn learn_from_warm(&mut self, server: ServerId, relative_work: f64) {
+    fn record_served_by_warm(&mut self, server: ServerId, relative_work: f64) {
         let context = super::context_of(&self.settings, self.now, &self.latency);
         let server = self.endpoints.get(server);
         if server.is_some_and(|server| !server.is_warming(&context)) {
@@ -138,21 +139,21 @@
         }
     }
 
-    /// A connection to a server could not be made. A first one may be chance: it is taken out of the server's estimate, or
-    /// else nothing would find out.
+    /// Handles a connect failure. A first one may be chance, so its attempt is removed from the server's estimate: otherwise
+    /// the server might get no further attempt that shows whether it is reachable.
     fn on_connect_failed(&mut self, id: ServerId, elapsed: Duration) {
         let connect_timeout = self.settings.limits.connect_timeout;
         let Some(server) = self.endpoints.get_mut(id) else {
             return;
         };
         let failure = server.health.on_connect_failed(elapsed, connect_timeout);
-        if !failure.again {
+        if !failure.repeated {
             server.sends_since_idle = server.sends_since_idle.saturating_sub(1);
         }
         self.observe_health(id, failure.signal);
     }
 
-    /// Takes a signal of a server's health, and ejects it if it is an outlier.
+    /// Records a health signal of a server and ejects the server if it is an outlier.
     fn observe_health(&mut self, id: ServerId, signal: HealthSignal) {
         let Some(server) = self.endpoints.get_mut(id) else {
             return;
@@ -170,18 +171,18 @@
         }
     }
 
-    /// Whether enough servers near this node's place on the ring are left to eject one more.
+    /// Whether enough of the servers that this node tracks would be left after one more ejection.
     fn may_eject_more(&self) -> bool {
-        let near = self.endpoints.near(&self.settings, self.subset_size());
+        let tracked = self.endpoints.tracked(&self.settings, self.subset_size());
         let (mut ready, mut ejected) = (0, 0);
-        for server in near {
+        for server in tracked {
             ready += 1;
             ejected += usize::from(server.health.is_ejected());
         }
         outlier::may_eject_more(ejected, ready)
     }
 
-    /// Takes a server's load report. Where requests in flight are not reported, the queue length is used.
+    /// Records a server's load report. If it has no number of requests in flight, the queue length is used.
     fn on_load_report(&mut self, id: ServerId, report: Option<LoadReport>, served: bool) {
         let reported = report.and_then(|report| report.in_flight.or(report.queue));
         let (Some(in_flight), Some(server)) = (reported, self.endpoints.get_mut(id)) else {
@@ -194,8 +195,8 @@
         self.join_up_to.on_load_report(server, load, served);
     }
 
-    /// The client receives the first bytes of a response: other attempts are cancelled and nothing more is sent. What
-    /// follows are bytes on their way, and no work of the server's.
+    /// The client has received the first bytes of a response: other attempts are cancelled and no more are sent. The rest
+    /// is data transfer and no longer counts as work of the server.
     pub(super) fn on_response_started(
         &mut self,
         id: RequestId,
@@ -205,7 +206,7 @@
         actions: &mut Vec<Action>,
     ) {
         self.health_checks.stop_waiting(id);
-        self.requests.set_waiting(id, false);
+        self.requests.set_held(id, false);
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -228,7 +229,7 @@
         self.on_load_report(server, report, true);
     }
 
-    /// A health check has ended: requests that wait for health checks are looked at again.
+    /// Handles an ended health check: requests that wait for health checks are dispatched again.
     pub(super) fn on_health_check_end(&mut self, end: HealthCheckEnd, actions: &mut Vec<Action>) {
         if let Some(server) = self.endpoints.get_mut(end.server) {
             server.health_check_pending = false;
@@ -238,7 +239,7 @@
         if end.outcome == Outcome::ConnectFailed {
             self.on_connect_failed(end.server, end.elapsed);
         }
-        let (waiting, was_last) = self.health_checks.on_end();
+        let (waiting, was_last) = self.health_checks.on_check_ended();
         for id in waiting {
             if was_last {
                 self.health_checks.stop_waiting(id);
--- a/crates/balancer/src/policy/deadline.rs
+++ b/crates/balancer/src/policy/deadline.rs
@@ -1,23 +1,25 @@
-//! Deadlines: until when an answer is of use.
+//! Deadlines of requests.
 
 use crate::event::NewRequest;
 use crate::settings::{Class, Settings};
 use std::time::Duration;
 
-/// A request whose body is still being received may take this long: the longest body at the least rate takes less.
+/// The longest time for receiving a request's body. The largest body at the minimum transfer rate takes less.
 pub(super) const MAX_BODY_TIME: Duration = Duration::from_secs(1200);
-/// Stretches of the latency objective are bounded by this factor.
-const MAX_STRETCH: f64 = 1e3;
-/// A retry whose time differs by less than one part in this many from a first request's is taken for a first request.
-const SAME_TIME_DIVISOR: u32 = 64;
+/// Upper bound of [`Class::objective_stretch`].
+const MAX_OBJECTIVE_STRETCH: f64 = 1e3;
+/// A retry is treated as a first request if its remaining time differs from that of a first request by less than one part
+/// in this many.
+const SAME_TIMEOUT_DIVISOR: u32 = 64;
 
-/// How long clients wait for a first request, by class: a marked retry has less, by what it has waited already.
+/// How long clients wait for a first request, by class. A marked retry has less time left, by the time that its client has
+/// already waited.
 #[derive(Debug)]
-pub(super) struct FirstRequestTimes(Vec<Duration>);
+pub(super) struct FirstRequestTimeouts(Vec<Duration>);
 
-impl FirstRequestTimes {
+impl FirstRequestTimeouts {
     pub(super) fn new(settings: &Settings) -> Self {
-        FirstRequestTimes(vec![Duration::ZERO; settings.classes.len()])
+        FirstRequestTimeouts(vec![Duration::ZERO; settings.classes.len()])
     }
 
     pub(super) fn on_settings(&mut self, settings: &Settings) {
@@ -25,20 +27,20 @@
         self.0.resize(classes, Duration::ZERO);
     }
 
-    /// How long a request's client has waited already, as far as it shows.
+    /// How long the client has already waited with earlier requests, as far as can be inferred.
     fn already_waited(&mut self, request: &NewRequest, position: usize, class: &Class) -> Duration {
         if !request.client_retry {
             self.0[position] = request.remaining;
         }
         let first = self.0[position];
-        if request.remaining.abs_diff(first) < first / SAME_TIME_DIVISOR {
+        if request.remaining.abs_diff(first) < first / SAME_TIMEOUT_DIVISOR {
             return Duration::ZERO;
         }
         class.deadline.saturating_sub(request.remaining)
     }
 
-    /// Until when an answer to a new request of that class is of use. Timers come one resolution late at most, and the
-    /// answer has to be there before the client leaves.
+    /// The deadline of a new request of the class at `position`. Timers are late by up to one timer resolution, and the
+    /// response has to reach the client before it gives up.
     pub(super) fn deadline(
         &mut self,
         settings: &Settings,
@@ -48,14 +50,14 @@
     ) -> Duration {
         let class = &settings.classes[position];
         let margin = 2 * settings.timer_resolution;
-        let client_leaves = now + request.remaining.saturating_sub(margin);
+        let client_timeout_at = now + request.remaining.saturating_sub(margin);
         let work = request.expected_work.unwrap_or_default();
-        let stretch = work.mul_f64(class.objective_stretch.clamp(0.0, MAX_STRETCH));
+        let stretch = work.mul_f64(class.objective_stretch.clamp(0.0, MAX_OBJECTIVE_STRETCH));
         let already_waited = self.already_waited(request, position, class);
         if class.late_weight > 0.0 {
-            return client_leaves;
+            return client_timeout_at;
         }
         let objective = (now + class.latency_objective + stretch).saturating_sub(already_waited);
-        client_leaves.min(objective)
+        client_timeout_at.min(objective)
     }
 }
--- a/crates/balancer/src/policy/dispatch.rs
+++ b/crates/balancer/src/policy/dispatch.rs
@@ -1,5 +1,5 @@
-//! Finds a server for a request that needs its first or a further attempt: composes selection, holding, health checks, the
-//! send gate and the final answer.
+//! Dispatches a request that needs its first attempt or a retry: selects a server, then sends the request, holds it, starts
+//! health checks or finishes it.
 
 use super::Balancer;
 use super::deadline::MAX_BODY_TIME;
@@ -13,32 +13,32 @@
 use crate::ids::{RequestId, ServerId};
 use std::time::Duration;
 
-/// No more requests than this are held back until more is known of crowding.
-const MAX_WAITING: usize = 64;
-/// A held request is looked at again after this fraction of the mean latency.
-const HOLD_TIME: f64 = 1.0 / 8.0;
+/// At most this many requests are held because the concurrency levels of all servers are unexplored.
+const MAX_HELD_REQUESTS: usize = 64;
+/// A held request is dispatched again after this fraction of the mean latency.
+const HOLD_TIME_FRACTION: f64 = 1.0 / 8.0;
 
-/// Why a request is held back for a while.
+/// Why a request is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HoldReason {
-    /// No server is listed, or only warming ones without a permit.
+    /// No server is eligible: none is ready, or all ready ones are warming up and this node has no permit for them.
     NoEligibleServer,
-    /// It is not known yet whether servers as crowded as these answer in time.
+    /// It is not known yet whether servers at this concurrency respond in time.
     ConcurrencyUnexplored,
-    /// Health checks are in flight that may show an idle server.
+    /// Health checks are in flight that may find an idle server.
     HealthChecks,
 }
 
 impl Balancer {
-    /// Finds a server for a request, if it may be attempted now.
+    /// Selects a server for a request and acts on the selection, if the request may have an attempt now.
     pub(super) fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        // Drawn first, so that the sequence of random numbers does not depend on what follows.
+        // Always drawn here, so that the sequence of random numbers does not depend on the branches below.
         let draws = Draws {
             admission: self.random.unit(),
             choice: self.random.unit(),
         };
         self.accrue_permits();
-        self.requests.set_waiting(id, false);
+        self.requests.set_held(id, false);
         let context = self.context();
         let Some(request) = self.requests.get(id) else {
             return;
@@ -52,13 +52,13 @@
             .in_ring_order(&self.settings)
             .filter(is_eligible);
         let eligible: Vec<_> = ready.take(self.subset_size()).collect();
-        if let Some(reason) = self.hopeless(request, eligible.is_empty()) {
+        if let Some(reason) = self.reason_not_to_attempt(request, eligible.is_empty()) {
             return self.finish(id, reason, actions);
         }
         if eligible.is_empty() {
             return self.hold(id, HoldReason::NoEligibleServer, actions);
         }
-        let may_check_health = !request.health_checks_done && !self.health_checks.is_waiting(id);
+        let may_check_health = !request.skips_health_checks && !self.health_checks.is_waiting(id);
         let selector = Selector {
             context,
             gate: &self.concurrency_gate,
@@ -70,8 +70,12 @@
         self.act_on(id, selection, first_attempt, may_check_health, actions);
     }
 
-    /// Why a request gets no attempt at all, if so.
-    fn hopeless(&self, request: &Request, no_server: bool) -> Option<FinishReason> {
+    /// Why a request gets no further attempt; `None` if it may have one.
+    fn reason_not_to_attempt(
+        &self,
+        request: &Request,
+        no_eligible_server: bool,
+    ) -> Option<FinishReason> {
         if self.now >= request.deadline {
             return Some(FinishReason::DeadlinePassed);
         }
@@ -81,7 +85,7 @@
         if !self.retry_budget.has(1.0) {
             return Some(FinishReason::RetryBudgetExhausted);
         }
-        no_server.then_some(FinishReason::NoServerForRetry)
+        no_eligible_server.then_some(FinishReason::NoServerForRetry)
     }
 
     fn act_on(
@@ -102,7 +106,7 @@
                 unknown_load,
                 unexplored,
             } => {
-                if unexplored && first_attempt && self.requests.waiting() < MAX_WAITING {
+                if unexplored && first_attempt && self.requests.held_count() < MAX_HELD_REQUESTS {
                     return self.hold(id, HoldReason::ConcurrencyUnexplored, actions);
                 }
                 (None, unknown_load)
@@ -120,8 +124,8 @@
         }
     }
 
-    /// Holds a request back for a while. One whose body is still being received is not read on meanwhile: its client waits
-    /// for that as long as it would for an answer, and no longer.
+    /// Holds a request and sets a timer to dispatch it again. The body of a held request is not read, so a request whose body
+    /// is still being received is held for no longer than it would have for its response.
     fn hold(&mut self, id: RequestId, reason: HoldReason, actions: &mut Vec<Action>) {
         let now = self.now;
         let out_of_time = |request: &Request| {
@@ -132,16 +136,16 @@
             return self.finish(id, FinishReason::NoServerDuringBody, actions);
         }
         *self.hold_counts.entry(reason).or_default() += 1;
-        let after = Duration::from_secs_f64(self.latency.mean_s() * HOLD_TIME);
-        self.requests.set_waiting(id, true);
+        let after = Duration::from_secs_f64(self.latency.mean_s() * HOLD_TIME_FRACTION);
+        self.requests.set_held(id, true);
         actions.push(Action::SetTimer {
             after: after.max(self.settings.timer_resolution),
             token: id.0,
         });
     }
 
-    /// Sends health checks to some of the candidates, as far as the budget goes, and holds the request meanwhile. Returns
-    /// whether any health check is in flight to wait for.
+    /// Sends health checks to some of the candidates, within the budget, and holds the request until they end. Returns false
+    /// if there is no health check in flight to wait for.
     fn check_health(
         &mut self,
         id: RequestId,
--- a/crates/balancer/src/policy/endpoint_table.rs
+++ b/crates/balancer/src/policy/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The listed servers, and the ring on which all nodes order them.
+//! The listed servers, and the ring on which all nodes place them in the same order.
 
 use super::server::Server;
 use crate::endpoint::{Endpoint, EndpointUpdate, ServerState};
@@ -6,10 +6,10 @@
 use crate::settings::Settings;
 use std::collections::BTreeMap;
 
-/// 2^64 divided by the golden ratio: multiplying by it spreads neighbouring ids over the ring.
+/// 2^64 divided by the golden ratio (Fibonacci hashing): spreads consecutive ids over the ring.
 const GOLDEN_RATIO_HASH: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// How many servers are listed.
+/// Numbers of listed and ejected servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointCounts {
     /// Ready and draining servers.
@@ -18,11 +18,11 @@
     pub ejected: usize,
 }
 
-/// The listed servers. Every id on the ring has its server.
+/// The listed servers. Every id on the ring has an entry in the map.
 #[derive(Default)]
 pub(super) struct EndpointTable {
     servers: BTreeMap<ServerId, Server>,
-    /// The ready servers, by their place on the ring.
+    /// The ready servers, sorted by ring position.
     ring: Vec<ServerId>,
 }
 
@@ -55,8 +55,8 @@
         counts
     }
 
-    /// The ready servers in ring order, from this node's place on. Nodes start evenly spaced, so that each server is near
-    /// the start of as many nodes as any other.
+    /// The ready servers in ring order, starting at this node's position. The nodes' positions are evenly spaced, so that each
+    /// server is near the start for about the same number of nodes.
     pub(super) fn in_ring_order(&self, settings: &Settings) -> impl Iterator<Item = &Server> {
         let node = settings.node as usize;
         let nodes = settings.nodes.max(1) as usize;
@@ -68,8 +68,9 @@
             .filter_map(|id| self.servers.get(id))
     }
 
-    /// The ready servers whose state this node keeps up to date: twice its subset, since the subset changes with traffic.
-    pub(super) fn near(
+    /// The ready servers whose state this node keeps up to date: twice the subset, because the subset's size changes with
+    /// traffic.
+    pub(super) fn tracked(
         &self,
         settings: &Settings,
         subset_size: usize,
@@ -77,16 +78,16 @@
         self.in_ring_order(settings).take(2 * subset_size)
     }
 
-    /// Applies an update. A server that is new or was restarted starts with the estimate `initial_estimate`: at zero all
-    /// nodes would choose it at once.
+    /// Applies an endpoint update. A new or restarted server starts with the estimate `initial_estimate`: with zero, all nodes
+    /// would select it at the same time.
     pub(super) fn apply(
         &mut self,
         update: EndpointUpdate,
         endpoints: Vec<Endpoint>,
         initial_estimate: u32,
     ) {
-        let whole_list = update != EndpointUpdate::Incremental;
-        if whole_list {
+        let full_list = update != EndpointUpdate::Incremental;
+        if full_list {
             self.ring.clear();
             for server in self.servers.values_mut() {
                 server.endpoint.state = ServerState::Removed;
@@ -95,7 +96,7 @@
         for endpoint in endpoints {
             self.apply_one(endpoint, initial_estimate);
         }
-        if whole_list {
+        if full_list {
             self.servers
                 .retain(|_, s| s.endpoint.state != ServerState::Removed);
         }
@@ -119,13 +120,13 @@
             };
             self.servers.insert(id, server);
         }
-        let place = self
+        let position = self
             .ring
             .binary_search_by_key(&ring_position(id), |id| ring_position(*id));
-        match (place, endpoint.state) {
-            (Err(place), ServerState::Ready) => self.ring.insert(place, id),
-            (Ok(place), ServerState::Draining | ServerState::Removed) => {
-                self.ring.remove(place);
+        match (position, endpoint.state) {
+            (Err(position), ServerState::Ready) => self.ring.insert(position, id),
+            (Ok(position), ServerState::Draining | ServerState::Removed) => {
+                self.ring.remove(position);
             }
             (Ok(_), ServerState::Ready) | (Err(_), _) => {}
         }
--- a/crates/balancer/src/policy/estimators.rs
+++ b/crates/balancer/src/policy/estimators.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Usual weight of one observation: the last handful of observations decide.
+/// Default weight of one observation, so that about the last eight observations dominate.
 pub(super) const SMOOTHING: f64 = 1.0 / 8.0;
 
 /// An exponentially weighted moving average.
@@ -18,13 +18,13 @@
         self.0
     }
 
-    /// Moves the average towards `sample` by the fraction `weight` of the distance.
+    /// Moves the average towards `sample` by the fraction `weight` of the difference.
     pub(super) fn observe(&mut self, sample: f64, weight: f64) {
         self.0 += (sample - self.0) * weight;
     }
 }
 
-/// A running median: moves by a fixed fraction of itself, up for a sample above it and down for any other.
+/// A streaming median estimate: moves by a fixed fraction of itself, up for a sample above it and down otherwise.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StreamingMedian(f64);
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// An amount per second, in which the past decays exponentially over a window.
+/// An exponentially decaying rate per second.
 #[derive(Debug, Default)]
 pub(super) struct DecayedRate {
     amount: f64,
@@ -52,7 +52,7 @@
 }
 
 impl DecayedRate {
-    /// Adds an amount; `window_s` is the decay time in seconds.
+    /// Adds an amount; `window_s` is the time constant of the decay in seconds.
     pub(super) fn add(&mut self, now: Duration, window_s: f64, amount: f64) {
         *self = DecayedRate {
             amount: self.per_second(now, window_s) * window_s + amount,
@@ -76,7 +76,7 @@
 impl LatencyEstimates {
     const MEAN_WEIGHT: f64 = SMOOTHING / 4.0;
 
-    /// Before the first answer: from the shortest latency objective.
+    /// Initial estimates, derived from the shortest latency objective of all classes.
     pub(super) fn new(latency_objective: Duration) -> Self {
         let objective_s = latency_objective.as_secs_f64();
         LatencyEstimates {
@@ -93,7 +93,7 @@
         self.median.value()
     }
 
-    /// Takes the latency of a served attempt; `relative_work` is its work in units of a usual request's.
+    /// Records the latency of a served attempt; `relative_work` is its expected work relative to the average request.
     pub(super) fn observe(&mut self, elapsed: Duration, relative_work: f64) {
         let elapsed_s = elapsed.as_secs_f64();
         let expected_s = self.median.value() * relative_work.max(1.0);
--- a/crates/balancer/src/policy/final_response.rs
+++ b/crates/balancer/src/policy/final_response.rs
@@ -1,4 +1,4 @@
-//! The one place that gives final answers: rejected where a retry by the client is safe, else failed.
+//! Gives final responses from this node: rejected if the client may retry safely, otherwise failed. No other code does.
 
 use super::Balancer;
 use super::request::Request;
@@ -7,27 +7,28 @@
 use crate::ids::RequestId;
 use crate::settings::{Idempotency, Scope};
 
-/// Why a request gets its final answer from this node and not from a server.
+/// Why a request gets its final response from this node and not from a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FinishReason {
-    /// Its expected work alone takes longer than its deadline allows.
+    /// Its expected work takes longer than its deadline allows.
     ExpectedWorkTooLong,
     /// Its deadline passed.
     DeadlinePassed,
-    /// Its body was still being received, no server was eligible, and all the time that it would have is over.
+    /// No server was eligible while its body was still being received, and the time that the request would have after its
+    /// body has passed.
     NoServerDuringBody,
-    /// It needs a retry, and the retry budget is used up.
+    /// It needs a retry, and the retry budget is exhausted.
     RetryBudgetExhausted,
     /// It needs a retry, and no other server is eligible.
     NoServerForRetry,
-    /// All eligible servers are too crowded to answer in time.
+    /// All eligible servers are overloaded.
     ServersOverloaded,
-    /// A rule forbids the send to the chosen server.
+    /// A safety rule forbids sending it to the selected server.
     SendBlocked(SendBlocked),
 }
 
-/// Whether a client may safely retry a request: it is idempotent, nothing has run, or all servers discard duplicates of
-/// its key. The window within which they do is not considered.
+/// Whether a client may safely retry a request: it is idempotent, no attempt may have run, or all servers discard
+/// duplicates of its idempotency key. The window of the key is not considered.
 fn is_safe_to_retry(request: &Request) -> bool {
     match request.idempotency {
         Idempotency::Idempotent => true,
@@ -41,8 +42,8 @@
 }
 
 impl Balancer {
-    /// Gives a request its final answer, unless it has one, its client is receiving one, or an attempt in flight may still
-    /// answer in time.
+    /// Gives a request its final response, unless it has one, its client is receiving a response, or an attempt in flight may
+    /// still be served in time.
     pub(super) fn finish(
         &mut self,
         id: RequestId,
@@ -68,11 +69,11 @@
         self.close(id, actions);
     }
 
-    /// Sends nothing more for a request. Attempts in flight are cancelled where that is allowed, and the request is kept
-    /// until they have ended.
+    /// Closes a request: it gets no further attempts. Attempts in flight are cancelled if the limits allow it, and the request
+    /// stays in the table until they have ended.
     pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.health_checks.stop_waiting(id);
-        self.requests.set_waiting(id, false);
+        self.requests.set_held(id, false);
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
--- a/crates/balancer/src/policy/join_up_to.rs
+++ b/crates/balancer/src/policy/join_up_to.rs
@@ -1,8 +1,9 @@
-//! Join-Up-To(m): the server with the lowest estimate below the cap m, ties at random.
+//! Join-Up-To(m): selects the server with the lowest estimate below the cap m, breaking ties at random.
 //!
-//! A server's estimate counts own sends since it last showed idle. A load report of nothing in flight is taken as
-//! the paper's idle signal. The cap is that of the paper's Theorem 6 for exponential job sizes, with own sends per idle signal
-//! in place of lambda / delta, and the fraction of reports that were not idle in place of lambda.
+//! A server's estimate is the number of attempts that this node sent to it since its last idle signal. A load report with
+//! no requests in flight serves as the paper's idle signal. The cap is that of the paper's Theorem 6 for exponential job
+//! sizes, with this node's sends per idle signal in place of lambda / delta, and the fraction of load reports that were not
+//! idle in place of lambda.
 
 use super::context::Context;
 use super::estimators::{Ewma, SMOOTHING};
@@ -10,17 +11,17 @@
 use super::server::{ReportedLoad, Server};
 use crate::ids::ServerId;
 
-/// Sends and idle signals decay by this factor with each send.
-const DECAY: f64 = 0.998;
-/// A reported load below this counts as idle: reports are noisy.
+/// The counts of sends and idle signals decay by this factor with each send.
+const DECAY_PER_SEND: f64 = 0.998;
+/// A reported number of requests in flight below this counts as idle, because reports are noisy.
 const IDLE_LOAD: f64 = 0.5;
 /// The weight of a report in the busy fraction.
 const BUSY_WEIGHT: f64 = SMOOTHING / 8.0;
 
-/// What the cap is computed from.
+/// The statistics from which the cap is computed.
 #[derive(Debug)]
 pub(super) struct JoinUpTo {
-    /// Own sends, decayed.
+    /// Attempts sent by this node, decayed.
     sends: f64,
     /// Idle signals that lowered an estimate, decayed.
     idle_signals: f64,
@@ -43,12 +44,13 @@
     }
 
     pub(super) fn on_send(&mut self) {
-        self.sends = self.sends * DECAY + 1.0;
-        self.idle_signals *= DECAY;
+        self.sends = self.sends * DECAY_PER_SEND + 1.0;
+        self.idle_signals *= DECAY_PER_SEND;
     }
 
-    /// Takes a server's reported load. It is an idle signal if nothing is in flight there and it came with an answer: a
-    /// server that fails fast looks idle too. The signal is late where own attempts are in flight; these stay counted.
+    /// Records a server's reported load. It is an idle signal if it reports no requests in flight and came with a served
+    /// response or health check: a server that fails fast looks idle too. The signal is out of date if attempts of this node
+    /// are in flight; these remain in the estimate.
     pub(super) fn on_load_report(&mut self, server: &mut Server, load: ReportedLoad, served: bool) {
         let idle = load.in_flight < IDLE_LOAD;
         self.busy.observe(if idle { 0.0 } else { 1.0 }, BUSY_WEIGHT);
@@ -63,7 +65,7 @@
         server.idle_at = Some(load.at);
     }
 
-    /// The cap m: a server whose estimate reaches it is not preferred any more. At least 1.
+    /// The cap m, at least 1. A server whose estimate reaches it is no longer preferred.
     pub(super) fn cap(&self) -> u32 {
         let sends_per_signal = self.sends / self.idle_signals;
         let busy = self.busy.value();
@@ -72,7 +74,7 @@
         best.min(sends_per_signal.floor()).max(1.0) as u32
     }
 
-    /// The server with the lowest estimate strictly below the cap; `draw`, from 0 up to 1, decides between ties.
+    /// The server with the lowest estimate strictly below the cap; `draw`, in [0, 1), breaks ties.
     pub(super) fn choose(
         &self,
         context: &Context<'_>,
@@ -96,9 +98,10 @@
     }
 }
 
-/// A server's estimate: own sends since its last idle signal. Where signals come from health checks and other nodes send
-/// too, a signal is forgotten once these may have used it. A warming server gets no health checks: its permit is taken
-/// as a signal, since it is this node's part of what all nodes may send there.
+/// A server's estimate: attempts that this node sent to it since its last idle signal. If idle signals come only from
+/// health checks and there are other nodes, a signal expires once other nodes may have sent to the server. A warming server
+/// gets no health checks; instead its permit counts as an idle signal, because it is this node's share of what all nodes
+/// may send there.
 fn estimate(context: &Context<'_>, server: &Server, cap: u32) -> u32 {
     let signals_expire = context.load_by_health_check() && context.settings.nodes > 1;
     if !signals_expire {
--- a/crates/balancer/src/policy/outlier.rs
+++ b/crates/balancer/src/policy/outlier.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: servers that fail more often than the others are ejected for a time, then tried with single requests.
+//! Outlier detection: servers that fail more often than the others are ejected for a time, then get single trial requests.
 
 use super::context::Context;
 use super::estimators::{Ewma, SMOOTHING};
@@ -8,36 +8,37 @@
 const SERVER_WEIGHT: f64 = SMOOTHING * 2.0;
 /// Weight of an outcome in the failure rate of all servers.
 const OVERALL_WEIGHT: f64 = SMOOTHING / 2.0;
-/// A server is an outlier over this failure rate ...
+/// A server is an outlier if its failure rate exceeds this ...
 const MIN_FAILURE_RATE: f64 = 0.5;
-/// ... if it is also this many times that of all servers: what all suffer is no server's fault.
+/// ... and also exceeds the failure rate of all servers by this factor: failures common to all are not one server's fault.
 const OUTLIER_RATIO: f64 = 1.5;
-/// Each ejection in a row doubles its time, up to this many times.
+/// Each consecutive ejection doubles the ejection time, up to this many times.
 const MAX_DOUBLINGS: u32 = 4;
-/// An ejected server that is due gets this fraction of requests on trial; of non-idempotent requests, which cannot be
-/// retried, a quarter of it. More would put most requests of a quiet node on trial.
+/// The fraction of requests that are trial requests while an ejected server is due for one. A larger fraction would turn
+/// most requests of a node with little traffic into trial requests.
 const TRIAL_FRACTION: f64 = SMOOTHING;
-const NON_IDEMPOTENT_TRIALS: f64 = 4.0;
+/// Non-idempotent requests, which cannot be retried, are trial requests less often by this factor.
+const NON_IDEMPOTENT_TRIAL_DIVISOR: f64 = 4.0;
 
-/// What an outcome says of a server's health.
+/// What an outcome indicates about a server's health.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum HealthSignal {
-    /// It answered in good time.
-    Answered,
-    /// It answered with little time to spare.
-    AnsweredSlowly,
-    /// It failed, or was too late.
+    /// It responded with enough time to spare.
+    Served,
+    /// It responded with little time to spare.
+    ServedSlowly,
+    /// It failed or was too late.
     Failed,
-    /// It refused a second connection in a row: nobody is there.
+    /// It refused a second consecutive connection: nothing listens there.
     Unreachable,
 }
 
 impl HealthSignal {
-    /// The signal as a failure, from 0 to 1.
+    /// The failure value of the signal, from 0 to 1.
     fn failure(self) -> f64 {
         match self {
-            HealthSignal::Answered => 0.0,
-            HealthSignal::AnsweredSlowly => 0.5,
+            HealthSignal::Served => 0.0,
+            HealthSignal::ServedSlowly => 0.5,
             HealthSignal::Failed | HealthSignal::Unreachable => 1.0,
         }
     }
@@ -55,11 +56,11 @@
 #[derive(Debug, Default)]
 pub(super) struct ServerHealth {
     failure_rate: Ewma,
-    /// The last attempt to connect failed, and nothing was answered since.
+    /// The last connection attempt failed, and no response has arrived since.
     connect_failed: bool,
-    /// Ejected until then; from then on tried with single requests, until it answers.
+    /// Ejected until this time; after it the server gets trial requests until it responds.
     ejected_until: Option<Duration>,
-    /// Ejections in a row; halved by an answer.
+    /// Consecutive ejections; halved by each response.
     ejections: u32,
 }
 
@@ -68,28 +69,28 @@
         self.failure_rate.value()
     }
 
-    /// Whether it is ejected, or on trial after an ejection.
+    /// Whether the server is ejected, or has not responded since its ejection ended.
     pub(super) fn is_ejected(&self) -> bool {
         self.ejected_until.is_some()
     }
 
-    /// Whether its ejection is over, so that it may get a request on trial.
+    /// Whether its ejection has ended, so that it may get a trial request.
     pub(super) fn is_due_for_trial(&self, now: Duration) -> bool {
         self.ejected_until.is_some_and(|until| now >= until)
     }
 
-    /// Records a failed connection that took `elapsed`, and classifies it. A first one may be chance. One that only took
-    /// too long may come up late, however often, and stays a failure like others.
+    /// Records a connect failure after `elapsed` and classifies it. A first one may be chance. After a connect timeout the
+    /// server may still become reachable, so timeouts count as ordinary failures however often they occur.
     pub(super) fn on_connect_failed(
         &mut self,
         elapsed: Duration,
         connect_timeout: Duration,
     ) -> ConnectFailure {
-        let again = std::mem::replace(&mut self.connect_failed, true);
+        let repeated = std::mem::replace(&mut self.connect_failed, true);
         let timed_out = elapsed >= connect_timeout;
         ConnectFailure {
-            again,
-            signal: if again && !timed_out {
+            repeated,
+            signal: if repeated && !timed_out {
                 HealthSignal::Unreachable
             } else {
                 HealthSignal::Failed
@@ -98,25 +99,25 @@
     }
 }
 
-/// A failed connection to a server.
+/// A classified connect failure.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ConnectFailure {
-    /// Whether the one before failed too.
-    pub(super) again: bool,
+    /// Whether the previous connection to the server failed too.
+    pub(super) repeated: bool,
     pub(super) signal: HealthSignal,
 }
 
-/// Whether a first attempt with this draw, from 0 up to 1, may go to an ejected server on trial.
+/// Whether a first attempt is sent as a trial request to an ejected server; `draw` is a random number in [0, 1).
 pub(super) fn is_trial(draw: f64, can_be_retried: bool) -> bool {
     let factor = if can_be_retried {
         1.0
     } else {
-        NON_IDEMPOTENT_TRIALS
+        NON_IDEMPOTENT_TRIAL_DIVISOR
     };
     draw * factor < TRIAL_FRACTION
 }
 
-/// Compares servers with each other.
+/// Detects servers that fail more often than the others.
 #[derive(Debug, Default)]
 pub(super) struct OutlierDetector {
     /// Failure rate of attempts at all servers.
@@ -124,7 +125,7 @@
 }
 
 impl OutlierDetector {
-    /// Takes a signal of a server's health.
+    /// Records a health signal of a server.
     pub(super) fn observe(&mut self, health: &mut ServerHealth, signal: HealthSignal) {
         let failure = signal.failure();
         health.failure_rate.observe(failure, signal.weight());
@@ -136,8 +137,9 @@
         }
     }
 
-    /// Whether a server is to be ejected after this signal. Half of the servers stay, unless one cannot be reached or fails
-    /// while it is ejected; attempts sent before the ejection count for that too. `may_eject_more` is whether enough are left.
+    /// Whether to eject a server after this signal. An unreachable server, and one that fails while it is ejected, is always
+    /// ejected (again), even by an attempt sent before its ejection. Otherwise `may_eject_more` has to return true, which
+    /// keeps half of the servers in use.
     pub(super) fn should_eject(
         &self,
         health: &ServerHealth,
@@ -156,7 +158,7 @@
     }
 }
 
-/// Ejects a server: for the time within which warming servers are judged, doubled for each ejection before in a row.
+/// Ejects a server for the overload window, doubled for each previous consecutive ejection.
 pub(super) fn eject(context: &Context<'_>, health: &mut ServerHealth) {
     let doublings = health.ejections.min(MAX_DOUBLINGS);
     let time = context.settings.safety.overload_window * (1 << doublings);
@@ -164,7 +166,7 @@
     health.ejections += 1;
 }
 
-/// Whether one more of `ready` servers may be ejected where `ejected` are: half of them stay.
+/// Whether one more of `ready` servers may be ejected if `ejected` of them already are. At least half stay in use.
 pub(super) fn may_eject_more(ejected: usize, ready: usize) -> bool {
     2 * ejected + 2 <= ready
 }
--- a/crates/balancer/src/policy/random.rs
+++ b/crates/balancer/src/policy/random.rs
@@ -1,9 +1,9 @@
-//! The balancer's random numbers: a seeded generator, so that equal seeds and events give equal decisions.
+//! The balancer's seeded random number generator: the same seed and events give the same decisions.
 
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 
-/// A source of numbers from 0 up to 1.
+/// A source of uniform random numbers.
 #[derive(Debug)]
 pub(super) struct RandomSource(Pcg32);
 
@@ -12,13 +12,13 @@
         RandomSource(Pcg32::seed_from_u64(seed))
     }
 
-    /// A number from 0 up to 1, 1 excluded.
+    /// A random number in [0, 1).
     pub(super) fn unit(&mut self) -> f64 {
         f64::from(self.0.next_u32()) / 2f64.powi(32)
     }
 }
 
-/// The item of a list on which a draw from 0 up to 1 falls; `None` if the list is empty.
+/// Picks the item that a draw in [0, 1) selects; `None` if the list is empty.
 pub(super) fn pick<T: Copy>(items: &[T], draw: f64) -> Option<T> {
     items.get((draw * items.len() as f64) as usize).copied()
 }
--- a/crates/balancer/src/policy/request.rs
+++ b/crates/balancer/src/policy/request.rs
@@ -1,4 +1,4 @@
-//! Requests that are owed an answer, or some of whose attempts are in flight.
+//! Requests that are owed a final response or have attempts in flight.
 
 use crate::endpoint::Endpoint;
 use crate::event::Outcome;
@@ -7,10 +7,10 @@
 
 /// An attempt of a request.
 pub(super) struct Attempt {
-    /// The server as it was listed at the send.
+    /// The server's endpoint when the attempt was sent.
     pub(super) endpoint: Endpoint,
     pub(super) sent_at: Duration,
-    /// The server's crowding level at the send.
+    /// The server's concurrency level when the attempt was sent.
     pub(super) concurrency_level: usize,
     /// `None` while the attempt is in flight.
     pub(super) outcome: Option<Outcome>,
@@ -27,32 +27,33 @@
     }
 }
 
-/// A request.
+/// An open request.
 #[derive(Default)]
 pub(super) struct Request {
     pub(super) class: usize,
-    /// As its class allowed when it was accepted.
+    /// The idempotency of its class when it was accepted. New settings may tighten it.
     pub(super) idempotency: Idempotency,
-    /// Most attempts, as allowed when it was accepted. Later settings may allow fewer.
+    /// The most attempts, as allowed when it was accepted. Later settings may allow fewer.
     pub(super) max_attempts: u32,
-    /// Its expected work in units of a usual request's.
+    /// Its expected work relative to that of the average request.
     pub(super) relative_work: f64,
-    /// Its priority: its weight in units of a usual request's.
+    /// Its priority: its weight relative to that of the average request.
     pub(super) priority: f64,
-    /// An answer is of use until then.
+    /// The time by which it must have its final response.
     pub(super) deadline: Duration,
     pub(super) attempts: Vec<Attempt>,
-    /// It has waited for health checks once, or must do without.
-    pub(super) health_checks_done: bool,
-    /// It is held back: for an eligible server, or until more is known of crowding.
-    pub(super) waiting: bool,
-    /// The attempt whose response the client is receiving.
+    /// It does not wait for health checks (any more): it has waited or been sent once, or health checks are not the only
+    /// source of load reports.
+    pub(super) skips_health_checks: bool,
+    /// It is held until a server is eligible or more concurrency levels are explored.
+    pub(super) held: bool,
+    /// The number of the attempt whose response the client is receiving.
     pub(super) streaming: Option<u32>,
-    /// While its body is still being received: the time that it will have from the body's end.
+    /// Set while its body is still being received: the time that it has from the end of the body to its deadline.
     pub(super) time_after_body: Option<Duration>,
-    /// Its body is consumed: it cannot be sent again.
+    /// Its body is consumed, so it cannot be sent again.
     pub(super) body_consumed: bool,
-    /// It has its final answer, or its client is gone.
+    /// It has its final response, or its client has disconnected.
     pub(super) closed: bool,
 }
 
@@ -74,7 +75,7 @@
             .map(|(number, _)| number as u32)
     }
 
-    /// The attempt sent last of those in flight.
+    /// The latest attempt in flight.
     pub(super) fn last_in_flight(&self) -> Option<&Attempt> {
         self.attempts.iter().rfind(|a| a.is_in_flight())
     }
--- a/crates/balancer/src/policy/request_table.rs
+++ b/crates/balancer/src/policy/request_table.rs
@@ -1,15 +1,15 @@
-//! The requests of a node, and how many of them are held back.
+//! The open requests of a node, and how many of them are held.
 
 use super::request::Request;
 use crate::ids::RequestId;
 use std::collections::BTreeMap;
 
-/// All requests that are owed an answer, or some of whose attempts are in flight.
+/// All requests that are owed a final response or have attempts in flight.
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: BTreeMap<RequestId, Request>,
-    /// Number of requests that are held back.
-    waiting: usize,
+    /// Number of held requests.
+    held: usize,
 }
 
 impl RequestTable {
@@ -33,17 +33,17 @@
         self.requests.remove(&id);
     }
 
-    /// Number of requests that are held back.
-    pub(super) fn waiting(&self) -> usize {
-        self.waiting
+    /// Number of held requests.
+    pub(super) fn held_count(&self) -> usize {
+        self.held
     }
 
-    /// Notes whether a request is held back.
-    pub(super) fn set_waiting(&mut self, id: RequestId, waiting: bool) {
+    /// Records whether a request is held.
+    pub(super) fn set_held(&mut self, id: RequestId, held: bool) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let before = std::mem::replace(&mut request.waiting, waiting);
-        self.waiting = self.waiting + usize::from(waiting) - usize::from(before);
+        let before = std::mem::replace(&mut request.held, held);
+        self.held = self.held + usize::from(held) - usize::from(before);
     }
 }
--- a/crates/balancer/src/policy/retry.rs
+++ b/crates/balancer/src/policy/retry.rs
@@ -1,4 +1,4 @@
-//! Retries and hedged requests: whether a request may have another attempt, on which servers, and when.
+//! Retries and hedged requests: whether a request may have another attempt, at which servers, and when.
 
 use super::context::Context;
 use super::estimators::LatencyEstimates;
@@ -8,19 +8,20 @@
 use crate::settings::{Idempotency, Scope};
 use std::time::Duration;
 
-/// Further attempts as a fraction of requests.
+/// Retries and hedged requests allowed per request.
 const BUDGET_RATIO: f64 = 0.4;
-/// Tokens of the retry budget that are saved at most, and that a node starts with.
+/// The most tokens that the retry budget holds, and the number that it starts with.
 const MAX_TOKENS: f64 = 2.0 / BUDGET_RATIO;
 const INITIAL_TOKENS: f64 = 1.0 / BUDGET_RATIO;
-/// An attempt is silent for too long after this multiple of the median latency: for exponential latencies one in sixteen is.
-const SILENCE_MEDIANS: f64 = 4.0;
-/// Timers may come this much early.
-const TIMER_SLACK: f64 = 0.99;
-/// Most that a request's work counts for its timeout, in units of a usual request's.
+/// The response timeout as a multiple of the median latency. With exponentially distributed latencies one attempt in
+/// sixteen exceeds it.
+const RESPONSE_TIMEOUT_MEDIANS: f64 = 4.0;
+/// Timers may expire early; a hedged request is due from this fraction of the response timeout.
+const TIMER_EARLY_FACTOR: f64 = 0.99;
+/// Upper bound of a request's relative work in its response timeout.
 const MAX_RELATIVE_WORK: f64 = 1e3;
 
-/// The retry budget: each request adds a part of a token, each further attempt takes one.
+/// The retry budget, a token bucket: each request adds a fraction of a token, each retry or hedged request takes one.
 #[derive(Debug)]
 pub(super) struct RetryBudget {
     tokens: f64,
@@ -46,7 +47,7 @@
     }
 }
 
-/// Most attempts of a request. Fewer allowed by new settings bind it too, more do not.
+/// The most attempts of an open request. New settings can lower its limit but not raise it.
 pub(super) fn max_attempts(context: &Context<'_>, request: &Request) -> usize {
     if request.body_consumed {
         return request.attempts.len().max(1);
@@ -55,19 +56,20 @@
     request.max_attempts.min(allowed_now).max(1) as usize
 }
 
-/// How long an attempt may stay silent before the request is retried or hedged, where it may be.
-pub(super) fn silence_timeout(
+/// How long to wait for a response before the request is retried or hedged, if that is allowed.
+pub(super) fn response_timeout(
     context: &Context<'_>,
     latency: &LatencyEstimates,
     request: &Request,
 ) -> Duration {
     let relative_work = request.relative_work.clamp(1.0, MAX_RELATIVE_WORK);
-    let timeout = Duration::from_secs_f64(SILENCE_MEDIANS * latency.median_s() * relative_work);
+    let timeout =
+        Duration::from_secs_f64(RESPONSE_TIMEOUT_MEDIANS * latency.median_s() * relative_work);
     timeout.max(2 * context.settings.timer_resolution)
 }
 
-/// Whether attempts in flight permit another one: there is none, or hedging is allowed and the only one has been
-/// silent for too long.
+/// Whether the attempts in flight permit another one: there is none, or hedging is allowed and the only one has exceeded its
+/// response timeout.
 pub(super) fn may_attempt_now(
     context: &Context<'_>,
     latency: &LatencyEstimates,
@@ -79,11 +81,11 @@
     if !context.settings.limits.hedging || request.in_flight() >= 2 || request.body_pending() {
         return false;
     }
-    let timeout = silence_timeout(context, latency, request);
-    context.now >= last.sent_at + timeout.mul_f64(TIMER_SLACK)
+    let timeout = response_timeout(context, latency, request);
+    context.now >= last.sent_at + timeout.mul_f64(TIMER_EARLY_FACTOR)
 }
 
-/// Whether a request, some attempt of which may have run, may be sent to a server: as its idempotency allows.
+/// Whether a request's idempotency allows an attempt at a server, given the earlier attempts that may have run.
 pub(super) fn idempotency_allows(
     context: &Context<'_>,
     server: &Server,
@@ -92,11 +94,11 @@
     let Some(first) = request.first_that_may_have_run() else {
         return true;
     };
-    may_follow(context, server, request, &first.endpoint, first.sent_at)
+    may_retry_on(context, server, request, &first.endpoint, first.sent_at)
 }
 
-/// Whether a request that was sent to one server at a time, and may have run there, may go to another one now.
-pub(super) fn may_follow(
+/// Whether a request that was sent to the server `first` at `sent_at`, and may have run there, may be sent to `server` now.
+pub(super) fn may_retry_on(
     context: &Context<'_>,
     server: &Server,
     request: &Request,
--- a/crates/balancer/src/policy/selection.rs
+++ b/crates/balancer/src/policy/selection.rs
@@ -1,4 +1,4 @@
-//! Server selection: eligible, then healthy, then not too crowded servers, and Join-Up-To(m) among these.
+//! Server selection: filters the eligible servers by health and then by concurrency, and applies Join-Up-To(m) to the rest.
 
 use super::concurrency::{self, ConcurrencyGate};
 use super::context::Context;
@@ -10,42 +10,42 @@
 use crate::ids::ServerId;
 use crate::settings::Idempotency;
 
-/// Two random numbers, from 0 up to 1, that decide about a request.
+/// The random numbers of one dispatch, both in [0, 1).
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Draws {
-    /// For admission and trials.
+    /// For admission and trial requests.
     pub(super) admission: f64,
-    /// For ties and random picks.
+    /// For breaking ties and random picks.
     pub(super) choice: f64,
 }
 
-/// What comes of a selection.
+/// The result of a selection.
 #[derive(Debug)]
 pub(super) enum Selection {
     /// This server has the lowest estimate below the cap.
     BelowCap(ServerId),
-    /// All servers that are not too crowded have reached the cap.
+    /// All servers that are not overloaded have reached the cap.
     AtCap {
-        /// One of them at random.
+        /// One of them, picked at random.
         fallback: ServerId,
         /// Servers whose load a health check could find out.
         unknown_load: Vec<ServerId>,
     },
-    /// All servers are too crowded to answer in time.
+    /// All servers are overloaded.
     Overloaded {
         /// Servers whose load a health check could find out.
         unknown_load: Vec<ServerId>,
-        /// Whether it is unexplored if one of them answers in time.
+        /// Whether the concurrency level of any of them is unexplored.
         unexplored: bool,
     },
 }
 
-/// The policies that a selection asks.
+/// The policies that a selection applies.
 pub(super) struct Selector<'a> {
     pub(super) context: Context<'a>,
     pub(super) gate: &'a ConcurrencyGate,
     pub(super) join_up_to: &'a JoinUpTo,
-    /// Whether the request may wait for health checks, and does not yet.
+    /// Whether the request may wait for health checks and does not wait for any yet.
     pub(super) may_check_health: bool,
 }
 
@@ -83,7 +83,8 @@
         }
     }
 
-    /// On trial, an ejected server that is due; else servers that are not ejected; else all.
+    /// For a trial request, the ejected servers that are due for one, if any. Otherwise the servers that are not ejected, or
+    /// all servers if all are ejected.
     fn preferred_by_health<'s>(
         &self,
         request: &Request,
@@ -117,17 +118,17 @@
     }
 
     fn admits(&self, server: &Server, request: &Request, draws: Draws) -> bool {
-        let unused = server.in_flight == 0;
+        let none_in_flight = server.in_flight == 0;
         let level = self.level(server);
         self.gate
-            .admits(level, unused, request.priority, draws.admission)
+            .admits(level, none_in_flight, request.priority, draws.admission)
     }
 
     fn is_unexplored(&self, server: &Server) -> bool {
         self.gate.is_unexplored(self.level(server))
     }
 
-    /// Servers whose load a health check could find out, if any may be sent.
+    /// Servers whose load a health check could find out; empty if no health check may be sent.
     fn unknown_load(&self, servers: &[&Server]) -> Vec<ServerId> {
         if !self.may_check_health {
             return Vec::new();
@@ -136,23 +137,24 @@
         unknown.map(|s| s.endpoint.id).collect()
     }
 
-    /// A health check is work like a request's: what a warming server can take is left to requests.
+    /// Whether a health check of the server would be useful. A health check costs a server as much as a request, so the
+    /// capacity of a warming server is left to requests.
     fn needs_health_check(&self, server: &Server) -> bool {
         !server.health_check_pending
             && !server.is_warming(&self.context)
             && server.recent_load(&self.context).is_none()
     }
 
-    /// Those that are not more crowded than the average.
+    /// The servers whose concurrency is not above the average.
     fn lowest_concurrency<'s>(&self, servers: Vec<&'s Server>) -> Vec<&'s Server> {
-        let crowding: Vec<_> = servers
+        let concurrency: Vec<_> = servers
             .iter()
             .map(|s| s.concurrency(&self.context))
             .collect();
-        let average = crowding.iter().sum::<f64>() / servers.len() as f64 + 1e-9;
-        let pairs = servers.into_iter().zip(crowding);
+        let average = concurrency.iter().sum::<f64>() / servers.len() as f64 + 1e-9;
+        let pairs = servers.into_iter().zip(concurrency);
         pairs
-            .filter(|(_, crowding)| *crowding <= average)
+            .filter(|(_, concurrency)| *concurrency <= average)
             .map(|(server, _)| server)
             .collect()
     }
--- a/crates/balancer/src/policy/send_gate.rs
+++ b/crates/balancer/src/policy/send_gate.rs
@@ -1,4 +1,4 @@
-//! The one place that sends. Every safety rule is checked here, whatever led to the send.
+//! Sends requests to servers. No other code does, and every safety rule is checked here before each send.
 
 use super::Balancer;
 use super::concurrency;
@@ -14,36 +14,37 @@
 use crate::ids::{RequestId, ServerId};
 use std::time::Duration;
 
-/// An attempt may be ended for a retry if this much more than its timeout is left for the request.
-const TIME_FOR_RETRY: u32 = 5;
-const TIME_FOR_RETRY_PARTS: u32 = 4;
+/// An attempt is retried or hedged after its response timeout only if the request's remaining time is more than the timeout
+/// times this ratio.
+const RETRY_TIME_NUMERATOR: u32 = 5;
+const RETRY_TIME_DENOMINATOR: u32 = 4;
 
-/// Why a request may not be sent to a server now. The selection has checked most of it before; of these only
-/// [`SendBlocked::NoAttemptsLeft`] is expected at the gate.
+/// Why a request may not be sent to a server now. Dispatch has already checked most of these, so only
+/// [`SendBlocked::NoAttemptsLeft`] is expected here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SendBlocked {
-    /// It has its final answer, or its client is gone.
+    /// It has its final response, or its client has disconnected.
     Closed,
     /// An attempt is in flight, and a hedged request is not allowed or not due.
     AttemptInFlight,
     /// Its deadline has passed.
     DeadlinePassed,
-    /// It has had all attempts that it may have, or its body is consumed.
+    /// It has used all its attempts, or its body is consumed.
     NoAttemptsLeft,
-    /// The server is draining or removed. The drain grace is not used.
+    /// The server is draining or removed. No request is sent within the drain grace either.
     ServerNotReady,
-    /// The server is warming up, and this node has no permit for it or the request is too heavy.
+    /// The server is warming up, and this node has no permit for it or the request needs too much work.
     ServerWarmingUp,
-    /// An attempt may have run, and its idempotency does not allow a retry there.
+    /// An attempt may have run, and the request's idempotency does not allow a retry at this server.
     MayHaveRun,
     /// An earlier attempt was sent to the same server.
     SameServer,
 }
 
-/// Checks whether the safety rules allow a request at a server.
+/// Checks whether the safety rules allow sending a request to a server.
 ///
 /// # Errors
-/// The rule that does not.
+/// The rule that forbids it.
 pub(super) fn check_server(
     context: &Context<'_>,
     server: &Server,
@@ -65,10 +66,10 @@
     Ok(())
 }
 
-/// Checks whether a request may be sent at all now.
+/// Checks whether a request may be sent to any server now.
 ///
 /// # Errors
-/// Why not.
+/// The rule that forbids it.
 fn check_request(
     context: &Context<'_>,
     latency: &LatencyEstimates,
@@ -90,7 +91,7 @@
 }
 
 impl Balancer {
-    /// Sends a request to a server if all rules allow it. Else the request is finished.
+    /// Sends a request to a server if all rules allow it; otherwise finishes the request.
     pub(super) fn send(&mut self, id: RequestId, to: ServerId, actions: &mut Vec<Action>) {
         let context = self.context();
         let (Some(request), Some(server)) = (self.requests.get(id), self.endpoints.get(to)) else {
@@ -101,26 +102,26 @@
         if let Err(blocked) = allowed {
             return self.finish(id, FinishReason::SendBlocked(blocked), actions);
         }
-        let further = request.was_attempted();
+        let is_retry = request.was_attempted();
         let body_pending = request.body_pending();
         let remaining = request.deadline - context.now;
-        let silence_timeout = retry::silence_timeout(&context, &self.latency, request);
+        let response_timeout = retry::response_timeout(&context, &self.latency, request);
         let attempt = Attempt {
             endpoint: server.endpoint,
             sent_at: context.now,
             concurrency_level: concurrency::level(server.concurrency(&context)),
             outcome: None,
         };
-        let may_retry = !body_pending && self.may_retry_after(server, request, silence_timeout);
+        let may_retry = !body_pending && self.may_retry_after(server, request, response_timeout);
         let hedging = context.settings.limits.hedging;
         let timeout = if may_retry && !hedging {
-            silence_timeout
+            response_timeout
         } else {
             remaining
         };
         if may_retry && hedging {
             actions.push(Action::SetTimer {
-                after: silence_timeout,
+                after: response_timeout,
                 token: id.0,
             });
         }
@@ -129,20 +130,20 @@
             server: to,
             timeout,
         });
-        self.record_send(id, attempt, body_pending, further);
+        self.record_send(id, attempt, body_pending, is_retry);
     }
 
-    /// Whether an attempt at a server would leave time, budget and another server for one more. Without these a silent
-    /// attempt is waited for: it would be lost and nothing gained.
+    /// Whether an attempt at a server would leave enough time, retry budget and another server for a retry. Without these,
+    /// ending an unresponsive attempt early would only lose its response.
     fn may_retry_after(&self, server: &Server, request: &Request, timeout: Duration) -> bool {
         let remaining = request.deadline - self.now;
         let attempts = if request.was_attempted() { 2.0 } else { 1.0 };
-        remaining > timeout * TIME_FOR_RETRY / TIME_FOR_RETRY_PARTS
+        remaining > timeout * RETRY_TIME_NUMERATOR / RETRY_TIME_DENOMINATOR
             && self.retry_budget.has(attempts)
             && self.has_other_server(server, request)
     }
 
-    /// Whether a request that goes to a server now has another one to go to after it.
+    /// Whether another server would be eligible for a retry after an attempt at `server`.
     fn has_other_server(&self, server: &Server, request: &Request) -> bool {
         let context = self.context();
         if request.attempts.len() + 1 >= retry::max_attempts(&context, request) {
@@ -157,7 +158,7 @@
             other.endpoint.id != server.endpoint.id
                 && !other.health.is_ejected()
                 && check_server(&context, other, request).is_ok()
-                && retry::may_follow(&context, other, request, first_endpoint, sent_at)
+                && retry::may_retry_on(&context, other, request, first_endpoint, sent_at)
         };
         let mut subset = self
             .endpoints
@@ -166,16 +167,16 @@
         subset.any(is_alternative)
     }
 
-    /// Counts a send with every policy that needs to know.
-    fn record_send(&mut self, id: RequestId, attempt: Attempt, body_pending: bool, further: bool) {
+    /// Updates every policy that counts sends.
+    fn record_send(&mut self, id: RequestId, attempt: Attempt, body_pending: bool, is_retry: bool) {
         if let Some(server) = self.endpoints.get_mut(attempt.endpoint.id) {
             server.on_send(body_pending);
         }
         if let Some(request) = self.requests.get_mut(id) {
-            request.health_checks_done = true;
+            request.skips_health_checks = true;
             request.attempts.push(attempt);
         }
-        if further {
+        if is_retry {
             self.retry_budget.take_one();
         }
         self.health_checks.stop_waiting(id);
--- a/crates/balancer/src/policy/server.rs
+++ b/crates/balancer/src/policy/server.rs
@@ -1,4 +1,4 @@
-//! What a node knows of a server. Each policy keeps its part in a type of its own.
+//! A node's state for a server. Each policy keeps its part in its own type.
 
 use super::context::Context;
 use super::estimators::SMOOTHING;
@@ -7,7 +7,7 @@
 use crate::endpoint::Endpoint;
 use std::time::Duration;
 
-/// A server's load as it last reported it, counted on by own sends since.
+/// A server's last reported load, plus the attempts that this node has sent to it since.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReportedLoad {
     /// Requests in flight.
@@ -19,11 +19,11 @@
 #[derive(Default)]
 pub(super) struct Server {
     pub(super) endpoint: Endpoint,
-    /// Join-Up-To(m)'s estimate: own sends since the server last showed idle.
+    /// The Join-Up-To(m) estimate: attempts that this node sent since the server's last idle signal.
     pub(super) sends_since_idle: u32,
-    /// When it last showed idle.
+    /// The time of its last idle signal.
     pub(super) idle_at: Option<Duration>,
-    /// Own attempts in flight whose request body is complete and whose response has not started.
+    /// Attempts of this node in flight whose request body is complete and whose response has not started.
     pub(super) in_flight: u32,
     pub(super) reported_load: Option<ReportedLoad>,
     /// Whether a health check of it is in flight.
@@ -33,7 +33,7 @@
 }
 
 impl Server {
-    /// The fraction of its capacity that it has for certain: below 1 while it warms up.
+    /// The guaranteed fraction of its capacity: below 1 while it warms up.
     pub(super) fn capacity(&self, context: &Context<'_>) -> f64 {
         slow_start::capacity(context, &self.endpoint)
     }
@@ -43,15 +43,16 @@
         self.capacity(context) < 1.0
     }
 
-    /// Its load by a recent health check, with own sends since.
+    /// Its load from a recent health check, plus the attempts that this node has sent since. `None` without a recent health
+    /// check, or if health checks are not the only source of load reports.
     pub(super) fn recent_load(&self, context: &Context<'_>) -> Option<f64> {
         let load = self.reported_load?;
         let counts = context.load_by_health_check() && context.is_recent(load.at);
         counts.then_some(load.in_flight)
     }
 
-    /// How crowded it is, in requests: its recent load, at least own attempts in flight. Without a recent load the own
-    /// ones stand for it, more of them the more often the server fails.
+    /// Its concurrency: the recent load, but at least this node's attempts in flight. Without a recent load, this node's
+    /// attempts in flight are used, scaled up with the server's failure rate.
     pub(super) fn concurrency(&self, context: &Context<'_>) -> f64 {
         let own = f64::from(self.in_flight);
         match self.recent_load(context) {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Counts a send to it. An attempt whose body is still being received is not work of the server's yet.
+    /// Records an attempt sent to it. An attempt whose body is still being received does not count as work of the server yet.
     pub(super) fn on_send(&mut self, body_pending: bool) {
         self.permit.use_up();
         self.sends_since_idle += 1;
--- a/crates/balancer/src/policy/slow_start.rs
+++ b/crates/balancer/src/policy/slow_start.rs
@@ -1,16 +1,16 @@
-//! Slow start: how much a server may be sent while it warms up after a start.
+//! Slow start: limits the requests sent to a server that is warming up after a start.
 //!
-//! The overload rule ([`SafetyRules::overload_factor`]) bounds what all nodes together may send a warming server. Nodes do not
-//! know of each other, so each takes as its part:
+//! The overload rule ([`SafetyRules::overload_factor`]) bounds what all nodes together may send to a warming server. Nodes do not
+//! communicate, so each node's share is:
 //!
 //! ```text
-//! permits per second = overload_factor * capacity * rate_of_warm * target_fraction
+//! permits per second = overload_factor * capacity * warm_server_rate * target_fraction
 //! ```
 //!
-//! `capacity` is the fraction of its capacity that the server has for certain, `rate_of_warm` what one warm server serves per
-//! second for this node. Over all nodes the latter adds up to less than one warm server's capacity, whatever part of the traffic
-//! each has. A request is sent only for a permit. Permits come at even times, the first one at random, and last for a
-//! short time, so that quiet nodes cannot save them up for a burst.
+//! `capacity` is the guaranteed fraction of the server's capacity, and `warm_server_rate` is what one warm server serves per
+//! second for this node. Summed over all nodes, the latter is less than one warm server's capacity, however the traffic is
+//! distributed over the nodes. Each request sent uses a permit. Permits accrue at even intervals, with a random phase, and
+//! expire after a short time, so that nodes with little traffic cannot accumulate them and send a burst.
 
 use super::context::Context;
 use super::endpoint_table::EndpointTable;
@@ -21,22 +21,23 @@
 use crate::settings::SafetyRules;
 use std::time::Duration;
 
-/// All nodes together aim at no more than this fraction of what the overload rule allows.
+/// All nodes together target at most this fraction of what the overload rule allows.
 const MAX_TARGET_FRACTION: f64 = 0.75;
-/// The target lies this many of its own standard deviations below the rule's limit.
+/// The target lies this many standard deviations below the overload rule's limit.
 const SAFETY_DEVIATIONS: f64 = 6.0;
-/// A permit lasts for this fraction of the time within which the server is judged.
+/// The lifetime of a permit as a fraction of the overload window.
 const PERMIT_LIFETIME: f64 = 0.5;
-/// Of arriving work, where no server was ever warm: more may arrive than all can serve.
+/// The fraction of arriving work that is assumed to be served if no server was ever warm: more may arrive than all servers
+/// can serve.
 const ARRIVAL_FRACTION: f64 = 0.5;
-/// Arrivals count up to this multiple of what a warm server last served: rejected requests come again.
+/// Arriving work counts up to this multiple of what a warm server last served, because rejected requests arrive again.
 const MAX_ARRIVAL_RATIO: f64 = 1.5;
-/// A warming server gets no request of more than this many times the usual work.
+/// A warming server gets no request with more than this multiple of the average work.
 const MAX_RELATIVE_WORK: f64 = 2.0;
-/// A permit's age is counted up to this, in seconds.
+/// Upper bound of a permit's age, in seconds.
 const MAX_PERMIT_AGE_S: f64 = 1e6;
 
-/// The fraction of its capacity that a server has for certain: from the slow start's initial fraction up to 1.
+/// The guaranteed fraction of a server's capacity: rises linearly from the slow start's initial fraction to 1.
 pub(super) fn capacity(context: &Context<'_>, endpoint: &Endpoint) -> f64 {
     let Some(started_at) = endpoint.started_at else {
         return 1.0;
@@ -48,7 +49,7 @@
     (initial + (1.0 - initial) * progress).min(1.0)
 }
 
-/// Whether a server may be sent a request of that work, as far as slow start is concerned.
+/// Whether slow start allows sending a request of that relative work to a server.
 pub(super) fn permits(context: &Context<'_>, server: &Server, relative_work: f64) -> bool {
     !server.is_warming(context)
         || server.permit.is_valid(context.now) && relative_work <= MAX_RELATIVE_WORK
@@ -61,11 +62,11 @@
     accrual: Option<Accrual>,
 }
 
-/// The part of a permit that was due at a time, from 0 up to 1.
+/// The fraction of the next permit, in [0, 1), that had accrued at a time.
 #[derive(Clone, Copy, Debug)]
 struct Accrual {
     at: Duration,
-    part: f64,
+    fraction: f64,
 }
 
 impl Permit {
@@ -77,30 +78,31 @@
         self.valid_until = Duration::ZERO;
     }
 
-    /// Counts on to `now` at `rate` permits per second. A server just listed is at a random place between two permits.
-    fn accrue(&mut self, now: Duration, rate: f64, random_part: f64, lifetime: Duration) {
-        let due = match self.accrual {
-            Some(Accrual { at, part }) => part + rate * (now - at).as_secs_f64(),
-            None => random_part,
+    /// Accrues permits up to `now` at `rate` permits per second. A newly listed server starts with `random_fraction` of a
+    /// permit.
+    fn accrue(&mut self, now: Duration, rate: f64, random_fraction: f64, lifetime: Duration) {
+        let accrued = match self.accrual {
+            Some(Accrual { at, fraction }) => fraction + rate * (now - at).as_secs_f64(),
+            None => random_fraction,
         };
-        let part = due.fract();
-        self.accrual = Some(Accrual { at: now, part });
-        let age = Duration::from_secs_f64((part / rate.max(1e-9)).min(MAX_PERMIT_AGE_S));
-        if due >= 1.0 && age < lifetime {
+        let fraction = accrued.fract();
+        self.accrual = Some(Accrual { at: now, fraction });
+        let age = Duration::from_secs_f64((fraction / rate.max(1e-9)).min(MAX_PERMIT_AGE_S));
+        if accrued >= 1.0 && age < lifetime {
             self.valid_until = now + lifetime - age;
         }
     }
 }
 
-/// Rates from which permits follow.
+/// The traffic rates from which permit rates are computed.
 #[derive(Debug, Default)]
 pub(super) struct SlowStart {
-    /// Work that arrived, in units of a usual request's.
+    /// Work that arrived, relative to the average request.
     arrived: DecayedRate,
     /// Work served by warm servers.
     served_by_warm: DecayedRate,
-    /// What one warm server served per second for this node when there last was one.
-    last_rate_of_warm: Option<f64>,
+    /// What one warm server served per second for this node when one was last warm.
+    last_warm_server_rate: Option<f64>,
 }
 
 impl SlowStart {
@@ -114,18 +116,18 @@
             .add(context.now, context.rate_window_s(), relative_work);
     }
 
-    /// To be called before an update of the endpoint list, after which no server may be warm.
-    pub(super) fn before_list_update(
+    /// Saves the rate of warm servers. Called before an endpoint update, after which no server may be warm.
+    pub(super) fn before_endpoint_update(
         &mut self,
         context: &Context<'_>,
         table: &EndpointTable,
         subset_size: usize,
     ) {
-        let rate = self.rate_of_warm(context, table, subset_size);
-        self.last_rate_of_warm = rate.or(self.last_rate_of_warm);
+        let rate = self.warm_server_rate(context, table, subset_size);
+        self.last_warm_server_rate = rate.or(self.last_warm_server_rate);
     }
 
-    /// Counts on the permits of the warming servers near this node's place on the ring.
+    /// Accrues permits for the warming servers that this node tracks.
     pub(super) fn accrue_permits(
         &self,
         context: &Context<'_>,
@@ -133,34 +135,36 @@
         subset_size: usize,
         random: &mut RandomSource,
     ) {
-        let near = table.near(context.settings, subset_size);
-        let warming = near.filter(|s| s.is_warming(context));
+        let tracked = table.tracked(context.settings, subset_size);
+        let warming = tracked.filter(|s| s.is_warming(context));
         let warming: Vec<_> = warming
             .map(|s| (s.endpoint.id, s.capacity(context)))
             .collect();
         if warming.is_empty() {
             return;
         }
-        let rate_of_warm = self
-            .rate_of_warm(context, table, subset_size)
-            .unwrap_or_else(|| self.part_of_arrivals(context, table.ready_count(), subset_size));
+        let warm_server_rate = self
+            .warm_server_rate(context, table, subset_size)
+            .unwrap_or_else(|| {
+                self.arrival_rate_per_server(context, table.ready_count(), subset_size)
+            });
         let safety = &context.settings.safety;
         let lifetime = safety.overload_window.mul_f64(PERMIT_LIFETIME);
-        let sharing = nodes_per_server(context, table.ready_count(), subset_size);
+        let sharing_nodes = nodes_per_server(context, table.ready_count(), subset_size);
         for (id, capacity) in warming {
-            let bound = safety.overload_factor * capacity * rate_of_warm;
-            let rate = bound * target_fraction(safety, sharing, bound);
-            let random_part = random.unit();
+            let bound = safety.overload_factor * capacity * warm_server_rate;
+            let rate = bound * target_fraction(safety, sharing_nodes, bound);
+            let random_fraction = random.unit();
             if let Some(server) = table.get_mut(id) {
                 server
                     .permit
-                    .accrue(context.now, rate, random_part, lifetime);
+                    .accrue(context.now, rate, random_fraction, lifetime);
             }
         }
     }
 
-    /// What one warm server serves per second for this node, if one is warm.
-    fn rate_of_warm(
+    /// What one warm server serves per second for this node; `None` if no server is warm.
+    fn warm_server_rate(
         &self,
         context: &Context<'_>,
         table: &EndpointTable,
@@ -174,8 +178,8 @@
         (warm > 0).then(|| rate / warm as f64)
     }
 
-    /// An even part of arriving work, where no server is warm.
-    fn part_of_arrivals(
+    /// The work arriving per second, divided evenly among the servers. Used if no server is warm.
+    fn arrival_rate_per_server(
         &self,
         context: &Context<'_>,
         ready_servers: usize,
@@ -185,34 +189,35 @@
         let rate = self
             .arrived
             .per_second(context.now, context.rate_window_s());
-        let part = rate / servers as f64;
-        match self.last_rate_of_warm {
-            Some(last) => part.min(MAX_ARRIVAL_RATIO * last),
-            None => part * ARRIVAL_FRACTION,
+        let per_server = rate / servers as f64;
+        match self.last_warm_server_rate {
+            Some(last) => per_server.min(MAX_ARRIVAL_RATIO * last),
+            None => per_server * ARRIVAL_FRACTION,
         }
     }
 }
 
-/// How many nodes choose among subsets that hold the same server. At least 1.
+/// How many nodes on average have the same server in their subsets, at least 1.
 fn nodes_per_server(context: &Context<'_>, ready_servers: usize, subset_size: usize) -> f64 {
     let nodes = f64::from(context.settings.nodes);
-    let sharing = nodes * subset_size as f64 / ready_servers.max(1) as f64;
-    sharing.max(1.0)
+    let sharing_nodes = nodes * subset_size as f64 / ready_servers.max(1) as f64;
+    sharing_nodes.max(1.0)
 }
 
-/// The fraction of what the overload rule allows that nodes aim at; `bound` is this node's part of it in requests per second.
+/// The fraction of what the overload rule allows that nodes target; `bound` is this node's share of it in requests per
+/// second.
 ///
-/// With N allowed in the judged time the rule tolerates 2 * sqrt(N) + 2 more by chance. The target lies
-/// [`SAFETY_DEVIATIONS`] standard deviations below that limit, by the larger of two estimates of the deviation: where each node
-/// has less than one permit in the judged time, their sum is a Poisson count; where each has more, it is off by at most one
-/// permit a node.
-fn target_fraction(safety: &SafetyRules, sharing: f64, bound: f64) -> f64 {
-    let allowed = bound * sharing * safety.overload_window.as_secs_f64();
+/// With N requests allowed in the overload window the rule tolerates 2 * sqrt(N) + 2 more, for random variation. The target
+/// lies [`SAFETY_DEVIATIONS`] standard deviations below that limit. It is the larger of two targets: if each node has less
+/// than one permit per window, the sum over all nodes is a Poisson count; if each has more, each node is off by at most one
+/// permit.
+fn target_fraction(safety: &SafetyRules, sharing_nodes: f64, bound: f64) -> f64 {
+    let allowed = bound * sharing_nodes * safety.overload_window.as_secs_f64();
     let limit = allowed + 2.0 * allowed.sqrt() + 2.0;
     let half = SAFETY_DEVIATIONS / 2.0;
     let poisson_target =
         ((limit + SAFETY_DEVIATIONS * SAFETY_DEVIATIONS / 4.0).sqrt() - half).powi(2);
-    let even_target = limit - SAFETY_DEVIATIONS * (sharing / 2.0).sqrt();
+    let even_target = limit - SAFETY_DEVIATIONS * (sharing_nodes / 2.0).sqrt();
     (poisson_target.max(even_target) / allowed.max(1e-9)).min(MAX_TARGET_FRACTION)
 }
 
--- a/crates/balancer/src/policy/tests/concurrency.rs
+++ b/crates/balancer/src/policy/tests/concurrency.rs
@@ -6,29 +6,29 @@
 }
 
 #[test]
-fn closes_a_level_and_those_above_it_after_late_answers() {
+fn closes_a_level_and_those_above_it_after_late_responses() {
     let mut gate = ConcurrencyGate::new();
-    (0..8).for_each(|_| gate.on_in_time(5));
+    (0..8).for_each(|_| gate.on_served_in_time(5));
     assert!(gate.admits(5, false, 1.0, 0.5) && gate.admits(6, false, 1.0, 0.5));
     (0..4).for_each(|_| gate.on_late(4));
     assert!(!gate.admits(5, false, 1.0, 0.5) && !gate.admits(6, false, 1.0, 0.5));
     assert!(gate.admits(3, false, 1.0, 0.5));
     assert!(
         gate.admits(5, true, 1.0, 0.05),
-        "a trial where nothing is in flight"
+        "a trial request is admitted where nothing is in flight"
     );
 }
 
 #[test]
-fn levels_far_beyond_answers_in_time_are_unexplored() {
+fn levels_far_above_those_served_in_time_are_unexplored() {
     let mut gate = ConcurrencyGate::new();
     assert!(!gate.is_unexplored(1) && gate.is_unexplored(2));
-    gate.on_in_time(1);
+    gate.on_served_in_time(1);
     assert!(!gate.is_unexplored(4) && gate.is_unexplored(5));
 }
 
 #[test]
-fn admits_higher_priority_more_often_once_uncrowded_servers_are_late() {
+fn admits_higher_priority_more_often_once_servers_at_level_zero_are_late() {
     let mut gate = ConcurrencyGate::new();
     (0..12).for_each(|_| gate.on_late(0));
     assert!(!gate.admits(0, false, 1.0, 0.5));
--- a/crates/balancer/src/policy/tests/estimators.rs
+++ b/crates/balancer/src/policy/tests/estimators.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_rate_decays_to_a_third_over_its_window() {
+fn a_rate_decays_by_a_factor_of_e_over_its_window() {
     let mut rate = DecayedRate::default();
     rate.add(SECOND, 2.0, 10.0);
     assert_eq!(rate.per_second(SECOND, 2.0), 5.0);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_heavy_requests_latency_does_not_raise_the_median_of_usual_ones() {
+fn latency_of_a_heavy_request_does_not_raise_the_median() {
     let mut latency = LatencyEstimates::new(SECOND);
     let median_s = latency.median_s();
     latency.observe(Duration::from_secs_f64(median_s * 3.0), 4.0);
--- a/crates/balancer/src/policy/tests/outlier.rs
+++ b/crates/balancer/src/policy/tests/outlier.rs
@@ -5,18 +5,18 @@
 
 const TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Takes signals in turn, and says which of them would eject the server.
+/// Feeds signals to a detector in turn. Returns for each whether it would eject the server.
 fn ejections(signals: &[HealthSignal], health: &mut ServerHealth) -> Vec<bool> {
     let mut detector = OutlierDetector::default();
-    let mut take = |signal: &HealthSignal| {
+    let mut observe = |signal: &HealthSignal| {
         detector.observe(health, *signal);
         detector.should_eject(health, *signal, || true)
     };
-    signals.iter().map(&mut take).collect()
+    signals.iter().map(&mut observe).collect()
 }
 
 #[test]
-fn ejects_after_failures_in_a_row_and_not_after_a_single_one() {
+fn ejects_after_consecutive_failures_and_not_after_a_single_one() {
     let mut health = ServerHealth::default();
     let ejected = ejections(&[HealthSignal::Failed; 4], &mut health);
     assert_eq!(ejected, [false, false, true, true]);
@@ -29,7 +29,8 @@
 }
 
 #[test]
-fn a_second_refused_connection_in_a_row_makes_a_server_unreachable_and_a_slow_one_does_not() {
+fn a_second_consecutive_refused_connection_makes_a_server_unreachable_and_a_connect_timeout_does_not()
+ {
     let mut health = ServerHealth::default();
     let mut connect = |elapsed| health.on_connect_failed(elapsed, TIMEOUT).signal;
     assert_eq!(connect(TIMEOUT / 2), HealthSignal::Failed);
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn ejections_in_a_row_double_up_to_sixteen_times_and_an_answer_halves_the_row() {
+fn consecutive_ejections_double_up_to_sixteen_times_and_a_response_halves_their_count() {
     let settings = Settings::default();
     let context = Context {
         now: Duration::from_secs(100),
@@ -52,7 +53,7 @@
         assert!(!health.is_due_for_trial(context.now + window * factor - Duration::from_nanos(1)));
         assert!(health.is_due_for_trial(context.now + window * factor));
     }
-    ejections(&[HealthSignal::Answered], &mut health);
+    ejections(&[HealthSignal::Served], &mut health);
     assert!(!health.is_ejected());
     eject(&context, &mut health);
     assert!(health.is_due_for_trial(context.now + window * 8));
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn half_of_the_servers_stay() {
+fn at_least_half_of_the_servers_stay_in_use() {
     assert!(may_eject_more(0, 2));
     assert!(!may_eject_more(0, 1));
     assert!(!may_eject_more(1, 3));
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn fewer_requests_that_cannot_be_retried_go_on_trial() {
+fn non_idempotent_requests_are_trial_requests_less_often() {
     assert!(is_trial(0.1, true) && !is_trial(0.1, false));
     assert!(is_trial(0.03, false) && !is_trial(0.125, true));
 }
--- a/crates/balancer/src/policy/tests/polling.rs
+++ b/crates/balancer/src/policy/tests/polling.rs
@@ -10,7 +10,7 @@
     crate::settings::Settings::default().safety
 }
 
-/// Whether it polls at a time.
+/// Runs the housekeeping timer at `now` and returns whether the poller polls.
 fn polls(poller: &mut EndpointPoller, now: Duration) -> bool {
     let mut actions = Vec::new();
     poller.on_tick(now, &safety(), TOKEN, &mut actions);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn backs_off_up_to_four_tenths_of_a_second_whatever_failed_before() {
+fn backoff_is_at_most_400_ms_after_any_number_of_failures() {
     let mut poller = EndpointPoller::default();
     let mut now = 1000 * MS;
     for longest in [200, 400, 400, 400] {
@@ -34,12 +34,12 @@
     poller.on_failure(now, 0.0);
     assert!(
         polls(&mut poller, now + 200 * MS),
-        "jitter halves it at most"
+        "jitter shortens the backoff by at most half"
     );
 }
 
 #[test]
-fn polls_again_where_no_answer_comes_and_not_after_one() {
+fn polls_again_without_a_response_and_not_after_success() {
     let mut poller = EndpointPoller::default();
     poller.start(Duration::ZERO, &safety(), 0.0);
     assert!(polls(&mut poller, MS));
--- a/crates/balancer/src/policy/tests/priority.rs
+++ b/crates/balancer/src/policy/tests/priority.rs
@@ -1,11 +1,11 @@
-use super::{Priorities, TokenBucket, UsualWork};
+use super::{AverageWork, Priorities, TokenBucket};
 use crate::settings::{Settings, Tenant};
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn a_bucket_saves_one_seconds_tokens() {
+fn a_token_bucket_holds_one_second_of_tokens() {
     let mut bucket = TokenBucket::default();
     let taken = (0..20).filter(|_| bucket.take(100 * SECOND, 5.0)).count();
     assert_eq!(taken, 5);
@@ -31,10 +31,10 @@
 }
 
 #[test]
-fn work_is_relative_to_the_usual_requests() {
-    let mut usual = UsualWork::default();
-    assert_eq!(usual.relative(None), 1.0);
-    assert_eq!(usual.relative(Some(SECOND)), 1.0);
-    let double = usual.relative(Some(2 * SECOND));
+fn work_is_relative_to_the_average_request() {
+    let mut average = AverageWork::default();
+    assert_eq!(average.relative(None), 1.0);
+    assert_eq!(average.relative(Some(SECOND)), 1.0);
+    let double = average.relative(Some(2 * SECOND));
     assert!((1.9..2.0).contains(&double), "{double}");
 }
--- a/crates/balancer/src/policy/tests/retry.rs
+++ b/crates/balancer/src/policy/tests/retry.rs
@@ -1,7 +1,7 @@
 use super::RetryBudget;
 
 #[test]
-fn the_budget_pays_two_retries_for_five_requests() {
+fn the_budget_allows_two_retries_per_five_requests() {
     let mut budget = RetryBudget::new();
     while budget.has(1.0) {
         budget.take_one();
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_budget_saves_no_more_than_five_retries() {
+fn the_budget_holds_at_most_five_retries() {
     let mut budget = RetryBudget::new();
     for _ in 0..1000 {
         budget.on_request();
--- a/crates/balancer/src/policy/tests/slow_start.rs
+++ b/crates/balancer/src/policy/tests/slow_start.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn capacity_grows_evenly_from_the_initial_fraction() {
+fn capacity_grows_linearly_from_the_initial_fraction() {
     let settings = settings();
     let started = |seconds: u32| Endpoint {
         started_at: Some(100 * SECOND - seconds * SECOND),
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn permits_come_at_even_times_and_are_not_saved_up() {
+fn permits_accrue_at_even_intervals_and_do_not_accumulate() {
     let mut permit = Permit::default();
     let mut valid = 0;
     for tenth in 0..100 {
@@ -58,23 +58,23 @@
     permit.accrue(1000 * SECOND, 1.0, 0.5, SECOND / 2);
     assert!(
         !permit.is_valid(1000 * SECOND),
-        "one permit at most after a long pause"
+        "at most one permit after a long pause"
     );
 }
 
 #[test]
-fn all_nodes_together_stay_below_the_rules_bound() {
+fn all_nodes_together_stay_below_the_limit_of_the_overload_rule() {
     let safety = settings().safety;
-    for sharing in [1.0, 3.0, 30.0, 300.0] {
+    for sharing_nodes in [1.0, 3.0, 30.0, 300.0] {
         for allowed in [1.0, 10.0, 100.0, 1000.0] {
-            let own = allowed / sharing / 2.0;
-            let aim = target_fraction(&safety, sharing, own) * allowed;
-            let bound = allowed + 2.0 * f64::sqrt(allowed) + 2.0;
+            let own = allowed / sharing_nodes / 2.0;
+            let target = target_fraction(&safety, sharing_nodes, own) * allowed;
+            let limit = allowed + 2.0 * f64::sqrt(allowed) + 2.0;
             assert!(
-                aim > 0.0 && aim < bound,
-                "{sharing} nodes, {allowed}: {aim}"
+                target > 0.0 && target < limit,
+                "{sharing_nodes} nodes, {allowed}: {target}"
             );
-            assert!(aim <= 0.75 * allowed + 1e-9);
+            assert!(target <= 0.75 * allowed + 1e-9);
         }
     }
 }
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: the balancer's own, and the platform's, from which a node takes them.
+//! The balancer's settings, and the platform's settings from which a node derives them.
 
 mod error;
 mod model;
@@ -19,7 +19,7 @@
 /// Reads the platform's settings, as JSON.
 ///
 /// # Errors
-/// [`SettingsError`] if the text is not the JSON of settings, or holds values that make no sense.
+/// [`SettingsError`] if the text is not valid JSON for the settings, or contains invalid values.
 pub fn parse(text: &[u8]) -> Result<PlatformSettings, SettingsError> {
     let settings: wire::WireSettings = serde_json::from_slice(text)?;
     validation::validate(&settings)?;
--- a/crates/balancer/src/settings/error.rs
+++ b/crates/balancer/src/settings/error.rs
@@ -1,22 +1,22 @@
-//! What can be wrong with the settings.
+//! Errors in the settings.
 
 use thiserror::Error;
 
-/// Settings that were not accepted. Nothing has changed.
+/// The settings were not accepted, and nothing has changed.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The text is not the JSON that settings are.
+    /// The text is not valid JSON for the settings.
     #[error("bad settings: {0}")]
     Json(#[from] serde_json::Error),
-    /// Values that make no sense, each with its key.
+    /// Invalid values, each with its key.
     #[error("bad settings: {}", .0.join("; "))]
     Invalid(Vec<String>),
-    /// The settings of a running process name too many things.
-    #[error("settings.{key}: more than {limit} names since the start")]
+    /// A process has received too many different names since its start.
+    #[error("settings.{key}: more than {limit} different names since the process started")]
     TooManyNames {
         /// The key in the settings.
         key: &'static str,
-        /// The most names that a process may know.
+        /// The most names that a process may receive.
         limit: usize,
     },
 }
--- a/crates/balancer/src/settings/model.rs
+++ b/crates/balancer/src/settings/model.rs
@@ -1,11 +1,11 @@
-//! The balancer's settings, in its own terms. The wire's names are in `wire.rs`.
+//! The balancer's settings. Their names in the platform's JSON are in `wire.rs`.
 
 use std::time::Duration;
 
-/// The balancer's settings. Times are wall-clock durations; fractions are from 0 to 1.
+/// The balancer's settings. Times are durations in real time; fractions are from 0 to 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Number of nodes that share the servers, this one included; at least 1.
+    /// Number of nodes that share the servers, including this one; at least 1.
     pub nodes: u32,
     /// This node's number among them, from 0.
     pub node: u32,
@@ -15,7 +15,7 @@
     pub classes: Vec<Class>,
     /// Tenants; events refer to them by position. May be empty.
     pub tenants: Vec<Tenant>,
-    /// Priority weight of a request over its tenant's quota, as a fraction of its class's.
+    /// Priority weight of a request over its tenant's quota, as a fraction of its class's weight.
     pub over_quota_weight: f64,
     /// Whether priority weight counts per unit of work instead of per request. No policy uses it.
     pub weight_by_work: bool,
@@ -23,35 +23,35 @@
     pub reports: ReportSource,
     /// What the deployment permits.
     pub limits: Limits,
-    /// Bounds of the safety rules.
+    /// Parameters of the safety rules.
     pub safety: SafetyRules,
-    /// Costs that the deployment charges, as fractions of the service.
+    /// Costs that the deployment assigns, as fractions of the service objective.
     pub penalties: Penalties,
     /// Weights of the deployment's service objective.
     pub objective_weights: ObjectiveWeights,
-    /// Whether the endpoint list has to be polled; otherwise updates are pushed.
+    /// Whether the endpoint list must be polled; otherwise updates are pushed.
     pub poll_endpoint_list: bool,
-    /// Whether a stricter idempotency in new settings also binds open requests. Set where the fleet agrees on settings by
-    /// consensus; otherwise open requests keep the one under which they were accepted.
+    /// Whether a stricter idempotency in new settings also applies to open requests. Set if the fleet agrees on settings by
+    /// consensus; otherwise open requests keep the idempotency under which they were accepted.
     pub tighten_open_requests: bool,
-    /// Precision of the host's timers.
+    /// Resolution of the host's timers.
     pub timer_resolution: Duration,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time counts in full.
+    /// A response within this time counts in full.
     pub latency_objective: Duration,
     /// The latency objective is extended by this multiple of the request's expected work.
     pub objective_stretch: f64,
-    /// How long a client waits in all, over its own retries.
+    /// How long a client waits in total, including its own retries.
     pub deadline: Duration,
     /// Priority weight of a request.
     pub priority_weight: f64,
-    /// Fraction of the weight that an answer after the latency objective still has; 0 where late answers are useless.
+    /// Fraction of the weight that a response after the latency objective still has; 0 if late responses are useless.
     pub late_weight: f64,
-    /// Whether a request may be retried once it may have run.
+    /// Whether a request may be retried once an attempt may have run.
     pub idempotency: Idempotency,
     /// Whether responses are streamed, so that [`crate::Event::ResponseStarted`] is reported. No policy uses it.
     pub streamed: bool,
@@ -62,9 +62,9 @@
 pub enum Idempotency {
     /// It may be retried on any server.
     Idempotent,
-    /// It carries an idempotency key: servers discard duplicates, within a scope and for a time.
+    /// It carries an idempotency key: servers discard duplicates within a scope and a window.
     Keyed {
-        /// The servers that share their keys.
+        /// The servers that share their idempotency keys.
         scope: Scope,
         /// How long they remember a key, from the send of the first attempt that may have run.
         window: Duration,
@@ -75,7 +75,8 @@
 }
 
 impl Idempotency {
-    /// What both allow: for a request accepted under one and continued under the other.
+    /// The idempotency that allows only what both allow, for a request that was accepted under one and continues under the
+    /// other.
     pub fn stricter(self, other: Idempotency) -> Idempotency {
         match (self, other) {
             (same, Idempotency::Idempotent) => same,
@@ -89,7 +90,7 @@
                 scope,
                 window: window.min(other),
             },
-            // A request accepted without a key has none that servers could match.
+            // A request that was accepted without an idempotency key has none that servers could match.
             _ => Idempotency::NonIdempotent,
         }
     }
@@ -109,9 +110,9 @@
 /// A tenant and its quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests per second within its quota, over all nodes.
+    /// Its quota in requests per second, over all nodes.
     pub quota_per_s: f64,
-    /// Its fraction of the service objective. No policy uses it.
+    /// Its share of the service objective. No policy uses it.
     pub share: f64,
 }
 
@@ -129,7 +130,7 @@
 /// What the deployment permits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Most attempts of a request, the first included.
+    /// The most attempts of a request, including the first.
     pub max_attempts: u32,
     /// Whether an attempt in flight may be cancelled.
     pub cancel_attempts: bool,
@@ -137,39 +138,39 @@
     pub health_checks: bool,
     /// Whether a request may have two attempts in flight (hedged requests).
     pub hedging: bool,
-    /// The longest `Retry-After` that clients obey; `None` where they are sent none.
+    /// The longest `Retry-After` that clients obey; `None` if none is sent to them.
     pub max_retry_after: Option<Duration>,
-    /// A connection that takes longer than this has failed.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Duration,
 }
 
-/// Bounds of the safety rules.
+/// Parameters of the safety rules.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SafetyRules {
-    /// How long after the notification a node may still send to a draining or removed server.
+    /// How long after a notification a node may still send to a draining or removed server.
     pub drain_grace: Duration,
-    /// A started server has at least this fraction of its capacity.
+    /// The fraction of its capacity that a server has at least when it has just started.
     pub slow_start_capacity: f64,
-    /// A started server has its full capacity after this time at the latest.
+    /// The time after its start by which a server has its full capacity.
     pub slow_start_window: Duration,
-    /// A warming server fails when it is sent more than this multiple of its present capacity ...
+    /// A warming server fails if it is sent more than this multiple of its current capacity ...
     pub overload_factor: f64,
     /// ... for this long.
     pub overload_window: Duration,
-    /// Where the endpoint list is polled: the longest time without a poll or an open watch.
+    /// If the endpoint list is polled: the longest time without a poll or an open watch.
     pub max_poll_interval: Duration,
 }
 
-/// Costs that the deployment charges, as fractions of the service.
+/// Costs that the deployment assigns, as fractions of the service objective.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Penalties {
     /// Cost of one health check per request.
     pub health_check: f64,
-    /// Cost of one attempt across zones per request. No policy uses it.
+    /// Cost of one cross-zone attempt per request. No policy uses it.
     pub cross_zone: f64,
-    /// Cost of wasted work equal to all requested work. No policy uses it.
+    /// Cost if the wasted work equals all requested work. No policy uses it.
     pub waste: f64,
-    /// Cost of all requests failing only after their latency objective. No policy uses it.
+    /// Cost if all requests fail only after their latency objective. No policy uses it.
     pub late_failure: f64,
     /// Cost of a new connection per request and of 100 open connections per server, together.
     pub connections: f64,
@@ -180,11 +181,11 @@
 pub struct ObjectiveWeights {
     /// All requests.
     pub all_requests: f64,
-    /// The worst time window. No policy uses it.
+    /// The time window with the worst service. No policy uses it.
     pub worst_window: f64,
     /// The worst-served class.
     pub worst_class: f64,
-    /// The worst-served tenant, within its quota. No policy uses it.
+    /// The worst-served tenant, counting requests within its quota. No policy uses it.
     pub worst_tenant: f64,
 }
 
--- a/crates/balancer/src/settings/platform.rs
+++ b/crates/balancer/src/settings/platform.rs
@@ -1,13 +1,13 @@
-//! What a node takes from the platform's settings: the balancer's settings, and the names of what events refer to by
-//! position. New settings replace old ones in a running node without moving any position.
+//! The platform's settings as a node uses them: the balancer's settings, and the names of classes, tenants, zones and machine
+//! types, which events refer to by position. New settings in a running node keep all existing positions.
 
 use super::error::SettingsError;
 use super::model::Settings;
 use super::report_field::ReportField;
 use std::time::Duration;
 
-/// Most classes, tenants, zones or machine types that a process may know, vanished ones included: positions are never
-/// reused, so settings that keep changing their names would grow without bound.
+/// The most classes, tenants, zones or machine types that a process may have had, including removed ones. Positions are never
+/// reused, so settings that keep changing names would grow without bound.
 const MAX_NAMES: usize = 250;
 
 /// The platform's settings as a node uses them.
@@ -19,18 +19,17 @@
     pub report_fields: Vec<ReportField>,
     /// Names of the classes, in the order of [`Settings::classes`].
     pub class_names: Vec<String>,
-    /// Whether the latest settings still have a class. New requests of one that vanished are not accepted; open ones
-    /// keep it.
+    /// Whether each class is in the latest settings. New requests of a removed class are not accepted; open ones keep it.
     pub active_classes: Vec<bool>,
     /// Names of the tenants, in the order of [`Settings::tenants`].
     pub tenant_names: Vec<String>,
-    /// Whether the latest settings still have a tenant.
+    /// Whether each tenant is in the latest settings.
     pub active_tenants: Vec<bool>,
     /// Names of the zones, in the order of their numbers.
     pub zone_names: Vec<String>,
     /// Names of the machine types, in the order of their numbers.
     pub machine_type_names: Vec<String>,
-    /// Servers close connections that have been idle for this long.
+    /// Idle timeout after which servers close connections.
     pub server_idle_timeout: Duration,
 }
 
@@ -48,11 +47,11 @@
         self.active_tenants[position].then_some(position)
     }
 
-    /// These settings as the successor of `old` in a running node: everything keeps the position that it had, whatever the
-    /// order in the new text.
+    /// Merges these settings onto `old` in a running node: every name keeps its old position, whatever its position in the new
+    /// settings.
     ///
     /// # Errors
-    /// [`SettingsError::TooManyNames`] if the process would have to know too many names.
+    /// [`SettingsError::TooManyNames`] if there would be too many names.
     pub fn merged_onto(self, old: &PlatformSettings) -> Result<PlatformSettings, SettingsError> {
         let classes = MergedNames::new(&old.class_names, &self.class_names);
         let tenants = MergedNames::new(&old.tenant_names, &self.tenant_names);
@@ -67,7 +66,7 @@
         settings.classes = classes.place(&old.settings.classes, &settings.classes);
         settings.tenants = tenants.place(&old.settings.tenants, &settings.tenants);
         settings.zone = zones.position_of(settings.zone);
-        // A node either polls the endpoint list or watches it, from its start on.
+        // Whether a node polls the endpoint list is fixed at its start.
         settings.poll_endpoint_list = old.settings.poll_endpoint_list;
         Ok(PlatformSettings {
             report_fields: self.report_fields,
@@ -83,10 +82,10 @@
     }
 }
 
-/// Old names followed by the new ones that are not among them.
+/// The old names, followed by the new names that are not among them.
 struct MergedNames {
     names: Vec<String>,
-    /// The position of each new name among all.
+    /// The position of each new name in `names`.
     positions: Vec<usize>,
 }
 
@@ -114,7 +113,7 @@
         Ok(())
     }
 
-    /// The items of the new names at their positions, and the old items elsewhere.
+    /// Merges items: the new ones at the positions of their names, the old ones elsewhere.
     fn place<T: Clone>(&self, old: &[T], new: &[T]) -> Vec<T> {
         let mut all = old.to_vec();
         for (item, position) in new.iter().zip(&self.positions) {
@@ -126,14 +125,14 @@
         all
     }
 
-    /// Which of `count` positions the new names have.
+    /// For each of `count` positions, whether it belongs to a new name.
     fn active(&self, count: usize) -> Vec<bool> {
         (0..count)
             .map(|position| self.positions.contains(&position))
             .collect()
     }
 
-    /// The merged position of what was at a position among the new names; the same one if it had no name.
+    /// The merged position of the new name at position `new`; `new` itself if there is no such name.
     fn position_of(&self, new: u8) -> u8 {
         let merged = self.positions.get(usize::from(new));
         merged
--- a/crates/balancer/src/settings/report_field.rs
+++ b/crates/balancer/src/settings/report_field.rs
@@ -1,4 +1,4 @@
-//! The fields of a load report, as settings and reports name them.
+//! The fields of a load report, and their names in settings and in reports.
 
 use crate::load_report::LoadReport;
 use serde::Deserialize;
@@ -12,7 +12,7 @@
     /// Requests waiting in the queue.
     #[serde(rename = "depth")]
     Queue,
-    /// Fraction of the processors in use.
+    /// Processor utilisation, from 0 to 1.
     #[serde(rename = "load_share")]
     Utilisation,
     /// Recent service time in milliseconds.
@@ -30,7 +30,8 @@
 }
 
 impl ReportField {
-    /// The field of that name in a report header or a health check's body: the name in the settings or the protocol's.
+    /// The field with that name in a report header or the body of a health check. Both the names used in the settings and
+    /// those of the report protocol are accepted.
     pub fn from_report_name(name: &str) -> Self {
         match name {
             "concurrent" | "inflight" => ReportField::InFlight,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Sets this field of a report. A value that is not finite leaves it out.
+    /// Sets this field of a report. A value that is not finite clears it.
     pub fn set(self, report: &mut LoadReport, value: f32) {
         let field = match self {
             ReportField::InFlight => &mut report.in_flight,
--- a/crates/balancer/src/settings/validation.rs
+++ b/crates/balancer/src/settings/validation.rs
@@ -1,36 +1,36 @@
-//! Checks of the platform's settings. Every fault is reported at once, with its key on the wire.
+//! Validates the platform's settings. All errors are reported together, each with its key in the JSON.
 
 use super::error::SettingsError;
 use super::wire::{WireClass, WireIdempotency, WireSettings, WireTenant};
 
-/// Longer times are taken for mistakes: about a year, in milliseconds.
+/// Longer times are considered mistakes. In milliseconds, about a year.
 const MAX_TIME_MS: f64 = 3.2e10;
-/// Larger weights, quotas and factors are taken for mistakes.
+/// Larger weights, quotas and factors are considered mistakes.
 const MAX_AMOUNT: f64 = 1e12;
 
-/// Checks settings as a whole.
+/// Validates the settings.
 ///
 /// # Errors
-/// [`SettingsError::Invalid`] with all faults.
+/// [`SettingsError::Invalid`] with all errors found.
 pub(super) fn validate(settings: &WireSettings) -> Result<(), SettingsError> {
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     if settings.classes.is_empty() {
-        faults.push("no classes".to_owned());
+        errors.push("no classes".to_owned());
     }
     for class in &settings.classes {
-        check_class(class, &mut faults);
+        check_class(class, &mut errors);
     }
     for tenant in &settings.tenants {
-        check_tenant(tenant, &mut faults);
+        check_tenant(tenant, &mut errors);
     }
     if settings.limits.max_attempts == 0 {
-        faults.push("Permissions.AttemptsCap is 0: nothing could be sent".to_owned());
+        errors.push("Permissions.AttemptsCap is 0: nothing could be sent".to_owned());
     }
-    check_times(settings, &mut faults);
-    if faults.is_empty() {
+    check_times(settings, &mut errors);
+    if errors.is_empty() {
         return Ok(());
     }
-    Err(SettingsError::Invalid(faults))
+    Err(SettingsError::Invalid(errors))
 }
 
 fn is_time(ms: f64) -> bool {
@@ -41,7 +41,7 @@
     (0.0..MAX_AMOUNT).contains(&number)
 }
 
-fn check_class(class: &WireClass, faults: &mut Vec<String>) {
+fn check_class(class: &WireClass, errors: &mut Vec<String>) {
     let name = &class.name;
     let keyed = class.idempotency == WireIdempotency::Keyed;
     let window = keyed.then_some(("Window", class.window_ms));
@@ -51,7 +51,7 @@
     ];
     for (key, ms) in times.into_iter().chain(window) {
         if !is_time(ms) {
-            faults.push(format!(
+            errors.push(format!(
                 "Classes: {name}: {key} is {ms}, and no time over 0"
             ));
         }
@@ -63,12 +63,12 @@
     ];
     for (key, number) in amounts {
         if !is_amount(number) {
-            faults.push(format!("Classes: {name}: {key} is {number}, and no amount"));
+            errors.push(format!("Classes: {name}: {key} is {number}, and no amount"));
         }
     }
 }
 
-fn check_tenant(tenant: &WireTenant, faults: &mut Vec<String>) {
+fn check_tenant(tenant: &WireTenant, errors: &mut Vec<String>) {
     let name = &tenant.name;
     let amounts = [
         ("AllowancePerS", tenant.quota_per_s),
@@ -76,17 +76,17 @@
     ];
     for (key, number) in amounts {
         if !is_amount(number) {
-            faults.push(format!(
+            errors.push(format!(
                 "Projects: {name}: {key} is {number}, and no amount"
             ));
         }
     }
 }
 
-fn check_times(settings: &WireSettings, faults: &mut Vec<String>) {
+fn check_times(settings: &WireSettings, errors: &mut Vec<String>) {
     let limits = &settings.limits;
     let safety = &settings.safety;
-    // Where 0 is allowed, 1 ms is added to what is checked.
+    // 1 ms is added to times that may be 0.
     let unused_retry_after = f64::from(!limits.sends_retry_after);
     let times = [
         ("Permissions.ConnectTimeout", limits.connect_timeout_ms),
@@ -103,7 +103,7 @@
     ];
     for (key, ms) in times {
         if !is_time(ms) {
-            faults.push(format!("{key}: {ms} is no time"));
+            errors.push(format!("{key}: {ms} is no time"));
         }
     }
 }
--- a/crates/balancer/src/settings/wire.rs
+++ b/crates/balancer/src/settings/wire.rs
@@ -1,4 +1,4 @@
-//! The platform's settings as JSON: the only place that knows the wire's names. Times are in milliseconds.
+//! The JSON format of the platform's settings. Its key names are defined only here. Times are in milliseconds.
 
 use super::model::{
     Class, Idempotency, Limits, ObjectiveWeights, Penalties, ReportSource, SafetyRules, Scope,
@@ -9,8 +9,8 @@
 use serde::Deserialize;
 use std::time::Duration;
 
-/// A duration from milliseconds, rounded to microseconds. Negative values and NaN become zero, values over the range the
-/// longest duration kept, about 32,000 years.
+/// Converts milliseconds to a duration, rounded to microseconds. Negative values and NaN become zero; larger values are
+/// capped at about 32,000 years.
 pub fn millis(ms: f64) -> Duration {
     const MAX_US: f64 = 1e18;
     Duration::from_micros((ms * 1000.0).round().clamp(0.0, MAX_US) as u64)
