--- a/crates/balancer/src/policy/arrival.rs
+++ b/crates/balancer/src/policy/arrival.rs
@@ -18,17 +18,17 @@
     pub(super) fn on_request(&mut self, new: NewRequest, actions: &mut Vec<Action>) {
         let id = new.id;
         let request = self.new_request(&new);
-        let time = match request.time_after_body {
+        let available_time = match request.time_after_body {
             Some(time) => time,
             None => request.deadline.saturating_sub(self.now),
         };
-        let timer = request.deadline;
+        let timer_at = request.deadline;
         self.requests.insert(id, request);
-        if self.exceeds_available_time(new.expected_work, time) {
+        if self.exceeds_available_time(new.expected_work, available_time) {
             return self.finish(id, FinishReason::ExpectedWorkTooLong, actions);
         }
         actions.push(Action::SetTimer {
-            after: timer - self.now,
+            after: timer_at - self.now,
             token: id.0,
         });
         self.dispatch(id, actions);
@@ -70,9 +70,17 @@
     }
 
     /// Whether even an idle server could not respond in time.
-    fn exceeds_available_time(&self, expected_work: Option<Duration>, time: Duration) -> bool {
+    fn exceeds_available_time(
+        &self,
+        expected_work: Option<Duration>,
+        available_time: Duration,
+    ) -> bool {
         let mostly_idle = self.join_up_to.busy_fraction() < MOSTLY_IDLE_BUSY_FRACTION;
-        let limit = if mostly_idle { time * 2 } else { time };
+        let limit = if mostly_idle {
+            available_time * 2
+        } else {
+            available_time
+        };
         expected_work.unwrap_or_default() >= limit
     }
 
--- a/crates/balancer/src/policy/completion.rs
+++ b/crates/balancer/src/policy/completion.rs
@@ -75,7 +75,7 @@
         let past_deadline_s = self.now.as_secs_f64() - request.deadline.as_secs_f64();
         let at_deadline = (0.0..mean_latency_s * MAX_OVERDUE_FRACTION).contains(&past_deadline_s);
         let class = &self.settings.classes[request.class];
-        let time = class.latency_objective.min(request.deadline - sent_at);
+        let available_time = class.latency_objective.min(request.deadline - sent_at);
         let quarters = if class.late_weight > 0.0 {
             SLOW_QUARTERS_IF_LATE_COUNTS
         } else {
@@ -88,7 +88,7 @@
         }
         Some(EndedAttempt {
             overdue: at_deadline && end.elapsed.as_secs_f64() >= mean_latency_s,
-            slow: 4 * end.elapsed > quarters * time,
+            slow: 4 * end.elapsed > quarters * available_time,
             concurrency_level,
             relative_work: request.relative_work,
             end,
--- a/crates/balancer/src/policy/dispatch.rs
+++ b/crates/balancer/src/policy/dispatch.rs
@@ -1,5 +1,5 @@
-//! Dispatches a request that needs its first attempt or a retry: selects a server, then sends the request, holds it, starts
-//! health checks or finishes it.
+//! Dispatches a request that needs its first attempt, a retry or a hedged request: selects a server, then sends the request,
+//! holds it, starts health checks or finishes it.
 
 use super::Balancer;
 use super::deadline::MAX_BODY_TIME;
@@ -125,7 +125,7 @@
     }
 
     /// Holds a request and sets a timer to dispatch it again. The body of a held request is not read, so a request whose body
-    /// is still being received is held for no longer than it would have for its response.
+    /// is still being received is held for no longer than the time that it would have for its response.
     fn hold(&mut self, id: RequestId, reason: HoldReason, actions: &mut Vec<Action>) {
         let now = self.now;
         let out_of_time = |request: &Request| {
--- a/crates/balancer/src/policy/slow_start.rs
+++ b/crates/balancer/src/policy/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: limits the requests sent to a server that is warming up after a start.
 //!
-//! The overload rule ([`SafetyRules::overload_factor`]) bounds what all nodes together may send to a warming server. Nodes do not
-//! communicate, so each node's share is:
+//! The overload rule ([`SafetyRules::overload_factor`]) bounds what all nodes together may send to a warming server. The
+//! nodes share no state, so each node's part is computed from its own traffic:
 //!
 //! ```text
 //! permits per second = overload_factor * capacity * warm_server_rate * target_fraction
