--- a/crates/balancer/src/settings/validation.rs
+++ b/crates/balancer/src/settings/validation.rs
@@ -52,7 +52,7 @@
     for (key, ms) in times.into_iter().chain(window) {
         if !is_time(ms) {
             errors.push(format!(
-                "Classes: {name}: {key} is {ms}, and no time over 0"
+                "Classes: {name}: {key} is {ms}, not a valid time above 0 ms"
             ));
         }
     }
@@ -63,7 +63,9 @@
     ];
     for (key, number) in amounts {
         if !is_amount(number) {
-            errors.push(format!("Classes: {name}: {key} is {number}, and no amount"));
+            errors.push(format!(
+                "Classes: {name}: {key} is {number}, not a valid number from 0"
+            ));
         }
     }
 }
@@ -77,7 +79,7 @@
     for (key, number) in amounts {
         if !is_amount(number) {
             errors.push(format!(
-                "Projects: {name}: {key} is {number}, and no amount"
+                "Projects: {name}: {key} is {number}, not a valid number from 0"
             ));
         }
     }
@@ -103,7 +105,7 @@
     ];
     for (key, ms) in times {
         if !is_time(ms) {
-            errors.push(format!("{key}: {ms} is no time"));
+            errors.push(format!("{key}: {ms} is not a valid time in milliseconds"));
         }
     }
 }
