--- a/crates/balancer/src/policy/outlier.rs
+++ b/crates/balancer/src/policy/outlier.rs
@@ -23,9 +23,9 @@
 /// What an outcome indicates about a server's health.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum HealthSignal {
-    /// It responded with enough time to spare.
+    /// It served an attempt with enough time to spare.
     Served,
-    /// It responded with little time to spare.
+    /// It served an attempt with little time to spare.
     ServedSlowly,
     /// It failed or was too late.
     Failed,
@@ -56,11 +56,11 @@
 #[derive(Debug, Default)]
 pub(super) struct ServerHealth {
     failure_rate: Ewma,
-    /// The last connection attempt failed, and no response has arrived since.
+    /// The last connection attempt failed, and the server has served no attempt since.
     connect_failed: bool,
-    /// Ejected until this time; after it the server gets trial requests until it responds.
+    /// Ejected until this time; after it the server gets trial requests until it serves one.
     ejected_until: Option<Duration>,
-    /// Consecutive ejections; halved by each response.
+    /// Consecutive ejections; halved by each served attempt.
     ejections: u32,
 }
 
@@ -69,7 +69,7 @@
         self.failure_rate.value()
     }
 
-    /// Whether the server is ejected, or has not responded since its ejection ended.
+    /// Whether the server is ejected, or has served no attempt since its ejection ended.
     pub(super) fn is_ejected(&self) -> bool {
         self.ejected_until.is_some()
     }
--- a/crates/balancer/src/policy/tests/outlier.rs
+++ b/crates/balancer/src/policy/tests/outlier.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn consecutive_ejections_double_up_to_sixteen_times_and_a_response_halves_their_count() {
+fn consecutive_ejections_double_up_to_sixteen_times_and_a_served_attempt_halves_their_count() {
     let settings = Settings::default();
     let context = Context {
         now: Duration::from_secs(100),
--- a/crates/balancer/src/settings/model.rs
+++ b/crates/balancer/src/settings/model.rs
@@ -83,12 +83,12 @@
             (
                 Idempotency::Keyed { scope, window },
                 Idempotency::Keyed {
-                    scope: group,
-                    window: other,
+                    scope: other_scope,
+                    window: other_window,
                 },
-            ) if scope == group => Idempotency::Keyed {
+            ) if scope == other_scope => Idempotency::Keyed {
                 scope,
-                window: window.min(other),
+                window: window.min(other_window),
             },
             // A request that was accepted without an idempotency key has none that servers could match.
             _ => Idempotency::NonIdempotent,
