--- a/crates/forwarding/src/attempt.rs
+++ b/crates/forwarding/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts to have a request served by a backend.
+//! Attempts: single sends of a request to a backend.
 
 use crate::{Call, Payload, ResponseStarted};
 use bytes::Bytes;
@@ -8,31 +8,31 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// An attempt to be made.
+/// An attempt for a back-end protocol to make.
 pub struct Attempt {
     /// The request.
     pub id: RequestId,
     /// The number of the attempt, in the order of sending, from 0.
     pub number: u32,
-    /// The backend.
+    /// The backend that the request is sent to.
     pub server: ServerId,
-    /// When the node stops waiting for it.
+    /// When the attempt times out.
     pub deadline: Duration,
-    /// What is sent.
+    /// The request in protocol-neutral form, shared by all its attempts.
     pub call: Rc<Call>,
-    /// Where the first bytes of a streamed response go. The attempt goes on until all of the response was forwarded.
+    /// Receives the first bytes of a streamed response. The attempt continues until the whole response was forwarded.
     pub response_started: Cell<Option<oneshot::Sender<ResponseStarted>>>,
 }
 
-/// Why an attempt is stopped.
+/// Why an attempt is stopped before it ends.
 pub enum StopReason {
-    /// Its deadline has passed.
+    /// The attempt has reached its deadline.
     TimedOut,
-    /// The decision module has cancelled it.
+    /// The decision module has cancelled the attempt.
     Cancelled,
 }
 
-/// What an exchange with a backend came to.
+/// The result of an exchange with a backend.
 pub struct Exchange {
     /// How it ended.
     pub outcome: Outcome,
@@ -73,10 +73,10 @@
     pub response: Option<Payload>,
 }
 
-/// Runs an exchange until it ends or is stopped. `may_have_run` is asked when it is stopped: whether the backend may
-/// have begun with the request.
+/// Runs an exchange until it ends or is stopped. `may_have_run` is called when the exchange is stopped, and returns
+/// whether the backend may have started to process the request.
 ///
-/// Stopping drops the exchange, which closes its connection; the attempt's claim on the call stays.
+/// Stopping drops the exchange, which closes its connection. The attempt keeps its claim on the call.
 pub async fn run_attempt(
     attempt: &Attempt,
     may_have_run: impl Fn() -> bool,
@@ -93,7 +93,7 @@
         }),
     };
     if !attempt.call.expects_response && !exchange.outcome.never_ran() {
-        // Nobody waits for a response, and the request may have run: it gets no further attempt.
+        // The client expects no response and the request may have run. Reporting it as served prevents a retry.
         exchange.outcome = Outcome::Served;
         exchange
             .response
--- a/crates/forwarding/src/backend_update.rs
+++ b/crates/forwarding/src/backend_update.rs
@@ -1,28 +1,28 @@
-//! Changes of the endpoint list, and what the node asks of discovery.
+//! Endpoint updates with the addresses of backends, and commands to the discovery client.
 
 use sillward_balancer::{Endpoint, EndpointUpdate};
 use std::net::SocketAddr;
 
-/// An entry of the endpoint list and the backend's address.
+/// An endpoint with the address of its backend.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// The entry.
+    /// The endpoint list entry.
     pub endpoint: Endpoint,
-    /// Where the backend listens.
+    /// The address that the backend listens on.
     pub address: SocketAddr,
 }
 
-/// A change of the endpoint list.
+/// An endpoint update with the addresses of the backends.
 pub struct BackendUpdate {
-    /// What the entries are.
+    /// The kind of the update, such as the whole list or changed entries only.
     pub kind: EndpointUpdate,
-    /// The entries.
+    /// The entries of the update.
     pub backends: Vec<Backend>,
 }
 
-/// What the decision module asks of discovery, where the endpoint list is polled.
+/// A command of the decision module to the discovery client, used where the endpoint list is polled.
 pub enum DiscoveryCommand {
-    /// Starts (true) or stops watching the list.
+    /// Starts (true) or stops (false) watching the list.
     Watch(bool),
     /// Fetches the list once.
     Fetch,
--- a/crates/forwarding/src/body.rs
+++ b/crates/forwarding/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies that are forwarded while they are received.
+//! Streamed bodies, which are forwarded while they are being received.
 
 use bytes::Bytes;
 use std::cell::RefCell;
@@ -6,10 +6,10 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// The pieces of a body that may wait for an attempt to take them.
-const QUEUED_PIECES: usize = 1;
+/// The number of chunks of a request body that may be queued until an attempt reads them.
+const QUEUED_CHUNKS: usize = 1;
 
-/// A body ended before it was complete.
+/// The error for a body that ended before it was complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the body ended before it was complete")]
 pub struct IncompleteBody;
@@ -19,39 +19,39 @@
     /// The next bytes; `None` at the end of the body.
     ///
     /// # Errors
-    /// [`IncompleteBody`] if the body broke off.
+    /// [`IncompleteBody`] if the body was truncated.
     fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, IncompleteBody>>>;
 }
 
-/// A piece of a request body.
-enum Piece {
+/// A chunk of a request body, or its end.
+enum BodyChunk {
     Data(Bytes),
     End,
 }
 
 /// The sending end of a request body. Dropped without [`BodySender::finish`], it leaves the body incomplete.
-pub struct BodySender(mpsc::Sender<Piece>);
+pub struct BodySender(mpsc::Sender<BodyChunk>);
 
 impl BodySender {
-    /// Sends the next bytes, once there is space in the queue; false if nobody receives them any more.
+    /// Sends the next bytes once the queue has space. Returns false if the receiver was dropped.
     pub async fn send(&self, bytes: Bytes) -> bool {
-        self.0.send(Piece::Data(bytes)).await.is_ok()
+        self.0.send(BodyChunk::Data(bytes)).await.is_ok()
     }
 
     /// Marks the end of the body.
     pub async fn finish(self) {
-        let _ = self.0.send(Piece::End).await; // fails only if the attempt is over
+        let _ = self.0.send(BodyChunk::End).await; // fails only if the receiver was dropped
     }
 }
 
-/// The receiving end of a request body, which an attempt forwards.
-pub struct BodyReceiver(mpsc::Receiver<Piece>);
+/// The receiving end of a request body, read by the attempt that forwards it.
+pub struct BodyReceiver(mpsc::Receiver<BodyChunk>);
 
 impl BodyStream for BodyReceiver {
     fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, IncompleteBody>>> {
-        self.0.poll_recv(cx).map(|piece| match piece {
-            Some(Piece::Data(bytes)) => Some(Ok(bytes)),
-            Some(Piece::End) => None,
+        self.0.poll_recv(cx).map(|chunk| match chunk {
+            Some(BodyChunk::Data(bytes)) => Some(Ok(bytes)),
+            Some(BodyChunk::End) => None,
             None => Some(Err(IncompleteBody)),
         })
     }
@@ -59,7 +59,7 @@
 
 /// The part of a request body that is still being received, beyond the first bytes in the call.
 pub struct StreamingBody {
-    /// The length of the whole body in bytes, where known.
+    /// The length of the whole body in bytes, if known.
     pub length: Option<u64>,
     /// How long the client waits for a response after the last byte.
     pub time_budget: Duration,
@@ -67,16 +67,16 @@
 }
 
 enum Rest {
-    /// No attempt has received any of it: the body can be sent again.
+    /// No attempt has read any of it, so the body can be sent again.
     Available(BodyReceiver),
-    /// An attempt has taken it: the body can't be sent again.
+    /// An attempt has taken it, so the body can't be sent again.
     Consumed,
 }
 
 impl StreamingBody {
-    /// A body, and the sender of its rest.
+    /// Creates a body and the sender for the rest of it.
     pub fn new(length: Option<u64>, time_budget: Duration) -> (Self, BodySender) {
-        let (sender, receiver) = mpsc::channel(QUEUED_PIECES);
+        let (sender, receiver) = mpsc::channel(QUEUED_CHUNKS);
         let body = StreamingBody {
             length,
             time_budget,
@@ -85,7 +85,7 @@
         (body, BodySender(sender))
     }
 
-    /// Takes the rest for an attempt; `None` if another one has it. The body is consumed from then on.
+    /// Takes the rest of the body for an attempt, which consumes the body; `None` if another attempt has taken it.
     pub fn take_rest(&self) -> Option<BodyReceiver> {
         match self.rest.replace(Rest::Consumed) {
             Rest::Available(receiver) => Some(receiver),
@@ -93,12 +93,12 @@
         }
     }
 
-    /// Takes the rest back from an attempt that has received nothing of it: the body can be sent again.
+    /// Returns the rest of the body from an attempt that has read none of it, so that the body can be sent again.
     pub fn return_rest(&self, receiver: BodyReceiver) {
         self.rest.replace(Rest::Available(receiver));
     }
 
-    /// Whether the body can't be sent again.
+    /// Whether an attempt has taken the rest of the body, so that the body can't be sent again.
     pub fn is_consumed(&self) -> bool {
         matches!(*self.rest.borrow(), Rest::Consumed)
     }
--- a/crates/forwarding/src/call.rs
+++ b/crates/forwarding/src/call.rs
@@ -1,4 +1,4 @@
-//! A request as every protocol sees it.
+//! Requests in protocol-neutral form.
 
 use crate::{Payload, StreamingBody};
 use bytes::Bytes;
@@ -10,64 +10,66 @@
 /// Returns whether the client is still connected.
 pub type ClientConnectedCheck = Rc<dyn Fn() -> bool>;
 
-/// Returns whether a body is a response to the call.
+/// Returns whether a response body is a valid response to the call.
 pub type ResponseValidator = Rc<dyn Fn(&[u8]) -> bool>;
 
-/// What all attempts of a request share: what is sent, and the rules for sending it.
+/// A request in protocol-neutral form, shared by all its attempts: the data to send, and the rules for sending it.
 ///
-/// Times are measured by the node's clock, as durations since 1970.
+/// Times are readings of the node's clock, as durations since the Unix epoch.
 pub struct Call {
-    /// The position of the class in the settings.
+    /// The index of the request's class in the settings.
     pub class: usize,
-    /// Whether the class is idempotent without a key: in HTTP, a GET.
+    /// Whether the class is idempotent without an idempotency key, as GET is in HTTP.
     pub safe: bool,
-    /// What is asked for: a path, perhaps with a query.
+    /// The request target: a path and an optional query.
     pub target: Bytes,
-    /// Identifies the call among all open ones.
+    /// The identifier of the call, unique among all open calls.
     pub call_id: Bytes,
-    /// By which backends recognise a repeated request.
+    /// The key by which backends recognise a repeated request.
     pub idempotency_key: Option<Bytes>,
-    /// The body, or its first bytes where the rest is still being received.
+    /// The body, or its first bytes if the rest is still being received.
     pub payload: Payload,
-    /// The rest of the body, where it is still being received.
+    /// The rest of the body, if it is still being received.
     pub streaming_body: Option<StreamingBody>,
-    /// Checks a backend's response, where the backend's protocol can't.
+    /// Validates a backend's response where the backend's protocol can't.
     pub response_validator: Option<ResponseValidator>,
-    /// Whether the client waits for a response. If not, the call gets no further attempt once it may have run.
+    /// Whether the client expects a response. If not, the call is not retried once it may have run.
     pub expects_response: bool,
-    /// Checks whether the client is still connected, where that can be checked.
+    /// Returns whether the client is still connected; `None` if that can't be checked.
     pub client_connected_check: Option<ClientConnectedCheck>,
-    /// When the client stops waiting; while the body is being received, when all of it must have been received.
+    /// When the client stops waiting for the response. While the body is being received, the time by which it must be
+    /// complete.
     pub deadline: Cell<Duration>,
     /// How long backends remember an idempotency key, from the first byte of the first attempt.
     pub idempotency_window: Option<Duration>,
-    /// What has been sent so far.
+    /// The state of the call that its attempts share.
     pub progress: CallProgress,
 }
 
-/// What has been sent for a call so far.
+/// The state of a call that its attempts share.
 #[derive(Default)]
 pub struct CallProgress {
     /// When the first byte of the first attempt was sent.
     pub first_sent_at: Cell<Option<Duration>>,
-    /// The final response has been given, or the client has left: nothing more is sent.
+    /// Whether the final response was given or the client has disconnected. No attempt is sent after that.
     pub finished: Cell<bool>,
     /// The number of attempts that are in flight or may have run.
     pub claimed_attempts: Cell<u32>,
 }
 
 impl Call {
-    /// Claims the call for an attempt that is about to write its first byte at `now`. False if it must not be written.
+    /// Claims the call for an attempt that is about to write its first byte at `now`. Returns false if the attempt must
+    /// not be written.
     ///
-    /// Time has passed since the decision to send it. The attempt must not be written past its deadline, past the
-    /// window in which backends recognise the key, once the call is finished or its client has left, nor while
-    /// another attempt is claimed for a call without a response.
+    /// The conditions are checked here because time has passed since the decision to send the attempt. It must not be
+    /// written after its deadline, after the idempotency window, once the call is finished or its client has
+    /// disconnected, or if a call without a response has another claimed attempt.
     pub fn claim(&self, now: Duration, attempt_deadline: Duration) -> bool {
         if self.progress.finished.get()
             || now >= attempt_deadline
-            || self.is_key_forgotten(now)
-            || self.is_spent_oneway()
-            || self.has_client_left()
+            || self.is_idempotency_key_expired(now)
+            || self.is_oneway_claimed()
+            || self.is_client_disconnected()
         {
             return false;
         }
@@ -79,7 +81,7 @@
         true
     }
 
-    /// Releases a claim: its attempt is known never to have run.
+    /// Releases the claim of an attempt that is known never to have run.
     pub fn release_claim(&self) {
         let claimed = &self.progress.claimed_attempts;
         claimed.set(claimed.get().saturating_sub(1));
@@ -92,28 +94,29 @@
             .is_some_and(StreamingBody::is_consumed)
     }
 
-    /// Whether backends may have dropped the idempotency key of the first attempt.
-    fn is_key_forgotten(&self, now: Duration) -> bool {
+    /// Whether the idempotency window has passed, so that backends may have dropped the key of the first attempt.
+    fn is_idempotency_key_expired(&self, now: Duration) -> bool {
         match (self.idempotency_window, self.progress.first_sent_at.get()) {
             (Some(window), Some(first_sent_at)) => now >= first_sent_at + window,
             _ => false,
         }
     }
 
-    /// Whether the call has no response and has had its one attempt.
-    fn is_spent_oneway(&self) -> bool {
+    /// Whether the call has no response and its only attempt is claimed.
+    fn is_oneway_claimed(&self) -> bool {
         !self.expects_response && self.progress.claimed_attempts.get() > 0
     }
 
-    /// Whether the client has left, even if the node has not been notified yet.
-    fn has_client_left(&self) -> bool {
+    /// Whether the client has disconnected, even if the node has not been notified yet.
+    fn is_client_disconnected(&self) -> bool {
         self.client_connected_check
             .as_ref()
             .is_some_and(|is_connected| !is_connected())
     }
 }
 
-/// The number under which the decision module knows a key. No policy uses it.
+/// Returns the number that identifies an idempotency key in the decision module: the key itself if it is a hexadecimal
+/// number of up to 64 bits, else a hash of it. No policy uses the number.
 pub fn key_hash(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| {
         let mut hasher = DefaultHasher::new();
--- a/crates/forwarding/src/health_check.rs
+++ b/crates/forwarding/src/health_check.rs
@@ -3,7 +3,7 @@
 use sillward_balancer::{LoadReport, Outcome, ServerId};
 use std::time::Duration;
 
-/// A backend's reply to a health check.
+/// A backend's response to a health check.
 pub struct HealthCheckResponse {
     /// How the check ended.
     pub outcome: Outcome,
@@ -20,13 +20,13 @@
     }
 }
 
-/// A health check that has ended, as the node is notified of it.
+/// The result of a health check, as sent to the node.
 pub struct HealthCheckResult {
-    /// The backend.
+    /// The backend that was checked.
     pub server: ServerId,
     /// How the check ended.
     pub outcome: Outcome,
-    /// When it was sent.
+    /// When the health check was sent.
     pub sent_at: Duration,
     /// The load that the backend reported, if it did.
     pub report: Option<LoadReport>,
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -1,9 +1,9 @@
 //! The core of the proxy: the request table, calls, attempts, final responses and the memory budget.
 //!
-//! This package knows no protocol and opens no socket. Front-end protocols turn bytes into a [`Call`] and a
-//! [`FinalResponse`] into bytes; back-end protocols ([`BackendProtocol`]) turn an [`Attempt`] into bytes and what
-//! comes back into an outcome. The [`Node`] between them is the only owner of the decision module and of the request
-//! table. Adding a protocol changes nothing here.
+//! This package is independent of protocols and opens no sockets. Front-end protocols decode requests into a [`Call`]
+//! and encode a [`FinalResponse`]; back-end protocols ([`BackendProtocol`]) encode an [`Attempt`] and decode the
+//! backend's response into an outcome. The [`Node`] connects them and is the only owner of the decision module and of
+//! the request table. A new protocol needs no change in this package.
 #![forbid(unsafe_code)]
 
 mod attempt;
--- a/crates/forwarding/src/live_settings.rs
+++ b/crates/forwarding/src/live_settings.rs
@@ -1,25 +1,25 @@
-//! The settings in force, shared by all that read requests and endpoint lists.
+//! The current settings, shared by all code that reads requests and endpoint lists.
 
 use sillward_balancer::settings::PlatformSettings;
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The settings in force. A reader keeps what [`LiveSettings::get`] returned for a whole request, so that a request
-/// never sees two settings.
+/// The current settings. A reader keeps the value from [`LiveSettings::get`] for a whole request, so that the settings
+/// never change within a request.
 pub struct LiveSettings(RefCell<Rc<PlatformSettings>>);
 
 impl LiveSettings {
-    /// Begins with the settings of the start.
+    /// Starts with the given settings.
     pub fn new(settings: PlatformSettings) -> Rc<Self> {
         Rc::new(LiveSettings(RefCell::new(Rc::new(settings))))
     }
 
-    /// The settings in force now.
+    /// The current settings.
     pub fn get(&self) -> Rc<PlatformSettings> {
         self.0.borrow().clone()
     }
 
-    /// Replaces the settings. The node must have been sent them before: a request of a new class is then queued
+    /// Replaces the settings. They must have been sent to the node before, so that a request of a new class is queued
     /// behind them.
     pub fn set(&self, settings: Rc<PlatformSettings>) {
         self.0.replace(settings);
--- a/crates/forwarding/src/load_report.rs
+++ b/crates/forwarding/src/load_report.rs
@@ -1,26 +1,26 @@
-//! Load reports as text, the same in every protocol.
+//! The text format of load reports, which all protocols share.
 
 use crate::LiveSettings;
 use sillward_balancer::settings::ReportField;
 use sillward_balancer::{LoadReport, ReportSource};
 use std::rc::Rc;
 
-/// Parses load reports by the settings in force.
+/// Parses load reports according to the current settings.
 #[derive(Clone)]
 pub struct LoadReportParser(Rc<LiveSettings>);
 
 impl LoadReportParser {
-    /// A parser that follows `settings`.
+    /// A parser that always uses the current value of `settings`.
     pub fn new(settings: Rc<LiveSettings>) -> Self {
         LoadReportParser(settings)
     }
 
-    /// Whether backends report their load at all.
+    /// Whether the settings expect load reports from backends.
     pub fn is_enabled(&self) -> bool {
         self.0.get().settings.reports != ReportSource::None
     }
 
-    /// Parses a text such as `inflight=7,queue=2`; `None` if any part of it is malformed.
+    /// Parses text such as `inflight=7,queue=2`; `None` if any part of it is malformed.
     pub fn parse(&self, text: &str) -> Option<LoadReport> {
         let settings = self.0.get();
         let mut report = LoadReport::default();
--- a/crates/forwarding/src/memory.rs
+++ b/crates/forwarding/src/memory.rs
@@ -1,10 +1,10 @@
-//! The memory budget of bodies: requests and responses are read only within a reservation.
+//! The memory budget for bodies. Requests and responses are read only within a reservation.
 
 use bytes::Bytes;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A budget in bytes. Clones share it.
+/// A memory budget in bytes, shared by all its clones.
 #[derive(Clone)]
 pub struct MemoryBudget {
     available: Arc<AtomicUsize>,
@@ -12,7 +12,7 @@
 }
 
 impl MemoryBudget {
-    /// A budget of so many bytes.
+    /// A budget of the given number of bytes.
     pub fn new(bytes: usize) -> Self {
         MemoryBudget {
             available: Arc::new(AtomicUsize::new(bytes)),
@@ -20,12 +20,12 @@
         }
     }
 
-    /// The bytes that are reserved.
+    /// The number of reserved bytes.
     pub fn reserved(&self) -> usize {
         self.total - self.available()
     }
 
-    /// Reserves so many bytes, if as many are available.
+    /// Reserves `bytes`; `None` if fewer are available.
     pub fn try_reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         self.available
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |available| {
@@ -38,7 +38,7 @@
         })
     }
 
-    /// Reserves so many bytes for a long body. A quarter of the budget is left to short ones.
+    /// Reserves `bytes` for a long body, but leaves a quarter of the budget to short ones.
     pub fn try_reserve_for_long_body(&self, bytes: usize) -> Option<MemoryReservation> {
         let spare = self.available().saturating_sub(self.total / 4);
         if bytes > spare {
@@ -52,19 +52,19 @@
     }
 }
 
-/// Reserved bytes of a budget, released on drop.
+/// A reservation in a memory budget, released on drop.
 pub struct MemoryReservation {
     budget: MemoryBudget,
     bytes: usize,
 }
 
 impl MemoryReservation {
-    /// How many bytes are reserved.
+    /// The number of reserved bytes of this reservation.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Resizes the reservation to so many bytes, or to as many of them as are available.
+    /// Resizes the reservation to `bytes`, or as far towards that as the budget allows.
     pub fn resize_up_to(&mut self, bytes: usize) {
         if bytes < self.bytes {
             let released = self.bytes - bytes;
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Reserves so many bytes more, if as many are available; false if not, and nothing changes.
+    /// Grows the reservation by `bytes`. Returns false and changes nothing if fewer are available.
     pub fn try_grow(&mut self, bytes: usize) -> bool {
         match self.budget.try_reserve(bytes) {
             Some(mut more) => {
@@ -87,14 +87,14 @@
         }
     }
 
-    /// Reserves so many bytes more for a long body while half of the budget is available, so that later bodies find
-    /// memory to begin with; false if not, and nothing changes.
+    /// Grows the reservation of a long body by `bytes`, as long as half of the budget is available: bodies that start
+    /// later need memory too. Returns false and changes nothing if it can't grow.
     pub fn try_grow_for_long_body(&mut self, bytes: usize) -> bool {
-        let is_plenty = self.budget.available() >= self.budget.total / 2;
-        is_plenty && self.try_grow(bytes)
+        let is_half_available = self.budget.available() >= self.budget.total / 2;
+        is_half_available && self.try_grow(bytes)
     }
 
-    /// Ties the reservation to these bytes: it is released with their last copy.
+    /// Attaches the reservation to `bytes`. It is released when the last clone of them is dropped.
     pub fn attach(self, bytes: Bytes) -> Bytes {
         Bytes::from_owner(ReservedBytes {
             bytes,
@@ -111,6 +111,7 @@
     }
 }
 
+/// Bytes that own their reservation.
 struct ReservedBytes {
     bytes: Bytes,
     _reservation: MemoryReservation,
--- a/crates/forwarding/src/message.rs
+++ b/crates/forwarding/src/message.rs
@@ -12,9 +12,9 @@
 pub enum Message {
     /// A front end has accepted a request.
     Request(Box<AcceptedRequest>),
-    /// A client has left before its final response.
+    /// A client has disconnected before its final response.
     ClientDisconnected(RequestId),
-    /// The last byte of a streamed request body was received at that time.
+    /// The last byte of a streamed request body was received at the given time.
     BodyReceived(RequestId, Duration),
     /// The first bytes of a streamed response are available.
     ResponseStarted(ResponseStarted),
@@ -31,6 +31,6 @@
         /// Their generation, from [`crate::SettingsLease::next_generation`].
         generation: u64,
     },
-    /// Asks how many backends are listed, and how many of them are avoided.
+    /// Requests the number of backends in the endpoint list, and of those that are ejected.
     EndpointGauges(oneshot::Sender<EndpointGauges>),
 }
--- a/crates/forwarding/src/node.rs
+++ b/crates/forwarding/src/node.rs
@@ -1,7 +1,7 @@
 //! The node's event loop: the only owner of the decision module and of the request table.
 //!
-//! It passes events to the decision module and carries out the actions that the module returns; it decides nothing
-//! itself. The request table alone gives final responses, and gives each request exactly one.
+//! It passes events to the decision module and executes the actions that the module returns; it makes no decisions of its
+//! own. Only the request table gives final responses, exactly one per request.
 
 mod actions;
 mod active_settings;
@@ -23,18 +23,18 @@
 use timers::{TimerKind, Timers};
 use tokio::sync::mpsc;
 
-/// How full the request table is, kept up to date while the node runs.
+/// The sizes of the request table and of the timer queue, updated while the node runs.
 #[derive(Default)]
 pub struct NodeGauges {
     /// Requests without a final response, or with an attempt in flight.
     pub requests: Cell<usize>,
-    /// Timers of requests and of the decision module.
+    /// Pending timers of requests and of the decision module.
     pub timers: Cell<usize>,
     /// Attempts in flight.
     pub attempts: Cell<usize>,
 }
 
-/// The node.
+/// The node: its event loop with the decision module and the request table.
 pub struct Node {
     clock: Clock,
     balancer: Balancer,
@@ -45,8 +45,8 @@
     max_attempts: usize,
     requests: BTreeMap<RequestId, PendingRequest>,
     timers: Timers,
-    /// Requests that the decision module has just given up, which may be removed from the table.
-    given_up: Vec<RequestId>,
+    /// Requests that the decision module has just closed, to be removed from the table once no attempt is in flight.
+    closed_requests: Vec<RequestId>,
     gauges: Rc<NodeGauges>,
     counters: Rc<Counters>,
     observer: Option<Rc<dyn NodeObserver>>,
@@ -74,7 +74,7 @@
             balancer: Balancer::new(settings, seed),
             requests: BTreeMap::new(),
             timers: Timers::default(),
-            given_up: Vec::new(),
+            closed_requests: Vec::new(),
             gauges: Rc::default(),
             counters,
             observer: None,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// With a lease on all settings but those of the start, which must be the lease's fallback.
+    /// Sets a lease on all settings except the initial ones, which must be the fallback of the lease.
     pub fn with_settings_lease(self, lease: Option<Rc<SettingsLease>>) -> Self {
         Node {
             active_settings: ActiveSettings::new(lease),
@@ -90,12 +90,12 @@
         }
     }
 
-    /// With an observer.
+    /// Sets the observer.
     pub fn with_observer(self, observer: Option<Rc<dyn NodeObserver>>) -> Self {
         Node { observer, ..self }
     }
 
-    /// How full the request table is.
+    /// The gauges of this node.
     pub fn gauges(&self) -> Rc<NodeGauges> {
         self.gauges.clone()
     }
@@ -105,7 +105,7 @@
         loop {
             let due = self.timers.next_due();
             let wait = sleep_until(self.clock.instant(due.unwrap_or_default()));
-            // Both branches are cancellation safe: a message that is not received stays in the channel.
+            // Both branches are cancel safe: a message that was not received stays in the channel.
             tokio::select! {
                 biased;
                 message = inbox.recv() => match message {
@@ -124,24 +124,24 @@
         }
     }
 
-    /// Passes an event to the decision module and carries out its actions, and those of the events they cause.
+    /// Passes an event to the decision module and executes its actions, and those of the events that they cause.
     fn handle_event(&mut self, event: Event) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let mut actions = Vec::new();
             self.balancer.handle(self.clock.now(), event, &mut actions);
             for action in actions {
-                if let Some(event) = self.carry_out(action) {
+                if let Some(event) = self.execute(action) {
                     events.push_back(event);
                 }
             }
         }
-        while let Some(id) = self.given_up.pop() {
+        while let Some(id) = self.closed_requests.pop() {
             self.remove_if_done(id);
         }
     }
 
-    /// Sets a timer, which is removed with its request.
+    /// Sets a timer, which is cancelled when its request is removed.
     fn set_timer(&mut self, due: Duration, kind: TimerKind) {
         let timer = self.timers.set(due, kind);
         if let Some(request) = self.requests.get_mut(&kind.request()) {
@@ -162,7 +162,7 @@
     }
 }
 
-/// The most attempts of a request; at least one, however few the settings allow.
+/// The maximum number of attempts of a request, which is at least one even if the settings say less.
 fn max_attempts(settings: &Settings) -> usize {
     settings.limits.max_attempts.max(1) as usize
 }
--- a/crates/forwarding/src/node/actions.rs
+++ b/crates/forwarding/src/node/actions.rs
@@ -1,4 +1,4 @@
-//! How the node carries out the actions of the decision module.
+//! Execution of the actions of the decision module.
 
 use super::Node;
 use super::pending_request::AttemptSlot;
@@ -15,8 +15,8 @@
 use tokio::sync::{mpsc, oneshot};
 
 impl Node {
-    /// Carries out an action. An attempt that can't be sent ends at once, with the event returned.
-    pub(super) fn carry_out(&mut self, action: Action) -> Option<Event> {
+    /// Executes an action. If it is an attempt that can't be sent, returns the event of its end.
+    pub(super) fn execute(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Send {
                 id,
@@ -24,7 +24,7 @@
                 timeout,
             } => return self.send(id, server, timeout),
             Action::Reject { id, retry_after } => self.reject(id, retry_after),
-            Action::Fail { id } => self.give_up(id, FinalResponse::Failed),
+            Action::Fail { id } => self.close_request(id, FinalResponse::Failed),
             Action::CancelAttempt { id, attempt } => {
                 self.stop_attempt(id, attempt, StopReason::Cancelled);
             }
@@ -33,10 +33,12 @@
             }
             Action::HealthCheck { server } => self.check_health(server),
             Action::CloseIdle { server } => self.backends.close_idle(server),
-            Action::WatchEndpoints { on } => self.command_discovery(DiscoveryCommand::Watch(on)),
-            Action::FetchEndpoints => self.command_discovery(DiscoveryCommand::Fetch),
+            Action::WatchEndpoints { on } => self.send_to_discovery(DiscoveryCommand::Watch(on)),
+            Action::FetchEndpoints => self.send_to_discovery(DiscoveryCommand::Fetch),
             // The platform allows no messages between nodes, and the decision module sends none.
-            Action::SendToPeer { .. } => log("a message to another node was dropped"),
+            Action::SendToPeer { .. } => {
+                log("dropped a message to another node: the platform allows none")
+            }
             Action::Log { text } => log(text),
         }
         None
@@ -49,13 +51,13 @@
         }
     }
 
-    /// Starts an attempt. Returns its end if it can't be sent.
+    /// Starts an attempt. Returns the event of its end if it can't be sent.
     fn send(&mut self, id: RequestId, server: ServerId, timeout: Duration) -> Option<Event> {
         let now = self.clock.now();
         let request = self.requests.get_mut(&id)?;
         let number = request.attempts.len() as u32;
         let deadline = request.call.deadline.get();
-        if !request.owes_response()
+        if !request.awaits_response()
             || now >= deadline
             || request.attempts.len() >= self.max_attempts
         {
@@ -66,7 +68,7 @@
                 server,
                 outcome: Outcome::NotSent,
                 elapsed: Duration::ZERO,
-                has_final_response: !request.owes_response(),
+                has_final_response: !request.awaits_response(),
                 body_consumed: request.call.is_body_consumed(),
                 report: None,
             }));
@@ -107,14 +109,14 @@
             retry_after,
             never_ran,
         };
-        self.give_up(id, rejected);
+        self.close_request(id, rejected);
     }
 
-    /// Gives a final response; the decision module sends no further attempt.
-    fn give_up(&mut self, id: RequestId, response: FinalResponse) {
+    /// Gives the final response of a request for which the decision module sends no further attempt.
+    fn close_request(&mut self, id: RequestId, response: FinalResponse) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.respond(&self.counters, response);
-            self.given_up.push(id);
+            self.closed_requests.push(id);
         }
     }
 
@@ -137,9 +139,9 @@
         });
     }
 
-    fn command_discovery(&self, command: DiscoveryCommand) {
+    fn send_to_discovery(&self, command: DiscoveryCommand) {
         if self.discovery.try_send(command).is_err() {
-            log("discovery is busy: a command was dropped");
+            log("dropped a command to the discovery client: its queue is full or closed");
         }
     }
 }
@@ -150,7 +152,7 @@
     started: oneshot::Receiver<ResponseStarted>,
     messages: mpsc::Sender<Message>,
 ) {
-    // The attempt is polled by reference: it goes on after its response has started.
+    // The attempt is polled by reference because it continues after its response has started.
     let early = tokio::select! {
         biased;
         result = &mut result => Some(result),
--- a/crates/forwarding/src/node/active_settings.rs
+++ b/crates/forwarding/src/node/active_settings.rs
@@ -1,20 +1,20 @@
-//! Which settings the node acts on, where a lease limits how long it may.
+//! Tracks which settings the node uses under a settings lease.
 
 use crate::SettingsLease;
 use sillward_balancer::settings::PlatformSettings;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Which settings the node acts on.
+/// Which settings the node uses.
 pub(super) enum ActiveSettings {
-    /// The last ones received; there is no lease.
+    /// The last settings received, as there is no lease.
     Latest,
-    /// Those of this generation, while the lease is valid.
+    /// The settings of this generation, while the lease is valid.
     Leased {
         lease: Rc<SettingsLease>,
         generation: u64,
     },
-    /// The fallback settings, until others are received under a valid lease.
+    /// The fallback settings, until settings are received under a valid lease.
     Fallback { lease: Rc<SettingsLease> },
 }
 
@@ -23,7 +23,7 @@
         ActiveSettings::Latest
     }
 
-    /// Begins with the fallback settings, if there is a lease.
+    /// Starts with the fallback settings if there is a lease.
     pub(super) fn new(lease: Option<Rc<SettingsLease>>) -> Self {
         match lease {
             Some(lease) => ActiveSettings::Fallback { lease },
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Accepts settings that were received; false if they are of an earlier generation or too late, and nothing
-    /// changes: the next ones are on their way.
+    /// Accepts received settings. Returns false and changes nothing if they are of an earlier generation or the lease has
+    /// expired; newer settings follow.
     pub(super) fn accept(&mut self, generation: u64, now: Duration) -> bool {
         let lease = match self {
             ActiveSettings::Latest => return true,
@@ -46,7 +46,7 @@
         true
     }
 
-    /// Changes to the fallback settings when the lease has expired, and returns them at that moment.
+    /// Switches to the fallback settings if the lease has expired. Returns them on the switch only.
     pub(super) fn expire(&mut self, now: Duration) -> Option<Rc<PlatformSettings>> {
         let ActiveSettings::Leased { lease, generation } = self else {
             return None;
--- a/crates/forwarding/src/node/events.rs
+++ b/crates/forwarding/src/node/events.rs
@@ -1,4 +1,4 @@
-//! How the node turns messages and timers into events of the decision module.
+//! Conversion of messages and timers into events of the decision module.
 
 use super::Node;
 use super::pending_request::PendingRequest;
@@ -18,7 +18,7 @@
     pub(super) fn on_message(&mut self, message: Message) {
         match message {
             Message::Request(accepted) => self.on_request(*accepted),
-            Message::ClientDisconnected(id) => self.on_client_gone(id),
+            Message::ClientDisconnected(id) => self.on_client_disconnected(id),
             Message::BodyReceived(id, received_at) => self.on_body_received(id, received_at),
             Message::ResponseStarted(started) => self.on_response_started(started),
             Message::AttemptEnded(result) => self.on_attempt_ended(result),
@@ -28,8 +28,8 @@
                 settings,
                 generation,
             } => self.on_settings(&settings, generation),
-            Message::EndpointGauges(reply) => {
-                let _ = reply.send(self.endpoint_gauges()); // fails only if nobody waits for it any more
+            Message::EndpointGauges(sender) => {
+                let _ = sender.send(self.endpoint_gauges()); // fails only if the receiver was dropped
             }
         }
     }
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Changes to the fallback settings when the lease on the others has expired. Called before anything is decided.
+    /// Switches to the fallback settings when the lease on the others has expired. Called before each decision.
     pub(super) fn check_settings_lease(&mut self) {
         if let Some(fallback) = self.active_settings.expire(self.clock.now()) {
             self.apply_settings(&fallback);
@@ -100,14 +100,14 @@
         self.remove_if_done(id);
     }
 
-    /// Sets the timer one tick early, so that the client has the response before it gives up.
+    /// Sets the deadline timer early by the timer resolution, so that the client gets the response before it times out.
     fn set_request_deadline(&mut self, id: RequestId, deadline: Duration) {
         let due = deadline.saturating_sub(self.timer_resolution);
         self.set_timer(due, TimerKind::RequestDeadline(id));
     }
 
-    fn on_client_gone(&mut self, id: RequestId) {
-        let Some(request) = owing_response(&mut self.requests, id) else {
+    fn on_client_disconnected(&mut self, id: RequestId) {
+        let Some(request) = awaiting_response(&mut self.requests, id) else {
             return;
         };
         request.abandon();
@@ -115,9 +115,9 @@
         self.remove_if_done(id);
     }
 
-    /// The last byte of a streamed body was received: the request's time begins.
+    /// Handles the last byte of a streamed body, from which the request's time budget counts.
     fn on_body_received(&mut self, id: RequestId, received_at: Duration) {
-        let Some(request) = owing_response(&mut self.requests, id) else {
+        let Some(request) = awaiting_response(&mut self.requests, id) else {
             return;
         };
         let Some(body) = &request.call.streaming_body else {
@@ -132,7 +132,7 @@
         self.remove_if_done(id);
     }
 
-    /// The first bytes of a streamed response go to the client. The attempt goes on until the last one has.
+    /// Gives the first bytes of a streamed response to the client. The attempt continues until the last byte was forwarded.
     fn on_response_started(&mut self, started: ResponseStarted) {
         let ResponseStarted {
             id,
@@ -151,7 +151,7 @@
             length,
             rest,
         };
-        // If another response was given, dropping this one closes its connection.
+        // If the final response was already given, dropping this one closes its connection.
         if !request.start_streaming(number, now, response) {
             return;
         }
@@ -185,7 +185,7 @@
         self.gauges.attempts.set(self.gauges.attempts.get() - 1);
         let server = attempt.server;
         let sent_at = attempt.sent_at;
-        // A backend's latency runs from the last byte of the request to the first byte of the response.
+        // A backend's latency is the time from the last byte of the request to the first byte of the response.
         let began_at = request
             .body_received_at
             .map_or(sent_at, |received_at| received_at.max(sent_at));
@@ -193,7 +193,7 @@
         let responded_at = request
             .end_streaming(&self.counters, number, outcome)
             .unwrap_or(now);
-        // The first response is the client's; a later one only informs the decision module.
+        // Only the first response goes to the client; the decision module is notified of all of them.
         if let Some(response) = response {
             request.respond(&self.counters, FinalResponse::Complete(response));
         }
@@ -210,7 +210,7 @@
             server,
             outcome,
             elapsed: times.since_sent,
-            has_final_response: !request.owes_response(),
+            has_final_response: !request.awaits_response(),
             body_consumed: request.call.is_body_consumed(),
             report,
         };
@@ -241,32 +241,32 @@
         });
     }
 
-    /// Whatever the decision module does, no client is left without a response at its deadline.
+    /// Fails a request that has no response at its deadline, whatever the decision module does.
     fn on_request_deadline(&mut self, id: RequestId) {
-        let Some(request) = owing_response(&mut self.requests, id) else {
+        let Some(request) = awaiting_response(&mut self.requests, id) else {
             return;
         };
         let deadline = request.call.deadline.get();
         if deadline.saturating_sub(self.timer_resolution) > self.clock.now() {
-            return; // the deadline was moved when the body was received: a later timer fires
+            return; // the end of the body moved the deadline, for which a later timer is set
         }
         log_peer(format_args!(
-            "request {} had no response at its deadline: failed",
+            "request {} failed: it had no response at its deadline",
             id.0
         ));
         request.respond(&self.counters, FinalResponse::TimedOut);
-        // The decision module is done with the request, as if its client had left.
+        // For the decision module, the request ends as if its client had disconnected.
         self.handle_event(Event::ClientGone { id });
         self.remove_if_done(id);
     }
 }
 
-/// A request whose client still waits for its final response.
-fn owing_response(
+/// The request, if its client still waits for the final response.
+fn awaiting_response(
     requests: &mut BTreeMap<RequestId, PendingRequest>,
     id: RequestId,
 ) -> Option<&mut PendingRequest> {
     requests
         .get_mut(&id)
-        .filter(|request| request.owes_response())
+        .filter(|request| request.awaits_response())
 }
--- a/crates/forwarding/src/node/pending_request.rs
+++ b/crates/forwarding/src/node/pending_request.rs
@@ -8,33 +8,34 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// A request that has no final response yet, or an attempt in flight.
+/// A request that has no final response yet, or has an attempt in flight.
 pub(super) struct PendingRequest {
     pub(super) call: Rc<Call>,
     pub(super) received_at: Duration,
     /// When the last byte of a streamed body was received.
     pub(super) body_received_at: Option<Duration>,
-    /// In the order of sending; the number of an attempt is its position.
+    /// The attempts in the order of sending. The number of an attempt is its index.
     pub(super) attempts: Vec<AttemptSlot>,
-    /// Removed with the request: a client may say that it waits for as long as it likes.
+    /// The timers to cancel when the request is removed. They may be due much later, since the client chooses its time
+    /// budget freely.
     pub(super) timers: Vec<TimerId>,
     response: ResponseState,
 }
 
-/// What has become of the final response.
+/// The state of the final response.
 enum ResponseState {
-    /// It is owed to the client.
-    Owed {
+    /// The client waits for it.
+    Awaited {
         response_sender: oneshot::Sender<FinalResponse>,
         in_progress: InProgressGuard,
     },
     /// The client is receiving the response of an attempt.
     Streaming {
         attempt: u32,
-        began_at: Duration,
+        started_at: Duration,
         _in_progress: InProgressGuard,
     },
-    /// It has been given, or the client has left.
+    /// It was given, or the client has disconnected.
     Done,
 }
 
@@ -48,9 +49,9 @@
 enum AttemptState {
     /// In flight.
     Running { stop: oneshot::Sender<StopReason> },
-    /// Stopped; its result is on its way.
+    /// Stopped; the node has not received its result yet.
     Stopping,
-    /// It has ended, or was never sent.
+    /// Ended, or never sent.
     Ended,
 }
 
@@ -67,7 +68,7 @@
             body_received_at: None,
             attempts: Vec::new(),
             timers: Vec::new(),
-            response: ResponseState::Owed {
+            response: ResponseState::Awaited {
                 response_sender,
                 in_progress,
             },
@@ -75,16 +76,16 @@
     }
 
     /// Whether the client still waits for the final response.
-    pub(super) fn owes_response(&self) -> bool {
-        matches!(self.response, ResponseState::Owed { .. })
+    pub(super) fn awaits_response(&self) -> bool {
+        matches!(self.response, ResponseState::Awaited { .. })
     }
 
-    /// Whether it may leave the request table.
+    /// Whether the request may be removed from the request table.
     pub(super) fn is_done(&self) -> bool {
-        !self.owes_response() && self.attempts.iter().all(AttemptSlot::has_ended)
+        !self.awaits_response() && self.attempts.iter().all(AttemptSlot::has_ended)
     }
 
-    /// Gives the final response, unless it has been given.
+    /// Gives the final response, unless it was given already or the client has disconnected.
     pub(super) fn respond(&mut self, counters: &Counters, response: FinalResponse) {
         let outcome = match response {
             FinalResponse::Complete(_) => Some(RequestOutcome::Served),
@@ -93,18 +94,18 @@
             FinalResponse::Failed | FinalResponse::TimedOut => Some(RequestOutcome::Failed),
         };
         self.call.progress.finished.set(true);
-        let Some((response_sender, in_progress)) = self.take_owed() else {
+        let Some((response_sender, in_progress)) = self.take_awaited() else {
             return;
         };
         drop(in_progress);
         if let Some(outcome) = outcome {
             counters.request_ended(self.call.class, outcome);
         }
-        let _ = response_sender.send(response); // fails only if the client has just left
+        let _ = response_sender.send(response); // fails only if the client has just disconnected
     }
 
-    /// Gives the beginning of a streamed response; false if a final response has been given. How the response ends
-    /// is counted by [`PendingRequest::end_streaming`].
+    /// Gives the start of a streamed response. Returns false if the final response was given already or the client has
+    /// disconnected. [`PendingRequest::end_streaming`] counts the outcome of the response.
     pub(super) fn start_streaming(
         &mut self,
         attempt: u32,
@@ -112,43 +113,43 @@
         response: FinalResponse,
     ) -> bool {
         self.call.progress.finished.set(true);
-        let Some((response_sender, in_progress)) = self.take_owed() else {
+        let Some((response_sender, in_progress)) = self.take_awaited() else {
             return false;
         };
         self.response = ResponseState::Streaming {
             attempt,
-            began_at: now,
+            started_at: now,
             _in_progress: in_progress,
         };
-        let _ = response_sender.send(response); // fails only if the client has just left
+        let _ = response_sender.send(response); // fails only if the client has just disconnected
         true
     }
 
-    /// Ends the streamed response with its attempt, and returns when it began; `None` if that attempt has none.
+    /// Ends the streamed response of an attempt, and returns when it started; `None` if the attempt has none.
     pub(super) fn end_streaming(
         &mut self,
         counters: &Counters,
         attempt: u32,
         outcome: Outcome,
     ) -> Option<Duration> {
-        let began_at = match self.response {
+        let started_at = match self.response {
             ResponseState::Streaming {
                 attempt: streaming,
-                began_at,
+                started_at,
                 ..
-            } if streaming == attempt => began_at,
+            } if streaming == attempt => started_at,
             _ => return None,
         };
         self.response = ResponseState::Done;
         match outcome {
             Outcome::Served => counters.request_ended(self.call.class, RequestOutcome::Served),
-            Outcome::Cancelled => {} // the client has left
+            Outcome::Cancelled => {} // the client has disconnected
             _ => counters.request_ended(self.call.class, RequestOutcome::Failed),
         }
-        Some(began_at)
+        Some(started_at)
     }
 
-    /// The client has left.
+    /// Marks the request as one whose client has disconnected.
     pub(super) fn abandon(&mut self) {
         self.response = ResponseState::Done;
         self.call.progress.finished.set(true);
@@ -164,13 +165,13 @@
         }
     }
 
-    /// The end of an owed response. The next state is [`ResponseState::Done`].
-    fn take_owed(&mut self) -> Option<(oneshot::Sender<FinalResponse>, InProgressGuard)> {
-        if !self.owes_response() {
+    /// Changes the state from [`ResponseState::Awaited`] to [`ResponseState::Done`] and returns what the former held.
+    fn take_awaited(&mut self) -> Option<(oneshot::Sender<FinalResponse>, InProgressGuard)> {
+        if !self.awaits_response() {
             return None;
         }
         match std::mem::replace(&mut self.response, ResponseState::Done) {
-            ResponseState::Owed {
+            ResponseState::Awaited {
                 response_sender,
                 in_progress,
             } => Some((response_sender, in_progress)),
@@ -180,7 +181,7 @@
 }
 
 impl AttemptSlot {
-    /// An attempt in flight.
+    /// Creates an attempt in flight.
     pub(super) fn running(
         server: ServerId,
         sent_at: Duration,
@@ -193,7 +194,7 @@
         }
     }
 
-    /// An attempt that was not sent.
+    /// Creates an attempt that was not sent.
     pub(super) fn not_sent(server: ServerId, now: Duration) -> Self {
         AttemptSlot {
             server,
@@ -218,7 +219,7 @@
         if let AttemptState::Running { stop } =
             std::mem::replace(&mut self.state, AttemptState::Stopping)
         {
-            let _ = stop.send(reason); // fails only if the attempt has just ended: its result is on its way
+            let _ = stop.send(reason); // fails only if the attempt has just ended: its result follows
         }
     }
 }
--- a/crates/forwarding/src/node/timers.rs
+++ b/crates/forwarding/src/node/timers.rs
@@ -1,4 +1,4 @@
-//! The timers of requests and of the decision module.
+//! The timer queue for requests and for the decision module.
 
 use sillward_balancer::RequestId;
 use std::collections::BTreeMap;
@@ -14,16 +14,17 @@
 /// What a timer is for.
 #[derive(Clone, Copy)]
 pub(super) enum TimerKind {
-    /// Set by the decision module, with its token.
+    /// A timer of the decision module, with its token.
     Balancer(u64),
-    /// The deadline of an attempt, by its number.
+    /// The deadline of an attempt, with the number of the attempt.
     AttemptDeadline(RequestId, u32),
     /// The deadline of a request.
     RequestDeadline(RequestId),
 }
 
 impl TimerKind {
-    /// The request that the timer belongs to. A token of the decision module is the request's number, or no request's.
+    /// The request that the timer belongs to. A token of the decision module is the number of its request, or matches no
+    /// request.
     pub(super) fn request(self) -> RequestId {
         match self {
             TimerKind::Balancer(token) => RequestId(token),
@@ -32,7 +33,7 @@
     }
 }
 
-/// All timers that are set.
+/// The pending timers, by due time.
 #[derive(Default)]
 pub(super) struct Timers {
     pending: BTreeMap<TimerId, TimerKind>,
@@ -51,7 +52,7 @@
         id
     }
 
-    /// Cancels a timer, if it has not fired.
+    /// Cancels a timer if it is still pending.
     pub(super) fn cancel(&mut self, id: TimerId) {
         self.pending.remove(&id);
     }
@@ -61,13 +62,13 @@
         self.pending.first_key_value().map(|(id, _)| id.due)
     }
 
-    /// Removes the next timer that is due at `now`.
+    /// Removes and returns the next timer that is due at `now`.
     pub(super) fn pop_due(&mut self, now: Duration) -> Option<TimerKind> {
         let first = self.pending.first_entry()?;
         (first.key().due <= now).then(|| first.remove())
     }
 
-    /// The number of timers that are set.
+    /// The number of pending timers.
     pub(super) fn len(&self) -> usize {
         self.pending.len()
     }
--- a/crates/forwarding/src/node_handle.rs
+++ b/crates/forwarding/src/node_handle.rs
@@ -1,4 +1,4 @@
-//! How front ends hand requests to the node.
+//! The handle through which front ends submit requests to the node.
 
 use crate::{Call, FinalResponse, Message};
 use sillward_balancer::{NewRequest, RequestId};
@@ -10,17 +10,17 @@
 
 /// A request that a front end has accepted.
 pub struct AcceptedRequest {
-    /// What the decision module knows of it.
+    /// The request as the decision module sees it.
     pub request: NewRequest,
-    /// When its last byte was received; where the body is still being received, when the front end accepted it.
+    /// When its last byte was received, or when the front end accepted it if the body is still being received.
     pub received_at: Duration,
-    /// What is sent to backends.
+    /// The request to send to backends.
     pub call: Call,
-    /// Where the final response goes.
+    /// Sends the final response to the front end.
     pub response_sender: oneshot::Sender<FinalResponse>,
 }
 
-/// A handle to the node's event loop, for front ends. Clones share the request numbers.
+/// A handle to the node's event loop, for front ends. Clones share the counter of request numbers.
 #[derive(Clone)]
 pub struct NodeHandle {
     clock: Clock,
@@ -43,9 +43,9 @@
         self.clock
     }
 
-    /// Submits a request under a new number and waits for its final response; `None` if the node has ended.
+    /// Submits a request under a new number and waits for its final response; `None` if the node has stopped.
     ///
-    /// Dropping the future before that notifies the node that the client has left.
+    /// Dropping the future before it completes notifies the node that the client has disconnected.
     pub async fn submit(
         &self,
         request: NewRequest,
@@ -68,9 +68,9 @@
         let id = self.next_id();
         request.id = id;
         let (response_sender, response) = oneshot::channel();
-        // Dropping can't wait for space in the queue, so the permit is reserved before the request is sent.
+        // `drop` can't wait for space in the queue, so a permit is reserved before the request is sent.
         let permit = self.messages.clone().reserve_owned().await.ok()?;
-        let mut notification = DisconnectNotification {
+        let mut disconnect_guard = DisconnectGuard {
             id,
             permit: Some(permit),
         };
@@ -94,7 +94,7 @@
             Some(response) => response,
             None => response.await,
         };
-        notification.disarm();
+        disconnect_guard.disarm();
         Some(response.unwrap_or(FinalResponse::Failed))
     }
 
@@ -104,19 +104,19 @@
     }
 }
 
-/// Notifies the node that the client has left, when dropped before it is disarmed.
-struct DisconnectNotification {
+/// Notifies the node that the client has disconnected if dropped before it is disarmed.
+struct DisconnectGuard {
     id: RequestId,
     permit: Option<mpsc::OwnedPermit<Message>>,
 }
 
-impl DisconnectNotification {
+impl DisconnectGuard {
     fn disarm(&mut self) {
         self.permit = None;
     }
 }
 
-impl Drop for DisconnectNotification {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if let Some(permit) = self.permit.take() {
             permit.send(Message::ClientDisconnected(self.id));
--- a/crates/forwarding/src/observer.rs
+++ b/crates/forwarding/src/observer.rs
@@ -1,23 +1,23 @@
-//! Observes what the node does, for statistics.
+//! Observation of requests and attempts, for statistics.
 
 use sillward_balancer::{Outcome, ServerId};
 use std::time::Duration;
 
-/// How long an attempt took.
+/// The duration of an attempt until its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptTimes {
-    /// Since its request was received.
+    /// The time since the request was received.
     pub since_request: Duration,
-    /// Since it was sent, or since the request's last byte if that was received later.
+    /// The time since the attempt was sent, or since the last byte of the request if that was received later.
     pub since_sent: Duration,
 }
 
-/// An observer of the node. It decides nothing. Its methods are called in the node's event loop and must be quick.
+/// An observer of the node, without influence on decisions. Its methods run in the node's event loop and must not block.
 pub trait NodeObserver {
-    /// A request was accepted. `is_retry`: the client says that it retries an earlier one.
+    /// A request was accepted. `is_retry` is true if the client marked it as a retry of an earlier request.
     fn request_accepted(&self, now: Duration, class: usize, is_retry: bool);
 
-    /// The decision module has rejected a request.
+    /// A request was rejected by the decision module.
     fn request_rejected(&self, now: Duration, class: usize);
 
     /// An attempt has ended.
--- a/crates/forwarding/src/payload.rs
+++ b/crates/forwarding/src/payload.rs
@@ -4,12 +4,12 @@
 
 /// The format of a payload.
 ///
-/// The core never looks at it. A back-end protocol that can't carry a format reports that the attempt was not sent.
+/// This package never interprets it. A back-end protocol that doesn't support a format reports the attempt as not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PayloadFormat(pub &'static str);
 
 impl PayloadFormat {
-    /// A body of no particular format.
+    /// The format of a body that is not specific to a protocol.
     pub const PLAIN: PayloadFormat = PayloadFormat("");
 }
 
@@ -18,7 +18,7 @@
 pub struct Payload {
     /// The format of the bytes.
     pub format: PayloadFormat,
-    /// The bytes, with their reservation in the memory budget.
+    /// The bytes, which own their reservation in the memory budget.
     pub bytes: Bytes,
 }
 
--- a/crates/forwarding/src/protocol.rs
+++ b/crates/forwarding/src/protocol.rs
@@ -1,4 +1,4 @@
-//! What a back-end protocol does for the node.
+//! The interface between the node and back-end protocols.
 
 use crate::{Attempt, AttemptResult, BackendUpdate, HealthCheckResponse, StopReason};
 use sillward_balancer::ServerId;
@@ -15,20 +15,20 @@
 pub trait BackendProtocol {
     /// Makes an attempt, until it ends or is stopped.
     ///
-    /// The result is one that [`sillward_balancer::Outcome::never_ran`] is true of only if the request can't have run.
+    /// [`sillward_balancer::Outcome::never_ran`] must be true of the outcome only if the request can't have run.
     fn attempt(
         self: Rc<Self>,
         attempt: Attempt,
         stopped: oneshot::Receiver<StopReason>,
     ) -> LocalBoxFuture<AttemptResult>;
 
-    /// Checks a backend's health, and asks for its load, within [`crate::HEALTH_CHECK_TIMEOUT`].
+    /// Checks a backend's health and requests its load report, within [`crate::HEALTH_CHECK_TIMEOUT`].
     fn health_check(self: Rc<Self>, server: ServerId) -> LocalBoxFuture<HealthCheckResponse>;
 
-    /// Called when the endpoint list has changed, with the addresses and states of the backends.
+    /// Applies an endpoint update, which has the addresses and states of the backends.
     fn update_backends(&self, update: &BackendUpdate, now: Duration);
 
-    /// Called when the settings have changed.
+    /// Applies changed settings.
     fn apply_settings(&self, settings: &PlatformSettings);
 
     /// Closes the idle connections to a backend.
--- a/crates/forwarding/src/protocol_dispatcher.rs
+++ b/crates/forwarding/src/protocol_dispatcher.rs
@@ -1,4 +1,4 @@
-//! Several back-end protocols at once: the machine type of a backend says which one it speaks.
+//! Dispatches to one of several back-end protocols by the machine type of the backend.
 
 use crate::{
     Attempt, AttemptResult, Backend, BackendProtocol, BackendUpdate, HealthCheckResponse,
@@ -12,13 +12,13 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// The position of a protocol in [`ProtocolDispatcher::protocols`].
+/// The index of a protocol in [`ProtocolDispatcher::protocols`].
 type ProtocolIndex = usize;
 
-/// The protocol of machine types that are not named.
+/// The protocol of machine types that have none of their own.
 const DEFAULT_PROTOCOL: ProtocolIndex = 0;
 
-/// Passes attempts and endpoint updates on to the protocol of the backend's machine type.
+/// Passes attempts, health checks and endpoint updates to the protocol of the backend's machine type.
 pub struct ProtocolDispatcher {
     protocols: Vec<Rc<dyn BackendProtocol>>,
     by_machine_type: BTreeMap<u8, ProtocolIndex>,
@@ -26,7 +26,7 @@
 }
 
 impl ProtocolDispatcher {
-    /// `default` is for all machine types that `others` don't name.
+    /// Uses `default` for all machine types that are not in `others`.
     pub fn new(
         default: Rc<dyn BackendProtocol>,
         others: Vec<(u8, Rc<dyn BackendProtocol>)>,
@@ -54,9 +54,9 @@
         self.protocols[index].clone()
     }
 
-    /// Splits an update by protocol.
+    /// Splits an endpoint update by protocol.
     fn split(&self, update: &BackendUpdate) -> Vec<Vec<Backend>> {
-        let mut parts: Vec<Vec<Backend>> = vec![Vec::new(); self.protocols.len()];
+        let mut by_protocol: Vec<Vec<Backend>> = vec![Vec::new(); self.protocols.len()];
         let mut by_server = self.by_server.borrow_mut();
         if matches!(update.kind, EndpointUpdate::Full | EndpointUpdate::Cached) {
             by_server.clear();
@@ -71,18 +71,19 @@
             let previous = by_server.insert(endpoint.id, index);
             // The previous protocol must drop its connections to a backend that now speaks another one.
             if let Some(previous) = previous.filter(|previous| *previous != index) {
-                parts[previous].push(removed(backend));
+                by_protocol[previous].push(as_removed(backend));
             }
             if endpoint.state == ServerState::Removed {
                 by_server.remove(&endpoint.id);
             }
-            parts[index].push(backend.clone());
+            by_protocol[index].push(backend.clone());
         }
-        parts
+        by_protocol
     }
 }
 
-fn removed(backend: &Backend) -> Backend {
+/// The backend with the state removed.
+fn as_removed(backend: &Backend) -> Backend {
     let mut removed = backend.clone();
     removed.endpoint.state = ServerState::Removed;
     removed
@@ -102,13 +103,13 @@
     }
 
     fn update_backends(&self, update: &BackendUpdate, now: Duration) {
-        let parts = self.split(update);
-        for (protocol, backends) in self.protocols.iter().zip(parts) {
-            let part = BackendUpdate {
+        let by_protocol = self.split(update);
+        for (protocol, backends) in self.protocols.iter().zip(by_protocol) {
+            let protocol_update = BackendUpdate {
                 kind: update.kind,
                 backends,
             };
-            protocol.update_backends(&part, now);
+            protocol.update_backends(&protocol_update, now);
         }
     }
 
--- a/crates/forwarding/src/response.rs
+++ b/crates/forwarding/src/response.rs
@@ -1,27 +1,27 @@
-//! Responses on their way from a backend to a client.
+//! Responses that the node gives to front ends.
 
 use crate::{BodyStream, Payload};
 use sillward_balancer::{LoadReport, RequestId};
 use std::time::Duration;
 
-/// The one final response of a request.
+/// The final response of a request, of which each request has exactly one.
 pub enum FinalResponse {
     /// A backend's complete response.
     Complete(Payload),
-    /// A backend's long response, forwarded while it is received.
+    /// A backend's long response, forwarded while it is being received.
     Streamed {
-        /// What has been received so far.
+        /// The bytes received so far.
         first: Payload,
-        /// The length of the whole body in bytes, where known.
+        /// The length of the whole body in bytes, if known.
         length: Option<u64>,
-        /// What follows `first`.
+        /// The bytes after `first`.
         rest: Box<dyn BodyStream>,
     },
-    /// Rejected: a retry is safe, as the balancer decides it.
+    /// Rejected. The decision module has determined that the client may retry safely.
     Rejected {
-        /// Retry after this time, where the settings allow to say so.
+        /// The time after which the client should retry, if the settings allow it to be sent.
         retry_after: Option<Duration>,
-        /// The request is known never to have run; otherwise it may have.
+        /// Whether the request is known never to have run. If not, it may have run.
         never_ran: bool,
     },
     /// Failed; the request may have run.
@@ -36,12 +36,12 @@
     pub id: RequestId,
     /// The number of the attempt, in the order of sending, from 0.
     pub number: u32,
-    /// What has been received so far.
+    /// The bytes received so far.
     pub payload: Payload,
-    /// The length of the whole body in bytes, where known.
+    /// The length of the whole body in bytes, if known.
     pub length: Option<u64>,
     /// The load that the backend reported, if it did.
     pub report: Option<LoadReport>,
-    /// What follows `payload`.
+    /// The bytes after `payload`.
     pub rest: Box<dyn BodyStream>,
 }
--- a/crates/forwarding/tests/protocol_dispatcher.rs
+++ b/crates/forwarding/tests/protocol_dispatcher.rs
@@ -11,13 +11,13 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// The machine type that speaks Thrift.
-const THRIFT_MACHINES: u8 = 3;
+/// The machine type of backends that speak Thrift.
+const THRIFT_MACHINE_TYPE: u8 = 3;
 
-/// An update, as the numbers and states of its backends.
+/// The kind of an endpoint update, and the IDs and states of its backends.
 type Update = (EndpointUpdate, Vec<(u64, ServerState)>);
 
-/// Records the updates it receives, and closed connections as failed updates.
+/// Records the updates that it receives, and each `close_idle` as a failed update.
 #[derive(Default)]
 struct RecordingProtocol(RefCell<Vec<Update>>);
 
@@ -65,22 +65,23 @@
 }
 
 #[test]
-fn notifies_each_protocol_of_its_backends_and_of_those_that_change_to_another() {
+fn notifies_each_protocol_of_its_backends_and_of_those_that_change_protocol() {
     use ServerState::{Draining, Ready, Removed};
     let http = Rc::new(RecordingProtocol::default());
     let thrift = Rc::new(RecordingProtocol::default());
-    let dispatch = ProtocolDispatcher::new(http.clone(), vec![(THRIFT_MACHINES, thrift.clone())]);
+    let dispatch =
+        ProtocolDispatcher::new(http.clone(), vec![(THRIFT_MACHINE_TYPE, thrift.clone())]);
     let update = |kind, backends: Vec<Backend>| {
         dispatch.update_backends(&BackendUpdate { kind, backends }, Duration::ZERO);
         (http.0.take(), thrift.0.take())
     };
 
-    // A full list is full for each protocol: a backend that is missing there is removed.
+    // Each protocol gets a full list of its own backends, and removes those that are missing from it.
     let (to_http, to_thrift) = update(
         EndpointUpdate::Full,
         vec![
             backend(1, 0, Ready),
-            backend(2, THRIFT_MACHINES, Ready),
+            backend(2, THRIFT_MACHINE_TYPE, Ready),
             backend(4, u8::MAX, Ready),
         ],
     );
@@ -93,8 +94,8 @@
     let (to_http, to_thrift) = update(
         EndpointUpdate::Incremental,
         vec![
-            backend(1, THRIFT_MACHINES, Draining),
-            backend(2, THRIFT_MACHINES, Removed),
+            backend(1, THRIFT_MACHINE_TYPE, Draining),
+            backend(2, THRIFT_MACHINE_TYPE, Removed),
         ],
     );
     assert_eq!(to_http, [(EndpointUpdate::Incremental, vec![(1, Removed)])]);
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,12 +1,13 @@
 //! The lifecycle of a node, from its start to its shutdown: whether it reports itself healthy, whether a response closes
 //! its connection, and when idle connections may be closed.
 //!
-//! This package does no I/O and reads no clock: events come with their time, as a duration since the node's start.
+//! This package does no I/O and reads no clock. The caller passes the time of each event as a duration since the node's
+//! start.
 #![forbid(unsafe_code)]
 
 use std::time::Duration;
 
-/// What happens to a node.
+/// An event in the lifecycle of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The node knows enough endpoints to serve.
@@ -15,28 +16,28 @@
     OutOfService,
     /// An operator returns the node to service.
     InService,
-    /// The process is asked to end.
+    /// The process was asked to shut down.
     ShutDown,
 }
 
-/// What became of an event.
+/// The result of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventOutcome {
-    /// The event took effect, or its effect was there already.
+    /// The event was applied, or had been applied before.
     Applied,
     /// The node is shutting down and cannot return to service.
     RejectedShuttingDown,
 }
 
-/// Times that the platform sets.
+/// Durations that depend on the platform.
 #[derive(Clone, Copy, Debug)]
 pub struct LifecycleSettings {
-    /// How long new connections keep coming after the node has reported itself unhealthy. No idle connection is closed
-    /// before, since its client may be about to send a request.
+    /// How long new connections may arrive after the node has reported itself unhealthy. No idle connection is closed
+    /// before that, since its client may be about to send a request.
     pub deregistration_delay: Duration,
 }
 
-/// Whether the node is in service. A node that shuts down stays in that state.
+/// Whether the node is in service. Shutting down is a final state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ServiceState {
     InService,
@@ -45,7 +46,7 @@
 }
 
 impl ServiceState {
-    /// When draining began, if it has. A shutdown continues a drain that was under way.
+    /// When draining started; `None` if the node is in service. A shutdown continues a drain that is in progress.
     fn draining_since(self) -> Option<Duration> {
         match self {
             ServiceState::InService => None,
@@ -55,7 +56,7 @@
     }
 }
 
-/// The state of a node.
+/// The lifecycle state of a node.
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
     settings: LifecycleSettings,
@@ -64,7 +65,7 @@
 }
 
 impl Lifecycle {
-    /// The state of a node that has just started: in service, but without endpoints.
+    /// Creates the state of a node that has just started: in service, but without known endpoints.
     pub fn new(settings: LifecycleSettings) -> Self {
         Lifecycle {
             settings,
@@ -103,7 +104,7 @@
         self.endpoints_known && !matches!(self.service, ServiceState::ShuttingDown { .. })
     }
 
-    /// Whether the node is out of service or shutting down: each response closes its connection.
+    /// Whether the node is out of service or shutting down, in which case each response closes its connection.
     pub fn is_draining(&self) -> bool {
         self.service.draining_since().is_some()
     }
--- a/crates/lifecycle/tests/lifecycle.rs
+++ b/crates/lifecycle/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of a node: health, draining and shutdown.
+//! Tests of the lifecycle of a node: health, draining and shutdown.
 
 use sillward_lifecycle::{Event, EventOutcome, Lifecycle, LifecycleSettings};
 use std::time::Duration;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn reports_unhealthy_at_once_and_closes_idle_connections_after_the_deregistration_delay() {
+fn reports_unhealthy_immediately_and_closes_idle_connections_after_the_deregistration_delay() {
     let mut node = node_in_service();
     assert_eq!(
         node.handle(at(1000), Event::OutOfService),
@@ -31,26 +31,29 @@
     );
     assert!(
         !node.is_healthy() && node.is_draining(),
-        "clients go to other nodes, each response closes its connection"
+        "the load balancer stops sending clients, and each response closes its connection"
     );
-    assert!(node.can_serve(), "the process itself could serve");
+    assert!(node.can_serve(), "a node out of service can still serve");
     assert!(!node.may_close_idle(at(1449)));
     assert!(node.may_close_idle(at(1450)));
 }
 
 #[test]
-fn does_not_restart_the_drain_on_a_repeated_call() {
+fn does_not_restart_the_drain_on_a_repeated_event() {
     let mut node = node_in_service();
     node.handle(at(1000), Event::OutOfService);
     assert_eq!(
         node.handle(at(1400), Event::OutOfService),
         EventOutcome::Applied
     );
-    assert!(node.may_close_idle(at(1450)), "counted from the first call");
+    assert!(
+        node.may_close_idle(at(1450)),
+        "the delay counts from the first event"
+    );
 }
 
 #[test]
-fn is_ready_at_once_when_returned_to_service_during_the_deregistration_delay() {
+fn is_healthy_immediately_when_returned_to_service_during_the_deregistration_delay() {
     let mut node = node_in_service();
     node.handle(at(1000), Event::OutOfService);
     assert_eq!(
@@ -62,7 +65,7 @@
     node.handle(at(9000), Event::OutOfService);
     assert!(
         !node.may_close_idle(at(9449)),
-        "a second drain has its own delay"
+        "a second drain has a new delay"
     );
 }
 
@@ -78,13 +81,13 @@
     assert!(!node.is_healthy() && !node.can_serve() && node.is_draining());
     assert!(
         node.may_close_idle(at(1450)),
-        "the drain began before the shutdown"
+        "the delay counts from the drain that preceded the shutdown"
     );
 }
 
-/// All sequences of six events: a node is healthy only if it knows its endpoints and is in service.
+/// Checks all sequences of six events: a node is healthy only if its endpoints are known and it is in service.
 #[test]
-fn is_healthy_in_no_order_of_events_while_out_of_service_or_shutting_down() {
+fn is_never_healthy_while_out_of_service_or_shutting_down_in_any_order_of_events() {
     let events = [
         Event::EndpointsKnown,
         Event::OutOfService,
--- a/crates/listener/src/connection.rs
+++ b/crates/listener/src/connection.rs
@@ -1,4 +1,4 @@
-//! One client connection: its state, its timeouts and its close.
+//! The state, timeouts and close of one client connection.
 
 use sillward_logging::log_peer;
 use sillward_runtime::time::{Instant, timeout_at};
@@ -8,35 +8,36 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// How long a client may take from its connection, or from the first byte of a later request, to the end of the request's
-/// head, or to its last byte where a protocol reads requests completely. The platform allows clients 2 s; the margin is small,
-/// since clients that send nothing occupy the node for so long.
+/// How long a client may take to send a request's head, or the whole request if the protocol reads requests completely. The
+/// time starts when the connection is accepted, or with the first byte of a later request. The platform allows clients 2 s;
+/// the margin is small because a silent client occupies a connection for this time.
 pub const READ_TIMEOUT: Duration = Duration::from_millis(2050);
-/// How long a connection stays open after its close was requested, if no request is open on it.
+/// How long a closing connection without an open request may stay open.
 pub const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// The most bytes that are read and discarded on a connection before it is closed.
+/// The maximum number of bytes that are read and discarded on a connection before it is closed.
 pub const MAX_DISCARDED_BYTES: usize = 1 << 20;
 
-/// How long a client may accept no byte of a response before its connection is closed.
+/// How long a client may accept no byte of a response before its connection is terminated.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(15);
-/// How long a connection without an open request is kept for the client's next one.
+/// How long a connection without an open request is kept open for the next request.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-const DISCARD_BUFFER: usize = 2048;
+/// The size of the buffer for discarded bytes.
+const DISCARD_BUFFER_BYTES: usize = 2048;
 
-/// What a connection is doing. See the methods of [`ClientConnection`] for the transitions.
+/// The state of a connection. The methods of [`ClientConnection`] make the transitions.
 #[derive(Clone, Copy, PartialEq)]
 enum ConnectionState {
-    /// Accepted; no request has been read yet.
+    /// Accepted, and no request was read yet.
     AwaitingFirstRequest,
     /// Between two requests.
     Idle { since: Instant },
-    /// A request's head, or all of the request, has been read, and its response has not ended.
+    /// A request's head, or the whole request, was read, and its response has not ended.
     RequestOpen,
-    /// Its close was requested, or its last response has ended.
+    /// Its close was requested while it was idle, or its last response has ended.
     Closing { since: Instant },
 }
 
-/// A timeout that has passed.
+/// A timeout that has expired.
 enum ExpiredTimeout {
     Write,
     RequestHead,
@@ -44,8 +45,8 @@
     Linger,
 }
 
-/// Since when a connection has been idle. The order is the one in which idle connections are closed for new ones: those that
-/// never sent a request come first, so that silent clients do not displace active ones.
+/// Since when a connection has been idle. The order is the order of eviction: connections that never sent a request come
+/// first, so that silent clients do not displace active ones.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum IdleSince {
     Accept(Instant),
@@ -60,19 +61,19 @@
     }
 }
 
-/// A client's connection, shared by its protocol's handler and the manager that accepted it.
+/// A client connection, shared by its protocol handler and the manager that accepted it.
 pub struct ClientConnection {
     socket: StreamHandle,
     accepted: Instant,
     state: Cell<ConnectionState>,
-    /// Asks the handler to close the connection when it can.
+    /// Asks the handler to close the connection after its open request, if any.
     close_requested: Notify,
-    /// Ends the connection at once.
+    /// Ends the connection immediately.
     terminated: Notify,
 }
 
 impl ClientConnection {
-    /// A connection that has just been accepted.
+    /// Creates the state of a connection that was just accepted.
     pub(crate) fn new(socket: StreamHandle) -> Rc<Self> {
         Rc::new(ClientConnection {
             socket,
@@ -83,21 +84,21 @@
         })
     }
 
-    /// To be called when a request's head, or all of the request, has been read.
+    /// Must be called when a request's head, or the whole request, was read.
     pub fn request_opened(&self) {
         self.state.set(ConnectionState::RequestOpen);
     }
 
-    /// No request is open any more: the connection waits for the next one.
-    pub(crate) fn become_idle(&self) {
+    /// Marks the connection as waiting for the next request. No request may be open.
+    pub(crate) fn mark_idle(&self) {
         self.socket.reset_first_received();
         self.state.set(ConnectionState::Idle {
             since: Instant::now(),
         });
     }
 
-    /// No request is open any more: the connection is to end.
-    pub(crate) fn become_closing(&self) {
+    /// Marks the connection as closing. No request may be open.
+    pub(crate) fn mark_closing(&self) {
         self.socket.reset_first_received();
         self.set_closing();
     }
@@ -107,24 +108,25 @@
         self.state.get() == ConnectionState::RequestOpen
     }
 
-    /// Whether the connection is open and no byte waits to be read.
+    /// Whether the connection is open and has no unread bytes.
     pub fn is_quiet(&self) -> bool {
         self.socket.read_would_block()
     }
 
-    /// Whether the client is still connected, as far as it shows without reading. One that has shut down its sending side
-    /// counts as disconnected.
+    /// Whether the client is still connected, as far as can be determined without reading. A client that has shut down its
+    /// sending side counts as disconnected.
     fn is_connected(&self) -> bool {
         !self.socket.has_peer_closed()
     }
 
-    /// A check whether the client is still connected, for callers that know nothing of connections.
+    /// Returns a function that checks whether the client is still connected, for callers that do not handle connections.
     pub fn connected_check(self: &Rc<Self>) -> Rc<dyn Fn() -> bool> {
         let connection = self.clone();
         Rc::new(move || connection.is_connected())
     }
 
-    /// Since when the connection has been idle, if no request is open or begun and no response waits to be written.
+    /// Since when the connection has been idle; `None` if a request is open or partly received, or if response bytes are
+    /// still unwritten.
     pub(crate) fn idle_since(&self) -> Option<IdleSince> {
         let idle_since = match self.state.get() {
             ConnectionState::AwaitingFirstRequest => IdleSince::Accept(self.accepted),
@@ -136,7 +138,7 @@
         unused.then_some(idle_since)
     }
 
-    /// Since when the connection has been closing, if it is.
+    /// Since when the connection has been closing; `None` if it is not.
     pub(crate) fn closing_since(&self) -> Option<Instant> {
         match self.state.get() {
             ConnectionState::Closing { since } => Some(since),
@@ -144,18 +146,18 @@
         }
     }
 
-    /// Whether bytes wait to be written that the client does not take.
+    /// Whether writes are blocked because the client does not read.
     pub(crate) fn is_write_blocked(&self) -> bool {
         self.socket.write_blocked_since().is_some()
     }
 
-    /// Closes the connection if a timeout has passed.
+    /// Closes or terminates the connection if a timeout has expired.
     pub(crate) fn enforce_timeouts(&self, now: Instant) {
         match self.expired_timeout(now) {
             None => {}
             Some(ExpiredTimeout::Write | ExpiredTimeout::Linger) => self.terminate(),
             Some(ExpiredTimeout::RequestHead) => {
-                log_peer("a client's request head was too slow");
+                log_peer("closed a client connection: timed out waiting for a request head");
                 self.terminate();
             }
             Some(ExpiredTimeout::Idle) => self.close(),
@@ -169,35 +171,37 @@
         }
         match self.state.get() {
             ConnectionState::RequestOpen => None,
-            // A response that the client still takes is not cut off.
+            // A response with unwritten bytes is not truncated here: the write timeout applies to it.
             ConnectionState::Closing { since } => (now > since + LINGER_TIMEOUT
                 && blocked.is_none())
             .then_some(ExpiredTimeout::Linger),
             ConnectionState::AwaitingFirstRequest => {
-                self.expired_while_waiting(now, Some(self.accepted), self.accepted)
+                self.expired_between_requests(now, Some(self.accepted), self.accepted)
             }
             ConnectionState::Idle { since } => {
-                self.expired_while_waiting(now, self.socket.first_received_at(), since)
+                self.expired_between_requests(now, self.socket.first_received_at(), since)
             }
         }
     }
 
-    /// The timeout that has passed on a connection that is idle, or on which a request's head began to come at `head_begun`.
-    fn expired_while_waiting(
+    /// The timeout that has expired on a connection that is idle, or that received the first byte of a request's head at
+    /// `head_started_at`.
+    fn expired_between_requests(
         &self,
         now: Instant,
-        head_begun: Option<Instant>,
+        head_started_at: Option<Instant>,
         idle_since: Instant,
     ) -> Option<ExpiredTimeout> {
-        let head_overdue = head_begun.is_some_and(|begun| now > begun + READ_TIMEOUT);
+        let head_overdue =
+            head_started_at.is_some_and(|started_at| now > started_at + READ_TIMEOUT);
         if head_overdue {
-            // Bytes that wait to be read may be the rest of the head, which a node that was held up itself reads late.
+            // Unread bytes may be the rest of the head, which the node reads late because it was delayed itself.
             return self.is_quiet().then_some(ExpiredTimeout::RequestHead);
         }
         (now > idle_since + IDLE_TIMEOUT).then_some(ExpiredTimeout::Idle)
     }
 
-    /// Closes the connection as soon as its handler can. For connections without an open request.
+    /// Starts to close a connection, which must have no open request. The handler closes it as soon as it can.
     pub(crate) fn close(&self) {
         self.set_closing();
         self.request_close();
@@ -208,29 +212,29 @@
         self.close_requested.notify_one();
     }
 
-    /// Waits until the connection is to close when it can. Returns once for each time that this is requested.
+    /// Waits for a request to close the connection. Returns once per request.
     pub async fn close_requested(&self) {
         self.close_requested.notified().await;
     }
 
-    /// Ends the connection at once.
+    /// Ends the connection immediately.
     pub(crate) fn terminate(&self) {
         self.terminated.notify_one();
     }
 
-    /// Waits until the connection is to end at once.
+    /// Waits until the connection must end immediately.
     pub(crate) async fn terminated(&self) {
         self.terminated.notified().await;
     }
 
-    /// Shuts down the sending side, and reads and discards what still comes, for [`LINGER_TIMEOUT`] and
-    /// [`MAX_DISCARDED_BYTES`] at the most. A socket closed over unread bytes is reset, and the client may lose the rest of
-    /// the last response.
+    /// Shuts down the sending side, then reads and discards incoming bytes until the client closes the connection, within
+    /// the limits [`LINGER_TIMEOUT`] and [`MAX_DISCARDED_BYTES`]. Closing a socket with unread bytes resets the connection,
+    /// and the client may lose the rest of the last response.
     pub async fn lingering_close(&self, stream: &Stream) {
         self.set_closing();
-        let _ = stream.shutdown_write(); // it may be shut already, or broken
+        let _ = stream.shutdown_write(); // fails if it is shut down already, or the connection is broken
         let until = Instant::now() + LINGER_TIMEOUT;
-        let mut buffer = vec![0; DISCARD_BUFFER];
+        let mut buffer = vec![0; DISCARD_BUFFER_BYTES];
         let mut discarded = 0;
         while let Ok(Ok(count)) = timeout_at(until, stream.read(&mut buffer)).await {
             discarded += count;
--- a/crates/listener/src/eviction.rs
+++ b/crates/listener/src/eviction.rs
@@ -1,37 +1,38 @@
-//! Which connection is closed when the limit is reached and a client waits to be served.
+//! Chooses the connection to close when the connection limit is reached and a new client waits.
 
 use crate::connection::{ClientConnection, IdleSince};
 use sillward_runtime::time::Instant;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a closing connection is given to end by itself before it is ended.
+/// How long a closing connection may take to end by itself before it is terminated.
 pub(crate) const CLOSE_GRACE: Duration = Duration::from_millis(10);
-/// How long a new client is given to send its first bytes. Without it, a full node would close each connection for the next
-/// one while its request is on the way.
+/// How long a new connection that has sent no bytes is exempt from eviction. Without this grace, a node at its limit would
+/// close each connection in favour of the next one while the request is still in transit.
 const FIRST_BYTES_GRACE: Duration = Duration::from_millis(20);
-/// At most one connection in so many has that grace: silent clients beyond that are closed.
-const FIRST_BYTES_GRACE_SHARE: usize = 8;
+/// The grace applies only while the number of connections within it is at most the connection limit divided by this.
+/// Beyond that, silent clients are closed too.
+const FIRST_BYTES_GRACE_DIVISOR: usize = 8;
 
-/// Closes one connection to make capacity for a new one. One that is closing already is waited for; otherwise an idle one is
-/// closed. A connection with an open request is never closed.
+/// Closes one connection to make room for a new one. If one is already closing, only terminates it, once
+/// [`CLOSE_GRACE`] has passed; otherwise closes an idle one. A connection with an open request is never closed.
 pub(crate) fn evict_connection<'a>(
     connections: impl Iterator<Item = &'a Rc<ClientConnection>> + Clone,
     max_connections: usize,
 ) {
     let now = Instant::now();
-    if let Some((since, connection)) = longest_closing(connections.clone()) {
+    if let Some((since, connection)) = find_longest_closing(connections.clone()) {
         if now > since + CLOSE_GRACE && !connection.is_write_blocked() {
             connection.terminate();
         }
         return;
     }
-    if let Some(connection) = idle_to_evict(connections, max_connections, now) {
+    if let Some(connection) = find_idle_to_evict(connections, max_connections, now) {
         connection.close();
     }
 }
 
-fn longest_closing<'a>(
+fn find_longest_closing<'a>(
     connections: impl Iterator<Item = &'a Rc<ClientConnection>>,
 ) -> Option<(Instant, &'a Rc<ClientConnection>)> {
     connections
@@ -39,8 +40,8 @@
         .min_by_key(|(since, _)| *since)
 }
 
-/// The first idle connection, in the order of [`IdleSince`], on which no byte waits to be read.
-fn idle_to_evict<'a>(
+/// The first idle connection without unread bytes, in the order of [`IdleSince`].
+fn find_idle_to_evict<'a>(
     connections: impl Iterator<Item = &'a Rc<ClientConnection>>,
     max_connections: usize,
     now: Instant,
@@ -48,13 +49,13 @@
     let mut idle: Vec<_> = connections
         .filter_map(|connection| Some((connection.idle_since()?, connection)))
         .collect();
-    let has_grace = |idle_since: IdleSince| match idle_since {
+    let is_in_grace = |idle_since: IdleSince| match idle_since {
         IdleSince::Accept(accepted) => now < accepted + FIRST_BYTES_GRACE,
         IdleSince::LastRequest(_) => false,
     };
-    let with_grace = idle.iter().filter(|(since, _)| has_grace(*since)).count();
-    if with_grace <= (max_connections / FIRST_BYTES_GRACE_SHARE).max(1) {
-        idle.retain(|(since, _)| !has_grace(*since));
+    let in_grace_count = idle.iter().filter(|(since, _)| is_in_grace(*since)).count();
+    if in_grace_count <= (max_connections / FIRST_BYTES_GRACE_DIVISOR).max(1) {
+        idle.retain(|(since, _)| !is_in_grace(*since));
     }
     idle.sort_unstable_by_key(|(since, _)| *since);
     idle.into_iter()
--- a/crates/listener/src/lib.rs
+++ b/crates/listener/src/lib.rs
@@ -1,6 +1,6 @@
-//! Client connections, whatever protocol they speak: accepted, limited in number, timed out and closed gracefully.
+//! Client connections, independent of the protocol: accepting, connection limit, timeouts and graceful close.
 //!
-//! [`ConnectionManager`] accepts connections and owns their limits and timeouts. A protocol implements
+//! [`ConnectionManager`] accepts connections and enforces their limit and timeouts. A protocol implements
 //! [`ConnectionHandler`] and reports the progress of each connection's requests to its [`ClientConnection`] and to the
 //! manager. [`SharedLifecycle`] is the lifecycle that all managers of a process share.
 #![forbid(unsafe_code)]
--- a/crates/listener/src/lifecycle.rs
+++ b/crates/listener/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle that all connection managers and protocols of a process share.
+//! The lifecycle shared by all connection managers and protocols of a process.
 
 use sillward_lifecycle::{Event, EventOutcome, Lifecycle, LifecycleSettings};
 use sillward_runtime::Clock;
@@ -7,25 +7,25 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long the platform may still send new connections after SIGTERM, or after the node reports that it is out of
-/// service: up to 0.4 s. Where processes replace each other, the newer one accepts them.
+/// How long new connections are accepted after SIGTERM, or after the node reports that it is out of service. The platform
+/// may send new connections for up to 0.4 s more. During a hot restart, the newer process accepts them.
 pub(crate) const ACCEPT_PERIOD: Duration = Duration::from_millis(450);
-/// How long the connections accepted last then have to send their request before idle connections are closed.
+/// How long the connections accepted last then have to send a request before idle connections are closed.
 pub(crate) const LAST_REQUEST_PERIOD: Duration = Duration::from_millis(100);
-/// How often a process that cannot serve yet checks whether it can.
+/// The interval at which a process that cannot serve yet checks whether it can.
 const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The lifecycle of this process.
+/// The lifecycle of this process, with its clock.
 pub struct SharedLifecycle {
     clock: Clock,
     lifecycle: RefCell<Lifecycle>,
-    /// Set by service discovery.
+    /// Set by discovery.
     endpoints_known: Rc<Cell<bool>>,
 }
 
 impl SharedLifecycle {
-    /// The lifecycle of a process that has just started. `endpoints_known` is to be set once the process knows enough
-    /// endpoints to serve.
+    /// Creates the lifecycle of a process that has just started. Discovery sets `endpoints_known` once the process knows
+    /// enough endpoints to serve.
     pub fn new(clock: Clock, endpoints_known: Rc<Cell<bool>>) -> Rc<Self> {
         let settings = LifecycleSettings {
             deregistration_delay: ACCEPT_PERIOD + LAST_REQUEST_PERIOD,
--- a/crates/listener/src/manager.rs
+++ b/crates/listener/src/manager.rs
@@ -1,4 +1,4 @@
-//! The connections of one listener: accepted, limited in number, and closed gracefully when the node stops.
+//! Accepts the connections of one listener, limits their number, and closes them gracefully when the node stops.
 
 use crate::connection::ClientConnection;
 use crate::eviction::{CLOSE_GRACE, evict_connection};
@@ -15,16 +15,17 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// How long a connection must have been idle to be closed while the node drains: a new one is about to send a request.
+/// How long a connection must have been idle to be closed while the node is draining: a client that has just
+/// connected is about to send a request.
 const DRAINING_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
-/// How often the timeouts of connections are checked.
+/// The interval between checks of the timeouts of connections.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// The pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// The protocol spoken on a connection.
 pub trait ConnectionHandler: 'static {
-    /// Serves a client until its connection ends. If the future is dropped, the connection closes at once.
+    /// Serves a client until its connection ends. Dropping the future closes the connection immediately.
     fn serve(
         self: Rc<Self>,
         stream: Stream,
@@ -35,51 +36,52 @@
 /// Which processes accept from a listening socket.
 #[derive(Clone, Copy, PartialEq)]
 pub enum ListenerOwnership {
-    /// This one alone: connections that wait in its queue when it closes are reset.
+    /// Only this process. Connections in the accept queue are reset when the socket closes.
     Exclusive,
-    /// Also the one that replaces it: connections that wait in the queue are left to that one.
+    /// Also the process that replaces it in a hot restart, which accepts the connections left in the accept queue.
     Shared,
 }
 
-/// What becomes of a connection after a response.
+/// What happens to a connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterRequest {
-    /// It waits for the client's next request.
+    /// The connection waits for the client's next request.
     KeepAlive,
-    /// It ends.
+    /// The connection is closed.
     Close,
 }
 
-/// A connection's key, in the order of acceptance.
+/// Identifies a connection. The IDs are in the order of acceptance.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ConnectionId(u64);
 
-/// Accepts the connections of one listener, and owns their number, their timeouts and their end.
+/// Accepts the connections of one listener, and enforces their limit, their timeouts and their close.
 pub struct ConnectionManager {
     lifecycle: Rc<SharedLifecycle>,
     last_id: Cell<ConnectionId>,
-    /// The longest time that a request may take, as it is when it is called.
-    longest_deadline: Box<dyn Fn() -> Duration>,
+    /// Returns the maximum duration of a request under the current settings.
+    max_request_duration: Box<dyn Fn() -> Duration>,
     connections: RefCell<BTreeMap<ConnectionId, Rc<ClientConnection>>>,
     max_connections: Cell<usize>,
-    /// A connection that was accepted and waits for capacity. It outlives a cancelled accept, since it may carry a
-    /// request already.
+    /// An accepted connection that waits for capacity. It is kept when the accept loop is cancelled, since it may already
+    /// carry a request.
     pending: RefCell<Option<TcpStream>>,
     /// Notified when a connection has ended or become idle, and when the limit has changed.
     capacity_changed: Notify,
 }
 
 impl ConnectionManager {
-    /// A manager of at most `max_connections`, whose requests have their response within `longest_deadline`.
+    /// Creates a manager of at most `max_connections` connections. Every request has its response within
+    /// `max_request_duration`.
     pub fn new(
         lifecycle: Rc<SharedLifecycle>,
         max_connections: usize,
-        longest_deadline: impl Fn() -> Duration + 'static,
+        max_request_duration: impl Fn() -> Duration + 'static,
     ) -> Rc<Self> {
         Rc::new(ConnectionManager {
             lifecycle,
             last_id: Cell::new(ConnectionId(0)),
-            longest_deadline: Box::new(longest_deadline),
+            max_request_duration: Box::new(max_request_duration),
             connections: RefCell::default(),
             max_connections: Cell::new(max_connections),
             pending: RefCell::default(),
@@ -92,13 +94,13 @@
         self.connections.borrow().len()
     }
 
-    /// Changes the limit. Connections that are open stay open.
+    /// Changes the connection limit. Open connections stay open.
     pub fn set_max_connections(&self, max_connections: usize) {
         self.max_connections.set(max_connections);
         self.capacity_changed.notify_one();
     }
 
-    /// What becomes of connections after their next response: they end if the node is out of service or shutting down.
+    /// What happens to a connection after its next response: it is closed if the node is out of service or shutting down.
     pub fn after_request(&self) -> AfterRequest {
         if self.lifecycle.is_draining() {
             AfterRequest::Close
@@ -107,19 +109,20 @@
         }
     }
 
-    /// To be called when a connection has no open request any more.
+    /// Must be called when a connection no longer has an open request.
     pub fn request_finished(&self, connection: &ClientConnection, after_request: AfterRequest) {
         match after_request {
-            AfterRequest::KeepAlive => connection.become_idle(),
-            AfterRequest::Close => connection.become_closing(),
+            AfterRequest::KeepAlive => connection.mark_idle(),
+            AfterRequest::Close => connection.mark_closing(),
         }
         if self.is_full() {
             self.capacity_changed.notify_one(); // a pending connection may replace this one
         }
     }
 
-    /// Serves clients until `shutdown`, then shuts down gracefully: new connections are accepted for a while, requests get
-    /// their responses, and the connections are closed. Returns when all have ended, or when the longest deadline has passed.
+    /// Serves clients until `shutdown` completes, then shuts down gracefully: accepts new connections for a limited time,
+    /// lets requests get their responses, and closes the connections. Returns when all connections have ended, or after the
+    /// maximum duration of a request.
     pub async fn run<H: ConnectionHandler>(
         self: Rc<Self>,
         handler: Rc<H>,
@@ -128,13 +131,13 @@
         shutdown: impl Future<Output = ()>,
     ) {
         spawn_local(self.clone().check_timeouts());
-        // A cancelled accept loses nothing: what it accepted is in `pending`.
+        // Cancelling the accept loop loses no connection: one that was accepted but not served is in `pending`.
         tokio::select! {
             biased;
             () = shutdown => {}
             () = self.accept_connections(&handler, &listener) => {}
         }
-        log("told to stop: not ready any more, finishing open requests");
+        log("told to stop: no longer ready, finishing open requests");
         self.lifecycle.handle(Event::ShutDown);
         self.serve_pending(&handler);
         match ownership {
@@ -144,7 +147,7 @@
             }
             ListenerOwnership::Shared => {
                 drop(listener);
-                // Clients keep using their connections, and learn from the next response that it is the last.
+                // Clients keep using their connections until a response tells them that the connection closes.
                 sleep(ACCEPT_PERIOD).await;
             }
         }
@@ -152,8 +155,8 @@
         self.close_all().await;
     }
 
-    /// Accepts what the platform still sends, and then what waits in the queue: a connection in the queue may carry a request
-    /// already, and closing the listener would reset it.
+    /// Accepts the connections that the platform still sends, and then those in the accept queue. A queued connection may
+    /// already carry a request, and closing the listener would reset it.
     async fn drain_accept_queue<H: ConnectionHandler>(
         self: &Rc<Self>,
         handler: &Rc<H>,
@@ -166,8 +169,8 @@
         }
     }
 
-    /// Requests the close of all connections, and waits for their end. Every request has its response by its deadline; a
-    /// client that is connected after that has sent part of a request at most.
+    /// Requests the close of all connections and waits until they have ended. Every request has its response by its
+    /// deadline, so a client that is still connected after that has sent no more than part of a request.
     async fn close_all(&self) {
         self.connections
             .borrow()
@@ -178,13 +181,13 @@
                 self.capacity_changed.notified().await;
             }
         };
-        let longest_deadline = (self.longest_deadline)();
-        if timeout(longest_deadline, all_ended).await.is_err() {
-            log("a client did not end its connection in time");
+        let max_request_duration = (self.max_request_duration)();
+        if timeout(max_request_duration, all_ended).await.is_err() {
+            log("client connections were still open at the end of the graceful shutdown");
         }
     }
 
-    /// Enforces the timeouts of connections, for as long as the process runs.
+    /// Enforces the timeouts of connections for as long as the process runs.
     async fn check_timeouts(self: Rc<Self>) {
         loop {
             sleep(TIMEOUT_CHECK_INTERVAL).await;
@@ -199,7 +202,7 @@
         }
     }
 
-    /// Closes idle connections while the node drains, but none on which a request has begun to come.
+    /// Closes idle connections while the node is draining, except those that have received part of a request.
     fn close_idle(&self, now: Instant) {
         for connection in self.connections.borrow().values() {
             let idle = connection
@@ -234,9 +237,9 @@
             Ok((stream, _)) => {
                 self.pending.replace(Some(stream));
             }
-            Err(e) => {
-                // The process is out of descriptors, or the client has left already: neither is a reason to end.
-                log_peer(format_args!("cannot accept: {e}"));
+            Err(error) => {
+                // The process has no file descriptors left, or the client has already disconnected. Neither is fatal.
+                log_peer(format_args!("cannot accept a client connection: {error}"));
                 self.evict_connection();
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
@@ -269,7 +272,7 @@
         let manager = self.clone();
         let handler = handler.clone();
         spawn_local(async move {
-            // Once terminated, the handler's future is dropped, and the connection with it.
+            // Termination drops the handler's future, which closes the connection.
             tokio::select! {
                 biased;
                 () = handler.serve(stream, connection.clone()) => {}
--- a/crates/pool/src/backend_connections.rs
+++ b/crates/pool/src/backend_connections.rs
@@ -1,4 +1,4 @@
-//! What a pool knows of one backend: its address, its idle connections and the attempts that wait for one.
+//! The state of one backend in a pool: its address, its idle connections and the attempts that wait for one.
 
 use crate::{Acquired, Connection, ConnectionProtocol};
 use sillward_balancer::{Endpoint, Outcome, ServerState};
@@ -11,7 +11,7 @@
 pub(crate) struct IdleConnection<P: ConnectionProtocol> {
     connection: Connection<P>,
     since: Duration,
-    /// When a late second response to its last request would have arrived.
+    /// When the reuse delay ends, by which a duplicate response to its last request would have arrived.
     reusable_at: Duration,
 }
 
@@ -20,17 +20,17 @@
     pub(crate) address: Option<SocketAddr>,
     pub(crate) state: ServerState,
     started_at: Option<Duration>,
-    /// Counts the incarnations and addresses of the backend: connections of an earlier epoch are not reused.
+    /// Counts changes of the backend that make its connections unusable. Connections of an earlier epoch are not reused.
     pub(crate) epoch: u64,
     /// When the pool was notified that the backend is draining or removed.
     pub(crate) drain_notified_at: Option<Duration>,
-    /// Idle connections, the last used one last.
+    /// Idle connections in the order in which they became idle.
     idle: Vec<IdleConnection<P>>,
-    /// Attempts that wait until an idle connection is reusable: never more than there are idle connections.
+    /// The number of attempts that wait until an idle connection is reusable: at most one per idle connection.
     pub(crate) waiting_for_idle: usize,
-    /// Attempts that wait for a connection, the longest waiting first.
+    /// Attempts that wait for a connection, in the order of arrival.
     pub(crate) waiters: VecDeque<oneshot::Sender<Acquired<P>>>,
-    /// Dials in progress: never fewer than waiters, when a waiter is added.
+    /// The number of dials in progress, at least the number of waiters whenever a waiter is added.
     pub(crate) dials: usize,
 }
 
@@ -51,9 +51,9 @@
 }
 
 impl<P: ConnectionProtocol> BackendConnections<P> {
-    /// Takes in the backend's entry in the endpoint list.
+    /// Applies the backend's entry in the endpoint list.
     pub(crate) fn update(&mut self, endpoint: &Endpoint, address: SocketAddr, now: Duration) {
-        let has_moved = self.address != Some(address) || self.started_at != endpoint.started_at;
+        let is_replaced = self.address != Some(address) || self.started_at != endpoint.started_at;
         let is_ready = endpoint.state == ServerState::Ready;
         self.address = Some(address);
         self.started_at = endpoint.started_at;
@@ -63,31 +63,31 @@
         } else {
             self.drain_notified_at.get_or_insert(now);
         }
-        // Connections to an earlier incarnation, or to a backend that accepts no new requests, are of no more use.
-        if has_moved || !is_ready {
-            self.begin_epoch();
+        // Connections to an earlier incarnation, or to a backend that accepts no new requests, are no longer usable.
+        if is_replaced || !is_ready {
+            self.start_epoch();
         }
     }
 
-    /// The backend is no longer in the endpoint list.
+    /// Marks the backend as no longer in the endpoint list.
     pub(crate) fn remove(&mut self, now: Duration) {
         self.state = ServerState::Removed;
         self.drain_notified_at.get_or_insert(now);
-        self.begin_epoch();
+        self.start_epoch();
     }
 
-    /// Closes the idle connections, and those in use once they are released.
-    fn begin_epoch(&mut self) {
+    /// Starts a new epoch: closes the idle connections, and those in use when they are released.
+    fn start_epoch(&mut self) {
         self.epoch += 1;
         self.idle.clear();
     }
 
-    /// Whether nothing of it is needed any more. A dial in progress still looks for its entry.
+    /// Whether the state can be dropped. A dial in progress still needs it.
     pub(crate) fn is_obsolete(&self) -> bool {
         self.state == ServerState::Removed && self.dials == 0
     }
 
-    /// Adds an idle connection, unless it can't be used again.
+    /// Adds an idle connection, or closes it if it can't be reused.
     pub(crate) fn add_idle(
         &mut self,
         connection: Connection<P>,
@@ -107,7 +107,7 @@
         });
     }
 
-    /// Takes the most recently used connection that is reusable, and closes those found on the way that never will be.
+    /// Takes the reusable connection that became idle last. Closes unusable and expired ones that it finds first.
     pub(crate) fn take_idle(
         &mut self,
         now: Duration,
@@ -122,14 +122,15 @@
         None
     }
 
-    /// When the next idle connection is reusable that no other attempt waits for. They became idle in this order.
+    /// When the next idle connection that no other attempt waits for becomes reusable. The connections are in the order
+    /// in which they became idle.
     pub(crate) fn next_reusable_at(&self) -> Option<Duration> {
         self.idle
             .get(self.waiting_for_idle)
             .map(|idle| idle.reusable_at)
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Drops connections that the backend has closed or that have reached the idle timeout.
     pub(crate) fn close_expired(&mut self, now: Duration, idle_timeout: Duration) {
         self.idle.retain(|idle| {
             !P::is_closed(&idle.connection.session) && now.saturating_sub(idle.since) < idle_timeout
@@ -141,12 +142,12 @@
         self.idle.clear();
     }
 
-    /// How long the longest idle connection has been so.
+    /// When the connection that has been idle longest became idle.
     pub(crate) fn idle_since(&self) -> Option<Duration> {
         self.idle.first().map(|idle| idle.since)
     }
 
-    /// Closes the longest idle connection. There must be one.
+    /// Closes the connection that has been idle longest. Panics if there is none.
     pub(crate) fn close_longest_idle(&mut self) {
         drop(self.idle.remove(0));
     }
@@ -157,12 +158,13 @@
         self.idle.len()
     }
 
-    /// Forgets the waiters that have left.
+    /// Removes the waiters whose attempt has ended.
     pub(crate) fn drop_closed_waiters(&mut self) {
         self.waiters.retain(|waiter| !waiter.is_closed());
     }
 
-    /// Gives reusable connections to the waiters, the longest waiting first. Their dials serve later requests.
+    /// Gives reusable connections to the waiters, in the order of arrival. Connections from their dials serve later
+    /// requests.
     pub(crate) fn serve_waiters(&mut self, now: Duration, idle_timeout: Duration) {
         self.drop_closed_waiters();
         while !self.waiters.is_empty() {
@@ -178,14 +180,14 @@
         }
     }
 
-    /// Fails as many waiters as there are more of than dials, the longest waiting first.
+    /// Fails the waiters in excess of the dials in progress, in the order of arrival.
     pub(crate) fn fail_excess_waiters(&mut self, outcome: Outcome) {
         self.drop_closed_waiters();
         while self.waiters.len() > self.dials {
             let Some(waiter) = self.waiters.pop_front() else {
                 break;
             };
-            let _ = waiter.send(Err(outcome)); // fails only if the waiter has just left
+            let _ = waiter.send(Err(outcome)); // fails only if the attempt has just ended
         }
     }
 }
--- a/crates/pool/src/connection_limit.rs
+++ b/crates/pool/src/connection_limit.rs
@@ -1,16 +1,16 @@
-//! The limit of open connections.
+//! The limit on open connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The limit of connections to backends, shared by all pools.
+/// The limit on connections to backends, shared by all pools.
 pub struct ConnectionLimit {
     open: Cell<usize>,
     max: Cell<usize>,
 }
 
 impl ConnectionLimit {
-    /// A limit of `max` connections.
+    /// Creates a limit of `max` connections.
     pub fn new(max: usize) -> Rc<Self> {
         Rc::new(ConnectionLimit {
             open: Cell::new(0),
@@ -23,29 +23,29 @@
         self.max.set(max);
     }
 
-    /// The number of connections that are open, idle or being dialled.
+    /// The number of connections that are open, in use or idle, or being dialled.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Whether no further connection may be opened.
+    /// Whether no more connections may be opened.
     pub(crate) fn is_reached(&self) -> bool {
         self.open.get() >= self.max.get()
     }
 
-    /// Whether more than half of the connections are open.
+    /// Whether more than half of the allowed connections are open.
     pub(crate) fn is_over_half(&self) -> bool {
         2 * self.open.get() > self.max.get()
     }
 
-    /// Counts a connection that is about to be dialled, whatever the limit.
+    /// Counts a connection that is about to be dialled, without checking the limit.
     pub(crate) fn reserve(self: &Rc<Self>) -> ConnectionSlot {
         self.open.set(self.open.get() + 1);
         ConnectionSlot(self.clone())
     }
 }
 
-/// A connection that is counted, until this is dropped.
+/// Counts one connection against the limit until it is dropped.
 pub(crate) struct ConnectionSlot(Rc<ConnectionLimit>);
 
 impl Drop for ConnectionSlot {
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,7 +1,8 @@
-//! The pool of connections to backends: which backends may be sent to, where they listen, and which connections are
-//! open and idle.
+//! Pools of connections to backends. A pool tracks the addresses and states of the backends, and their open and idle
+//! connections.
 //!
-//! It knows no protocol: what sends requests over a connection is made by a [`ConnectionProtocol`].
+//! The pool is independent of the protocol: a [`ConnectionProtocol`] creates the session that sends requests over a
+//! connection.
 #![forbid(unsafe_code)]
 
 mod backend_connections;
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of the connections of one protocol.
+//! The connection pool of one protocol.
 
 mod acquire;
 mod dial;
@@ -19,9 +19,9 @@
 
 pub use release::REUSE_DELAY;
 
-/// Idle connections are swept so often within the idle timeout.
+/// The number of sweeps of idle connections per idle timeout.
 const SWEEPS_PER_IDLE_TIMEOUT: u32 = 8;
-/// The shortest time between two sweeps.
+/// The minimum interval between two sweeps.
 const MIN_SWEEP_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The connections of one protocol to all its backends.
@@ -32,8 +32,8 @@
     timeouts: Cell<PoolTimeouts>,
     backends: RefCell<BTreeMap<ServerId, BackendConnections<P>>>,
     limit: Rc<ConnectionLimit>,
-    /// How long a successful dial takes, smoothed.
-    usual_dial_time: Cell<Duration>,
+    /// The exponentially weighted moving average of the durations of successful dials.
+    smoothed_dial_time: Cell<Duration>,
 }
 
 impl<P: ConnectionProtocol> Pool<P> {
@@ -50,7 +50,7 @@
             timeouts: Cell::new(timeouts),
             backends: RefCell::default(),
             limit,
-            usual_dial_time: Cell::new(dial::initial_dial_time(timeouts.connect_timeout)),
+            smoothed_dial_time: Cell::new(dial::initial_dial_time(timeouts.connect_timeout)),
         });
         spawn_local(pool.clone().sweep_periodically());
         pool
@@ -61,7 +61,7 @@
         self.timeouts.set(timeouts);
     }
 
-    /// Takes in a change of the endpoint list.
+    /// Applies an endpoint update.
     pub fn update_backends(&self, update: &BackendUpdate, now: Duration) {
         let mut backends = self.backends.borrow_mut();
         if matches!(update.kind, EndpointUpdate::Full | EndpointUpdate::Cached) {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Where a backend listens; `None` if nothing may be sent there, as when its drain grace has passed.
+    /// The address of a backend; `None` if no request may be sent to it, for instance because its drain grace has passed.
     pub fn usable_address(&self, server: ServerId) -> Option<SocketAddr> {
         let backends = self.backends.borrow();
         let backend = backends.get(&server)?;
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Closes connections that have been idle for too long, before the backend does.
+    /// Closes connections that have reached the idle timeout, before the backend closes them.
     fn sweep(&self) {
         let now = self.clock.now();
         let idle_timeout = self.timeouts.get().idle_timeout;
@@ -114,7 +114,7 @@
         drop_obsolete(&mut backends);
     }
 
-    /// Closes the longest idle connection to any backend; false if there is none.
+    /// Closes the connection, of all backends, that has been idle longest. Returns false if there is none.
     fn close_longest_idle(&self) -> bool {
         let mut backends = self.backends.borrow_mut();
         let longest = backends
@@ -131,7 +131,7 @@
     }
 }
 
-/// Marks the backends as removed that are not in a full list.
+/// Marks the backends that are not in a full list as removed.
 fn remove_unlisted<P: ConnectionProtocol>(
     backends: &mut BTreeMap<ServerId, BackendConnections<P>>,
     list: &[Backend],
@@ -145,7 +145,7 @@
     }
 }
 
-/// Drops removed backends, which would add up over days.
+/// Drops the state of removed backends, which would otherwise accumulate over days.
 fn drop_obsolete<P: ConnectionProtocol>(backends: &mut BTreeMap<ServerId, BackendConnections<P>>) {
     backends.retain(|_, backend| !backend.is_obsolete());
 }
--- a/crates/pool/src/pool/acquire.rs
+++ b/crates/pool/src/pool/acquire.rs
@@ -1,4 +1,4 @@
-//! Acquiring a connection: an idle one, or whichever of a released and a new one is ready first.
+//! Acquiring a connection: an idle one, or a released or new one, whichever is available first.
 
 use super::Pool;
 use super::dial::{DialKind, DialTarget};
@@ -12,23 +12,22 @@
 use tokio::sync::oneshot;
 
 impl<P: ConnectionProtocol> Pool<P> {
-    /// Acquires the most recently used idle connection, or whichever is ready first: an idle one that becomes
-    /// reusable, a released one or a new one.
+    /// Acquires the connection that became idle last. If none is reusable, waits until an idle one is, or else for a
+    /// released or a new one, whichever is available first.
     ///
-    /// Cancellation safe: a connection that was delivered but not received goes back to the pool.
+    /// Cancel safe: a connection that was delivered but not received is returned to the pool.
     ///
     /// # Errors
-    /// The outcome of the attempt: [`Outcome::ConnectFailed`], or [`Outcome::NotSent`] if the cause is not the
-    /// backend's.
+    /// The outcome of the attempt: [`Outcome::ConnectFailed`], or [`Outcome::NotSent`] if the backend is not the cause.
     pub async fn acquire(self: &Rc<Self>, server: ServerId) -> Acquired<P> {
         loop {
             match self.take_idle(server)? {
-                Idle::Ready(connection) => return Ok(connection),
-                Idle::ReusableAt(reusable_at) => {
-                    let _waiting = IdleWaiter::new(self, server);
+                IdleLookup::Ready(connection) => return Ok(connection),
+                IdleLookup::ReusableAt(reusable_at) => {
+                    let _waiting = IdleWaitGuard::new(self, server);
                     sleep_until(self.clock.instant(reusable_at)).await;
                 }
-                Idle::None => break,
+                IdleLookup::None => break,
             }
         }
         let mut waiter = ConnectionWaiter {
@@ -40,20 +39,19 @@
             .unwrap_or(Err(Outcome::NotSent))
     }
 
-    fn take_idle(&self, server: ServerId) -> Result<Idle<P>, Outcome> {
+    fn take_idle(&self, server: ServerId) -> Result<IdleLookup<P>, Outcome> {
         let mut backends = self.backends.borrow_mut();
         let backend = backends.get_mut(&server).ok_or(Outcome::NotSent)?;
         let idle_timeout = self.timeouts.get().idle_timeout;
         if let Some(connection) = backend.take_idle(self.clock.now(), idle_timeout) {
-            return Ok(Idle::Ready(connection));
+            return Ok(IdleLookup::Ready(connection));
         }
         Ok(backend
             .next_reusable_at()
-            .map_or(Idle::None, Idle::ReusableAt))
+            .map_or(IdleLookup::None, IdleLookup::ReusableAt))
     }
 
-    /// Waits in the queue of the backend's connections. Starts a dial unless one is in progress that no other waits
-    /// for.
+    /// Adds a waiter to the backend's queue. Starts a dial unless one is in progress that no other waiter needs.
     fn enqueue(
         self: &Rc<Self>,
         server: ServerId,
@@ -68,7 +66,7 @@
         Ok(receiver)
     }
 
-    /// What one more waiter needs dialled, if anything.
+    /// The target to dial for one more waiter; `None` if the dials in progress suffice.
     fn dial_target(&self, server: ServerId) -> Result<Option<DialTarget>, Outcome> {
         let mut backends = self.backends.borrow_mut();
         let backend = backends.get_mut(&server).ok_or(Outcome::NotSent)?;
@@ -86,7 +84,7 @@
 
     fn start_dial(self: &Rc<Self>, target: DialTarget) -> Result<(), Outcome> {
         if self.limit.is_reached() && !self.close_longest_idle() {
-            log_peer("no connection is available for an attempt: it was not sent");
+            log_peer("an attempt was not sent: the limit on backend connections is reached");
             return Err(Outcome::NotSent);
         }
         let mut backends = self.backends.borrow_mut();
@@ -100,32 +98,32 @@
     }
 }
 
-/// The idle connections to a backend.
-enum Idle<P: ConnectionProtocol> {
-    /// One that may be used.
+/// The result of looking for an idle connection to a backend.
+enum IdleLookup<P: ConnectionProtocol> {
+    /// A connection that may be used.
     Ready(Connection<P>),
-    /// The next one will be reusable then.
+    /// The time when the next connection becomes reusable.
     ReusableAt(Duration),
-    /// There is none, or others wait for each.
+    /// There is no idle connection, or other attempts wait for each of them.
     None,
 }
 
-/// An attempt that waits until an idle connection is reusable.
-struct IdleWaiter<'a, P: ConnectionProtocol> {
+/// Counts an attempt that waits until an idle connection is reusable, until it is dropped.
+struct IdleWaitGuard<'a, P: ConnectionProtocol> {
     pool: &'a Pool<P>,
     server: ServerId,
 }
 
-impl<'a, P: ConnectionProtocol> IdleWaiter<'a, P> {
+impl<'a, P: ConnectionProtocol> IdleWaitGuard<'a, P> {
     fn new(pool: &'a Pool<P>, server: ServerId) -> Self {
         if let Some(backend) = pool.backends.borrow_mut().get_mut(&server) {
             backend.waiting_for_idle += 1;
         }
-        IdleWaiter { pool, server }
+        IdleWaitGuard { pool, server }
     }
 }
 
-impl<P: ConnectionProtocol> Drop for IdleWaiter<'_, P> {
+impl<P: ConnectionProtocol> Drop for IdleWaitGuard<'_, P> {
     fn drop(&mut self) {
         if let Some(backend) = self.pool.backends.borrow_mut().get_mut(&self.server) {
             backend.waiting_for_idle = backend.waiting_for_idle.saturating_sub(1);
@@ -133,8 +131,8 @@
     }
 }
 
-/// An attempt in the queue. Dropped, it returns a connection that was delivered meanwhile: it has cost the backend a
-/// handshake.
+/// An attempt in the queue. When dropped, it returns a connection that was delivered but not received, since a new one
+/// would cost the backend another handshake.
 struct ConnectionWaiter<'a, P: ConnectionProtocol> {
     pool: &'a Pool<P>,
     receiver: oneshot::Receiver<Acquired<P>>,
--- a/crates/pool/src/pool/dial.rs
+++ b/crates/pool/src/pool/dial.rs
@@ -1,5 +1,5 @@
-//! Dialling backends. A slow dial is hedged with a second one; a connection that comes up too late for its attempt
-//! serves a later request.
+//! Dialling backends. A slow dial is hedged with a second one, and a connection that is established too late for its
+//! attempt serves a later request.
 
 use super::Pool;
 use crate::connection_limit::ConnectionSlot;
@@ -15,19 +15,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A dial that has failed for its attempt is abandoned after so many times the connect timeout more.
+/// A dial that has timed out for its attempt is abandoned after this multiple of the connect timeout more.
 const LATE_DIAL_FACTOR: u32 = 4;
-/// A dial that has taken so many times the usual time is slow.
+/// A dial is slow once it has taken this multiple of the smoothed dial time.
 const SLOW_DIAL_FACTOR: u32 = 3;
-/// The weights of the previous estimate and of a new dial in the smoothed dial time.
+/// The weights of the previous value and of a new sample in the smoothed dial time.
 const PREVIOUS_WEIGHT: f64 = 0.875;
-const NEW_WEIGHT: f64 = 0.125;
-/// The system's error numbers for a lack of descriptors or ports.
+const SAMPLE_WEIGHT: f64 = 0.125;
+/// Linux error numbers for a shortage of file descriptors or local ports.
 const EMFILE: i32 = 24;
 const ENFILE: i32 = 23;
 const EADDRNOTAVAIL: i32 = 99;
 
-/// What is dialled, and until when an attempt waits for it.
+/// The target of a dial, and the time until which an attempt waits for it.
 #[derive(Clone, Copy)]
 pub(super) struct DialTarget {
     pub(super) server: ServerId,
@@ -36,35 +36,35 @@
     pub(super) deadline: Instant,
 }
 
-/// Whether a dial may be hedged.
+/// Whether a dial is the first one or its hedge.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum DialKind {
-    /// The first dial, which is hedged if it is slow.
+    /// The first dial, which may be hedged if it is slow.
     First,
-    /// The second dial beside a slow one.
+    /// The second dial, started because the first is slow.
     Hedge,
 }
 
-/// The estimate before the first dial: no dial is slow before its timeout.
+/// The smoothed dial time before the first dial, chosen so that no dial is slow before its timeout.
 pub(super) fn initial_dial_time(connect_timeout: Duration) -> Duration {
     connect_timeout / SLOW_DIAL_FACTOR
 }
 
 impl<P: ConnectionProtocol> Pool<P> {
-    /// Opens a connection and gives it to the longest waiting attempt.
+    /// Opens a connection and gives it to the attempt that has waited longest.
     ///
-    /// When the deadline passes, the dial has failed for that attempt; a connection that comes up a little later has
-    /// cost the backend a handshake and serves a later request.
+    /// At the deadline, the dial has failed for that attempt. A connection that is established a little later serves a
+    /// later request, since it has already cost the backend a handshake.
     pub(super) async fn dial(
         self: Rc<Self>,
         target: DialTarget,
         slot: ConnectionSlot,
         kind: DialKind,
     ) {
-        let began_at = Instant::now();
+        let started_at = Instant::now();
         let mut connecting = std::pin::pin!(self.connect(target, slot));
         let slow_at =
-            (began_at + self.usual_dial_time.get() * SLOW_DIAL_FACTOR).min(target.deadline);
+            (started_at + self.smoothed_dial_time.get() * SLOW_DIAL_FACTOR).min(target.deadline);
         let mut connected = timeout_at(slow_at, connecting.as_mut()).await;
         if connected.is_err() {
             if kind == DialKind::First && slow_at < target.deadline {
@@ -74,10 +74,10 @@
         }
         match connected {
             Ok(Ok(connection)) => {
-                self.observe_dial_time(began_at.elapsed());
+                self.record_dial_time(started_at.elapsed());
                 self.end_dial(target.server);
                 self.release_unused(connection);
-                // Waiters remain only if it was of an earlier epoch: no fault of the backend's.
+                // Waiters are in excess only if the connection is of an earlier epoch, which is no fault of the backend.
                 self.fail_excess_waiters(target.server, Outcome::NotSent);
             }
             Ok(Err(outcome)) => {
@@ -87,7 +87,7 @@
             Err(_) => {
                 self.end_dial(target.server);
                 self.fail_excess_waiters(target.server, Outcome::ConnectFailed);
-                // With few descriptors left, a dial in progress would take the place of a connection in use.
+                // When connections are scarce, a late dial would occupy one that an attempt could use.
                 if self.limit.is_over_half() {
                     return;
                 }
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Dials a second time while an attempt waits for the first, if there are plenty of descriptors.
+    /// Starts a second dial if an attempt still waits and at most half of the allowed connections are open.
     fn start_hedged_dial(self: &Rc<Self>, target: DialTarget) {
         if self.limit.is_over_half() {
             return;
@@ -115,15 +115,15 @@
         backend.dials += 1;
         let slot = self.limit.reserve();
         let pool = self.clone();
-        // Boxed: the future would contain itself.
+        // Boxed because the future would otherwise contain itself.
         spawn_local(async move { Box::pin(pool.dial(target, slot, DialKind::Hedge)).await });
     }
 
     async fn connect(self: &Rc<Self>, target: DialTarget, slot: ConnectionSlot) -> Acquired<P> {
         let stream = match TcpStream::connect(target.address).await {
             Ok(stream) => stream,
-            Err(error) if is_local_shortage(&error) => {
-                log_peer(format_args!("cannot dial: {error}"));
+            Err(error) if is_local_resource_shortage(&error) => {
+                log_peer(format_args!("cannot dial a backend: {error}"));
                 self.close_longest_idle();
                 return Err(Outcome::NotSent);
             }
@@ -144,10 +144,10 @@
         })
     }
 
-    fn observe_dial_time(&self, observed: Duration) {
-        let previous = self.usual_dial_time.get();
-        let smoothed = previous.mul_f64(PREVIOUS_WEIGHT) + observed.mul_f64(NEW_WEIGHT);
-        self.usual_dial_time.set(smoothed);
+    fn record_dial_time(&self, observed: Duration) {
+        let previous = self.smoothed_dial_time.get();
+        let smoothed = previous.mul_f64(PREVIOUS_WEIGHT) + observed.mul_f64(SAMPLE_WEIGHT);
+        self.smoothed_dial_time.set(smoothed);
     }
 
     fn end_dial(&self, server: ServerId) {
@@ -163,7 +163,7 @@
     }
 }
 
-/// Whether this node lacks descriptors or ports, which says nothing of the backend.
-fn is_local_shortage(error: &io::Error) -> bool {
+/// Whether the error is a shortage of file descriptors or ports on this node, which says nothing about the backend.
+fn is_local_resource_shortage(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(EMFILE | ENFILE | EADDRNOTAVAIL))
 }
--- a/crates/pool/src/pool/release.rs
+++ b/crates/pool/src/pool/release.rs
@@ -1,4 +1,4 @@
-//! Releasing connections: they become idle, or serve the attempts that wait.
+//! Releasing connections, which become idle or go to waiting attempts.
 
 use super::Pool;
 use crate::{Connection, ConnectionProtocol};
@@ -8,13 +8,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A connection is not reused for so long after a response. A backend that answers twice by mistake may do so some
-/// milliseconds later, and its second response would be read as that of the next request.
+/// How long a connection is not reused after a response. A faulty backend may send a duplicate response some
+/// milliseconds later, which would be read as the response to the next request.
 pub const REUSE_DELAY: Duration = Duration::from_millis(10);
 
 impl<P: ConnectionProtocol> Pool<P> {
-    /// Releases a connection after a complete response. It is reusable after [`REUSE_DELAY`], and then goes to the
-    /// longest waiting attempt, if there is one.
+    /// Releases a connection after a complete response. After [`REUSE_DELAY`] it is reusable, and goes to the attempt that
+    /// has waited longest, if there is one.
     pub fn release(self: &Rc<Self>, connection: Connection<P>) {
         let server = connection.server;
         let reusable_at = self.clock.now() + REUSE_DELAY;
@@ -29,7 +29,7 @@
         });
     }
 
-    /// Releases a connection that has carried nothing since it was acquired or opened. It is reusable at once.
+    /// Releases a connection that was not used since it was acquired or opened. It is reusable immediately.
     pub fn release_unused(&self, connection: Connection<P>) {
         let server = connection.server;
         self.add_idle(connection, Duration::ZERO);
--- a/crates/pool/src/pool/tests.rs
+++ b/crates/pool/src/pool/tests.rs
@@ -1,4 +1,4 @@
-//! Acquiring, dialling and releasing connections.
+//! Tests of acquiring, dialling and releasing connections.
 
 use super::{Pool, REUSE_DELAY};
 use crate::{ConnectionLimit, ConnectionProtocol, PoolTimeouts};
@@ -15,7 +15,7 @@
 
 const SERVER: ServerId = ServerId(1);
 
-/// Numbers the connections.
+/// A protocol whose sessions are numbered in the order of their handshakes.
 #[derive(Default)]
 struct NumberedSessions(Cell<usize>);
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Completes a handshake each time it is notified.
+/// A protocol that completes one handshake per notification.
 #[derive(Default)]
 struct DelayedHandshake(tokio::sync::Notify);
 
@@ -49,9 +49,9 @@
     }
 }
 
-/// Runs a test on a pool with one backend, which listens.
+/// Runs a test on a pool with one listening backend.
 fn with_pool(test: impl AsyncFnOnce(Rc<Pool<NumberedSessions>>, TcpListener)) {
-    with_pool_of(
+    with_pool_and_protocol(
         NumberedSessions::default(),
         Duration::from_secs(60),
         10,
@@ -59,7 +59,7 @@
     );
 }
 
-fn with_pool_of<P: ConnectionProtocol>(
+fn with_pool_and_protocol<P: ConnectionProtocol>(
     protocol: P,
     connect_timeout: Duration,
     max_connections: usize,
@@ -68,9 +68,9 @@
     block_on(async {
         let listener = TcpListener::bind(([127, 0, 0, 1], 0).into())
             .await
-            .expect("a port");
+            .expect("bind a listener");
         let idle_timeout = Duration::from_secs(60);
-        let terms = PoolTimeouts {
+        let timeouts = PoolTimeouts {
             idle_timeout,
             connect_timeout,
             drain_grace: Duration::ZERO,
@@ -78,7 +78,7 @@
         let pool = Pool::start(
             Clock::start(),
             protocol,
-            terms,
+            timeouts,
             ConnectionLimit::new(max_connections),
         );
         let entry = Endpoint {
@@ -88,7 +88,7 @@
         };
         let backend = Backend {
             endpoint: entry,
-            address: listener.local_addr().expect("its address"),
+            address: listener.local_addr().expect("the listener has an address"),
         };
         let update = BackendUpdate {
             kind: EndpointUpdate::Full,
@@ -97,10 +97,10 @@
         pool.update_backends(&update, pool.clock.now());
         test(pool, listener).await;
     })
-    .expect("a runtime");
+    .expect("start a runtime");
 }
 
-/// How many connections to the backend are idle in the pool.
+/// The number of idle connections to the backend in the pool.
 fn idle_count<P: ConnectionProtocol>(pool: &Pool<P>) -> usize {
     pool.backends
         .borrow()
@@ -109,30 +109,30 @@
 }
 
 #[test]
-fn uses_a_released_connection_while_dialling_and_keeps_the_dialled_one() {
+fn uses_a_released_connection_while_dialling_and_keeps_the_dialled_connection() {
     with_pool(async |pool, _listener| {
-        let first = pool.acquire(SERVER).await.expect("a connection");
+        let first = pool.acquire(SERVER).await.expect("acquire a connection");
         let released = first.session.0;
         let mut second = std::pin::pin!(pool.acquire(SERVER));
         tokio::select! {
             biased;
-            _ = &mut second => panic!("the dial has not been up yet"),
+            _ = &mut second => panic!("acquired before the dial was established"),
             () = std::future::ready(()) => pool.release_unused(first),
         }
-        let taken = second.await.expect("a connection");
-        assert_eq!(taken.session.0, released);
+        let acquired = second.await.expect("acquire a connection");
+        assert_eq!(acquired.session.0, released);
         while idle_count(&pool) == 0 {
             yield_now().await;
         }
-        let late = pool.acquire(SERVER).await.expect("a connection");
+        let late = pool.acquire(SERVER).await.expect("acquire a connection");
         assert_ne!(late.session.0, released);
-        assert_eq!(pool.limit.open(), 2, "there was no further dial");
+        assert_eq!(pool.limit.open(), 2, "no further connection was dialled");
     });
 }
 
 #[test]
-fn serves_a_later_request_with_a_dial_that_came_up_late() {
-    with_pool_of(
+fn serves_a_later_request_with_a_connection_established_late() {
+    with_pool_and_protocol(
         DelayedHandshake::default(),
         Duration::from_millis(30),
         10,
@@ -141,7 +141,7 @@
                 pool.acquire(SERVER).await.err(),
                 Some(Outcome::ConnectFailed)
             );
-            assert_eq!(pool.limit.open(), 1, "it may still come up");
+            assert_eq!(pool.limit.open(), 1, "the late dial is still in progress");
             pool.protocol.0.notify_one();
             while idle_count(&pool) == 0 {
                 yield_now().await;
@@ -152,9 +152,9 @@
 }
 
 #[test]
-fn abandons_a_dial_that_never_comes_up_or_when_descriptors_run_short() {
+fn abandons_a_dial_that_is_never_established_or_when_connections_are_scarce() {
     for max_connections in [10, 1] {
-        with_pool_of(
+        with_pool_and_protocol(
             DelayedHandshake::default(),
             Duration::from_millis(10),
             max_connections,
@@ -164,7 +164,7 @@
                     Some(Outcome::ConnectFailed)
                 );
                 if max_connections == 1 {
-                    // At the next poll, not after the rest of its time.
+                    // The dial is abandoned at the next poll, not after the timeout for late dials.
                     yield_now().await;
                     assert_eq!(pool.limit.open(), 0);
                 }
@@ -177,25 +177,28 @@
     }
 }
 
-/// Regression: the runtime has not polled since the bytes were received, so that only the kernel knows of them.
+/// Regression: the bytes are in the socket buffer, but the runtime has not polled the socket since they arrived.
 #[test]
 fn does_not_reuse_a_connection_with_bytes_after_its_response() {
     with_pool(async |pool, listener| {
-        let first = pool.acquire(SERVER).await.expect("a connection");
-        let (stream, _) = listener.accept().await.expect("the dial");
+        let first = pool.acquire(SERVER).await.expect("acquire a connection");
+        let (stream, _) = listener
+            .accept()
+            .await
+            .expect("accept the dialled connection");
         let (backend, _) = Stream::new(stream);
-        // Writable from now on: the write below does not wait for the runtime.
-        backend.write(&[]).await.expect("a node");
+        // The socket is writable after this, so that the write below does not wait for the runtime.
+        backend.write(&[]).await.expect("write to the node");
         let used = first.session.0;
-        // The first poll is before the bytes are written, and sees nothing.
+        // The runtime polls the socket before the bytes are written, and finds none.
         yield_now().await;
         pool.release(first);
         assert_eq!(idle_count(&pool), 1);
         backend
             .write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             .await
-            .expect("a node");
-        let next = pool.acquire(SERVER).await.expect("a connection");
+            .expect("write to the node");
+        let next = pool.acquire(SERVER).await.expect("acquire a connection");
         assert_ne!(next.session.0, used);
     });
 }
@@ -203,19 +206,22 @@
 #[test]
 fn returns_a_connection_that_was_delivered_to_a_cancelled_waiter() {
     with_pool(async |pool, _listener| {
-        let first = pool.acquire(SERVER).await.expect("a connection");
+        let first = pool.acquire(SERVER).await.expect("acquire a connection");
         let released = first.session.0;
         let mut second = Box::pin(pool.acquire(SERVER));
         tokio::select! {
             biased;
-            _ = &mut second => panic!("the dial has not been up yet"),
+            _ = &mut second => panic!("acquired before the dial was established"),
             () = std::future::ready(()) => pool.release_unused(first),
         }
         assert_eq!(idle_count(&pool), 0);
         drop(second);
         assert_eq!(idle_count(&pool), 1);
         assert_eq!(
-            pool.acquire(SERVER).await.ok().map(|back| back.session.0),
+            pool.acquire(SERVER)
+                .await
+                .ok()
+                .map(|connection| connection.session.0),
             Some(released)
         );
     });
@@ -224,40 +230,40 @@
 #[test]
 fn delays_reuse_after_a_response_and_waits_for_it() {
     with_pool(async |pool, _listener| {
-        let first = pool.acquire(SERVER).await.expect("a connection");
+        let first = pool.acquire(SERVER).await.expect("acquire a connection");
         let used = first.session.0;
         let responded_at = pool.clock.now();
         pool.release(first);
-        let again = pool.acquire(SERVER).await.expect("a connection");
+        let again = pool.acquire(SERVER).await.expect("acquire a connection");
         assert_eq!(
             (again.session.0, pool.limit.open()),
             (used, 1),
-            "it costs no handshake"
+            "no second handshake is made"
         );
         assert!(
             pool.clock.now() >= responded_at + REUSE_DELAY,
-            "a late second response would be read as the next one"
+            "a late duplicate response would be read as the next one"
         );
-        // An unused connection is reusable at once.
-        let unsent = pool.clock.now();
+        // An unused connection is reusable immediately.
+        let released_at = pool.clock.now();
         pool.release_unused(again);
-        assert!(pool.acquire(SERVER).await.is_ok() && pool.clock.now() < unsent + REUSE_DELAY);
+        assert!(pool.acquire(SERVER).await.is_ok() && pool.clock.now() < released_at + REUSE_DELAY);
     });
 }
 
 #[test]
-fn hedges_a_slow_dial_with_one_other() {
-    with_pool_of(
+fn hedges_a_slow_dial_with_one_more_dial() {
+    with_pool_and_protocol(
         DelayedHandshake::default(),
         Duration::from_millis(900),
         10,
         async |pool, _listener| {
             for _ in 0..12 {
                 pool.protocol.0.notify_one();
-                drop(pool.acquire(SERVER).await.expect("a connection"));
+                drop(pool.acquire(SERVER).await.expect("acquire a connection"));
             }
             assert_eq!(pool.limit.open(), 0);
-            let mut taking = Box::pin(pool.acquire(SERVER));
+            let mut acquiring = Box::pin(pool.acquire(SERVER));
             let mut most = 0;
             let hedged = async {
                 while pool.limit.open() < 2 {
@@ -266,14 +272,14 @@
             };
             tokio::select! {
                 biased;
-                _ = &mut taking => panic!("no dial has been up yet"),
+                _ = &mut acquiring => panic!("acquired before any dial was established"),
                 () = hedged => most = most.max(pool.limit.open()),
             }
             assert_eq!(most, 2);
             pool.protocol.0.notify_one();
-            let taken = taking.await;
-            assert!(taken.is_ok() && pool.limit.open() == 2);
-            // The other one comes up late, and serves a later request.
+            let acquired = acquiring.await;
+            assert!(acquired.is_ok() && pool.limit.open() == 2);
+            // The other connection is established late and serves a later request.
             pool.protocol.0.notify_one();
             while idle_count(&pool) == 0 {
                 yield_now().await;
@@ -284,21 +290,21 @@
 
 #[test]
 fn uses_a_released_connection_while_dialling_after_the_reuse_delay() {
-    with_pool_of(
+    with_pool_and_protocol(
         DelayedHandshake::default(),
         Duration::from_secs(60),
         10,
         async |pool, _listener| {
             pool.protocol.0.notify_one();
-            let first = pool.acquire(SERVER).await.expect("a connection");
+            let first = pool.acquire(SERVER).await.expect("acquire a connection");
             let mut second = Box::pin(pool.acquire(SERVER));
             let responded_at = pool.clock.now();
             tokio::select! {
                 biased;
-                _ = &mut second => panic!("the dial has not been up yet"),
+                _ = &mut second => panic!("acquired before the dial was established"),
                 () = std::future::ready(()) => pool.release(first),
             }
-            assert!(second.await.is_ok(), "the dial never comes up");
+            assert!(second.await.is_ok(), "the second dial is never established");
             assert!(pool.clock.now() >= responded_at + REUSE_DELAY);
         },
     );
