--- a/crates/listener/src/connection.rs
+++ b/crates/listener/src/connection.rs
@@ -109,7 +109,7 @@
     }
 
     /// Whether the connection is open and has no unread bytes.
-    pub fn is_quiet(&self) -> bool {
+    pub fn read_would_block(&self) -> bool {
         self.socket.read_would_block()
     }
 
@@ -196,7 +196,9 @@
             head_started_at.is_some_and(|started_at| now > started_at + READ_TIMEOUT);
         if head_overdue {
             // Unread bytes may be the rest of the head, which the node reads late because it was delayed itself.
-            return self.is_quiet().then_some(ExpiredTimeout::RequestHead);
+            return self
+                .read_would_block()
+                .then_some(ExpiredTimeout::RequestHead);
         }
         (now > idle_since + IDLE_TIMEOUT).then_some(ExpiredTimeout::Idle)
     }
--- a/crates/listener/src/eviction.rs
+++ b/crates/listener/src/eviction.rs
@@ -60,5 +60,5 @@
     idle.sort_unstable_by_key(|(since, _)| *since);
     idle.into_iter()
         .map(|(_, connection)| connection)
-        .find(|connection| connection.is_quiet())
+        .find(|connection| connection.read_would_block())
 }
--- a/crates/listener/src/manager.rs
+++ b/crates/listener/src/manager.rs
@@ -208,7 +208,7 @@
             let idle = connection
                 .idle_since()
                 .is_some_and(|since| now > since.instant() + DRAINING_IDLE_TIMEOUT);
-            if idle && connection.is_quiet() {
+            if idle && connection.read_would_block() {
                 connection.close();
             }
         }
--- a/crates/thrift/src/front.rs
+++ b/crates/thrift/src/front.rs
@@ -146,7 +146,7 @@
                         .request_finished(&self.connection, AfterRequest::KeepAlive);
                 }
                 let nothing_more =
-                    self.leaving && !self.reader.is_within() && self.connection.is_quiet();
+                    self.leaving && !self.reader.is_within() && self.connection.read_would_block();
                 if self.ended || nothing_more {
                     break;
                 }
