--- a/crates/forwarding/src/node/events.rs
+++ b/crates/forwarding/src/node/events.rs
@@ -186,7 +186,7 @@
         let server = attempt.server;
         let sent_at = attempt.sent_at;
         // A backend's latency is the time from the last byte of the request to the first byte of the response.
-        let began_at = request
+        let latency_started_at = request
             .body_received_at
             .map_or(sent_at, |received_at| received_at.max(sent_at));
         let now = self.clock.now();
@@ -199,7 +199,7 @@
         }
         let times = AttemptTimes {
             since_request: responded_at.saturating_sub(request.received_at),
-            since_sent: responded_at.saturating_sub(began_at),
+            since_sent: responded_at.saturating_sub(latency_started_at),
         };
         if let Some(observer) = &self.observer {
             observer.attempt_ended(responded_at, request.call.class, server, outcome, times);
--- a/crates/listener/src/connection.rs
+++ b/crates/listener/src/connection.rs
@@ -89,7 +89,7 @@
         self.state.set(ConnectionState::RequestOpen);
     }
 
-    /// Marks the connection as waiting for the next request. No request may be open.
+    /// Marks the connection as waiting for the next request. Called when its open request has ended.
     pub(crate) fn mark_idle(&self) {
         self.socket.reset_first_received();
         self.state.set(ConnectionState::Idle {
@@ -97,7 +97,7 @@
         });
     }
 
-    /// Marks the connection as closing. No request may be open.
+    /// Marks the connection as closing. Called when its last request has ended.
     pub(crate) fn mark_closing(&self) {
         self.socket.reset_first_received();
         self.set_closing();
