--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -5,7 +5,6 @@
 #![forbid(unsafe_code)]
 
 mod address;
-mod call;
 mod client;
 pub mod decoder;
 mod entry;
@@ -14,6 +13,7 @@
 mod list;
 mod polled;
 mod pushed;
+mod request;
 mod timing;
 mod watch;
 
--- a/crates/discovery/src/polled.rs
+++ b/crates/discovery/src/polled.rs
@@ -2,7 +2,7 @@
 //! ([`DiscoveryCommand::Fetch`]) are part of the wire and never ordered today.
 
 use crate::address::AddressChanges;
-use crate::call::{LIST_PATH, get};
+use crate::request::{LIST_PATH, get};
 use crate::decoder::MAX_LIST_BYTES;
 use crate::error::DiscoveryError;
 use crate::feed::{ListFeed, ListOrigin};
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -1,6 +1,6 @@
 //! A watch of discovery's list: its states, and when it counts as broken.
 
-use crate::call::{LIST_PATH, get};
+use crate::request::{LIST_PATH, get};
 use crate::decoder::{WatchDecoder, WatchItem};
 use crate::error::DiscoveryError;
 use crate::feed::{ListFeed, ListOrigin};
