--- a/crates/discovery/src/address.rs
+++ b/crates/discovery/src/address.rs
@@ -1,4 +1,4 @@
-//! Changes of discovery's address.
+//! Notification of changes to discovery's address.
 
 use std::net::SocketAddr;
 use tokio::sync::watch;
@@ -10,11 +10,11 @@
         AddressChanges(changes)
     }
 
-    /// The next new address. Cancellation safe: a call that is dropped misses no change.
+    /// Waits until the address changes and returns the new one. Cancel safe: dropping the future loses no change.
     pub(crate) async fn next(&mut self) -> SocketAddr {
         match self.0.changed().await {
             Ok(()) => *self.0.borrow_and_update(),
-            Err(_) => std::future::pending().await, // no sender is left to change it
+            Err(_) => std::future::pending().await, // all senders are dropped: the address can no longer change
         }
     }
 }
--- a/crates/discovery/src/client.rs
+++ b/crates/discovery/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: starts with the cached list, then follows discovery.
+//! The discovery client: applies the cached list, then follows discovery by polls or a watch.
 
 use crate::address::AddressChanges;
 use crate::feed::{ListFeed, ListOrigin};
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, watch};
 
-/// A client of discovery.
+/// A client that keeps the node's endpoint list up to date with discovery.
 pub struct DiscoveryClient {
     feed: ListFeed,
     cached_list: Option<String>,
@@ -22,8 +22,8 @@
 }
 
 impl DiscoveryClient {
-    /// Lists go to `messages`. `cached_list` is a list of discovery as this node last had it, perhaps out of date; `seed`
-    /// is the node's.
+    /// Creates a client that sends lists to `messages`. `cached_list` is the last list that this node received from
+    /// discovery, possibly out of date. `seed` is the node's random seed.
     pub fn new(
         address: SocketAddr,
         live: Rc<LiveSettings>,
@@ -34,21 +34,21 @@
         DiscoveryClient {
             feed: ListFeed::new(address, live, messages),
             cached_list,
-            // Another sequence than that of the node's other generators with the same seed.
+            // Inverted, so that the sequence differs from those of the node's other generators with the same seed.
             random: Random::seeded(!seed),
         }
     }
 
-    /// Whether the node knows enough to serve.
+    /// A flag that is set once the node's endpoint list suffices to serve requests.
     pub fn ready(&self) -> Rc<Cell<bool>> {
         self.feed.ready()
     }
 
-    /// Keeps the node's list up to date, from a new address whenever `addresses` changes. `orders` counts only where the
-    /// list is polled; the client ends with it then.
+    /// Keeps the node's list up to date, switching to a new address whenever `addresses` changes. `commands` is used
+    /// only in polled mode, where the client returns once the channel is closed.
     pub async fn run(
         mut self,
-        orders: mpsc::Receiver<DiscoveryCommand>,
+        commands: mpsc::Receiver<DiscoveryCommand>,
         addresses: watch::Receiver<SocketAddr>,
     ) {
         if let Some(list) = self.cached_list.take() {
@@ -56,7 +56,7 @@
         }
         let addresses = AddressChanges::new(addresses);
         if self.feed.is_polled() {
-            polled::run(&mut self.feed, orders, addresses).await;
+            polled::run(&mut self.feed, commands, addresses).await;
         } else {
             pushed::run(&mut self.feed, addresses, self.random).await;
         }
@@ -66,11 +66,12 @@
         let applied = self.feed.apply(list.as_bytes(), ListOrigin::Cache).await;
         let count = applied.unwrap_or_else(|error| {
             log(format_args!(
-                "the configuration's known list was dropped: {error}"
+                "the cached endpoint list from the configuration was dropped: {error}"
             ));
             0
         });
-        // It may be out of date: the first call may still bring a newer one before requests come.
+        // The cached list may be out of date: the delay lets the first response from discovery replace it before the
+        // node serves requests.
         let ready = self.feed.ready();
         spawn_local(async move {
             sleep(CACHED_READY_DELAY).await;
--- a/crates/discovery/src/decoder.rs
+++ b/crates/discovery/src/decoder.rs
@@ -1,23 +1,24 @@
-//! Decodes the bytes of a watch into lists, in however many lines their text comes, and heartbeats. No I/O.
+//! Decodes the byte stream of a watch into endpoint lists and heartbeats, without I/O. A list is a JSON value that may
+//! span several lines.
 
 use crate::list::List;
 use bytes::{Buf, BytesMut};
 
-/// The longest list that is accepted.
+/// The maximum length of a list.
 pub const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// An item of a watch.
+/// A decoded item of the watch's byte stream.
 #[derive(Debug, PartialEq)]
 pub enum WatchItem {
-    /// An empty line: nothing has changed.
+    /// An empty line, sent when nothing has changed.
     Heartbeat,
-    /// A text that no further line belongs to. Whether it is a list shows when it is read.
+    /// A complete text; the caller parses it and finds out whether it is a valid list.
     List(BytesMut),
-    /// So many bytes were dropped: another value began before they were complete.
+    /// An incomplete value of this many bytes was dropped, because a blank line or a complete list followed it.
     Truncated(usize),
 }
 
-/// How deep a JSON text is nested at some place.
+/// The lexical state of a JSON text: its nesting depth, and whether it is inside a string.
 #[derive(Clone, Copy, Default)]
 struct Nesting {
     depth: i32,
@@ -41,45 +42,46 @@
         self
     }
 
-    /// Whether more lines may belong to the value. No string contains the end of a line.
+    /// Whether the value may continue on the next line. A JSON string can't contain a line feed, so a line that ends
+    /// inside a string is truncated.
     fn is_open(self) -> bool {
         self.depth > 0 && !self.in_string
     }
 }
 
-/// The bytes of a watch that have not been decoded.
+/// An incremental decoder for the byte stream of a watch.
 #[derive(Default)]
 pub struct WatchDecoder {
-    unread: BytesMut,
-    /// The length of the complete lines of a value that is still open.
-    open_bytes: usize,
+    buffer: BytesMut,
+    /// The length of the lines collected so far of an incomplete value.
+    incomplete_bytes: usize,
     nesting: Nesting,
-    /// Up to here there is no further end of a line.
-    searched: usize,
+    /// The offset up to which the buffer has been searched for the next line feed.
+    searched_bytes: usize,
 }
 
 impl WatchDecoder {
-    /// Takes bytes in.
+    /// Appends received bytes to the buffer.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.unread.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether more bytes are here without a complete value than any list has.
+    /// Whether more than [`MAX_LIST_BYTES`] are buffered without a complete value.
     pub fn exceeds_limit(&self) -> bool {
-        self.unread.len() > MAX_LIST_BYTES
+        self.buffer.len() > MAX_LIST_BYTES
     }
 
-    /// The next complete item. A list may be broken into lines between any two tokens: lines are collected until they
-    /// make one, or until one comes that is a value by itself.
+    /// Returns the next complete item. A list may be split into lines between any two tokens: lines are collected until
+    /// the value is complete, or until a blank line or a complete list shows that it was truncated.
     pub fn next_item(&mut self) -> Option<WatchItem> {
         loop {
             let end = self.next_line_end()?;
-            let line = &self.unread[self.open_bytes..end];
+            let line = &self.buffer[self.incomplete_bytes..end];
             let is_blank = line.trim_ascii().is_empty();
-            if self.open_bytes > 0 && (is_blank || is_list(line)) {
-                let truncated = self.open_bytes;
-                self.discard(truncated);
-                return Some(WatchItem::Truncated(truncated));
+            if self.incomplete_bytes > 0 && (is_blank || is_list(line)) {
+                let truncated_bytes = self.incomplete_bytes;
+                self.discard(truncated_bytes);
+                return Some(WatchItem::Truncated(truncated_bytes));
             }
             if is_blank {
                 self.discard(end);
@@ -87,34 +89,34 @@
             }
             let nesting = self.nesting.after(line);
             if nesting.is_open() {
-                self.open_bytes = end;
-                self.searched = end;
+                self.incomplete_bytes = end;
+                self.searched_bytes = end;
                 self.nesting = nesting;
                 continue;
             }
-            let text = self.unread.split_to(end);
+            let text = self.buffer.split_to(end);
             self.discard(0);
             return Some(WatchItem::List(text));
         }
     }
 
-    /// The end of the next complete line, after its line feed.
+    /// The offset just after the next line feed.
     fn next_line_end(&mut self) -> Option<usize> {
-        let unsearched = &self.unread[self.searched..];
+        let unsearched = &self.buffer[self.searched_bytes..];
         match unsearched.iter().position(|byte| *byte == b'\n') {
-            Some(position) => Some(self.searched + position + 1),
+            Some(position) => Some(self.searched_bytes + position + 1),
             None => {
-                self.searched = self.unread.len();
+                self.searched_bytes = self.buffer.len();
                 None
             }
         }
     }
 
-    /// Drops so many bytes, and begins with a new value.
+    /// Drops this many bytes and resets the state to the start of a value.
     fn discard(&mut self, bytes: usize) {
-        self.unread.advance(bytes);
-        self.open_bytes = 0;
-        self.searched = 0;
+        self.buffer.advance(bytes);
+        self.incomplete_bytes = 0;
+        self.searched_bytes = 0;
         self.nesting = Nesting::default();
     }
 }
--- a/crates/discovery/src/entry.rs
+++ b/crates/discovery/src/entry.rs
@@ -1,4 +1,4 @@
-//! The form in which discovery writes the entries of a list.
+//! The JSON format of the entries in discovery's endpoint list, and their conversion to backends.
 
 use serde::Deserialize;
 use sillward_balancer::settings::{PlatformSettings, millis};
@@ -9,24 +9,24 @@
 
 const FNV1A_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV1A_PRIME: u64 = 0x0000_0100_0000_01b3;
-/// The machine type of entries whose type is not in the settings.
+/// The machine type index of entries whose type is missing from the settings.
 const UNKNOWN_MACHINE_TYPE: u8 = u8::MAX;
-/// The zone of entries without one.
+/// The zone index of entries that name no zone.
 const DEFAULT_ZONE: u8 = 0;
 const DEFAULT_WEIGHT: f32 = 1.0;
 
-/// Why an entry can't be read.
+/// An error in reading an endpoint entry.
 #[derive(Debug, Error)]
 pub enum EntryError {
-    /// It is not of the entry form.
+    /// The text is not a valid entry.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// The settings have no such zone.
+    /// The entry names a zone that the settings don't define.
     #[error("{name}: unknown zone {zone}")]
     UnknownZone {
         /// The entry's name.
         name: String,
-        /// The zone that it names.
+        /// The unknown zone.
         zone: String,
     },
 }
@@ -44,7 +44,7 @@
     status: Status,
     #[serde(default = "default_weight")]
     weight: f32,
-    /// When the backend started, in milliseconds; 0 where that is not known.
+    /// When the backend started, in milliseconds; 0 if unknown.
     #[serde(default, rename = "since_ms")]
     started_at_ms: f64,
 }
@@ -61,24 +61,25 @@
     DEFAULT_WEIGHT
 }
 
-/// Reads an entry that stands by itself.
+/// Parses a single entry outside of a list, such as the value of an etcd key.
 ///
 /// # Errors
-/// The text is not of the entry form, or names a zone that the settings do not have.
-pub fn read_entry(site: &PlatformSettings, text: &[u8]) -> Result<Backend, EntryError> {
-    serde_json::from_slice::<Entry>(text)?.into_backend(site)
+/// The text is not a valid entry, or it names a zone that the settings don't define.
+pub fn read_entry(settings: &PlatformSettings, text: &[u8]) -> Result<Backend, EntryError> {
+    serde_json::from_slice::<Entry>(text)?.into_backend(settings)
 }
 
 impl Entry {
-    pub(crate) fn into_backend(self, site: &PlatformSettings) -> Result<Backend, EntryError> {
-        // A server of an unknown machine type serves like any other, but the zone decides where retries may go.
-        let Some(zone) = self.zone_index(site) else {
+    pub(crate) fn into_backend(self, settings: &PlatformSettings) -> Result<Backend, EntryError> {
+        // An unknown machine type is accepted: such a backend serves like any other. An unknown zone is an error,
+        // because the zone decides where retries may be sent.
+        let Some(zone) = self.zone_index(settings) else {
             return Err(EntryError::UnknownZone {
                 name: self.name,
                 zone: self.zone,
             });
         };
-        let machine_type = index_of(&site.machine_type_names, &self.machine_type);
+        let machine_type = index_of(&settings.machine_type_names, &self.machine_type);
         let state = match self.status {
             Status::InService => ServerState::Ready,
             Status::Terminating => ServerState::Draining,
@@ -99,11 +100,11 @@
         })
     }
 
-    fn zone_index(&self, site: &PlatformSettings) -> Option<u8> {
+    fn zone_index(&self, settings: &PlatformSettings) -> Option<u8> {
         if self.zone.is_empty() {
             Some(DEFAULT_ZONE)
         } else {
-            index_of(&site.zone_names, &self.zone)
+            index_of(&settings.zone_names, &self.zone)
         }
     }
 }
@@ -113,7 +114,7 @@
     u8::try_from(index).ok()
 }
 
-/// A server's id: a hash (FNV-1a) of its name alone, so that it is the same on every node.
+/// Derives a server's id from its name alone (FNV-1a hash), so that it is the same on every node.
 fn server_id(name: &str) -> ServerId {
     let hash = name.bytes().fold(FNV1A_OFFSET_BASIS, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(FNV1A_PRIME)
--- a/crates/discovery/src/error.rs
+++ b/crates/discovery/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a call to discovery failed, or what it brought was not applied.
+//! Errors of requests to discovery, and reasons for not applying a received list.
 
 use hyper::StatusCode;
 use std::error::Error as StdError;
@@ -13,27 +13,27 @@
     Http(#[from] hyper::Error),
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// The response's body broke off, or is too long.
+    /// The response body was cut short or exceeds the maximum length.
     #[error(transparent)]
     Body(Box<dyn StdError + Send + Sync>),
-    #[error("answered {0}")]
+    #[error("discovery responded with status {0}")]
     Status(StatusCode),
-    #[error("silent before its head")]
+    #[error("timed out waiting for the response head")]
     HeadTimeout,
-    #[error("silent")]
+    #[error("timed out waiting for data")]
     Timeout,
-    #[error("it ended")]
+    #[error("discovery closed the watch")]
     WatchEnded,
-    #[error("a line without end")]
+    #[error("a list exceeds the maximum length")]
     LineTooLong,
-    #[error("a line that did not end")]
+    #[error("timed out waiting for the end of a line")]
     LineTimeout,
-    /// A list on the watch was dropped, so that a change may be missing.
-    #[error("a list on it was malformed")]
+    /// A malformed list on the watch was dropped, so a change may be missing and the list must be read again.
+    #[error("a list on the watch was malformed; reading the list again")]
     ResyncDue,
     #[error(transparent)]
     MalformedList(serde_json::Error),
-    /// The list is older than the one that was applied last.
-    #[error("a list of version {version}, older than {applied}")]
+    /// The list is older than the one applied last.
+    #[error("the list has version {version}, older than {applied}")]
     OlderList { version: u64, applied: u64 },
 }
--- a/crates/discovery/src/feed.rs
+++ b/crates/discovery/src/feed.rs
@@ -1,4 +1,4 @@
-//! What has been read of discovery's list, and its way to the node.
+//! Decodes discovery's endpoint lists, tracks their version, and sends updates to the node.
 
 use crate::entry::{Entry, EntryError};
 use crate::error::DiscoveryError;
@@ -14,31 +14,32 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// So many older lists in a row are accepted as discovery's own rollback; fewer are a mistake of one of its replicas.
+/// The number of consecutive lists with an older version after which discovery counts as rolled back, and the list is
+/// accepted. Fewer are taken for a single stale replica of discovery, and rejected.
 const OLDER_LISTS_FOR_ROLLBACK: u32 = 3;
 
-/// Where a list comes from.
+/// The origin of a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListOrigin {
-    /// The node had it before it started.
+    /// The list that the node was started with.
     Cache,
-    /// A poll, which returns complete lists.
+    /// A poll, which always returns a complete list.
     Poll,
-    /// A watch, whose lists are complete or changes.
+    /// A watch, which sends complete lists and incremental changes.
     Watch,
 }
 
-/// The feed of lists from discovery to the node.
+/// Applies the lists of discovery and passes them to the node.
 pub(crate) struct ListFeed {
     address: SocketAddr,
     live: Rc<LiveSettings>,
     messages: mpsc::Sender<Message>,
     ready: Rc<Cell<bool>>,
-    /// The version from which on a watch asks for changes.
-    resume_index: u64,
-    /// The version of discovery's list that the node has; 0 before the first.
+    /// The version from which a new watch requests changes.
+    resume_version: u64,
+    /// The version of the last list from discovery that was applied; 0 before the first.
     applied_version: u64,
-    /// How many lists in a row were older than that.
+    /// The number of consecutive lists with a version older than `applied_version`.
     older_lists: u32,
 }
 
@@ -53,13 +54,13 @@
             live,
             messages,
             ready: Rc::default(),
-            resume_index: 0,
+            resume_version: 0,
             applied_version: 0,
             older_lists: 0,
         }
     }
 
-    /// Whether the node knows enough to serve.
+    /// A flag that is set once the node's endpoint list suffices to serve requests.
     pub(crate) fn ready(&self) -> Rc<Cell<bool>> {
         self.ready.clone()
     }
@@ -68,15 +69,15 @@
         self.address
     }
 
-    pub(crate) fn resume_index(&self) -> u64 {
-        self.resume_index
+    pub(crate) fn resume_version(&self) -> u64 {
+        self.resume_version
     }
 
-    pub(crate) fn set_resume_index(&mut self, index: u64) {
-        self.resume_index = index;
+    pub(crate) fn set_resume_version(&mut self, version: u64) {
+        self.resume_version = version;
     }
 
-    /// Whether the list is polled, by the settings of now.
+    /// Whether the current settings select polled mode.
     pub(crate) fn is_polled(&self) -> bool {
         self.live.get().settings.poll_endpoint_list
     }
@@ -97,17 +98,17 @@
         }
     }
 
-    /// Discovery has moved. The node's list stays until the new one has sent its complete list, whose versions need not
-    /// be the old one's.
-    pub(crate) fn move_to(&mut self, address: SocketAddr) {
+    /// Switches to a new address of discovery. The node keeps its list until a complete one arrives from the new
+    /// address; version numbers are reset, because they may differ there.
+    pub(crate) fn change_address(&mut self, address: SocketAddr) {
         self.address = address;
-        self.resume_index = 0;
+        self.resume_version = 0;
         self.applied_version = 0;
         self.older_lists = 0;
     }
 
-    /// Sends a list to the node, and returns how many of its entries could be read; malformed entries are dropped.
-    /// Cancellation safe: if the call is dropped, the list counts as not applied.
+    /// Sends a list to the node and returns the number of valid entries; malformed entries are dropped.
+    /// Cancel safe: if the future is dropped, the list counts as not applied.
     pub(crate) async fn apply(
         &mut self,
         text: &[u8],
@@ -126,7 +127,7 @@
         let backends = self.read_entries(list.endpoints);
         let count = backends.len();
         self.send(kind, backends).await;
-        self.resume_index = list.index;
+        self.resume_version = list.index;
         if origin != ListOrigin::Cache {
             self.applied_version = list.index;
             self.older_lists = 0;
@@ -137,12 +138,13 @@
         Ok(count)
     }
 
-    /// Reports to the node that a poll failed, or that the watch broke.
+    /// Notifies the node that a poll failed or the watch broke.
     pub(crate) async fn report_failure(&self) {
         self.send(EndpointUpdate::Failed, Vec::new()).await;
     }
 
-    /// Rejects a list that is older than the one that was applied, unless discovery itself has been rolled back.
+    /// Rejects a list older than the one applied last, unless enough older lists in a row show that discovery was
+    /// rolled back.
     fn check_version(&mut self, version: u64) -> Result<(), DiscoveryError> {
         if version >= self.applied_version {
             return Ok(());
@@ -155,16 +157,16 @@
             });
         }
         log(format_args!(
-            "discovery at {} has gone back to version {version}",
+            "discovery at {} was rolled back to list version {version}; accepting it",
             self.address
         ));
         Ok(())
     }
 
     fn read_entries(&self, entries: Vec<Value>) -> Vec<Backend> {
-        let site = self.live.get();
+        let settings = self.live.get();
         let read = |entry| -> Result<Backend, EntryError> {
-            serde_json::from_value::<Entry>(entry)?.into_backend(&site)
+            serde_json::from_value::<Entry>(entry)?.into_backend(&settings)
         };
         let mut backends = Vec::new();
         for entry in entries {
@@ -181,6 +183,6 @@
 
     async fn send(&self, kind: EndpointUpdate, backends: Vec<Backend>) {
         let message = Message::EndpointList(BackendUpdate { kind, backends });
-        let _ = self.messages.send(message).await; // fails only if the node has ended
+        let _ = self.messages.send(message).await; // fails only after the node has shut down
     }
 }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,7 +1,8 @@
-//! A client of the platform's discovery: the endpoint list, read by polls or pushed on a watch.
+//! A client of the platform's discovery service, which serves the endpoint list: it either polls the list or receives
+//! it on a watch.
 //!
-//! Changes of the list reach the node within 6 s of when discovery had them and was reachable, whatever calls failed on
-//! the way: each step of a call has a timeout of its own, and the backoff between calls is bounded (`timing`).
+//! A change reaches the node within 6 s of the time when discovery had it and was reachable, even if requests failed in
+//! between: each step of a request has its own timeout, and the backoff between requests is bounded (`timing`).
 #![forbid(unsafe_code)]
 
 mod address;
--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -1,15 +1,16 @@
-//! The form in which discovery writes lists.
+//! The JSON format of discovery's endpoint lists.
 
 use serde::Deserialize;
 use serde_json::Value;
 
-/// A list, or its changes. Each entry is decoded by itself: a malformed one is dropped alone.
+/// A complete list or an incremental change. Entries are decoded one by one, so that a malformed entry doesn't affect
+/// the others.
 #[derive(Deserialize)]
 pub(crate) struct List {
-    /// The list's version.
+    /// The version of the list.
     #[serde(default)]
     pub(crate) index: u64,
-    /// Whether the list is complete.
+    /// Whether this is the complete list rather than a change.
     #[serde(default)]
     pub(crate) snapshot: bool,
     pub(crate) endpoints: Vec<Value>,
--- a/crates/discovery/src/polled.rs
+++ b/crates/discovery/src/polled.rs
@@ -1,11 +1,11 @@
-//! Where the list is polled: the decision module orders the watch, and is notified when it breaks. Single polls
-//! ([`DiscoveryCommand::Fetch`]) are part of the wire and never ordered today.
+//! Discovery in polled mode: the decision module commands when to watch, and is notified when the watch breaks. Single
+//! polls ([`DiscoveryCommand::Fetch`]) are supported, but the decision module doesn't request them at present.
 
 use crate::address::AddressChanges;
-use crate::request::{LIST_PATH, get};
 use crate::decoder::MAX_LIST_BYTES;
 use crate::error::DiscoveryError;
 use crate::feed::{ListFeed, ListOrigin};
+use crate::request::{LIST_PATH, get};
 use crate::timing::POLL_BODY_TIMEOUT;
 use crate::watch::watch;
 use http_body_util::{BodyExt, Limited};
@@ -15,20 +15,20 @@
 use std::net::SocketAddr;
 use tokio::sync::mpsc;
 
-/// The states of the watch that the decision module may order.
+/// The state of the watch that the decision module commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Subscription {
-    /// None is ordered.
+    /// No watch is requested.
     Off,
-    /// It is being opened, or open.
+    /// The watch is open or being opened.
     Watching,
-    /// It broke: the decision module was notified, and orders another.
+    /// The watch broke. The decision module has been notified and commands when to open another.
     Broken,
 }
 
 impl Subscription {
-    fn on_order(subscribe: bool) -> Self {
-        if subscribe {
+    fn on_command(watch_requested: bool) -> Self {
+        if watch_requested {
             Subscription::Watching
         } else {
             Subscription::Off
@@ -42,8 +42,8 @@
         }
     }
 
-    /// A watch of the old address says nothing of the new one: what is ordered is opened there.
-    fn on_moved(self) -> Self {
+    /// Discovery's address changed: a requested watch is opened at the new address, even if the old one was broken.
+    fn on_address_changed(self) -> Self {
         match self {
             Subscription::Off => Subscription::Off,
             Subscription::Watching | Subscription::Broken => Subscription::Watching,
@@ -51,39 +51,39 @@
     }
 }
 
-/// What ends the wait for an order.
+/// An event that [`run`] handles.
 enum Event {
-    /// `None`: the node has ended.
-    Order(Option<DiscoveryCommand>),
-    Moved(SocketAddr),
+    /// A command from the decision module; `None` once the node has shut down.
+    Command(Option<DiscoveryCommand>),
+    AddressChanged(SocketAddr),
     WatchBroken(DiscoveryError),
 }
 
-/// Follows orders until the node has ended.
+/// Runs the decision module's commands until the node shuts down.
 pub(crate) async fn run(
     feed: &mut ListFeed,
-    mut orders: mpsc::Receiver<DiscoveryCommand>,
+    mut commands: mpsc::Receiver<DiscoveryCommand>,
     mut addresses: AddressChanges,
 ) {
     let mut subscription = Subscription::Off;
     loop {
-        match next_event(feed, subscription, &mut orders, &mut addresses).await {
-            Event::Order(None) => return,
-            Event::Order(Some(DiscoveryCommand::Watch(subscribe))) => {
-                subscription = Subscription::on_order(subscribe);
+        match next_event(feed, subscription, &mut commands, &mut addresses).await {
+            Event::Command(None) => return,
+            Event::Command(Some(DiscoveryCommand::Watch(watch_requested))) => {
+                subscription = Subscription::on_command(watch_requested);
             }
-            Event::Order(Some(DiscoveryCommand::Fetch)) => {
-                if poll(feed, &mut addresses).await == Poll::Moved {
-                    subscription = subscription.on_moved();
+            Event::Command(Some(DiscoveryCommand::Fetch)) => {
+                if poll(feed, &mut addresses).await == PollOutcome::AddressChanged {
+                    subscription = subscription.on_address_changed();
                 }
             }
-            Event::Moved(address) => {
-                feed.move_to(address);
-                subscription = subscription.on_moved();
+            Event::AddressChanged(address) => {
+                feed.change_address(address);
+                subscription = subscription.on_address_changed();
             }
             Event::WatchBroken(error) => {
                 log(format_args!(
-                    "the watch of {} broke: {error}",
+                    "the watch of discovery at {} broke: {error}",
                     feed.address()
                 ));
                 subscription = subscription.on_broken();
@@ -93,11 +93,11 @@
     }
 }
 
-/// Watches, if that is ordered, until something else is to be done: the watch is dropped then.
+/// Waits for the next event, with the watch running if it is requested. On any event the watch is dropped.
 async fn next_event(
     feed: &mut ListFeed,
     subscription: Subscription,
-    orders: &mut mpsc::Receiver<DiscoveryCommand>,
+    commands: &mut mpsc::Receiver<DiscoveryCommand>,
     addresses: &mut AddressChanges,
 ) -> Event {
     let is_watching = subscription == Subscription::Watching;
@@ -112,47 +112,48 @@
     loop {
         tokio::select! {
             biased;
-            order = orders.recv() => match order {
-                // The watch that is ordered is open, or being opened: another would lose it.
+            command = commands.recv() => match command {
+                // The watch is already open or being opened; reopening it would drop what it has received.
                 Some(DiscoveryCommand::Watch(true)) if is_watching => {}
-                order => return Event::Order(order),
+                command => return Event::Command(command),
             },
-            address = addresses.next() => return Event::Moved(address),
+            address = addresses.next() => return Event::AddressChanged(address),
             error = watch.as_mut() => return Event::WatchBroken(error),
         }
     }
 }
 
-/// How a poll ended.
+/// Whether discovery's address changed during a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Poll {
-    /// At the address where it began.
-    Done,
-    /// Discovery moved meanwhile, and was polled at its new address.
-    Moved,
+enum PollOutcome {
+    /// The poll ended at the address where it started.
+    AddressUnchanged,
+    /// The address changed, and the list was polled at the new one.
+    AddressChanged,
 }
 
-/// Polls the list, at the new address if that changes meanwhile. A poll that fails is reported to the node.
-async fn poll(feed: &mut ListFeed, addresses: &mut AddressChanges) -> Poll {
-    let mut ended = Poll::Done;
+/// Polls the list, starting over at the new address if discovery's address changes. A failed poll is reported to the
+/// node.
+async fn poll(feed: &mut ListFeed, addresses: &mut AddressChanges) -> PollOutcome {
+    let mut outcome = PollOutcome::AddressUnchanged;
     loop {
         let result = tokio::select! {
             biased;
             result = read_list(feed) => result,
             address = addresses.next() => {
-                feed.move_to(address);
-                ended = Poll::Moved;
+                feed.change_address(address);
+                outcome = PollOutcome::AddressChanged;
                 continue;
             }
         };
         if let Err(error) = result {
             log(format_args!(
-                "the list of {} did not come: {error}",
+                "polling the endpoint list from discovery at {} failed: {error}",
                 feed.address()
             ));
             feed.report_failure().await;
         }
-        return ended;
+        return outcome;
     }
 }
 
--- a/crates/discovery/src/pushed.rs
+++ b/crates/discovery/src/pushed.rs
@@ -1,36 +1,36 @@
-//! Where the list is pushed: a watch that is always open, with backoff between attempts.
+//! Discovery in pushed mode: a watch that is kept open, with backoff between attempts to open it.
 
 use crate::address::AddressChanges;
 use crate::feed::ListFeed;
-use crate::timing::{INITIAL_BACKOFF, MAX_BACKOFF, STABLE_WATCH};
+use crate::timing::{INITIAL_BACKOFF, MAX_BACKOFF, STABLE_WATCH_DURATION};
 use crate::watch::watch;
 use sillward_logging::log;
 use sillward_runtime::random::Random;
 use sillward_runtime::time::{Instant, sleep};
 use std::time::Duration;
 
-/// Watches for good. A watch that breaks changes nothing: the node's list stays as it is.
+/// Keeps a watch open indefinitely. While it is broken, the node keeps its list.
 pub(crate) async fn run(feed: &mut ListFeed, mut addresses: AddressChanges, random: Random) {
     let mut backoff = Backoff::new(random);
     loop {
-        let opened = Instant::now();
-        // A watch that is dropped here is opened anew at the new address.
+        let started_at = Instant::now();
+        // On a change of address the watch is dropped and reopened at the new address.
         let error = tokio::select! {
             biased;
             error = watch(feed) => error,
             address = addresses.next() => {
-                feed.move_to(address);
+                feed.change_address(address);
                 backoff.reset();
                 continue;
             }
         };
-        if opened.elapsed() > STABLE_WATCH {
+        if started_at.elapsed() > STABLE_WATCH_DURATION {
             backoff.reset();
         } else {
             backoff.increase();
         }
         log(format_args!(
-            "the watch of {} broke: {error}",
+            "the watch of discovery at {} broke: {error}",
             feed.address()
         ));
         let delay = backoff.jittered();
@@ -38,7 +38,7 @@
             biased;
             () = sleep(delay) => {}
             address = addresses.next() => {
-                feed.move_to(address);
+                feed.change_address(address);
                 backoff.reset();
             }
         }
@@ -67,7 +67,8 @@
         self.delay = (self.delay * 2).min(MAX_BACKOFF);
     }
 
-    /// Between half and all of the delay, so that nodes whose watches broke together do not call together.
+    /// A random time between half and all of the delay, so that nodes whose watches broke together don't reconnect at
+    /// the same time.
     fn jittered(&mut self) -> Duration {
         self.delay.mul_f64(0.5 + self.random.next_f64() / 2.0)
     }
--- a/crates/discovery/src/request.rs
+++ b/crates/discovery/src/request.rs
@@ -1,4 +1,4 @@
-//! A call to discovery: an HTTP request on a connection of its own.
+//! HTTP requests to discovery, each on a connection of its own.
 
 use crate::error::DiscoveryError;
 use bytes::Bytes;
@@ -14,10 +14,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Where discovery has the list.
+/// The path of the endpoint list at discovery.
 pub(crate) const LIST_PATH: &str = "/registry/instances";
 
-/// A connection to discovery. It closes when it is dropped.
+/// A connection to discovery, closed on drop.
 pub(crate) struct Connection(JoinHandle<()>);
 
 impl Drop for Connection {
@@ -26,8 +26,8 @@
     }
 }
 
-/// Sends a request, and returns once the head of its response has come, which must be within `head_timeout`. The body
-/// comes as long as the connection is not dropped.
+/// Sends a GET request and returns once the response head has arrived, which must be within `head_timeout`. The body
+/// can be read only while the returned connection is alive.
 pub(crate) async fn get(
     address: SocketAddr,
     path: &str,
@@ -47,7 +47,7 @@
         .map_err(DiscoveryError::Connect)?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     let connection = Connection(spawn_local(async move {
-        let _ = connection.await; // the response reports how it ended
+        let _ = connection.await; // the response reports any error
     }));
     let request = Request::get(path)
         .header(HOST, address.to_string())
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -1,9 +1,9 @@
-//! A watch of discovery's list: its states, and when it counts as broken.
+//! A watch of discovery's endpoint list: applies its lists and detects when it is broken.
 
-use crate::request::{LIST_PATH, get};
 use crate::decoder::{WatchDecoder, WatchItem};
 use crate::error::DiscoveryError;
 use crate::feed::{ListFeed, ListOrigin};
+use crate::request::{LIST_PATH, get};
 use crate::timing::{LINE_TIMEOUT, RESYNC_DELAY};
 use http_body_util::BodyExt;
 use sillward_logging::log_peer;
@@ -11,27 +11,28 @@
 use std::convert::Infallible;
 use std::time::Duration;
 
-/// Watches until that breaks; returns why. If the call is dropped, what was applied stays.
+/// Runs a watch until it breaks and returns the error. If the future is dropped, the lists applied so far remain in
+/// effect.
 pub(crate) async fn watch(feed: &mut ListFeed) -> DiscoveryError {
     let Err(error) = Watch::new(feed.first_line_timeout()).run(feed).await;
     error
 }
 
-/// The states of a watch, apart from its end.
+/// The state of a running watch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// Every list that came was applied.
+    /// Every received list was applied.
     InSync,
-    /// A list was malformed and dropped: a change may be missing.
+    /// A malformed list was dropped, so a change may be missing.
     Incomplete {
-        /// When it was dropped.
+        /// When the first malformed list was dropped.
         since: Instant,
     },
 }
 
 struct Watch {
     state: State,
-    /// When the next line must have come.
+    /// The time by which the next line must be complete.
     line_deadline: Instant,
 }
 
@@ -44,7 +45,7 @@
     }
 
     async fn run(mut self, feed: &mut ListFeed) -> Result<Infallible, DiscoveryError> {
-        let path = format!("{LIST_PATH}?stream=1&index={}", feed.resume_index());
+        let path = format!("{LIST_PATH}?stream=1&index={}", feed.resume_version());
         let (response, _connection) = get(feed.address(), &path, feed.head_timeout()).await?;
         let mut body = response.into_body();
         let mut decoder = WatchDecoder::default();
@@ -63,7 +64,7 @@
             if decoder.exceeds_limit() {
                 return Err(DiscoveryError::LineTooLong);
             }
-            // Bytes that come without completing a line must not keep the watch alive.
+            // Data that completes no line must not keep the watch alive.
             if Instant::now() >= self.line_deadline {
                 return Err(DiscoveryError::LineTimeout);
             }
@@ -90,19 +91,20 @@
             WatchItem::Heartbeat => Ok(()),
             WatchItem::List(text) => self.apply_list(&text, feed).await,
             WatchItem::Truncated(bytes) => {
-                self.drop_malformed(feed, format_args!("it broke off after {bytes} bytes"));
+                self.drop_malformed(feed, format_args!("truncated after {bytes} bytes"));
                 Ok(())
             }
         }
     }
 
     async fn apply_list(&mut self, text: &[u8], feed: &mut ListFeed) -> Result<(), DiscoveryError> {
-        let index = feed.resume_index();
+        let version = feed.resume_version();
         match feed.apply(text, ListOrigin::Watch).await {
             Ok(_) => {
-                // The next watch must resume before what was dropped, whatever was applied since.
+                // The next watch must resume from the version before the dropped list, so that its changes are sent
+                // again.
                 if self.state != State::InSync {
-                    feed.set_resume_index(index);
+                    feed.set_resume_version(version);
                 }
                 Ok(())
             }
@@ -116,7 +118,7 @@
 
     fn drop_malformed(&mut self, feed: &ListFeed, reason: std::fmt::Arguments<'_>) {
         log_peer(format_args!(
-            "a malformed list of {} was dropped: {reason}",
+            "a malformed list of discovery at {} was dropped: {reason}",
             feed.address()
         ));
         if self.state == State::InSync {
--- a/crates/discovery/tests/decoder.rs
+++ b/crates/discovery/tests/decoder.rs
@@ -1,12 +1,12 @@
-//! The bytes of a watch come in pieces of any size; what they are decoded into does not depend on that.
+//! The watch decoder must yield the same items however the byte stream is split into chunks.
 
 use sillward_discovery::decoder::{WatchDecoder, WatchItem};
 
-/// The items of a text that comes in pieces of that size, as texts.
-fn decode(text: &str, piece: usize) -> Vec<String> {
+/// Decodes a text received in chunks of the given size; each item is returned as a string.
+fn decode(text: &str, chunk_size: usize) -> Vec<String> {
     let mut decoder = WatchDecoder::default();
     let mut items = Vec::new();
-    for bytes in text.as_bytes().chunks(piece) {
+    for bytes in text.as_bytes().chunks(chunk_size) {
         decoder.push(bytes);
         while let Some(item) = decoder.next_item() {
             items.push(match item {
@@ -25,9 +25,9 @@
 const LIST: &str = r#"{"index":1,"snapshot":true,"endpoints":[{"name":"a[{\"}"}]}"#;
 
 #[test]
-fn decodes_lists_however_they_are_split_into_pieces_and_lines() {
+fn decodes_lists_regardless_of_chunk_and_line_boundaries() {
     let indented = "{\n  \"index\": 1,\n  \"snapshot\": true,\n  \"endpoints\": [\n    {\"name\":\n\"a[{\\\"}\"}\n  ]\n}\n";
-    let between = "{\n\"index\":1,\n";
+    let truncated_between_tokens = "{\n\"index\":1,\n";
     for (text, expected) in [
         (format!("{LIST}\n"), vec![LIST]),
         (
@@ -39,29 +39,32 @@
             format!("{indented}\n{LIST}\n"),
             vec![LIST, "heartbeat", LIST],
         ),
-        // Truncated within a string: no string contains the end of a line.
+        // Truncated inside a string: a JSON string can't contain a line feed.
         (
             format!("{{\"index\":1,\"snap\n{LIST}\n"),
             vec!["{\"index\":1,\"snap", LIST],
         ),
-        // Truncated between two tokens: what follows is a value by itself.
-        (format!("{between}{LIST}\n"), vec!["truncated", LIST]),
+        // Truncated between two tokens: the next line is a complete list.
         (
-            format!("{between}\n{LIST}\n"),
+            format!("{truncated_between_tokens}{LIST}\n"),
+            vec!["truncated", LIST],
+        ),
+        (
+            format!("{truncated_between_tokens}\n{LIST}\n"),
             vec!["truncated", "heartbeat", LIST],
         ),
         (
             format!("\u{1}\u{2}]]\n{LIST}\n"),
             vec!["\u{1}\u{2}]]", LIST],
         ),
-        // An incomplete value is no item yet.
-        (format!("{LIST}\n{between}"), vec![LIST]),
+        // An incomplete value yields no item.
+        (format!("{LIST}\n{truncated_between_tokens}"), vec![LIST]),
     ] {
-        for piece in 1..=text.len() {
+        for chunk_size in 1..=text.len() {
             assert_eq!(
-                decode(&text, piece),
+                decode(&text, chunk_size),
                 expected,
-                "{text:?} in pieces of {piece}"
+                "{text:?} in chunks of {chunk_size}"
             );
         }
     }
