--- a/crates/endpoint-updates/src/aggregator.rs
+++ b/crates/endpoint-updates/src/aggregator.rs
@@ -1,4 +1,4 @@
-//! The task that applies the sources' updates to the merged list and sends its changes to the node.
+//! The task that applies the updates of the sources to the merged list and sends the changes to the node.
 
 use crate::event::SourceEvent;
 use sillward_balancer::EndpointUpdate;
@@ -11,14 +11,14 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// How often withheld removals are checked.
+/// The interval at which withheld removals are checked.
 const REMOVAL_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Discovery's place among the sources of the merged list.
+/// The index of discovery among the sources of the merged list.
 const DISCOVERY: SourceId = SourceId(0);
-/// The additional source's place.
+/// The index of the additional source.
 const ADDITIONAL: SourceId = SourceId(1);
 
-/// Aggregates discovery and an additional source.
+/// Aggregates the endpoint updates of discovery and an additional source.
 pub struct EndpointAggregator {
     clock: Clock,
     merged: Rc<RefCell<MergedEndpoints>>,
@@ -27,8 +27,8 @@
 }
 
 impl EndpointAggregator {
-    /// `merged` has discovery as its first source and the additional one as its second. `ready` is set once the
-    /// additional source has sent its complete list.
+    /// Creates an aggregator. The first source of `merged` must be discovery, the second the additional source. `ready`
+    /// is set once the additional source has sent its complete list.
     pub fn new(
         clock: Clock,
         merged: Rc<RefCell<MergedEndpoints>>,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Runs until the node has ended. A channel that closes only ends the updates of its source.
+    /// Runs until the node shuts down. If the channel of one source is closed, the other source is still served.
     pub async fn run(
         self,
         mut discovery: mpsc::Receiver<Message>,
@@ -51,7 +51,7 @@
     ) {
         let mut removal_check_at = Instant::now() + REMOVAL_CHECK_INTERVAL;
         loop {
-            // Receiving from a channel is cancellation safe: a branch that is dropped has taken nothing.
+            // Receiving from a channel is cancel safe: a branch that is dropped has consumed no message.
             let changed = tokio::select! {
                 biased;
                 () = sleep_until(removal_check_at) => {
@@ -128,7 +128,7 @@
     }
 
     async fn forward(&self, message: Message) {
-        let _ = self.node.send(message).await; // fails only if the node has ended
+        let _ = self.node.send(message).await; // fails only after the node has shut down
     }
 }
 
--- a/crates/endpoint-updates/src/event.rs
+++ b/crates/endpoint-updates/src/event.rs
@@ -1,21 +1,21 @@
-//! What an additional source sends.
+//! The events that an additional source sends.
 
 use sillward_balancer::ServerId;
 use sillward_forwarding::Backend;
 
-/// An event of a source other than discovery.
+/// An event of an endpoint source other than discovery.
 #[derive(Debug)]
 pub enum SourceEvent {
-    /// Its complete list follows.
+    /// A resync has started: the complete list follows.
     ResyncStarted,
-    /// Endpoints of its complete list, or changed ones.
+    /// Endpoints of the complete list, or changed endpoints.
     Updated(Vec<Backend>),
-    /// An endpoint is gone.
+    /// An endpoint was removed.
     Removed(ServerId),
-    /// The complete list has been sent.
+    /// The resync has finished: the complete list has been sent.
     ResyncFinished,
-    /// The source is connected, and has nothing new.
+    /// The source is connected and has nothing new to report.
     Connected,
-    /// The source is disconnected; what it sent still counts.
+    /// The source is disconnected; what it sent remains in effect.
     Disconnected,
 }
--- a/crates/endpoint-updates/src/lib.rs
+++ b/crates/endpoint-updates/src/lib.rs
@@ -1,5 +1,5 @@
-//! The way of endpoint updates from discovery and an additional source to the node: updates go into the merged list, its
-//! changes on to the node. What the list comes to is decided by `sillward-endpoints` alone.
+//! Applies endpoint updates of discovery and an additional source to the merged list, and forwards its changes to the
+//! node. The rules for merging are those of `sillward-endpoints`.
 #![forbid(unsafe_code)]
 
 mod aggregator;
--- a/crates/endpoints/src/endpoint.rs
+++ b/crates/endpoints/src/endpoint.rs
@@ -1,14 +1,14 @@
-//! An endpoint with its address.
+//! An endpoint and its address.
 
 use sillward_balancer::{Endpoint, ServerState};
 use std::net::SocketAddr;
 
-/// An endpoint as one source lists it, or as all of them together do.
+/// An endpoint as listed by one source, or as merged from all sources.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListedEndpoint {
-    /// Its identity, attributes and state.
+    /// The id, attributes and state.
     pub endpoint: Endpoint,
-    /// Where it listens.
+    /// The address that the backend listens on.
     pub address: SocketAddr,
 }
 
--- a/crates/endpoints/src/guard.rs
+++ b/crates/endpoints/src/guard.rs
@@ -1,16 +1,16 @@
-//! Protection against a resync that removes an implausible part of the list.
+//! Protection against a resync that would remove an implausibly large part of the list.
 
 use std::time::Duration;
 
-/// When the removals that a resync implies are withheld for a time. A drain or a deletion that a source reports by
-/// itself always counts at once.
+/// The limits above which removals implied by a resync are withheld for some time. Draining or removal that a source
+/// reports explicitly always takes effect at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RemovalGuard {
-    /// The largest part of a source's list, in percent, that may be missing from its next complete list. Default 50.
+    /// The largest percentage of a source's list that may be missing from its next complete list. Default 50.
     pub max_removed_percent: usize,
-    /// Fewer missing endpoints than this are always removed, unless they are the whole list. Default 3.
+    /// Fewer missing endpoints than this are always removed, unless they make up the whole list. Default 3.
     pub min_removed: usize,
-    /// How long removals are withheld; a removal of the source's whole list is withheld for good. Default 30 s.
+    /// How long removals are withheld; the removal of a source's whole list is withheld indefinitely. Default 30 s.
     pub delay: Duration,
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl RemovalGuard {
-    /// Whether a resync is implausible that lacks `missing` of the `listed` endpoints.
+    /// Whether removals are withheld if `missing` of the `listed` endpoints are absent from a resync.
     pub(crate) fn withholds(&self, missing: usize, listed: usize) -> bool {
         let too_many =
             missing >= self.min_removed && missing * 100 > listed * self.max_removed_percent;
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -1,12 +1,13 @@
-//! The list of endpoints merged from several sources. No I/O and no clock: updates and times in, changed endpoints out.
+//! The endpoint list merged from several sources, without I/O or a clock: the caller passes in updates with their time
+//! and gets back the endpoints that changed.
 //!
-//! - The strictest state wins: an endpoint drains, or is removed, as soon as one source that lists it reports that, from
-//!   the first report on. A source that disconnects withdraws nothing.
-//! - A report is about one incarnation of the endpoint: the one whose start time it gives, or else the newest that was
-//!   known when it was made. A newer start time, from whichever source, voids it.
-//! - Address, zone, machine type, cell and weight are those of the first source, in the order given, that lists the
-//!   endpoint in its newest incarnation.
-//! - Removals that a resync implies are withheld where they are implausibly many ([`RemovalGuard`]).
+//! - The strictest state wins: an endpoint is draining or removed from the first such report of any source that lists
+//!   it. The reports of a source that disconnects remain in effect.
+//! - A report refers to one incarnation of the endpoint: the one whose start time it gives, or else the newest one
+//!   known when the report was made. A newer start time from any source makes it obsolete.
+//! - Address, zone, machine type, cell and weight come from the first source, in the given order, that lists the newest
+//!   incarnation of the endpoint.
+//! - If a resync implies an implausible number of removals, they are withheld ([`RemovalGuard`]).
 #![forbid(unsafe_code)]
 
 mod endpoint;
--- a/crates/endpoints/src/merge.rs
+++ b/crates/endpoints/src/merge.rs
@@ -1,24 +1,27 @@
-//! What the reports of all sources about one endpoint come to.
+//! Merges the reports of all sources on one endpoint.
 
 use crate::endpoint::ListedEndpoint;
 use crate::source::SourceEntry;
 use sillward_balancer::ServerState;
 use std::time::Duration;
 
-/// The merged endpoint; `None` without a report. `entries` are in the sources' order.
+/// Merges reports given in the order of their sources; `None` if there are none.
 pub(crate) fn merge(entries: &[&SourceEntry]) -> Option<ListedEndpoint> {
     let newest = entries
         .iter()
         .filter_map(|entry| entry.listed.endpoint.started_at)
         .max();
-    let mut merged = preferred(entries, newest)?.listed;
+    let mut merged = preferred_entry(entries, newest)?.listed;
     merged.endpoint.state = strictest_state(entries, newest);
     merged.endpoint.started_at = newest;
     Some(merged)
 }
 
-/// The entry whose address and attributes count: the first that lists the newest incarnation.
-fn preferred<'a>(entries: &[&'a SourceEntry], newest: Option<Duration>) -> Option<&'a SourceEntry> {
+/// The report that determines the address and attributes: the first that lists the newest incarnation.
+fn preferred_entry<'a>(
+    entries: &[&'a SourceEntry],
+    newest: Option<Duration>,
+) -> Option<&'a SourceEntry> {
     let is_listed = |entry: &SourceEntry| !entry.listed.is_removed();
     let is_newest = |entry: &SourceEntry| {
         let started_at = entry.listed.endpoint.started_at;
@@ -35,8 +38,8 @@
 fn strictest_state(entries: &[&SourceEntry], newest: Option<Duration>) -> ServerState {
     let reported = |state: ServerState| {
         entries.iter().any(|entry| {
-            let is_void = entry.incarnation < newest;
-            entry.listed.endpoint.state == state && !is_void
+            let is_outdated = entry.incarnation < newest;
+            entry.listed.endpoint.state == state && !is_outdated
         })
     };
     if reported(ServerState::Removed) {
--- a/crates/endpoints/src/merged.rs
+++ b/crates/endpoints/src/merged.rs
@@ -1,4 +1,4 @@
-//! The merged list, and the updates to it.
+//! The merged endpoint list.
 
 use crate::endpoint::ListedEndpoint;
 use crate::merge::merge;
@@ -7,19 +7,20 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A source, by its place in the order given to [`MergedEndpoints::new`].
+/// The index of a source in the list passed to [`MergedEndpoints::new`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SourceId(pub usize);
 
-/// The merged list of all sources. Times are those of one clock, and do not go back. Methods that take a [`SourceId`]
-/// panic where there is no such source.
+/// The merged endpoint list of all sources. All times must come from the same monotonic clock. Methods that take a
+/// [`SourceId`] panic if there is no such source.
 pub struct MergedEndpoints {
     sources: Vec<Source>,
     merged: BTreeMap<ServerId, ListedEndpoint>,
 }
 
 impl MergedEndpoints {
-    /// An empty list for these sources. Where several list an endpoint, the first gives its address.
+    /// Creates an empty list. If several sources list an endpoint, the first of them in this order determines its
+    /// address.
     pub fn new(sources: Vec<SourceConfig>) -> Self {
         MergedEndpoints {
             sources: sources.into_iter().map(Source::new).collect(),
@@ -27,71 +28,74 @@
         }
     }
 
-    /// A source begins to send its complete list: [`Self::update`] follows with its endpoints, in any number of parts,
-    /// then [`Self::finish_resync`].
+    /// Starts a resync, in which a source sends its complete list: any number of calls of [`Self::update`] follow, then
+    /// [`Self::finish_resync`].
     pub fn begin_resync(&mut self, source: SourceId, now: Duration) {
         self.sources[source.0].begin_resync(now);
     }
 
-    /// A source sends endpoints, as part of its complete list or as changes. Returns what has changed.
+    /// Applies endpoints that a source sent, as part of its complete list or as changes. Returns the merged endpoints
+    /// that changed.
     pub fn update(
         &mut self,
         source: SourceId,
         now: Duration,
         endpoints: &[ListedEndpoint],
     ) -> Vec<ListedEndpoint> {
-        self.sources[source.0].touch(now);
+        self.sources[source.0].mark_heard(now);
         let mut changed = Vec::new();
         for listed in endpoints {
             self.record(source, now, listed);
-            changed.extend(self.refresh(listed.endpoint.id));
+            changed.extend(self.remerge(listed.endpoint.id));
         }
         changed
     }
 
-    /// A source reports that an endpoint is gone. Returns what has changed: nothing if the source never listed it.
+    /// Applies a source's report that an endpoint was removed. Returns the merged endpoints that changed: none if the
+    /// source never listed this one.
     pub fn remove(&mut self, source: SourceId, now: Duration, id: ServerId) -> Vec<ListedEndpoint> {
-        self.sources[source.0].touch(now);
+        self.sources[source.0].mark_heard(now);
         let Some(entry) = self.sources[source.0].entry(id) else {
             return Vec::new();
         };
         let mut listed = entry.listed;
         listed.endpoint.state = ServerState::Removed;
         self.record(source, now, &listed);
-        self.refresh(id).into_iter().collect()
+        self.remerge(id).into_iter().collect()
     }
 
-    /// A source has sent its complete list: what its last one had and this one lacks is removed, or withheld by its
-    /// guard. Returns what has changed.
+    /// Finishes a resync: endpoints that the source listed before and that are missing now are removed, unless the
+    /// source's guard withholds the removal. Returns the merged endpoints that changed.
     pub fn finish_resync(&mut self, source: SourceId, now: Duration) -> Vec<ListedEndpoint> {
         let resynced = &mut self.sources[source.0];
         resynced.finish_resync(now);
         let missing = resynced.missing();
         let mut changed = Vec::new();
-        if resynced.distrusts(&missing) {
+        if resynced.withholds_removal(&missing) {
             resynced.withhold(&missing, now);
         } else {
             for id in missing {
                 changed.extend(self.remove(source, now, id));
             }
         }
-        self.sources[source.0].count_withheld();
+        self.sources[source.0].update_withheld_count();
         changed
     }
 
-    /// A source is connected, and has nothing new.
+    /// Records that a source is connected and has nothing new to report.
     pub fn mark_connected(&mut self, source: SourceId, now: Duration) {
         let source = &mut self.sources[source.0];
-        source.touch(now);
+        source.mark_heard(now);
         source.mark_connected();
     }
 
-    /// A source is disconnected. What it reported stays.
+    /// Records that a source is disconnected. Its reports remain in effect.
     pub fn mark_disconnected(&mut self, source: SourceId) {
         self.sources[source.0].mark_disconnected();
     }
 
-    /// Applies the removals that were withheld for long enough; to be called now and then. Returns what has changed.
+    /// Applies the removals that have been withheld for the guard's delay; call it periodically. Returns the merged
+    /// endpoints that changed.
     pub fn apply_due_removals(&mut self, now: Duration) -> Vec<ListedEndpoint> {
         let mut changed = Vec::new();
         for index in 0..self.sources.len() {
@@ -101,22 +105,22 @@
             for id in due {
                 changed.extend(self.remove(SourceId(index), now, id));
             }
-            self.sources[index].count_withheld();
+            self.sources[index].update_withheld_count();
         }
         changed
     }
 
-    /// The merged list, without what is removed.
+    /// The merged list, without removed endpoints.
     pub fn endpoints(&self) -> impl Iterator<Item = &ListedEndpoint> {
         self.merged.values().filter(|listed| !listed.is_removed())
     }
 
-    /// The sources' statuses, in their order.
+    /// The status of each source, in the order of the sources.
     pub fn source_statuses(&self) -> Vec<SourceStatus> {
         self.sources.iter().map(Source::status).collect()
     }
 
-    /// Each source's report of an endpoint, in their order.
+    /// The report of each source on an endpoint, in the order of the sources.
     pub fn source_entries(&self, id: ServerId) -> Vec<Option<SourceEntry>> {
         self.sources
             .iter()
@@ -130,13 +134,13 @@
             .iter()
             .filter_map(|source| source.entry(listed.endpoint.id)?.listed.endpoint.started_at)
             .max();
-        // Without a start time of its own, a report is about the newest incarnation that any source knows of.
+        // A report without a start time refers to the newest incarnation that any source has reported.
         let incarnation = listed.endpoint.started_at.or(newest);
         self.sources[source.0].record(now, listed, incarnation);
     }
 
-    /// Merges the reports of an endpoint again; returns the endpoint if it has changed.
-    fn refresh(&mut self, id: ServerId) -> Option<ListedEndpoint> {
+    /// Merges the reports on an endpoint again and returns the merged endpoint if it changed.
+    fn remerge(&mut self, id: ServerId) -> Option<ListedEndpoint> {
         let entries: Vec<&SourceEntry> = self
             .sources
             .iter()
@@ -156,7 +160,7 @@
         (old != Some(merged) && !is_new_but_removed).then_some(merged)
     }
 
-    /// No source lists the endpoint any more: their reports need not be remembered.
+    /// Drops the reports on an endpoint that no source lists any more.
     fn forget(&mut self, id: ServerId) {
         for source in &mut self.sources {
             source.forget(id);
--- a/crates/endpoints/src/source.rs
+++ b/crates/endpoints/src/source.rs
@@ -1,4 +1,4 @@
-//! One source of endpoints: its connection's state and what it reports of each endpoint.
+//! A source of endpoints: the state of its connection and its report on each endpoint.
 
 use crate::endpoint::ListedEndpoint;
 use crate::guard::RemovalGuard;
@@ -6,55 +6,55 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A source of endpoints, as it is set up.
+/// The configuration of a source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourceConfig {
-    /// Its name, for operators.
+    /// The name shown to operators.
     pub name: String,
-    /// When its resyncs are distrusted; without a guard each takes effect at once.
+    /// Limits the removals that a resync may imply; without a guard they take effect at once.
     pub removal_guard: Option<RemovalGuard>,
 }
 
 /// The state of a source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceState {
-    /// It has reported nothing yet.
+    /// It has not reported anything yet.
     NeverSynced,
     /// It is sending its complete list.
     Resyncing,
-    /// It has sent its complete list, and is connected.
+    /// It has sent its complete list and is connected.
     Current,
-    /// It is disconnected; what it reported still counts.
+    /// It is disconnected; its reports remain in effect.
     Disconnected,
 }
 
-/// A source, as operators see it.
+/// The status of a source, as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourceStatus {
-    /// Its name.
+    /// The name of the source.
     pub name: String,
-    /// Its state.
+    /// The state of the source.
     pub state: SourceState,
-    /// When it last sent anything.
+    /// When the source last sent anything.
     pub last_heard: Option<Duration>,
-    /// How many endpoints it lists.
+    /// The number of endpoints that the source lists.
     pub endpoints: usize,
-    /// How many removals were withheld, as of the last resync or check for due removals.
+    /// The number of withheld removals, as of the last resync or check for due removals.
     pub withheld_removals: usize,
 }
 
-/// What a source reports of an endpoint.
+/// A source's report on an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SourceEntry {
     /// The endpoint as the source lists it.
     pub listed: ListedEndpoint,
     /// When this state was first reported.
     pub since: Duration,
-    /// Since when its removal is withheld: it was missing from a complete list.
+    /// Since when the removal of the endpoint is withheld, if it was missing from a complete list.
     pub removal_withheld_since: Option<Duration>,
-    /// The start time of the incarnation that the report is about.
+    /// The start time of the incarnation that the report refers to.
     pub(crate) incarnation: Option<Duration>,
-    /// The number of the last resync that had it.
+    /// The number of the last resync that contained the endpoint.
     last_resync: u64,
 }
 
@@ -64,8 +64,8 @@
     state: SourceState,
     last_heard: Option<Duration>,
     entries: BTreeMap<ServerId, SourceEntry>,
-    /// The number of the resync that runs, or that ran last.
-    resync: u64,
+    /// The number of the current resync, or of the last one if none is in progress.
+    resync_number: u64,
     withheld_removals: usize,
 }
 
@@ -77,7 +77,7 @@
             state: SourceState::NeverSynced,
             last_heard: None,
             entries: BTreeMap::new(),
-            resync: 0,
+            resync_number: 0,
             withheld_removals: 0,
         }
     }
@@ -101,7 +101,7 @@
     }
 
     pub(crate) fn begin_resync(&mut self, now: Duration) {
-        self.resync += 1;
+        self.resync_number += 1;
         self.state = SourceState::Resyncing;
         self.last_heard = Some(now);
     }
@@ -111,7 +111,7 @@
         self.last_heard = Some(now);
     }
 
-    pub(crate) fn touch(&mut self, now: Duration) {
+    pub(crate) fn mark_heard(&mut self, now: Duration) {
         self.last_heard = Some(now);
     }
 
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Records a report about `incarnation`. A removal of an endpoint that this source never listed is ignored.
+    /// Records a report on the given incarnation. The removal of an endpoint that this source never listed is ignored.
     pub(crate) fn record(
         &mut self,
         now: Duration,
@@ -139,13 +139,13 @@
             since: now,
             removal_withheld_since: None,
             incarnation,
-            last_resync: self.resync,
+            last_resync: self.resync_number,
         };
         match self.entries.get_mut(&listed.endpoint.id) {
             Some(old) => {
                 let before = old.listed.endpoint;
                 let after = listed.endpoint;
-                // A repeated report counts from when it was first made, and for the incarnation of then.
+                // A repeated report keeps the time and the incarnation of the first one.
                 if before.state == after.state && before.started_at == after.started_at {
                     entry.since = old.since;
                     entry.incarnation = old.incarnation;
@@ -159,23 +159,25 @@
         }
     }
 
-    /// The listed endpoints that the resync that has just ended lacked.
+    /// The listed endpoints that were missing from the resync that has just finished.
     pub(crate) fn missing(&self) -> Vec<ServerId> {
         self.entries
             .iter()
-            .filter(|(_, entry)| !entry.listed.is_removed() && entry.last_resync != self.resync)
+            .filter(|(_, entry)| {
+                !entry.listed.is_removed() && entry.last_resync != self.resync_number
+            })
             .map(|(id, _)| *id)
             .collect()
     }
 
     /// Whether the guard withholds the removal of these endpoints.
-    pub(crate) fn distrusts(&self, missing: &[ServerId]) -> bool {
+    pub(crate) fn withholds_removal(&self, missing: &[ServerId]) -> bool {
         let listed = self.listed_count();
         self.removal_guard
             .is_some_and(|guard| guard.withholds(missing.len(), listed))
     }
 
-    /// Withholds the removal of these endpoints from `now`, or from when it was withheld first.
+    /// Withholds the removal of these endpoints from `now` on; a removal already withheld keeps its start time.
     pub(crate) fn withhold(&mut self, missing: &[ServerId], now: Duration) {
         for id in missing {
             if let Some(entry) = self.entries.get_mut(id) {
@@ -184,12 +186,14 @@
         }
     }
 
-    /// The endpoints whose removal was withheld for long enough. Only a source that is current can confirm a removal,
-    /// and none may remove its whole list. `None` if there is nothing to check.
+    /// The endpoints whose removal has been withheld for the guard's delay. Only a current source can confirm removals,
+    /// and removals of its whole list stay withheld. `None` if there is nothing to check.
     pub(crate) fn due_removals(&self, now: Duration) -> Option<Vec<ServerId>> {
         let guard = self.removal_guard?;
-        let confirms = self.state == SourceState::Current;
-        if self.withheld_removals == 0 || !confirms || self.withheld_removals >= self.listed_count()
+        let is_current = self.state == SourceState::Current;
+        if self.withheld_removals == 0
+            || !is_current
+            || self.withheld_removals >= self.listed_count()
         {
             return None;
         }
@@ -202,7 +206,7 @@
         Some(due.map(|(id, _)| *id).collect())
     }
 
-    pub(crate) fn count_withheld(&mut self) {
+    pub(crate) fn update_withheld_count(&mut self) {
         self.withheld_removals = self
             .entries
             .values()
--- a/crates/endpoints/tests/merging.rs
+++ b/crates/endpoints/tests/merging.rs
@@ -1,4 +1,5 @@
-//! The merged list: every pair of reports, random histories against a plain model, and the removal guard.
+//! Tests of the merged list: every pair of reports, random histories compared with a reference model, and the removal
+//! guard.
 
 use proptest::prelude::*;
 use sillward_balancer::{Endpoint, ServerId, ServerState};
@@ -49,8 +50,8 @@
 
 use ServerState::{Draining, Ready, Removed};
 
-/// Every pair of reports, in both orders, with the same incarnation, an older and a newer one, and with no start time at
-/// one of them. `None`: the source never lists it.
+/// Every pair of reports, in both orders, for the same incarnation, for an older and a newer one, and with a start time
+/// missing from one of them. The state `None` means that the source never lists the endpoint.
 #[test]
 fn merges_every_pair_of_reports() {
     let states = [None, Some(Ready), Some(Draining), Some(Removed)];
@@ -70,7 +71,8 @@
             for order in [[DISCOVERY, ETCD], [ETCD, DISCOVERY]] {
                 let mut merged = discovery_and_etcd();
                 let reports = [(first, started_a), (second, started_b)];
-                // Each source that reports anything has listed it before: what no source lists is forgotten.
+                // Each source that reports a state lists the endpoint first, because an endpoint that no
+                // source lists is forgotten.
                 for (source, (state, started)) in order.into_iter().zip(reports) {
                     if state.is_some() {
                         merged.update(source, at(1), &[listed(1, Ready, started, 80)]);
@@ -89,16 +91,20 @@
                 let is_listed = reports
                     .iter()
                     .any(|(s, _)| matches!(s, Some(Ready | Draining)));
-                // Without a start time a report is about the newest incarnation known when it was made.
-                let known = [
+                // A report without a start time refers to the newest incarnation known when it was made.
+                let incarnations = [
                     started_a.or(second.and(started_b)),
                     started_b.or(first.and(started_a)),
                 ];
-                let counts = |i: usize| reports[i].0.filter(|s| *s == Ready || known[i] >= newest);
-                let counted = [counts(0), counts(1)];
-                let expected = if !is_listed || counted.contains(&Some(Removed)) {
+                let effective_state = |i: usize| {
+                    reports[i]
+                        .0
+                        .filter(|s| *s == Ready || incarnations[i] >= newest)
+                };
+                let effective = [effective_state(0), effective_state(1)];
+                let expected = if !is_listed || effective.contains(&Some(Removed)) {
                     None
-                } else if counted.contains(&Some(Draining)) {
+                } else if effective.contains(&Some(Draining)) {
                     Some(Draining)
                 } else {
                     Some(Ready)
@@ -115,9 +121,9 @@
     assert_eq!(cases, 160);
 }
 
-/// Discovery lists it as ready, etcd as draining; etcd disconnects; the backend restarts.
+/// Discovery reports an endpoint as ready and etcd reports it as draining. etcd disconnects, then the backend restarts.
 #[test]
-fn keeps_a_drain_until_a_newer_incarnation_though_the_source_disconnects() {
+fn keeps_draining_state_until_a_newer_incarnation_even_if_the_source_disconnects() {
     for started in [None, Some(5)] {
         let mut merged = discovery_and_etcd();
         merged.update(DISCOVERY, at(1), &[listed(1, Ready, started, 80)]);
@@ -131,12 +137,12 @@
         assert_eq!(
             merged.update(DISCOVERY, at(4), &[listed(1, Ready, started, 80)]),
             [],
-            "not withdrawn"
+            "still draining"
         );
         assert_eq!(
             merged.update(ETCD, at(4), &[listed(1, Draining, started, 80)]),
             [],
-            "and reported once"
+            "a repeated report changes nothing"
         );
         assert_eq!(
             merged.source_entries(ServerId(1))[ETCD.0].map(|entry| entry.since),
@@ -152,9 +158,9 @@
         assert_eq!(
             changed,
             [listed(1, Ready, Some(9), 81)],
-            "another incarnation, at its new address"
+            "a newer incarnation at a new address"
         );
-        // etcd returns with what it knew: a report about the old incarnation.
+        // etcd reconnects and repeats its report on the old incarnation.
         assert_eq!(
             merged.update(ETCD, at(10), &[listed(1, Draining, started, 80)]),
             []
@@ -163,7 +169,7 @@
 }
 
 #[test]
-fn counts_a_report_made_after_a_restart_for_the_new_incarnation() {
+fn applies_a_report_made_after_a_restart_to_the_new_incarnation() {
     let mut merged = discovery_and_etcd();
     merged.update(DISCOVERY, at(1), &[listed(1, Ready, Some(5), 80)]);
     merged.update(ETCD, at(1), &[listed(1, Draining, None, 80)]);
@@ -175,7 +181,7 @@
 }
 
 #[test]
-fn removes_what_one_source_removes_and_forgets_what_none_lists() {
+fn removes_an_endpoint_when_one_source_does_and_forgets_it_when_none_lists_it() {
     let mut merged = discovery_and_etcd();
     merged.update(DISCOVERY, at(1), &[listed(1, Ready, None, 80)]);
     merged.update(ETCD, at(1), &[listed(1, Ready, None, 90)]);
@@ -195,12 +201,12 @@
     assert_eq!(
         merged.update(DISCOVERY, at(3), &[listed(1, Ready, None, 80)]),
         [],
-        "discovery lags"
+        "discovery still lists it"
     );
     assert_eq!(
         merged.remove(DISCOVERY, at(4), ServerId(1)),
         [],
-        "reported before"
+        "its removal was already reported"
     );
     assert_eq!(merged.source_entries(ServerId(1)), [None, None]);
     assert_eq!(
@@ -208,7 +214,7 @@
             .update(DISCOVERY, at(5), &[listed(1, Ready, None, 80)])
             .len(),
         1,
-        "listed anew"
+        "listed again"
     );
     assert_eq!(merged.remove(ETCD, at(6), ServerId(7)), [], "never listed");
 }
@@ -229,14 +235,14 @@
 }
 
 #[test]
-fn withholds_implausible_removals_and_applies_reported_ones() {
+fn withholds_implausible_removals_and_applies_explicit_ones() {
     let all: Vec<ListedEndpoint> = (0..10).map(|id| listed(id, Ready, None, 80)).collect();
     let mut merged = discovery_and_etcd();
     assert_eq!(resync(&mut merged, ETCD, at(1), &all).len(), 10);
-    // Half of it may go.
+    // Half of the list may be removed at once.
     assert_eq!(resync(&mut merged, ETCD, at(2), &all[..5]).len(), 5);
     assert_eq!(resync(&mut merged, ETCD, at(3), &all).len(), 5);
-    // More may not, at once; but a drain in the same list counts.
+    // A larger part is withheld, but draining reported in the same list takes effect.
     let mut few = all[..3].to_vec();
     few[1].endpoint.state = Draining;
     assert_eq!(resync(&mut merged, ETCD, at(10), &few), [few[1]]);
@@ -247,16 +253,20 @@
         ),
         (10, 7)
     );
-    // So is a deletion that a watch reports.
+    // An explicit removal takes effect too.
     assert_eq!(merged.remove(ETCD, at(11), ServerId(9)).len(), 1);
-    // The removal of one that is listed again is no longer withheld.
+    // If an endpoint is listed again, its removal is cancelled.
     assert_eq!(merged.update(ETCD, at(12), &all[8..9]), []);
-    assert_eq!(merged.apply_due_removals(at(39)), [], "not yet");
+    assert_eq!(
+        merged.apply_due_removals(at(39)),
+        [],
+        "the delay has not elapsed"
+    );
     merged.mark_disconnected(ETCD);
     assert_eq!(
         merged.apply_due_removals(at(60)),
         [],
-        "not while it is disconnected"
+        "the source is disconnected"
     );
     assert_eq!(
         resync(&mut merged, ETCD, at(61), &[few[0], few[1], few[2], all[8]]),
@@ -264,14 +274,14 @@
     );
     assert_eq!(merged.apply_due_removals(at(61)).len(), 5);
     assert_eq!(merged.endpoints().count(), 4);
-    // An empty list never takes effect by time: only deletions empty a list.
+    // An empty list never takes effect, however long it lasts: only explicit removals can empty a list.
     assert_eq!(resync(&mut merged, ETCD, at(70), &[]), []);
     assert_eq!(merged.apply_due_removals(at(7000)), []);
     assert_eq!(merged.endpoints().count(), 4);
     assert_eq!(merged.remove(ETCD, at(7001), ServerId(0)).len(), 1);
 }
 
-// ---- Random histories against a plain model -----------------------------------------------------
+// ---- Random histories compared with a reference model -------------------------------------------
 
 #[derive(Clone, Debug)]
 enum Operation {
@@ -311,11 +321,11 @@
 struct Report {
     state: ServerState,
     started: Option<u64>,
-    /// The start time of the incarnation that it is about.
+    /// The start time of the incarnation that the report refers to.
     incarnation: Option<u64>,
 }
 
-/// The plain model: every report, by endpoint and source.
+/// The reference model: every report, by endpoint and source.
 #[derive(Default)]
 struct Model(BTreeMap<(u64, usize), Report>);
 
@@ -370,8 +380,8 @@
     #![proptest_config(ProptestConfig::with_cases(2000))]
 
     #[test]
-    fn matches_a_plain_model_over_random_histories(history in proptest::collection::vec(operation(), 1..60)) {
-        // The guard has a test of its own: here whatever is missing is removed, unless that is the whole list.
+    fn matches_the_reference_model_over_random_histories(history in proptest::collection::vec(operation(), 1..60)) {
+        // The guard is tested separately: here all missing endpoints are removed, unless they make up the whole list.
         let guard = RemovalGuard { max_removed_percent: 100, min_removed: usize::MAX, delay: Duration::MAX };
         let mut merged = MergedEndpoints::new(["a", "b", "c"].map(|name| source(name, Some(guard))).to_vec());
         let mut model = Model::default();
@@ -418,7 +428,7 @@
             for id in 0..4 {
                 let expected = model.state(id);
                 prop_assert_eq!(state(&merged, id), expected, "backend {} after {}", id, i);
-                prop_assert_eq!(reported.get(&id).copied(), expected, "the changes add up to the list");
+                prop_assert_eq!(reported.get(&id).copied(), expected, "the returned changes match the list");
             }
         }
     }
