--- a/crates/etcd/src/config.rs
+++ b/crates/etcd/src/config.rs
@@ -3,20 +3,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Which keys of which etcd are endpoints.
+/// The etcd cluster and the keys that hold endpoints.
 #[derive(Clone, Debug)]
 pub struct EtcdConfig {
-    /// Addresses of etcd's members, tried in turn; at least one.
+    /// The addresses of the etcd members, connected to in turn; at least one.
     pub endpoints: Vec<SocketAddr>,
-    /// The prefix of the keys.
+    /// The prefix of the keys that hold endpoints.
     pub prefix: String,
-    /// Where etcd has authentication enabled.
+    /// The credentials, if etcd requires authentication.
     pub credentials: Option<Credentials>,
-    /// Bounds in time.
+    /// Timeouts, backoff and intervals.
     pub timeouts: Timeouts,
 }
 
-/// A user of etcd.
+/// An etcd user and password.
 #[derive(Clone, Debug)]
 pub struct Credentials {
     /// The user's name.
@@ -25,20 +25,20 @@
     pub password: String,
 }
 
-/// Bounds in time of the etcd source.
+/// The timeouts, backoff and intervals of the etcd source.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timeouts {
-    /// For a connection to open, and for authentication. Default 2 s.
+    /// The timeout for opening a connection, and for authentication. Default 2 s.
     pub connect: Duration,
-    /// For a page of the list, and for anything to come on a watch, whatever TCP reports. Progress is requested twice in
-    /// that time. Default 6 s.
+    /// The timeout for reading a page of the list, and for any response on a watch, independent of the state of the TCP
+    /// connection. Progress is requested twice within this time. Default 6 s.
     pub keep_alive: Duration,
-    /// The first backoff between two attempts; each is twice the last, with jitter. Default 100 ms.
+    /// The initial backoff between connection attempts; it doubles with each attempt, with jitter. Default 100 ms.
     pub initial_backoff: Duration,
-    /// The longest backoff. Default 5 s.
+    /// The maximum backoff. Default 5 s.
     pub max_backoff: Duration,
-    /// How often the complete list is read though a watch runs: nothing else shows an etcd that was restored from a
-    /// backup and has caught up. Default 10 min.
+    /// The interval at which the complete list is read again while a watch is open. Nothing else reveals that etcd was
+    /// restored from a backup and has since reached the known revision again. Default 10 min.
     pub resync_interval: Duration,
 }
 
--- a/crates/etcd/src/grpc.rs
+++ b/crates/etcd/src/grpc.rs
@@ -1,4 +1,5 @@
-//! gRPC over HTTP/2, as much as a client of etcd needs: unary calls and streams in both directions, uncompressed.
+//! The subset of gRPC over HTTP/2 that an etcd client needs: unary calls and bidirectional streams, without
+//! compression.
 
 mod connection;
 mod frame;
--- a/crates/etcd/src/grpc/connection.rs
+++ b/crates/etcd/src/grpc/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a gRPC server, its calls and streams.
+//! Connections to a gRPC server, and the calls and streams on them.
 
 use super::frame::{FrameDecoder, encode_frame};
 use crate::error::EtcdError;
@@ -10,10 +10,10 @@
 use sillward_runtime::task::{JoinHandle, spawn_local};
 use std::net::SocketAddr;
 
-/// How many bytes a connection, and a stream, may have in flight to the node.
+/// The HTTP/2 flow-control window for received data, of a connection and of each stream.
 const WINDOW_BYTES: u32 = 1 << 20;
 
-/// A connection to a server. It closes when it is dropped.
+/// A connection to a gRPC server, closed on drop.
 pub struct GrpcConnection {
     sender: SendRequest<Bytes>,
     task: JoinHandle<()>,
@@ -31,7 +31,7 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// It can't be opened, or the peer does not speak HTTP/2.
+    /// The connection can't be opened, or the HTTP/2 handshake fails.
     pub async fn connect(address: SocketAddr) -> Result<Self, EtcdError> {
         let stream = TcpStream::connect(address)
             .await
@@ -43,7 +43,7 @@
             .enable_push(false);
         let (sender, connection) = builder.handshake(stream).await?;
         let task = spawn_local(async move {
-            let _ = connection.await; // its calls and streams report how it ended
+            let _ = connection.await; // calls and streams report its errors
         });
         Ok(GrpcConnection {
             sender,
@@ -53,15 +53,15 @@
         })
     }
 
-    /// Sends this token with every call from now on.
+    /// Sets the authentication token that is sent with every later call.
     pub fn set_token(&mut self, token: &str) {
         self.token = HeaderValue::from_str(token).ok();
     }
 
-    /// Sends one message and returns the one that answers it.
+    /// Performs a unary call: sends one message and returns the response message.
     ///
     /// # Errors
-    /// The call failed, with the server's status code.
+    /// The call failed; a failure reported by the server carries its status code.
     pub async fn unary<M: prost::Message + Default>(
         &mut self,
         path: &str,
@@ -72,7 +72,7 @@
         let mut receiving = response_body(response).await?;
         let mut frames = FrameDecoder::default();
         while let Some(data) = receiving.data().await {
-            receive(&mut receiving, &mut frames, &data?);
+            buffer_data(&mut receiving, &mut frames, &data?);
             if frames.exceeds_limit() {
                 return Err(EtcdError::MessageTooLarge);
             }
@@ -82,10 +82,10 @@
         frames.message()?.ok_or(EtcdError::MissingMessage)
     }
 
-    /// Opens a stream with its first message.
+    /// Opens a bidirectional stream and sends its first message.
     ///
     /// # Errors
-    /// The call failed, with the server's status code.
+    /// The call failed; a failure reported by the server carries its status code.
     pub async fn stream(
         &mut self,
         path: &str,
@@ -116,7 +116,7 @@
     }
 }
 
-/// A stream of messages in both directions. It is reset when it is dropped.
+/// A bidirectional stream of messages, reset on drop.
 pub struct GrpcStream {
     sending: SendStream<Bytes>,
     receiving: RecvStream,
@@ -127,15 +127,15 @@
     /// Sends a message.
     ///
     /// # Errors
-    /// The stream has ended.
+    /// The stream is closed.
     pub fn send(&mut self, message: &impl prost::Message) -> Result<(), EtcdError> {
         Ok(self.sending.send_data(encode_frame(message), false)?)
     }
 
-    /// The next message. Cancellation safe: a call that is dropped loses no bytes.
+    /// Receives the next message. Cancel safe: dropping the future loses no data.
     ///
     /// # Errors
-    /// The stream has ended, for whatever reason.
+    /// The stream was closed or failed, or a message can't be decoded.
     pub async fn next<M: prost::Message + Default>(&mut self) -> Result<M, EtcdError> {
         loop {
             if let Some(message) = self.frames.message()? {
@@ -146,24 +146,24 @@
                 check_status(trailers.as_ref())?;
                 return Err(EtcdError::StreamEnded);
             };
-            receive(&mut self.receiving, &mut self.frames, &data?);
+            buffer_data(&mut self.receiving, &mut self.frames, &data?);
         }
     }
 }
 
-/// Buffers bytes, and lets the server send as many more.
-fn receive(receiving: &mut RecvStream, frames: &mut FrameDecoder, data: &Bytes) {
+/// Buffers received data and releases its flow-control capacity, so that the server can send more.
+fn buffer_data(receiving: &mut RecvStream, frames: &mut FrameDecoder, data: &Bytes) {
     frames.push(data);
-    let _ = receiving.flow_control().release_capacity(data.len()); // fails only for more than was received
+    let _ = receiving.flow_control().release_capacity(data.len()); // fails only for more bytes than were received
 }
 
-/// Waits for the head of the response.
+/// Waits for the response head and returns the body.
 async fn response_body(response: ResponseFuture) -> Result<RecvStream, EtcdError> {
     let response = response.await?;
     if response.status() != StatusCode::OK {
         return Err(EtcdError::HttpStatus(response.status()));
     }
-    // A call that fails at once has its status in its head.
+    // A call that fails immediately has its status in the head (a trailers-only response).
     if response.headers().contains_key("grpc-status") {
         check_status(Some(response.headers()))?;
     }
--- a/crates/etcd/src/lib.rs
+++ b/crates/etcd/src/lib.rs
@@ -1,7 +1,7 @@
-//! The endpoint list from etcd's watch API (`KV.Range` and `Watch.Watch` of `etcdserverpb`, over gRPC): the keys under a
-//! prefix, with values in discovery's entry form.
+//! An endpoint source that reads the keys under a prefix from etcd and watches them (`KV.Range` and `Watch.Watch` of
+//! `etcdserverpb`, over gRPC). The values have the format of the entries in discovery's list.
 //!
-//! What to do next is decided without I/O by the `session`; `source` does it, and `publisher` turns keys into the
+//! `session` decides without I/O what to do next, `source` does it, and `publisher` converts keys and values to the
 //! events of an endpoint source.
 #![forbid(unsafe_code)]
 
--- a/crates/etcd/src/proto.rs
+++ b/crates/etcd/src/proto.rs
@@ -1,5 +1,5 @@
-//! The messages of `etcdserverpb` and `mvccpb` that are used, written by hand so that the build needs no protoc. Field
-//! numbers and types are those of the public proto files.
+//! The `etcdserverpb` and `mvccpb` messages in use, written by hand so that the build needs no protoc. Field numbers
+//! and types match the public proto files.
 
 use bytes::Bytes;
 
@@ -26,19 +26,19 @@
     /// The key.
     #[prost(bytes = "bytes", tag = "1")]
     pub key: Bytes,
-    /// The revision of its creation.
+    /// The revision at which the key was created.
     #[prost(int64, tag = "2")]
     pub create_revision: i64,
-    /// The revision of its last change.
+    /// The revision at which the key was last modified.
     #[prost(int64, tag = "3")]
     pub mod_revision: i64,
-    /// How often it has changed since its creation.
+    /// The number of modifications since the key was created.
     #[prost(int64, tag = "4")]
     pub version: i64,
     /// The value.
     #[prost(bytes = "bytes", tag = "5")]
     pub value: Bytes,
-    /// The lease that it is attached to; 0 for none.
+    /// The lease that the key is attached to; 0 for none.
     #[prost(int64, tag = "6")]
     pub lease: i64,
 }
@@ -47,19 +47,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum EventType {
-    /// The key has a new value.
+    /// The key was created or modified.
     Put = 0,
-    /// The key was deleted, or its lease expired.
+    /// The key was deleted or its lease expired.
     Delete = 1,
 }
 
 /// `mvccpb.Event`.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Event {
-    /// An [`EventType`].
+    /// The [`EventType`].
     #[prost(enumeration = "EventType", tag = "1")]
     pub r#type: i32,
-    /// The key with its value; for a deletion the key and its revision.
+    /// The key and its value; for a deletion only the key and the revision.
     #[prost(message, optional, tag = "2")]
     pub kv: Option<KeyValue>,
 }
@@ -73,10 +73,10 @@
     /// The first key after the range.
     #[prost(bytes = "bytes", tag = "2")]
     pub range_end: Bytes,
-    /// The most keys that are returned; 0 for all.
+    /// The maximum number of keys to return; 0 for no limit.
     #[prost(int64, tag = "3")]
     pub limit: i64,
-    /// The revision to read at; 0 for the newest.
+    /// The revision to read at; 0 for the latest.
     #[prost(int64, tag = "4")]
     pub revision: i64,
 }
@@ -93,7 +93,7 @@
     /// Whether there are more keys in the range.
     #[prost(bool, tag = "3")]
     pub more: bool,
-    /// How many keys the range has.
+    /// The number of keys in the range.
     #[prost(int64, tag = "4")]
     pub count: i64,
 }
@@ -107,12 +107,12 @@
     /// Its value.
     #[prost(bytes = "bytes", tag = "2")]
     pub value: Bytes,
-    /// The lease that it is attached to; 0 for none.
+    /// The lease that the key is attached to; 0 for none.
     #[prost(int64, tag = "3")]
     pub lease: i64,
 }
 
-/// `etcdserverpb.PutResponse`, `DeleteRangeResponse` and `CompactionResponse`, as far as they are alike.
+/// The header that `etcdserverpb.PutResponse`, `DeleteRangeResponse` and `CompactionResponse` have in common.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct HeaderOnly {
     /// The header.
@@ -126,7 +126,7 @@
     /// The first key.
     #[prost(bytes = "bytes", tag = "1")]
     pub key: Bytes,
-    /// The first key after the range; empty for the one key.
+    /// The first key after the range; if empty, the range is the single key `key`.
     #[prost(bytes = "bytes", tag = "2")]
     pub range_end: Bytes,
 }
@@ -134,7 +134,7 @@
 /// `etcdserverpb.CompactionRequest`.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CompactionRequest {
-    /// The revision before which history is dropped.
+    /// The revision before which the history is discarded.
     #[prost(int64, tag = "1")]
     pub revision: i64,
 }
@@ -148,13 +148,13 @@
     /// The first key after the range.
     #[prost(bytes = "bytes", tag = "2")]
     pub range_end: Bytes,
-    /// The first revision whose events are sent.
+    /// The revision from which events are sent, inclusive.
     #[prost(int64, tag = "3")]
     pub start_revision: i64,
-    /// Whether responses without events are sent now and then.
+    /// Whether the server periodically sends progress responses without events.
     #[prost(bool, tag = "4")]
     pub progress_notify: bool,
-    /// Whether large responses may be split.
+    /// Whether the server may split large responses into fragments.
     #[prost(bool, tag = "8")]
     pub fragment: bool,
 }
@@ -162,7 +162,7 @@
 /// `etcdserverpb.WatchCancelRequest`.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WatchCancelRequest {
-    /// The watch.
+    /// The id of the watch to cancel.
     #[prost(int64, tag = "1")]
     pub watch_id: i64,
 }
@@ -174,7 +174,7 @@
 /// `etcdserverpb.WatchRequest`.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WatchRequest {
-    /// What is requested.
+    /// The kind of request.
     #[prost(oneof = "WatchRequestUnion", tags = "1, 2, 3")]
     pub request_union: Option<WatchRequestUnion>,
 }
@@ -182,13 +182,13 @@
 /// The `request_union` of a `WatchRequest`.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum WatchRequestUnion {
-    /// A new watch.
+    /// Creates a watch.
     #[prost(message, tag = "1")]
     Create(WatchCreateRequest),
-    /// The end of a watch.
+    /// Cancels a watch.
     #[prost(message, tag = "2")]
     Cancel(WatchCancelRequest),
-    /// A response that shows how far the watch has come.
+    /// Requests a progress response.
     #[prost(message, tag = "3")]
     Progress(WatchProgressRequest),
 }
@@ -199,19 +199,20 @@
     /// The header.
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
-    /// The watch.
+    /// The id of the watch.
     #[prost(int64, tag = "2")]
     pub watch_id: i64,
-    /// Whether the watch was created by this response.
+    /// Whether this response confirms the creation of the watch.
     #[prost(bool, tag = "3")]
     pub created: bool,
     /// Whether the watch was cancelled.
     #[prost(bool, tag = "4")]
     pub canceled: bool,
-    /// The oldest revision that a watch may start from, where this one was compacted; else 0.
+    /// If the watch was cancelled because its start revision is compacted, the oldest revision that a watch can start
+    /// from; else 0.
     #[prost(int64, tag = "5")]
     pub compact_revision: i64,
-    /// Why the watch was cancelled.
+    /// The reason for the cancellation.
     #[prost(string, tag = "6")]
     pub cancel_reason: String,
     /// Whether the next response continues this one.
@@ -225,10 +226,10 @@
 /// `etcdserverpb.LeaseGrantRequest`.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LeaseGrantRequest {
-    /// Seconds.
+    /// The requested time to live, in seconds.
     #[prost(int64, tag = "1")]
     pub ttl: i64,
-    /// The wanted id; 0 for any.
+    /// The requested lease id; 0 to let etcd choose one.
     #[prost(int64, tag = "2")]
     pub id: i64,
 }
@@ -239,10 +240,10 @@
     /// The header.
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
-    /// The id.
+    /// The lease id.
     #[prost(int64, tag = "2")]
     pub id: i64,
-    /// Seconds.
+    /// The granted time to live, in seconds.
     #[prost(int64, tag = "3")]
     pub ttl: i64,
 }
@@ -264,13 +265,13 @@
     /// The header.
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
-    /// To be sent with every call.
+    /// The token to send with every call.
     #[prost(string, tag = "2")]
     pub token: String,
 }
 
-/// The end of the range of keys that begin with `prefix`: the prefix with its last byte that can be incremented, and
-/// nothing after it; a zero byte, which means no end, if there is none.
+/// Returns the end of the range of all keys that start with `prefix`: the prefix with its last byte incremented, after
+/// removing trailing 0xff bytes. If no byte is left, a single zero byte, which stands for a range without an end.
 pub fn range_end(prefix: &[u8]) -> Bytes {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
--- a/crates/etcd/src/publisher.rs
+++ b/crates/etcd/src/publisher.rs
@@ -1,4 +1,4 @@
-//! Turns keys and their values into the events of an endpoint source.
+//! Converts keys and their values to the events of an endpoint source.
 
 use bytes::Bytes;
 use sillward_balancer::ServerId;
@@ -11,19 +11,20 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Endpoints in one event; between two events other work is scheduled.
-const MAX_BATCH: usize = 25;
-/// At least this long between two events of a complete list, so that a large one does not delay requests.
+/// The maximum number of endpoints in an event, so that other tasks can run between two events.
+const MAX_BATCH_ENDPOINTS: usize = 25;
+/// The minimum interval between two events of a complete list, so that a large list doesn't delay requests.
 const LIST_BATCH_INTERVAL: Duration = Duration::from_millis(1);
 
+/// Tracks the backend of each key and sends batches of changes.
 pub(crate) struct Publisher {
     live: Rc<LiveSettings>,
     events: mpsc::Sender<SourceEvent>,
-    /// The last readable value of each key.
+    /// The last valid value of each key.
     current: BTreeMap<Bytes, Backend>,
-    /// Those from before the list that is being read.
+    /// The values from before the list that is being read.
     previous: BTreeMap<Bytes, Backend>,
-    /// What the next event will have.
+    /// The endpoints of the next event.
     batch: Vec<Backend>,
     is_listing: bool,
 }
@@ -40,15 +41,15 @@
         }
     }
 
-    /// A complete list begins.
+    /// Starts a complete list.
     pub(crate) async fn begin_list(&mut self) {
-        // A list that broke off has left some of them in `previous`.
+        // If an earlier list was interrupted, `previous` still holds values from before it.
         self.previous.append(&mut self.current);
         self.is_listing = true;
         self.send(SourceEvent::ResyncStarted).await;
     }
 
-    /// The complete list has been read.
+    /// Finishes the complete list.
     pub(crate) async fn end_list(&mut self) {
         self.flush().await;
         self.previous.clear();
@@ -56,18 +57,18 @@
         self.send(SourceEvent::ResyncFinished).await;
     }
 
-    /// A key has this value. If it can't be read, the key's last readable one stays.
+    /// Applies the value of a key. If the value is invalid, the last valid one of the key is kept.
     pub(crate) async fn put(&mut self, key: Bytes, value: &[u8]) {
-        let Some(backend) = self.read(&key, value) else {
+        let Some(backend) = self.parse_or_last(&key, value) else {
             return;
         };
         let id = backend.endpoint.id;
         let old = self.current.insert(key, backend.clone());
         if let Some(old) = old.filter(|old| old.endpoint.id != id) {
-            self.remove(old.endpoint.id).await;
+            self.remove_if_unlisted(old.endpoint.id).await;
         }
         self.batch.push(backend);
-        if self.batch.len() >= MAX_BATCH {
+        if self.batch.len() >= MAX_BATCH_ENDPOINTS {
             self.flush().await;
             if self.is_listing {
                 sleep(LIST_BATCH_INTERVAL).await;
@@ -75,14 +76,14 @@
         }
     }
 
-    /// A key is deleted.
+    /// Applies the deletion of a key.
     pub(crate) async fn delete(&mut self, key: &Bytes) {
         if let Some(old) = self.current.remove(key) {
-            self.remove(old.endpoint.id).await;
+            self.remove_if_unlisted(old.endpoint.id).await;
         }
     }
 
-    /// Sends what has been batched.
+    /// Sends the current batch, unless it is empty.
     pub(crate) async fn flush(&mut self) {
         if !self.batch.is_empty() {
             let batch = std::mem::take(&mut self.batch);
@@ -90,25 +91,26 @@
         }
     }
 
-    /// etcd is connected, and has sent something.
+    /// Reports that etcd is connected and has sent a response.
     pub(crate) async fn connected(&self) {
         self.send(SourceEvent::Connected).await;
     }
 
-    /// The connection broke. What was batched is dropped: the next list or watch brings it again.
+    /// Reports that the connection is broken. The current batch is dropped, because the next list or watch sends it
+    /// again.
     pub(crate) async fn disconnected(&mut self) {
         self.is_listing = false;
         self.batch.clear();
         self.send(SourceEvent::Disconnected).await;
     }
 
-    fn read(&self, key: &Bytes, value: &[u8]) -> Option<Backend> {
+    fn parse_or_last(&self, key: &Bytes, value: &[u8]) -> Option<Backend> {
         match sillward_discovery::read_entry(&self.live.get(), value) {
             Ok(backend) => Some(backend),
             Err(error) => {
                 let name = String::from_utf8_lossy(key).into_owned();
                 log_peer(format_args!(
-                    "etcd: the value of {name:?} can't be read, its last readable one stays: {error}"
+                    "etcd: the value of {name:?} can't be read, keeping the last valid one: {error}"
                 ));
                 let last = self.previous.get(key).or_else(|| self.current.get(key));
                 last.cloned()
@@ -116,8 +118,8 @@
         }
     }
 
-    /// A key no longer names that endpoint; unless another key does, it is gone.
-    async fn remove(&mut self, id: ServerId) {
+    /// Reports the removal of an endpoint that a key no longer names, unless another key names it.
+    async fn remove_if_unlisted(&mut self, id: ServerId) {
         self.flush().await;
         if !self
             .current
@@ -129,6 +131,6 @@
     }
 
     async fn send(&self, event: SourceEvent) {
-        let _ = self.events.send(event).await; // fails only if the node has ended
+        let _ = self.events.send(event).await; // fails only after the node has shut down
     }
 }
--- a/crates/etcd/src/session.rs
+++ b/crates/etcd/src/session.rs
@@ -1,8 +1,9 @@
-//! What the source does next, and what it knows: without I/O and without a clock.
+//! The state machine of the etcd source, without I/O or a clock.
 //!
-//! A complete list (a Range in pages, all at the revision of the first) is followed by a watch from its revision + 1.
-//! After a broken connection the watch resumes at the last known revision. Where it can't, the complete list is read
-//! again: the revision is compacted, or in the future (etcd came back older), or the cluster is another.
+//! A complete list (a Range read in pages, all at the revision of the first page) is followed by a watch from its
+//! revision + 1. After a broken connection the watch resumes from the last known revision. The complete list is read
+//! again if that is impossible: the revision is compacted, it is in the future (etcd was restored to an older state),
+//! or the cluster is a different one.
 
 mod backoff;
 mod revisions;
@@ -18,82 +19,85 @@
 use sillward_runtime::random::Random;
 use std::time::Duration;
 
-/// The revision of a Range that reads the newest.
-const NEWEST: i64 = 0;
-/// The revision that is known before the first complete list.
-const UNKNOWN: i64 = 0;
+/// The revision in a Range request for the latest state.
+const LATEST_REVISION: i64 = 0;
+/// The known revision before the first complete list.
+const UNKNOWN_REVISION: i64 = 0;
 
-/// What the session wants done.
+/// An action that the source performs for the session.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Action {
-    /// Read the page of the list with the keys after `after` (all if empty), at that revision (0: the newest).
+    /// Read the page of the list that starts after the key `after` (at the first key if empty), at this revision (0 for
+    /// the latest).
     ReadPage { after: Bytes, revision: i64 },
-    /// Open a watch from that revision on.
-    OpenWatch { from: i64 },
-    /// A complete list begins.
+    /// Open a watch that starts at this revision.
+    OpenWatch { start_revision: i64 },
+    /// Start a complete list.
     BeginList,
-    /// A key has this value.
+    /// Publish the value of a key.
     Put { key: Bytes, value: Bytes },
-    /// A key is deleted.
+    /// Publish the deletion of a key.
     Delete { key: Bytes },
-    /// The complete list has been read.
+    /// Finish the complete list.
     EndList,
-    /// Close the connection; the reason is for the log.
+    /// Close the connection because of this error.
     Disconnect(ProtocolError),
 }
 
-/// The states of a session.
+/// The state of a session.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// No connection.
+    /// There is no connection.
     Disconnected,
-    /// A list is being read, at that revision: [`NEWEST`] until the first page has shown which that is.
+    /// The list is being read at this revision, which is [`LATEST_REVISION`] until the first page arrives.
     Listing { revision: i64 },
     /// A watch is being opened.
     OpeningWatch,
-    /// The watch runs.
+    /// The watch is open.
     Watching,
 }
 
-/// An event of the watch.
+/// A change of a key, received on the watch.
 struct KeyEvent {
     revision: i64,
     key: Bytes,
-    /// `None`: the key is deleted.
+    /// The new value; `None` if the key was deleted.
     value: Option<Bytes>,
 }
 
-/// A session with one etcd cluster, over connections to its members in turn.
+/// A session with an etcd cluster, which connects to the members in turn.
 pub(crate) struct Session {
     state: State,
-    /// Every event up to here has been passed on.
+    /// The revision up to which all events have been applied.
     revision: i64,
-    /// The cluster of the last complete list.
-    cluster: Option<u64>,
+    /// The id of the cluster that sent the last complete list.
+    cluster_id: Option<u64>,
     keys: KeyRevisions,
-    /// The events of a response that comes in fragments, until its last.
+    /// The events of a fragmented response, until its last fragment arrives.
     fragments: Vec<KeyEvent>,
     random: Random,
     backoff: Backoff,
-    endpoints: usize,
+    endpoint_count: usize,
+    /// The index of the endpoint to connect to.
     endpoint: usize,
 }
 
 impl Session {
-    /// For so many endpoints. `seed` spreads the attempts of nodes that lost their watches together.
-    pub(crate) fn new(endpoints: usize, timeouts: Timeouts, seed: u64) -> Self {
-        let endpoints = endpoints.max(1);
+    /// Creates a session. `seed` selects the first endpoint and randomizes the backoff, so that nodes whose watches
+    /// broke together don't reconnect at the same time.
+    pub(crate) fn new(endpoint_count: usize, timeouts: Timeouts, seed: u64) -> Self {
+        let endpoint_count = endpoint_count.max(1);
         let mut random = Random::seeded(seed);
-        let endpoint = random.next_u32() as usize % endpoints;
+        let endpoint = random.next_u32() as usize % endpoint_count;
         Session {
             state: State::Disconnected,
-            revision: UNKNOWN,
-            cluster: None,
+            revision: UNKNOWN_REVISION,
+            cluster_id: None,
             keys: KeyRevisions::default(),
             fragments: Vec::new(),
             random,
             backoff: Backoff::new(timeouts.initial_backoff, timeouts.max_backoff),
-            endpoints,
+            endpoint_count,
             endpoint,
         }
     }
@@ -103,40 +107,40 @@
         self.endpoint
     }
 
-    /// Whether a watch runs, so that all of etcd's changes are known.
-    pub(crate) fn is_current(&self) -> bool {
+    /// Whether the watch is open, so that changes in etcd are received as they happen.
+    pub(crate) fn is_watching(&self) -> bool {
         self.state == State::Watching
     }
 
-    /// A connection is open.
+    /// Handles a newly opened connection.
     pub(crate) fn on_connected(&mut self) -> Vec<Action> {
         self.fragments.clear();
-        if self.revision == UNKNOWN {
-            self.list()
+        if self.revision == UNKNOWN_REVISION {
+            self.start_list()
         } else {
-            self.watch()
+            self.open_watch()
         }
     }
 
-    /// The complete list is to be read though the watch runs.
+    /// Reads the complete list again while the watch is open.
     pub(crate) fn resync(&mut self) -> Vec<Action> {
-        self.list()
+        self.start_list()
     }
 
-    /// The connection broke, or was given up. Returns how long to wait before the next attempt, at the next endpoint.
+    /// Handles the loss of the connection: selects the next endpoint and returns the delay before connecting to it.
     pub(crate) fn on_disconnected(&mut self) -> Duration {
         match self.state {
             State::Watching => self.backoff.reset(),
-            // A partial list has replaced what was known: only a complete one will do.
-            State::Listing { .. } => self.revision = UNKNOWN,
+            // The known keys were replaced by a partial list, so the complete list must be read again.
+            State::Listing { .. } => self.revision = UNKNOWN_REVISION,
             State::Disconnected | State::OpeningWatch => {}
         }
         self.state = State::Disconnected;
-        self.endpoint = (self.endpoint + 1) % self.endpoints;
+        self.endpoint = (self.endpoint + 1) % self.endpoint_count;
         self.backoff.next_delay(&mut self.random)
     }
 
-    /// A page of the list has come.
+    /// Handles a page of the list.
     pub(crate) fn on_page(&mut self, page: RangeResponse) -> Vec<Action> {
         let State::Listing { revision } = self.state else {
             return Vec::new();
@@ -145,7 +149,7 @@
             return vec![Action::Disconnect(ProtocolError::PageWithoutHeader)];
         };
         let mut actions = Vec::new();
-        let is_first_page = revision == NEWEST;
+        let is_first_page = revision == LATEST_REVISION;
         if is_first_page {
             self.begin_list(&header);
             actions.push(Action::BeginList);
@@ -163,7 +167,7 @@
             ..
         } in page.kvs
         {
-            self.keys.list(key.clone(), mod_revision);
+            self.keys.insert_listed(key.clone(), mod_revision);
             actions.push(Action::Put { key, value });
         }
         match last_key {
@@ -172,18 +176,18 @@
                 self.revision = revision;
                 self.keys.end_list(revision);
                 actions.push(Action::EndList);
-                actions.extend(self.watch());
+                actions.extend(self.open_watch());
             }
         }
         actions
     }
 
-    /// A page can't be read: the list's revision was compacted meanwhile.
+    /// Handles a page that can't be read because the revision of the list was compacted meanwhile.
     pub(crate) fn on_page_compacted(&mut self) -> Vec<Action> {
-        self.list()
+        self.start_list()
     }
 
-    /// A response of the watch has come.
+    /// Handles a response of the watch.
     pub(crate) fn on_watch_response(&mut self, response: WatchResponse) -> Vec<Action> {
         if !matches!(self.state, State::OpeningWatch | State::Watching) {
             return Vec::new();
@@ -191,16 +195,17 @@
         let Some(header) = &response.header else {
             return vec![Action::Disconnect(ProtocolError::WatchWithoutHeader)];
         };
-        let (cluster, revision) = (header.cluster_id, header.revision);
-        if self.cluster.is_some_and(|known| known != cluster) {
-            return self.list();
+        let (cluster_id, revision) = (header.cluster_id, header.revision);
+        if self.cluster_id.is_some_and(|known| known != cluster_id) {
+            return self.start_list();
         }
         if response.canceled {
             return self.on_watch_cancelled(response);
         }
-        // Older than what is known: a watch would wait for a revision that may never come, or come with other content.
+        // etcd is older than the known revision: a watch would wait for a revision that may never be reached, or that
+        // may then have different content.
         if revision < self.revision && (response.created || response.events.is_empty()) {
-            return self.list();
+            return self.start_list();
         }
         if response.created {
             self.state = State::Watching;
@@ -210,33 +215,35 @@
         self.on_events(response, revision)
     }
 
-    fn list(&mut self) -> Vec<Action> {
-        self.state = State::Listing { revision: NEWEST };
+    fn start_list(&mut self) -> Vec<Action> {
+        self.state = State::Listing {
+            revision: LATEST_REVISION,
+        };
         vec![Action::ReadPage {
             after: Bytes::new(),
-            revision: NEWEST,
+            revision: LATEST_REVISION,
         }]
     }
 
-    fn watch(&mut self) -> Vec<Action> {
+    fn open_watch(&mut self) -> Vec<Action> {
         self.state = State::OpeningWatch;
         vec![Action::OpenWatch {
-            from: self.revision + 1,
+            start_revision: self.revision + 1,
         }]
     }
 
-    /// The first page shows at which revision the others must be read, and of which cluster the list is.
+    /// Takes the revision for reading the other pages, and the cluster id, from the header of the first page.
     fn begin_list(&mut self, header: &ResponseHeader) {
         self.state = State::Listing {
             revision: header.revision,
         };
-        self.cluster = Some(header.cluster_id);
+        self.cluster_id = Some(header.cluster_id);
         self.keys.clear();
     }
 
     fn on_watch_cancelled(&mut self, response: WatchResponse) -> Vec<Action> {
         if response.compact_revision != 0 {
-            return self.list();
+            return self.start_list();
         }
         let reason = response.cancel_reason;
         let error = if reason.is_empty() {
@@ -262,20 +269,20 @@
         }
         let mut events = std::mem::take(&mut self.fragments);
         events.sort_by_key(|event| event.revision);
-        // A response without events reports progress: everything up to its header's revision has been sent.
-        let newest = events
+        // A response without events reports progress: all events up to the revision in its header have been sent.
+        let latest = events
             .last()
             .map_or(header_revision, |event| event.revision);
         let actions = events
             .into_iter()
-            .filter_map(|event| self.apply(event))
+            .filter_map(|event| self.apply_event(event))
             .collect();
-        self.revision = self.revision.max(newest);
+        self.revision = self.revision.max(latest);
         actions
     }
 
-    /// An event counts if it is newer than what is known of its key, in whatever order events come.
-    fn apply(&mut self, event: KeyEvent) -> Option<Action> {
+    /// Applies an event if it is newer than the known revision of its key, whatever the order of events.
+    fn apply_event(&mut self, event: KeyEvent) -> Option<Action> {
         let KeyEvent {
             revision,
             key,
--- a/crates/etcd/src/session/backoff.rs
+++ b/crates/etcd/src/session/backoff.rs
@@ -1,4 +1,4 @@
-//! The backoff between attempts to connect: exponential, with jitter.
+//! Exponential backoff with jitter between connection attempts.
 
 use sillward_runtime::random::Random;
 use std::time::Duration;
@@ -6,8 +6,8 @@
 pub(super) struct Backoff {
     initial: Duration,
     max: Duration,
-    /// The longest that the next delay may be.
-    next: Duration,
+    /// The upper bound of the next delay.
+    next_max: Duration,
 }
 
 impl Backoff {
@@ -15,19 +15,20 @@
         Backoff {
             initial,
             max,
-            next: initial,
+            next_max: initial,
         }
     }
 
-    /// An attempt succeeded: the next delay is short again.
+    /// Resets the delay after a successful attempt.
     pub(super) fn reset(&mut self) {
-        self.next = self.initial;
+        self.next_max = self.initial;
     }
 
-    /// The delay before the next attempt: between half and all of a time that doubles up to the maximum.
+    /// Returns the delay before the next attempt: a random time between half and all of a bound that doubles with each
+    /// call, up to the maximum.
     pub(super) fn next_delay(&mut self, random: &mut Random) -> Duration {
-        let delay = self.next.mul_f64(0.5 + random.next_f64() / 2.0);
-        self.next = (self.next * 2).min(self.max);
+        let delay = self.next_max.mul_f64(0.5 + random.next_f64() / 2.0);
+        self.next_max = (self.next_max * 2).min(self.max);
         delay
     }
 }
--- a/crates/etcd/src/session/revisions.rs
+++ b/crates/etcd/src/session/revisions.rs
@@ -1,19 +1,20 @@
-//! The last known revision of each key, by which events that are repeated or late are told from new ones.
+//! The last known revision of each key, used to tell new events from repeated or late ones.
 
 use bytes::Bytes;
 use std::collections::BTreeMap;
 
-/// Deleted keys whose revision is remembered, so that a late Put from before the deletion is not taken for a new one.
-const MAX_DELETED: usize = 4096;
+/// The maximum number of deleted keys whose revision is kept, so that a late Put from before the deletion is not taken
+/// for a new one.
+const MAX_DELETED_KEYS: usize = 4096;
 
 #[derive(Default)]
 pub(super) struct KeyRevisions {
-    /// The keys that exist.
+    /// The existing keys.
     existing: BTreeMap<Bytes, i64>,
-    /// The keys that were deleted last.
+    /// The most recently deleted keys.
     deleted: BTreeMap<Bytes, i64>,
     /// The revision of the last complete list.
-    listed: i64,
+    list_revision: i64,
 }
 
 impl KeyRevisions {
@@ -23,21 +24,21 @@
         self.deleted.clear();
     }
 
-    /// A key is in the list that is being read.
-    pub(super) fn list(&mut self, key: Bytes, revision: i64) {
+    /// Records a key of the list that is being read.
+    pub(super) fn insert_listed(&mut self, key: Bytes, revision: i64) {
         self.existing.insert(key, revision);
     }
 
-    /// The complete list has been read, at this revision.
+    /// Records that the complete list has been read, at this revision.
     pub(super) fn end_list(&mut self, revision: i64) {
-        self.listed = revision;
+        self.list_revision = revision;
     }
 
-    /// Whether an event of a key at this revision is news. For a key that was not in the list, events from before the
-    /// list are not.
+    /// Whether an event of this key and revision is new. For a key without a known revision, an event is new if its
+    /// revision is higher than that of the list.
     pub(super) fn is_newer(&self, key: &Bytes, revision: i64) -> bool {
         let known = self.existing.get(key).or_else(|| self.deleted.get(key));
-        revision > known.copied().unwrap_or(self.listed)
+        revision > known.copied().unwrap_or(self.list_revision)
     }
 
     pub(super) fn put(&mut self, key: Bytes, revision: i64) {
@@ -47,7 +48,7 @@
 
     pub(super) fn delete(&mut self, key: Bytes, revision: i64) {
         self.existing.remove(&key);
-        if self.deleted.len() >= MAX_DELETED {
+        if self.deleted.len() >= MAX_DELETED_KEYS {
             self.forget_oldest_deleted();
         }
         self.deleted.insert(key, revision);
--- a/crates/etcd/src/session/tests.rs
+++ b/crates/etcd/src/session/tests.rs
@@ -1,4 +1,5 @@
-//! The session: order and repetition of events, compaction and older or other clusters, broken lists, backoff.
+//! Tests of the session: order and repetition of events, compaction, older or different clusters, interrupted lists and
+//! backoff.
 
 use super::*;
 use crate::proto::Event;
@@ -54,25 +55,25 @@
     }
 }
 
-fn created(cluster: u64, revision: i64) -> WatchResponse {
+fn created(cluster_id: u64, revision: i64) -> WatchResponse {
     WatchResponse {
-        header: header(cluster, revision),
+        header: header(cluster_id, revision),
         created: true,
         ..WatchResponse::default()
     }
 }
 
-fn read_list() -> Vec<Action> {
+fn read_first_page() -> Vec<Action> {
     vec![Action::ReadPage {
         after: Bytes::new(),
         revision: 0,
     }]
 }
 
-/// A session that watches after a list of `a` and `b` at revision 10.
-fn watching() -> Session {
+/// Returns a session whose watch is open, after a list with the keys `a` and `b` at revision 10.
+fn watching_session() -> Session {
     let mut session = Session::new(3, Timeouts::default(), 1);
-    assert_eq!(session.on_connected(), read_list());
+    assert_eq!(session.on_connected(), read_first_page());
     let page = |kvs, more| RangeResponse {
         header: header(1, 10),
         kvs,
@@ -91,17 +92,17 @@
         [
             put("b", "2"),
             Action::EndList,
-            Action::OpenWatch { from: 11 }
+            Action::OpenWatch { start_revision: 11 }
         ]
     );
     assert_eq!(session.on_watch_response(created(1, 10)), []);
-    assert!(session.is_current());
+    assert!(session.is_watching());
     session
 }
 
 #[test]
-fn applies_events_once_in_the_order_of_revisions_however_they_are_delivered() {
-    let mut session = watching();
+fn applies_each_event_once_in_revision_order() {
+    let mut session = watching_session();
     let fragment = |fragment, list| WatchResponse {
         fragment,
         ..events(12, list)
@@ -110,7 +111,10 @@
         session.on_watch_response(fragment(true, vec![event("a", 12, Some("3"))])),
         []
     );
-    assert_eq!(session.revision, 10, "a fragment completes no revision");
+    assert_eq!(
+        session.revision, 10,
+        "a fragment must not advance the revision"
+    );
     let last = session.on_watch_response(fragment(
         false,
         vec![event("b", 12, None), event("c", 11, Some("4"))],
@@ -125,7 +129,7 @@
         event("before", 7, Some("the list")),
     ];
     assert_eq!(session.on_watch_response(events(12, again)), []);
-    // Revisions in the wrong order: each key has its newest.
+    // Events out of order: each key keeps the value of its latest revision.
     assert_eq!(
         session.on_watch_response(events(15, vec![event("a", 15, Some("5"))])),
         [put("a", "5")]
@@ -133,14 +137,17 @@
     let late = vec![event("a", 14, None), event("c", 14, None)];
     assert_eq!(session.on_watch_response(events(15, late)), [delete("c")]);
     assert_eq!(session.revision, 15);
-    // Progress moves the revision on.
+    // A progress response advances the revision.
     assert_eq!(session.on_watch_response(events(40, vec![])), []);
     session.on_disconnected();
-    assert_eq!(session.on_connected(), [Action::OpenWatch { from: 41 }]);
+    assert_eq!(
+        session.on_connected(),
+        [Action::OpenWatch { start_revision: 41 }]
+    );
 }
 
 #[test]
-fn reads_the_list_again_if_compacted_or_older_or_of_another_cluster() {
+fn rereads_the_list_after_compaction_rollback_or_cluster_change() {
     let canceled = |compact_revision, reason: &str| WatchResponse {
         header: header(1, 99),
         canceled: true,
@@ -148,14 +155,17 @@
         cancel_reason: reason.to_owned(),
         ..WatchResponse::default()
     };
-    let mut session = watching();
+    let mut session = watching_session();
     session.on_disconnected();
-    assert_eq!(session.on_connected(), [Action::OpenWatch { from: 11 }]);
+    assert_eq!(
+        session.on_connected(),
+        [Action::OpenWatch { start_revision: 11 }]
+    );
     assert_eq!(
         session.on_watch_response(canceled(50, "compacted")),
-        read_list()
+        read_first_page()
     );
-    // While the list is read, its revision may be compacted too.
+    // The revision of the list may be compacted while the list is being read.
     let page = RangeResponse {
         header: header(1, 99),
         kvs: vec![kv("a", 4, "1")],
@@ -163,31 +173,37 @@
         count: 9,
     };
     assert_eq!(session.on_page(page).len(), 3);
-    assert_eq!(session.on_page_compacted(), read_list());
-    // A lower revision, at the watch's start or in a progress notice.
-    let mut session = watching();
+    assert_eq!(session.on_page_compacted(), read_first_page());
+    // A lower revision than the known one, at the creation of the watch or in a progress response.
+    let mut session = watching_session();
     session.on_disconnected();
     session.on_connected();
-    assert_eq!(session.on_watch_response(created(1, 3)), read_list());
-    assert_eq!(watching().on_watch_response(events(9, vec![])), read_list());
-    // Another cluster, whatever its revision.
+    assert_eq!(session.on_watch_response(created(1, 3)), read_first_page());
+    assert_eq!(
+        watching_session().on_watch_response(events(9, vec![])),
+        read_first_page()
+    );
+    // A different cluster, whatever its revision.
     assert_eq!(
-        watching().on_watch_response(WatchResponse {
+        watching_session().on_watch_response(WatchResponse {
             header: header(2, 11),
             ..events(11, vec![])
         }),
-        read_list()
+        read_first_page()
     );
-    // Any other end is that of the connection, and the next attempt resumes the watch.
-    let mut session = watching();
+    // A cancellation for another reason closes the connection, and the next one resumes the watch.
+    let mut session = watching_session();
     assert!(matches!(
         session.on_watch_response(canceled(0, "permission denied"))[..],
         [Action::Disconnect(_)]
     ));
     session.on_disconnected();
-    assert_eq!(session.on_connected(), [Action::OpenWatch { from: 11 }]);
-    // A list at a lower revision makes that the known one.
-    let mut session = watching();
+    assert_eq!(
+        session.on_connected(),
+        [Action::OpenWatch { start_revision: 11 }]
+    );
+    // A list at a lower revision sets the known revision.
+    let mut session = watching_session();
     session.resync();
     let page = RangeResponse {
         header: header(2, 5),
@@ -201,11 +217,11 @@
             Action::BeginList,
             put("z", "9"),
             Action::EndList,
-            Action::OpenWatch { from: 6 }
+            Action::OpenWatch { start_revision: 6 }
         ]
     );
     assert_eq!(session.on_watch_response(created(2, 5)), []);
-    // And keys that were known before are new again.
+    // Earlier revisions of its keys are forgotten, so that their events count as new.
     let again = WatchResponse {
         header: header(2, 6),
         ..events(6, vec![event("a", 6, Some("1"))])
@@ -214,8 +230,8 @@
 }
 
 #[test]
-fn reads_a_list_that_broke_off_again() {
-    let mut session = watching();
+fn rereads_an_interrupted_list() {
+    let mut session = watching_session();
     session.resync();
     let page = RangeResponse {
         header: header(1, 30),
@@ -225,37 +241,37 @@
     };
     session.on_page(page);
     session.on_disconnected();
-    assert_eq!(session.on_connected(), read_list());
+    assert_eq!(session.on_connected(), read_first_page());
 }
 
 #[test]
-fn tries_the_endpoints_in_turn_with_exponential_backoff() {
+fn connects_to_endpoints_in_turn_with_exponential_backoff() {
     let timeouts = Timeouts::default();
     let mut session = Session::new(3, timeouts, 7);
     let first = session.endpoint();
-    let mut longest = timeouts.initial_backoff;
+    let mut max_delay = timeouts.initial_backoff;
     for i in 1..20 {
         let delay = session.on_disconnected();
         assert_eq!(session.endpoint(), (first + i) % 3);
         assert!(
-            delay >= longest / 2 && delay <= longest,
-            "{delay:?} of {longest:?}"
+            delay >= max_delay / 2 && delay <= max_delay,
+            "{delay:?} of {max_delay:?}"
         );
-        longest = (longest * 2).min(timeouts.max_backoff);
+        max_delay = (max_delay * 2).min(timeouts.max_backoff);
     }
-    let mut session = watching();
+    let mut session = watching_session();
     assert!(
         session.on_disconnected() <= timeouts.initial_backoff,
-        "the backoff is short after a watch"
+        "a watch resets the backoff"
     );
 }
 
-/// etcd restarts: all watches break at once, and it is down for a while.
+/// When etcd restarts, all watches break at once; the nodes must not all reconnect at the same time once it is back.
 #[test]
-fn spreads_the_reconnects_of_seven_hundred_watchers() {
+fn spreads_reconnects_of_700_nodes() {
     let timeouts = Timeouts::default();
-    let down = Duration::from_secs(3);
-    let mut arrivals = Vec::new();
+    let downtime = Duration::from_secs(3);
+    let mut reconnect_times = Vec::new();
     let mut lists = 0;
     for seed in 0..700u64 {
         let mut session = Session::new(3, timeouts, seed);
@@ -267,12 +283,12 @@
         session.on_page(page);
         session.on_watch_response(created(1, 10));
         let mut at = session.on_disconnected();
-        while at < down {
+        while at < downtime {
             at += session.on_disconnected();
         }
-        arrivals.push(at);
+        reconnect_times.push(at);
         session.on_connected();
-        // A quarter of them had missed the last revisions, which are compacted away.
+        // For a quarter of the nodes, the revisions that they missed are compacted.
         let compact_revision = if seed % 4 == 0 { 12 } else { 0 };
         let response = WatchResponse {
             header: header(1, 14),
@@ -281,13 +297,13 @@
             compact_revision,
             ..WatchResponse::default()
         };
-        lists += usize::from(session.on_watch_response(response) == read_list());
+        lists += usize::from(session.on_watch_response(response) == read_first_page());
     }
-    arrivals.sort();
-    let spread = arrivals[699] - arrivals[0];
+    reconnect_times.sort();
+    let spread = reconnect_times[699] - reconnect_times[0];
     let window = Duration::from_millis(100);
-    let peak = arrivals.iter().map(|from| {
-        arrivals
+    let peak = reconnect_times.iter().map(|from| {
+        reconnect_times
             .iter()
             .filter(|at| *at >= from && **at < *from + window)
             .count()
--- a/crates/etcd/src/source.rs
+++ b/crates/etcd/src/source.rs
@@ -1,4 +1,4 @@
-//! The task that follows etcd: does what the session wants done, and passes keys on to the publisher.
+//! The task that follows etcd: performs the actions of the session and passes keys to the publisher.
 
 use crate::config::EtcdConfig;
 use crate::error::{EtcdError, code};
@@ -21,15 +21,16 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-const AUTHENTICATE: &str = "/etcdserverpb.Auth/Authenticate";
-const RANGE: &str = "/etcdserverpb.KV/Range";
-const WATCH: &str = "/etcdserverpb.Watch/Watch";
-/// Keys in a page of the list.
+const AUTHENTICATE_PATH: &str = "/etcdserverpb.Auth/Authenticate";
+const RANGE_PATH: &str = "/etcdserverpb.KV/Range";
+const WATCH_PATH: &str = "/etcdserverpb.Watch/Watch";
+/// The maximum number of keys in a page of the list.
 const PAGE_KEYS: i64 = 500;
-/// Into how many parts the keep-alive timeout of a watch is divided: after each but the last, progress is requested.
+/// The number of parts into which the keep-alive timeout of a watch is divided. After each part but the last, the
+/// source requests progress.
 const KEEP_ALIVE_PARTS: u32 = 3;
 
-/// Follows etcd.
+/// An endpoint source that follows the keys of an etcd cluster.
 pub struct EtcdSource {
     config: EtcdConfig,
     session: Session,
@@ -37,14 +38,15 @@
 }
 
 impl EtcdSource {
-    /// `live` has the settings by which values are read. `seed` spreads the attempts of many nodes.
+    /// Creates a source that sends its events to `events`. Values are parsed according to the settings in `live`.
+    /// `seed` randomizes the backoff and the choice of the first etcd endpoint, to spread the load of many nodes.
     pub fn new(
         config: EtcdConfig,
         live: Rc<LiveSettings>,
         seed: u64,
         events: mpsc::Sender<SourceEvent>,
     ) -> Self {
-        // Another sequence than that of the node's other generators with the same seed.
+        // Rotated, so that the sequence differs from those of the node's other generators with the same seed.
         let session_seed = seed.rotate_left(17);
         EtcdSource {
             session: Session::new(config.endpoints.len(), config.timeouts, session_seed),
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Follows etcd until it is dropped. A connection that breaks withdraws nothing.
+    /// Follows etcd until the future is dropped. Endpoints stay listed while the connection is broken.
     pub async fn run(mut self) {
         loop {
             let endpoint = self.config.endpoints[self.session.endpoint()];
@@ -67,10 +69,11 @@
         }
     }
 
-    /// Follows one endpoint until that fails.
+    /// Follows etcd through one of its endpoints until an error occurs.
     async fn follow(&mut self, endpoint: SocketAddr) -> Result<Infallible, EtcdError> {
         let timeouts = self.config.timeouts;
-        let mut connection = within(timeouts.connect, GrpcConnection::connect(endpoint)).await?;
+        let mut connection =
+            with_timeout(timeouts.connect, GrpcConnection::connect(endpoint)).await?;
         self.authenticate(&mut connection).await?;
         let mut actions: VecDeque<Action> = self.session.on_connected().into();
         let mut watch = None;
@@ -85,7 +88,7 @@
             let response = self.next_response(watch).await?;
             self.publisher.connected().await;
             actions.extend(self.session.on_watch_response(response));
-            let is_idle = actions.is_empty() && self.session.is_current();
+            let is_idle = actions.is_empty() && self.session.is_watching();
             if is_idle && Instant::now() >= resync_at {
                 resync_at = Instant::now() + timeouts.resync_interval;
                 actions.extend(self.session.resync());
@@ -101,13 +104,14 @@
             name: credentials.user.clone(),
             password: credentials.password.clone(),
         };
-        let call = connection.unary(AUTHENTICATE, &request);
-        let response: AuthenticateResponse = within(self.config.timeouts.connect, call).await?;
+        let call = connection.unary(AUTHENTICATE_PATH, &request);
+        let response: AuthenticateResponse =
+            with_timeout(self.config.timeouts.connect, call).await?;
         connection.set_token(&response.token);
         Ok(())
     }
 
-    /// Performs an action; returns those that follow from it.
+    /// Performs an action and returns the actions that result from it.
     async fn perform(
         &mut self,
         action: Action,
@@ -118,7 +122,9 @@
             Action::ReadPage { after, revision } => {
                 return self.read_page(connection, &after, revision).await;
             }
-            Action::OpenWatch { from } => *watch = Some(self.open_watch(connection, from).await?),
+            Action::OpenWatch { start_revision } => {
+                *watch = Some(self.open_watch(connection, start_revision).await?);
+            }
             Action::BeginList => self.publisher.begin_list().await,
             Action::Put { key, value } => self.publisher.put(key, &value).await,
             Action::Delete { key } => self.publisher.delete(&key).await,
@@ -140,9 +146,9 @@
             limit: PAGE_KEYS,
             revision,
         };
-        let call = connection.unary(RANGE, &request);
+        let call = connection.unary(RANGE_PATH, &request);
         let page: Result<RangeResponse, EtcdError> =
-            within(self.config.timeouts.keep_alive, call).await;
+            with_timeout(self.config.timeouts.keep_alive, call).await;
         match page {
             Ok(page) => Ok(self.session.on_page(page)),
             Err(error) if error.code() == code::OUT_OF_RANGE => {
@@ -152,7 +158,7 @@
         }
     }
 
-    /// The first key of a page: the prefix, or the key that is next after the last page's.
+    /// The first key of a page: the prefix itself, or the smallest key greater than the last one of the previous page.
     fn first_key(&self, after: &[u8]) -> Bytes {
         if after.is_empty() {
             self.config.prefix.clone().into()
@@ -164,32 +170,32 @@
     async fn open_watch(
         &self,
         connection: &mut GrpcConnection,
-        from: i64,
+        start_revision: i64,
     ) -> Result<GrpcStream, EtcdError> {
         let create = WatchCreateRequest {
             key: self.config.prefix.clone().into(),
             range_end: range_end(self.config.prefix.as_bytes()),
-            start_revision: from,
+            start_revision,
             progress_notify: true,
             fragment: true,
         };
         let request = WatchRequest {
             request_union: Some(WatchRequestUnion::Create(create)),
         };
-        let opened = connection.stream(WATCH, &request);
-        within(self.config.timeouts.keep_alive, opened).await
+        let opened = connection.stream(WATCH_PATH, &request);
+        with_timeout(self.config.timeouts.keep_alive, opened).await
     }
 
-    /// The next response of the watch. Progress is requested while none comes.
+    /// Waits for the next response of the watch, requesting progress while none arrives.
     async fn next_response(&self, watch: &mut GrpcStream) -> Result<WatchResponse, EtcdError> {
         let part = self.config.timeouts.keep_alive / KEEP_ALIVE_PARTS;
         for _ in 1..KEEP_ALIVE_PARTS {
-            match within(part, watch.next()).await {
+            match with_timeout(part, watch.next()).await {
                 Err(EtcdError::Timeout) => watch.send(&progress_request())?,
                 response => return response,
             }
         }
-        within(part, watch.next()).await
+        with_timeout(part, watch.next()).await
     }
 }
 
@@ -199,8 +205,8 @@
     }
 }
 
-/// What the call returns, or [`EtcdError::Timeout`]. The call is dropped then.
-async fn within<T>(
+/// Awaits the call, or drops it and returns [`EtcdError::Timeout`] after `limit`.
+async fn with_timeout<T>(
     limit: Duration,
     call: impl Future<Output = Result<T, EtcdError>>,
 ) -> Result<T, EtcdError> {
