--- a/crates/discovery/src/feed.rs
+++ b/crates/discovery/src/feed.rs
@@ -173,7 +173,7 @@
             match read(entry) {
                 Ok(backend) => backends.push(backend),
                 Err(error) => log_peer(format_args!(
-                    "a malformed line of the list of {} was dropped: {error}",
+                    "a malformed line of the list of discovery at {} was dropped: {error}",
                     self.address
                 )),
             }
--- a/crates/endpoints/src/merged.rs
+++ b/crates/endpoints/src/merged.rs
@@ -148,7 +148,7 @@
             .collect();
         let merged = merge(&entries)?;
         if entries.iter().all(|entry| entry.listed.is_removed()) {
-            self.forget(id);
+            self.drop_reports(id);
             return self
                 .merged
                 .remove(&id)
@@ -161,9 +161,9 @@
     }
 
     /// Drops the reports on an endpoint that no source lists any more.
-    fn forget(&mut self, id: ServerId) {
+    fn drop_reports(&mut self, id: ServerId) {
         for source in &mut self.sources {
-            source.forget(id);
+            source.remove_entry(id);
         }
     }
 }
--- a/crates/endpoints/src/source.rs
+++ b/crates/endpoints/src/source.rs
@@ -96,7 +96,7 @@
         self.entries.get(&id)
     }
 
-    pub(crate) fn forget(&mut self, id: ServerId) {
+    pub(crate) fn remove_entry(&mut self, id: ServerId) {
         self.entries.remove(&id);
     }
 
