--- a/crates/app/src/fronts.rs
+++ b/crates/app/src/fronts.rs
@@ -17,7 +17,7 @@
 use sillward_runtime::Clock;
 use sillward_runtime::net::TcpListener;
 use sillward_runtime::task::spawn_local;
-use sillward_thrift::FrontTerms;
+use sillward_thrift::FrontendConfig;
 use std::cell::RefCell;
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -110,7 +110,7 @@
         Ok(())
     }
 
-    pub async fn thrift(&self, terms: Option<FrontTerms>) -> Result<(), String> {
+    pub async fn thrift(&self, terms: Option<FrontendConfig>) -> Result<(), String> {
         let Some(terms) = terms else { return Ok(()) };
         let listener = bind(terms.listen).await?;
         self.said(&listener, "Thrift")?;
@@ -120,7 +120,7 @@
             longest(&self.live),
         );
         let (intake, live, seed) = (self.intake.clone(), self.live.clone(), self.config.seed);
-        let front = sillward_thrift::Front::new(
+        let front = sillward_thrift::Frontend::new(
             intake,
             live,
             terms,
--- a/crates/app/src/lib.rs
+++ b/crates/app/src/lib.rs
@@ -26,7 +26,7 @@
 use sillward_pool::{ConnectionLimit, Pool, PoolTimeouts};
 use sillward_runtime::Clock;
 use sillward_runtime::task::spawn_local;
-use sillward_thrift::BackendTerms;
+use sillward_thrift::BackendConfig;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::{Notify, mpsc, watch};
@@ -71,7 +71,7 @@
         return Ok(0);
     };
     let most = config.client_connections;
-    match terms.connections.unwrap_or(most / 2) {
+    match terms.max_connections.unwrap_or(most / 2) {
         part if part < most => Ok(part),
         part => Err(format!(
             "thrift.connections: {part}, but the limits allow {most} clients in all"
@@ -324,7 +324,7 @@
 fn backends(
     clock: Clock,
     config: &Config,
-    thrift: Vec<BackendTerms>,
+    thrift: Vec<BackendConfig>,
     budget: &MemoryBudget,
     sockets: &Rc<ConnectionLimit>,
     counters: &Rc<Counters>,
@@ -340,10 +340,10 @@
     }
     let others = thrift.into_iter().map(|kind| {
         let protocol = sillward_thrift::Thrift {
-            send_buffer: kind.send_buffer,
+            send_buffer_bytes: kind.send_buffer_bytes,
         };
         let pool = Pool::start(clock, protocol, terms, sockets.clone());
-        let (place, budget) = (kind.kind, budget.clone());
+        let (place, budget) = (kind.machine_type, budget.clone());
         let backends: Rc<dyn BackendProtocol> =
             sillward_thrift::Backend::new(pool, kind, budget, reports.clone(), counters.clone());
         (place, backends)
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -17,16 +17,16 @@
 use reader::Reader;
 use sillward_balancer::settings::PlatformSettings;
 use sillward_endpoints::RemovalGuard;
-use sillward_thrift::{BackendTerms, FrontTerms};
+use sillward_thrift::{BackendConfig, FrontendConfig};
 use std::net::SocketAddr;
 
 /// What an operator file says.
 #[derive(Debug, Default)]
 pub struct Operator {
     /// A listener for Thrift callers.
-    pub thrift: Option<FrontTerms>,
+    pub thrift: Option<FrontendConfig>,
     /// Machine types whose backends speak Thrift.
-    pub thrift_backends: Vec<BackendTerms>,
+    pub thrift_backends: Vec<BackendConfig>,
     /// Membership from etcd, with the guard of its lists.
     pub etcd: Option<(sillward_etcd::EtcdConfig, RemovalGuard)>,
     /// The fleet that this node is a member of.
--- a/crates/operator-config/src/thrift.rs
+++ b/crates/operator-config/src/thrift.rs
@@ -4,8 +4,10 @@
 use crate::reader::Section;
 use sillward_balancer::Idempotency;
 use sillward_balancer::settings::PlatformSettings;
-use sillward_thrift::wire::{Bounds, Encoding};
-use sillward_thrift::{BackendTerms, FrontTerms, HttpCall, Method, Order, TurnedAway};
+use sillward_thrift::wire::{Encoding, MessageLimits};
+use sillward_thrift::{
+    BackendConfig, FrontendConfig, HttpCallMapping, Method, RejectedReply, ReplyOrder,
+};
 use std::time::Duration;
 
 /// The longest budget that a call may have, as over HTTP.
@@ -21,17 +23,17 @@
                 "no method is served: at least one [[thrift.method]] is needed",
             );
         }
-        operator.thrift = section.parsed("listen").map(|listen| FrontTerms {
+        operator.thrift = section.parsed("listen").map(|listen| FrontendConfig {
             listen,
-            connections: section
+            max_connections: section
                 .number("connections", 1, 1 << 20)
                 .map(|n| n as usize),
-            calls_in_flight: section.number("calls_in_flight", 1, 1024).unwrap_or(32) as usize,
-            order: match section.word("order", &["finished", "called"]) {
-                Some(1) => Order::Called,
-                _ => Order::Finished,
+            max_calls_in_flight: section.number("calls_in_flight", 1, 1024).unwrap_or(32) as usize,
+            reply_order: match section.word("order", &["finished", "called"]) {
+                Some(1) => ReplyOrder::Arrival,
+                _ => ReplyOrder::Completion,
             },
-            bounds,
+            limits: bounds,
             methods,
         });
     } else if section.has("method") {
@@ -43,10 +45,10 @@
     let mut seen = Vec::new();
     for backend in section.tables("backend") {
         if let Some(terms) = read_backend(&backend, site, bounds) {
-            if site.is_some() && seen.contains(&terms.kind) {
+            if site.is_some() && seen.contains(&terms.machine_type) {
                 backend.fault("type", "this machine type stands twice");
             }
-            seen.push(terms.kind);
+            seen.push(terms.machine_type);
             operator.thrift_backends.push(terms);
         }
         backend.end();
@@ -57,18 +59,18 @@
     }
 }
 
-fn bounds(section: &Section<'_>) -> Bounds {
-    let usual = Bounds::default();
+fn bounds(section: &Section<'_>) -> MessageLimits {
+    let usual = MessageLimits::default();
     let number = |name, least, most, usual: usize| {
         section
             .number(name, least, most)
             .map_or(usual, |number| number as usize)
     };
-    Bounds {
+    MessageLimits {
         // Bodies are bounded by 64 KiB whichever protocol carries them.
-        frame: number("max_frame", 256, 64 * 1024, usual.frame),
-        depth: number("max_depth", 2, 64, usual.depth),
-        name: number("max_name", 1, 1024, usual.name),
+        max_frame_bytes: number("max_frame", 256, 64 * 1024, usual.max_frame_bytes),
+        max_depth: number("max_depth", 2, 64, usual.max_depth),
+        max_name_bytes: number("max_name", 1, 1024, usual.max_name_bytes),
     }
 }
 
@@ -141,8 +143,8 @@
         key_from_content,
         tenant,
         default_tenant,
-        budget,
-        default_budget: default_budget
+        time_budget: budget,
+        default_time_budget: default_budget
             .map_or(class_deadline, |ms| Duration::from_millis(ms as u64)),
     })
 }
@@ -150,8 +152,8 @@
 fn read_backend(
     table: &Section<'_>,
     site: Option<&PlatformSettings>,
-    bounds: Bounds,
-) -> Option<BackendTerms> {
+    bounds: MessageLimits,
+) -> Option<BackendConfig> {
     table.needed("type");
     let kind = table.named(
         "type",
@@ -176,7 +178,7 @@
             ),
         }
     }
-    let mut http_calls: Vec<HttpCall> = Vec::new();
+    let mut http_calls: Vec<HttpCallMapping> = Vec::new();
     for call in table.tables("http_call") {
         if let Some(read) = read_http_call(&call, site) {
             if site.is_some() && http_calls.iter().any(|other| other.class == read.class) {
@@ -186,35 +188,35 @@
         }
         call.end();
     }
-    Some(BackendTerms {
-        kind: kind.and_then(|kind| u8::try_from(kind).ok())?,
+    Some(BackendConfig {
+        machine_type: kind.and_then(|kind| u8::try_from(kind).ok())?,
         encoding: encoding?,
-        turned_away,
+        rejected_replies: turned_away,
         load_report: table.parsed("load_report"),
-        probe: table.text("probe").map(str::to_owned),
+        health_check_method: table.text("probe").map(str::to_owned),
         http_calls,
-        send_buffer: table
+        send_buffer_bytes: table
             .number("send_buffer", 1, 1 << 24)
             .map(|bytes| bytes as usize),
-        bounds,
+        limits: bounds,
     })
 }
 
-fn turned(text: &str) -> Option<TurnedAway> {
+fn turned(text: &str) -> Option<RejectedReply> {
     let (what, number) = text.split_once(' ')?;
     match what {
-        "exception" => number.parse().ok().map(TurnedAway::Exception),
+        "exception" => number.parse().ok().map(RejectedReply::Exception),
         // Field 0 is the result itself.
         "field" => number
             .parse()
             .ok()
             .filter(|field| *field > 0)
-            .map(TurnedAway::Field),
+            .map(RejectedReply::Field),
         _ => None,
     }
 }
 
-fn read_http_call(table: &Section<'_>, site: Option<&PlatformSettings>) -> Option<HttpCall> {
+fn read_http_call(table: &Section<'_>, site: Option<&PlatformSettings>) -> Option<HttpCallMapping> {
     table.needed("class");
     let class = table.named("class", "class", site.map(|site| &site.class_names[..]));
     let method = table.needed("method").map(str::to_owned);
@@ -230,7 +232,7 @@
     if target == body || key.is_some_and(|key| key == target || key == body) {
         table.fault("body", "two of target, body and key are the same argument");
     }
-    Some(HttpCall {
+    Some(HttpCallMapping {
         class: class?,
         method: method?,
         target,
--- a/crates/thrift/benches/transcode.rs
+++ b/crates/thrift/benches/transcode.rs
@@ -19,9 +19,9 @@
 const BINARY: Encoding = Encoding::Binary { strict: true };
 
 fn ours(message: &[u8], to: Encoding) -> Vec<u8> {
-    let bounds = Bounds::default();
-    let message = read_head(message, &bounds).expect("a head");
-    reword(&message, to, HEAD, &bounds).expect("it reads")
+    let limits = MessageLimits::default();
+    let message = read_head(message, &limits).expect("a head");
+    transcode(&message, to, HEAD, &limits).expect("it reads")
 }
 
 /// Reads the sheet into values and writes them again, as a proxy without a schema would with the library.
--- a/crates/thrift/src/backend.rs
+++ b/crates/thrift/src/backend.rs
@@ -3,12 +3,12 @@
 //! A frame runs only once it is whole. So an attempt whose frame the kernel has not taken to its last byte has
 //! never run, and one whose frame it has may have run, whatever becomes of the connection.
 
-use crate::names;
-use crate::terms::{BackendTerms, TurnedAway};
+use crate::config::{BackendConfig, RejectedReply};
+use crate::method_names;
 use crate::wire::{
-    BinaryReader, BinaryWriter, CompactReader, CompactWriter, Encoding, FrameReader, Head, Kind,
-    Message, Path, Reader, Scalar, Step, Type, Writer, frame, pick, read_exception, read_head,
-    reword, write_head,
+    BinaryReader, BinaryWriter, CompactReader, CompactWriter, Encoding, FieldPath, FrameProgress,
+    FrameReader, Head, Kind, Message, Reader, Scalar, Type, Writer, frame, read_exception,
+    read_fields, read_head, transcode, write_head,
 };
 use crate::{BINARY, COMPACT};
 use bytes::Bytes;
@@ -36,7 +36,7 @@
 /// Framed Thrift over a connection to a backend.
 pub struct Thrift {
     /// The bytes that the kernel may take before the backend does; `None` for what the system is set to.
-    pub send_buffer: Option<usize>,
+    pub send_buffer_bytes: Option<usize>,
 }
 
 /// Carries one call at a time.
@@ -50,7 +50,7 @@
     type Session = Line;
 
     async fn handshake(&self, stream: Stream) -> io::Result<Line> {
-        if let Some(bytes) = self.send_buffer {
+        if let Some(bytes) = self.send_buffer_bytes {
             stream.set_send_buffer_size(bytes);
         }
         Ok(Line {
@@ -67,7 +67,7 @@
 /// The backends of one machine type that speak Thrift.
 pub struct Backend {
     pool: Rc<Pool<Thrift>>,
-    terms: BackendTerms,
+    terms: BackendConfig,
     /// Room for messages.
     budget: MemoryBudget,
     reports: LoadReportParser,
@@ -125,7 +125,7 @@
 impl Backend {
     pub fn new(
         pool: Rc<Pool<Thrift>>,
-        terms: BackendTerms,
+        terms: BackendConfig,
         budget: MemoryBudget,
         reports: LoadReportParser,
         counters: Rc<Counters>,
@@ -225,7 +225,7 @@
                 .find(|terms| terms.class == call.class)?;
             return Some(&terms.method);
         }
-        read_head(&call.payload.bytes, &self.terms.bounds)
+        read_head(&call.payload.bytes, &self.terms.limits)
             .ok()
             .map(|message| message.head.name)
     }
@@ -236,7 +236,7 @@
         if call.streaming_body.is_some() {
             return None; // a frame begins with its length and holds a whole message
         }
-        let (bounds, encoding) = (&self.terms.bounds, self.terms.encoding);
+        let (limits, encoding) = (&self.terms.limits, self.terms.encoding);
         if call.payload.format == PayloadFormat::PLAIN {
             let terms = self
                 .terms
@@ -277,17 +277,17 @@
                     writer.out
                 }
             };
-            return (out.len() <= bounds.written() + 4).then(|| frame(out));
+            return (out.len() <= limits.max_written_bytes() + 4).then(|| frame(out));
         }
-        let message = read_head(&call.payload.bytes, bounds).ok()?;
-        reword(
+        let message = read_head(&call.payload.bytes, limits).ok()?;
+        transcode(
             &message,
             encoding,
             Head {
                 seqid,
                 ..message.head
             },
-            bounds,
+            limits,
         )
         .ok()
     }
@@ -298,7 +298,7 @@
             .budget
             .try_reserve(0)
             .ok_or(Broken::Nonsense("no room for a reply"))?;
-        let mut reader = FrameReader::new(self.terms.bounds.frame);
+        let mut reader = FrameReader::new(self.terms.limits.max_frame_bytes);
         let mut chunk = [0; READ_BUFFER_BYTES];
         loop {
             let count = line
@@ -311,10 +311,12 @@
             }
             let (used, step) = reader.take(&chunk[..count], &mut |bytes| lease.try_grow(bytes));
             match step {
-                Step::More => {}
-                Step::Whole(body) => return Ok((lease.attach(body.into()), used < count)),
-                Step::Discarded(_) => return Err(Broken::Nonsense("no room for a reply")),
-                Step::NotFramed(_) => {
+                FrameProgress::Incomplete => {}
+                FrameProgress::Complete(body) => {
+                    return Ok((lease.attach(body.into()), used < count));
+                }
+                FrameProgress::Discarded(_) => return Err(Broken::Nonsense("no room for a reply")),
+                FrameProgress::NotFramed(_) => {
                     return Err(Broken::Nonsense("a reply that is too long, or no frame"));
                 }
             }
@@ -323,18 +325,18 @@
 
     /// What a reply says; `None` if it is none to this call.
     fn read(&self, body: &Bytes, name: &str, seqid: i32, call: &Call) -> Option<Exchange> {
-        let message = read_head(body, &self.terms.bounds).ok()?;
-        if message.head.seqid != seqid || !names::answers(message.head.name, name) {
+        let message = read_head(body, &self.terms.limits).ok()?;
+        if message.head.seqid != seqid || !method_names::is_reply_name(message.head.name, name) {
             return None;
         }
         match message.head.kind {
             Kind::Reply => {}
             Kind::Exception => {
-                let (number, _) = read_exception(&message, &self.terms.bounds).ok()?;
+                let (number, _) = read_exception(&message, &self.terms.limits).ok()?;
                 let never_ran = self
                     .terms
-                    .turned_away
-                    .contains(&TurnedAway::Exception(number));
+                    .rejected_replies
+                    .contains(&RejectedReply::Exception(number));
                 let outcome = if never_ran {
                     Outcome::Rejected
                 } else {
@@ -344,13 +346,13 @@
             }
             Kind::Call | Kind::Oneway => return None,
         }
-        let first = Path::field(0);
+        let first = FieldPath::field(0);
         let plain = call.payload.format == PayloadFormat::PLAIN;
         let paths = [self.terms.load_report.as_ref(), plain.then_some(&first)];
         let (field, found) = match message.encoding {
             Encoding::Binary { .. } => {
                 let mut reader = BinaryReader::new(message.body);
-                let found = pick(&mut reader, &paths, &self.terms.bounds).ok()?;
+                let found = read_fields(&mut reader, &paths, &self.terms.limits).ok()?;
                 (
                     first_field(BinaryReader::new(message.body)),
                     reader.rest().is_empty().then_some(found)?,
@@ -358,7 +360,7 @@
             }
             Encoding::Compact => {
                 let mut reader = CompactReader::new(message.body);
-                let found = pick(&mut reader, &paths, &self.terms.bounds).ok()?;
+                let found = read_fields(&mut reader, &paths, &self.terms.limits).ok()?;
                 (
                     first_field(CompactReader::new(message.body)),
                     reader.rest().is_empty().then_some(found)?,
@@ -366,8 +368,11 @@
             }
         };
         let report = found[0].and_then(|report| self.report(report));
-        let turned =
-            field.is_some_and(|field| self.terms.turned_away.contains(&TurnedAway::Field(field)));
+        let turned = field.is_some_and(|field| {
+            self.terms
+                .rejected_replies
+                .contains(&RejectedReply::Field(field))
+        });
         if turned {
             return Some(Exchange::failed(Outcome::Rejected, report));
         }
@@ -425,7 +430,7 @@
             Ok(connection) => connection,
             Err(outcome) => return HealthCheckResponse::from(outcome),
         };
-        let Some(name) = self.terms.probe.as_deref() else {
+        let Some(name) = self.terms.health_check_method.as_deref() else {
             self.pool.release(connection); // that it took a connection is its sign of life
             return HealthCheckResponse::from(Outcome::Served);
         };
@@ -469,26 +474,26 @@
 
     /// The report in a probe's reply; `None` if it is no reply to it.
     fn probe_report(&self, body: &[u8], name: &str, seqid: i32) -> Option<Option<LoadReport>> {
-        let message = read_head(body, &self.terms.bounds).ok()?;
+        let message = read_head(body, &self.terms.limits).ok()?;
         let Head {
             kind,
             name: answered,
             seqid: to,
         } = message.head;
-        if kind != Kind::Reply || to != seqid || !names::answers(answered, name) {
+        if kind != Kind::Reply || to != seqid || !method_names::is_reply_name(answered, name) {
             return None;
         }
         let paths = [self.terms.load_report.as_ref()];
         let found = match message.encoding {
-            Encoding::Binary { .. } => pick(
+            Encoding::Binary { .. } => read_fields(
                 &mut BinaryReader::new(message.body),
                 &paths,
-                &self.terms.bounds,
+                &self.terms.limits,
             ),
-            Encoding::Compact => pick(
+            Encoding::Compact => read_fields(
                 &mut CompactReader::new(message.body),
                 &paths,
-                &self.terms.bounds,
+                &self.terms.limits,
             ),
         };
         Some(found.ok()?[0].and_then(|report| self.report(report)))
@@ -521,13 +526,13 @@
 }
 
 /// Whether a body is a reply to that call, as a backend of another protocol brought it.
-pub fn is_reply(body: &[u8], to: &Message<'_>, bounds: &crate::wire::Bounds) -> bool {
-    let Ok(message) = read_head(body, bounds) else {
+pub fn is_reply(body: &[u8], to: &Message<'_>, limits: &crate::wire::MessageLimits) -> bool {
+    let Ok(message) = read_head(body, limits) else {
         return false;
     };
     let Head { kind, name, seqid } = message.head;
     kind == Kind::Reply
         && seqid == to.head.seqid
-        && names::answers(name, to.head.name)
-        && reword(&message, message.encoding, message.head, bounds).is_ok()
+        && method_names::is_reply_name(name, to.head.name)
+        && transcode(&message, message.encoding, message.head, limits).is_ok()
 }
--- a/crates/thrift/src/calls.rs
+++ b/crates/thrift/src/calls.rs
@@ -1,11 +1,11 @@
 //! What a caller's message must be to be taken, and how it is answered: without I/O.
 
 use crate::backend::is_reply;
-use crate::names;
-use crate::terms::{FrontTerms, Method};
+use crate::config::{FrontendConfig, Method};
+use crate::method_names;
 use crate::wire::{
-    BinaryReader, CompactReader, Encoding, ExceptionKind, Fault, Head, Kind, Message, Reader,
-    Scalar, exception, pick, read_head, reword,
+    BinaryReader, CompactReader, DecodeError, Encoding, ExceptionKind, Head, Kind, Message, Reader,
+    Scalar, exception, read_fields, read_head, transcode,
 };
 use crate::{BINARY, COMPACT};
 use bytes::Bytes;
@@ -36,14 +36,14 @@
         let Head { name, seqid, .. } = message.head;
         Caller {
             encoding: message.encoding,
-            name: names::told(name).to_owned(),
+            name: method_names::reply_name(name).to_owned(),
             seqid,
         }
     }
 }
 
 /// A message that can be taken.
-pub struct Checked {
+pub struct ValidatedCall {
     pub new: NewRequest,
     pub call: Call,
     pub caller: Caller,
@@ -51,7 +51,7 @@
 
 /// Why a message is not taken.
 #[derive(Debug)]
-pub struct Turned {
+pub struct InvalidCall {
     /// The answer's frame; `None` where nobody waits for one.
     pub frame: Option<Vec<u8>>,
     /// Nobody can tell what follows: the connection ends.
@@ -59,12 +59,12 @@
 }
 
 /// Reads a message's head, as far as `bytes` have it.
-pub fn head<'a>(terms: &FrontTerms, bytes: &'a [u8]) -> Result<Message<'a>, Turned> {
-    let message = read_head(bytes, &terms.bounds).map_err(|fault| {
+pub fn head<'a>(terms: &FrontendConfig, bytes: &'a [u8]) -> Result<Message<'a>, InvalidCall> {
+    let message = read_head(bytes, &terms.limits).map_err(|fault| {
         let encoding = crate::wire::encoding_of(bytes).unwrap_or(Encoding::Binary { strict: true });
         let text = format!("no message: {fault}");
         let frame = exception(encoding, "", 0, ExceptionKind::ProtocolError, &text, None);
-        Turned {
+        InvalidCall {
             frame: Some(frame),
             last: true,
         }
@@ -79,7 +79,7 @@
     }
 }
 
-fn turned(message: &Message<'_>, kind: ExceptionKind, text: &str) -> Turned {
+fn turned(message: &Message<'_>, kind: ExceptionKind, text: &str) -> InvalidCall {
     let answered = message.head.kind != Kind::Oneway;
     let frame = answered.then(|| {
         let Caller {
@@ -89,17 +89,17 @@
         } = Caller::of(message);
         exception(encoding, &name, seqid, kind, text, None)
     });
-    Turned { frame, last: false }
+    InvalidCall { frame, last: false }
 }
 
 /// Reads a message as the terms word it. What does not fit never reaches a backend.
 pub fn check(
-    terms: &FrontTerms,
+    terms: &FrontendConfig,
     site: &PlatformSettings,
     bytes: Bytes,
     call_id: u128,
     now: Duration,
-) -> Result<Checked, Turned> {
+) -> Result<ValidatedCall, InvalidCall> {
     let message = head(terms, &bytes)?;
     let bad = |text: &str| turned(&message, ExceptionKind::ProtocolError, text);
     let method = method(terms, message.head.name)
@@ -108,16 +108,16 @@
         method.station_key.as_ref(),
         method.idempotency_key.as_ref(),
         method.tenant.as_ref(),
-        method.budget.as_ref(),
+        method.time_budget.as_ref(),
     ];
     let found = match message.encoding {
         Encoding::Binary { .. } => {
             let mut reader = BinaryReader::new(message.body);
-            pick(&mut reader, &paths, &terms.bounds).map(|found| (found, reader.rest()))
+            read_fields(&mut reader, &paths, &terms.limits).map(|found| (found, reader.rest()))
         }
         Encoding::Compact => {
             let mut reader = CompactReader::new(message.body);
-            pick(&mut reader, &paths, &terms.bounds).map(|found| (found, reader.rest()))
+            read_fields(&mut reader, &paths, &terms.limits).map(|found| (found, reader.rest()))
         }
     };
     let (found, rest) =
@@ -125,7 +125,7 @@
     if !rest.is_empty() {
         return Err(bad(&format!(
             "arguments that can't be read: {}",
-            Fault::Behind
+            DecodeError::Behind
         )));
     }
 
@@ -164,7 +164,7 @@
             Duration::from_millis(ms as u64)
         }
         Some(_) => return Err(bad("no budget that makes sense")),
-        None => method.default_budget,
+        None => method.default_time_budget,
     };
 
     let station_number = match std::str::from_utf8(&station) {
@@ -203,18 +203,18 @@
         idempotency_window: window,
         progress: CallProgress::default(),
     };
-    Ok(Checked { new, call, caller })
+    Ok(ValidatedCall { new, call, caller })
 }
 
-fn judge(call: &Bytes, terms: &FrontTerms) -> ResponseValidator {
-    let (call, bounds) = (call.clone(), terms.bounds);
+fn judge(call: &Bytes, terms: &FrontendConfig) -> ResponseValidator {
+    let (call, limits) = (call.clone(), terms.limits);
     Rc::new(move |body| {
-        read_head(&call, &bounds).is_ok_and(|message| is_reply(body, &message, &bounds))
+        read_head(&call, &limits).is_ok_and(|message| is_reply(body, &message, &limits))
     })
 }
 
-fn method<'a>(terms: &'a FrontTerms, name: &str) -> Option<&'a Method> {
-    let (service, name) = names::split(name);
+fn method<'a>(terms: &'a FrontendConfig, name: &str) -> Option<&'a Method> {
+    let (service, name) = method_names::split(name);
     terms
         .methods
         .iter()
@@ -243,7 +243,7 @@
 
 /// The frame of a final answer, in its caller's words. Refused, failed and timed out are told apart by the type
 /// of the `TApplicationException`.
-pub fn worded(terms: &FrontTerms, caller: &Caller, answer: FinalResponse) -> Vec<u8> {
+pub fn worded(terms: &FrontendConfig, caller: &Caller, answer: FinalResponse) -> Vec<u8> {
     let Caller {
         encoding,
         name,
@@ -261,13 +261,13 @@
         FinalResponse::Complete(content)
             if content.format == BINARY || content.format == COMPACT =>
         {
-            let reworded = read_head(&content.bytes, &terms.bounds).and_then(|message| {
+            let reworded = read_head(&content.bytes, &terms.limits).and_then(|message| {
                 let head = Head {
                     kind: message.head.kind,
                     name,
                     seqid: *seqid,
                 };
-                reword(&message, *encoding, head, &terms.bounds)
+                transcode(&message, *encoding, head, &terms.limits)
             });
             // A reply that is compact in time may be too large for a frame in binary.
             reworded.unwrap_or_else(|_| failed())
--- a/crates/thrift/src/terms.rs
+++ b/crates/thrift/src/config.rs
@@ -1,34 +1,34 @@
 //! What an installation says of its Thrift callers and backends.
 
-use crate::wire::{Bounds, Encoding, Path};
+use crate::wire::{Encoding, FieldPath, MessageLimits};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// The front's settings.
 #[derive(Clone, Debug)]
-pub struct FrontTerms {
+pub struct FrontendConfig {
     /// Where it listens.
     pub listen: SocketAddr,
     /// The most connections of callers; `None` for half of the node's.
-    pub connections: Option<usize>,
+    pub max_connections: Option<usize>,
     /// The most calls that are open on a connection at once; at least 1.
-    pub calls_in_flight: usize,
+    pub max_calls_in_flight: usize,
     /// In which order calls of a connection are answered.
-    pub order: Order,
+    pub reply_order: ReplyOrder,
     /// What bounds a message.
-    pub bounds: Bounds,
+    pub limits: MessageLimits,
     /// The methods that are served. All others are unknown.
     pub methods: Vec<Method>,
 }
 
 /// In which order calls of a connection are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum ReplyOrder {
     /// Each when it has its answer. A call with the sequence number of one that is open waits, unread, until that
     /// is answered: a client that does not count its calls is answered in their order.
-    Finished,
+    Completion,
     /// In the order of the calls: the next is read when the last is answered.
-    Called,
+    Arrival,
 }
 
 /// A method that is served, and where its arguments hold what the node needs to know.
@@ -41,47 +41,47 @@
     /// Its class, by its position in the platform's settings.
     pub class: usize,
     /// What a call concerns.
-    pub station_key: Option<Path>,
+    pub station_key: Option<FieldPath>,
     /// And if the field is not there.
     pub default_station_key: String,
     /// By what backends know a repeat.
-    pub idempotency_key: Option<Path>,
+    pub idempotency_key: Option<FieldPath>,
     /// Without that field, the call's own content is its key: equal calls are repeats. Otherwise it is turned down.
     pub key_from_content: bool,
     /// Who calls, by the tenant's name.
-    pub tenant: Option<Path>,
+    pub tenant: Option<FieldPath>,
     /// And if the field is not there: the tenant's position in the platform's settings.
     pub default_tenant: Option<usize>,
     /// How long the caller waits, in milliseconds.
-    pub budget: Option<Path>,
+    pub time_budget: Option<FieldPath>,
     /// And if the field is not there.
-    pub default_budget: Duration,
+    pub default_time_budget: Duration,
 }
 
 /// The backends of a machine type that speak Thrift.
 #[derive(Clone, Debug)]
-pub struct BackendTerms {
+pub struct BackendConfig {
     /// The machine type, by its position in the platform's settings.
-    pub kind: u8,
+    pub machine_type: u8,
     /// What they read and write.
     pub encoding: Encoding,
     /// The replies that say that the call was turned away and never ran.
-    pub turned_away: Vec<TurnedAway>,
+    pub rejected_replies: Vec<RejectedReply>,
     /// Where in a reply's struct a load report stands, as text like `inflight=7,queue=2`.
-    pub load_report: Option<Path>,
+    pub load_report: Option<FieldPath>,
     /// The method that is called, without arguments, to ask for the load; without it a probe is a connection.
-    pub probe: Option<String>,
+    pub health_check_method: Option<String>,
     /// How calls that came over HTTP are worded, by class.
-    pub http_calls: Vec<HttpCall>,
+    pub http_calls: Vec<HttpCallMapping>,
     /// The bytes that the kernel may take before the backend does; `None` for what the system is set to.
-    pub send_buffer: Option<usize>,
+    pub send_buffer_bytes: Option<usize>,
     /// What bounds a message.
-    pub bounds: Bounds,
+    pub limits: MessageLimits,
 }
 
 /// A reply that says that the call was turned away and never ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TurnedAway {
+pub enum RejectedReply {
     /// A `TApplicationException` of this type.
     Exception(i32),
     /// A declared exception in this field of the result.
@@ -90,7 +90,7 @@
 
 /// How a call that came over HTTP is worded for backends that speak Thrift.
 #[derive(Clone, Debug)]
-pub struct HttpCall {
+pub struct HttpCallMapping {
     /// The class, by its position in the platform's settings.
     pub class: usize,
     /// The method's full name.
--- a/crates/thrift/src/front.rs
+++ b/crates/thrift/src/frontend.rs
@@ -1,9 +1,11 @@
 //! The callers' side: takes frames, several calls of a connection at once, and writes the final answers that the
 //! node gives.
 
-use crate::calls::{self, Caller, Checked, Turned};
-use crate::terms::{FrontTerms, Order};
-use crate::wire::{Encoding, ExceptionKind, FrameReader, NotFramed, Step, exception, read_head};
+use crate::calls::{self, Caller, InvalidCall, ValidatedCall};
+use crate::config::{FrontendConfig, ReplyOrder};
+use crate::wire::{
+    Encoding, ExceptionKind, FrameProgress, FrameReader, NotFramed, exception, read_head,
+};
 use bytes::Bytes;
 use sillward_forwarding::{
     FinalResponse, LiveSettings, MemoryBudget, MemoryReservation, NodeHandle, READ_BUFFER_BYTES,
@@ -30,10 +32,10 @@
 Connection: close\r\n\r\nThis listener speaks framed Thrift.\n";
 
 /// The front for callers that speak Thrift.
-pub struct Front {
+pub struct Frontend {
     intake: NodeHandle,
     live: Rc<LiveSettings>,
-    terms: FrontTerms,
+    terms: FrontendConfig,
     connections: Rc<ConnectionManager>,
     /// Room for frames.
     budget: MemoryBudget,
@@ -41,17 +43,17 @@
     oneway: Cell<u64>,
 }
 
-impl Front {
+impl Frontend {
     pub fn new(
         intake: NodeHandle,
         live: Rc<LiveSettings>,
-        terms: FrontTerms,
+        terms: FrontendConfig,
         connections: Rc<ConnectionManager>,
         budget: MemoryBudget,
         seed: u64,
     ) -> Rc<Self> {
         let random = RefCell::new(Random::seeded(seed.rotate_left(32)));
-        Rc::new(Front {
+        Rc::new(Frontend {
             intake,
             live,
             terms,
@@ -74,12 +76,12 @@
     }
 }
 
-impl ConnectionHandler for Front {
+impl ConnectionHandler for Frontend {
     async fn serve(self: Rc<Self>, stream: Stream, connection: Rc<ClientConnection>) {
         let Some(room) = self.budget.try_reserve(0) else {
             return;
         };
-        let reader = FrameReader::new(self.terms.bounds.frame);
+        let reader = FrameReader::new(self.terms.limits.max_frame_bytes);
         let mut session = Session {
             front: self,
             stream,
@@ -104,7 +106,7 @@
 
 /// A caller's connection.
 struct Session {
-    front: Rc<Front>,
+    front: Rc<Frontend>,
     stream: Stream,
     connection: Rc<ClientConnection>,
     reader: FrameReader,
@@ -234,7 +236,7 @@
             let (used, step) = self.reader.take(bytes, &mut |bytes| room.try_grow(bytes));
             self.unread.drain(..used);
             let lease = match step {
-                Step::More => {
+                FrameProgress::Incomplete => {
                     self.until = self.until.or_else(|| Some(Instant::now() + READ_TIMEOUT));
                     continue;
                 }
@@ -246,12 +248,12 @@
             };
             self.until = None;
             match (step, lease) {
-                (Step::Whole(frame), Some(lease)) => {
+                (FrameProgress::Complete(frame), Some(lease)) => {
                     let frame = lease.attach(frame.into());
                     self.arrived(frame);
                 }
-                (Step::Discarded(begin), _) => self.turn_down(NotWhole::NoRoom(&begin)),
-                (Step::NotFramed(what), _) => self.turn_down(NotWhole::NotFramed(what)),
+                (FrameProgress::Discarded(begin), _) => self.turn_down(NotWhole::NoRoom(&begin)),
+                (FrameProgress::NotFramed(what), _) => self.turn_down(NotWhole::NotFramed(what)),
                 _ => self.ended = true,
             }
         }
@@ -260,12 +262,12 @@
     /// A whole frame: taken if its turn has come.
     fn arrived(&mut self, frame: Bytes) {
         let terms = &self.front.terms;
-        let seqid = read_head(&frame, &terms.bounds).map(|message| message.head.seqid);
-        let later = match terms.order {
-            Order::Called => !self.calls.is_empty() || !self.out.is_empty(),
-            Order::Finished => seqid.is_ok_and(|seqid| self.open.contains(&seqid)),
+        let seqid = read_head(&frame, &terms.limits).map(|message| message.head.seqid);
+        let later = match terms.reply_order {
+            ReplyOrder::Arrival => !self.calls.is_empty() || !self.out.is_empty(),
+            ReplyOrder::Completion => seqid.is_ok_and(|seqid| self.open.contains(&seqid)),
         };
-        if later || self.calls.len() >= terms.calls_in_flight {
+        if later || self.calls.len() >= terms.max_calls_in_flight {
             self.waiting = Some(frame);
             return;
         }
@@ -274,14 +276,14 @@
         let front = self.front.clone();
         let at = front.intake.clock().now();
         match calls::check(terms, &front.live.get(), frame, front.call_id(), at) {
-            Ok(Checked { new, call, .. }) if !call.expects_response => {
+            Ok(ValidatedCall { new, call, .. }) if !call.expects_response => {
                 front.oneway.set(front.oneway.get() + 1);
                 // Whoever called may leave at once: the call stays.
                 spawn_local(async move {
                     let _ = front.intake.submit(new, call, at).await;
                 });
             }
-            Ok(Checked {
+            Ok(ValidatedCall {
                 new,
                 mut call,
                 caller,
@@ -309,7 +311,7 @@
         }
     }
 
-    fn turned(&mut self, turned: Turned) {
+    fn turned(&mut self, turned: InvalidCall) {
         if let Some(frame) = turned.frame {
             self.push(frame, None);
         }
@@ -349,7 +351,7 @@
             }
             NotWhole::NotFramed(NotFramed::Tls) => (Vec::new(), true),
             NotWhole::NotFramed(NotFramed::Length(length)) => {
-                let most = self.front.terms.bounds.frame;
+                let most = self.front.terms.limits.max_frame_bytes;
                 (
                     refuse(
                         strict,
--- a/crates/thrift/src/lib.rs
+++ b/crates/thrift/src/lib.rs
@@ -3,14 +3,16 @@
 
 mod backend;
 mod calls;
-mod front;
-pub mod names;
-mod terms;
+mod config;
+mod frontend;
+pub mod method_names;
 pub mod wire;
 
 pub use backend::{Backend, Thrift};
-pub use front::Front;
-pub use terms::{BackendTerms, FrontTerms, HttpCall, Method, Order, TurnedAway};
+pub use config::{
+    BackendConfig, FrontendConfig, HttpCallMapping, Method, RejectedReply, ReplyOrder,
+};
+pub use frontend::Frontend;
 
 use sillward_forwarding::PayloadFormat;
 
--- a/crates/thrift/src/names.rs
+++ b/crates/thrift/src/method_names.rs
@@ -19,18 +19,18 @@
 }
 
 /// The name under which a caller's answers come, whoever words them: its generated client knows only the method's.
-pub fn told(called: &str) -> &str {
+pub fn reply_name(called: &str) -> &str {
     split(called).1
 }
 
 /// Whether a message of that name may answer a call of the other: as the method alone, or as it was called.
-pub fn answers(name: &str, called: &str) -> bool {
-    name == told(called) || name == called
+pub fn is_reply_name(name: &str, called: &str) -> bool {
+    name == reply_name(called) || name == called
 }
 
 #[cfg(test)]
 mod tests {
-    use super::{answers, split, told};
+    use super::{is_reply_name, reply_name, split};
 
     #[test]
     fn the_service_ends_at_the_first_colon() {
@@ -38,15 +38,15 @@
         assert_eq!(split("read"), (None, "read"));
         assert_eq!(split("Tally:read:again"), (Some("Tally"), "read:again"));
         assert_eq!(split(":read"), (Some(""), "read"));
-        assert_eq!((told("Tally:"), told("")), ("", ""));
+        assert_eq!((reply_name("Tally:"), reply_name("")), ("", ""));
     }
 
     #[test]
     fn a_call_is_answered_as_its_method_or_as_it_was_called_and_not_otherwise() {
         assert!(
-            answers("read", "Tally:read")
-                && answers("Tally:read", "Tally:read")
-                && answers("read", "read")
+            is_reply_name("read", "Tally:read")
+                && is_reply_name("Tally:read", "Tally:read")
+                && is_reply_name("read", "read")
         );
         for stranger in [
             "",
@@ -58,8 +58,11 @@
             "Tally:Tally:read",
             "read:",
         ] {
-            assert!(!answers(stranger, "Tally:read"), "{stranger}");
+            assert!(!is_reply_name(stranger, "Tally:read"), "{stranger}");
         }
-        assert!(!answers("Tally:read", "read"), "the call named no service");
+        assert!(
+            !is_reply_name("Tally:read", "read"),
+            "the call named no service"
+        );
     }
 }
--- a/crates/thrift/src/wire.rs
+++ b/crates/thrift/src/wire.rs
@@ -5,20 +5,20 @@
 
 mod binary;
 mod compact;
-mod copy;
+mod field_path;
 mod frame;
 mod message;
-mod pick;
+mod transcode;
 
 pub use binary::{BinaryReader, BinaryWriter};
 pub use compact::{CompactReader, CompactWriter};
-pub use copy::{copy, copy_struct, skip};
-pub use frame::{FrameReader, NotFramed, Step, frame};
+pub use field_path::{FieldPath, Scalar, read_fields};
+pub use frame::{FrameProgress, FrameReader, NotFramed, frame};
 pub use message::{
-    ExceptionKind, Head, Kind, Message, encoding_of, exception, read_exception, read_head, reword,
-    write_head,
+    ExceptionKind, Head, Kind, Message, encoding_of, exception, read_exception, read_head,
+    transcode, write_head,
 };
-pub use pick::{Path, Scalar, pick};
+pub use transcode::{copy, copy_struct, skip};
 
 use std::fmt;
 
@@ -69,7 +69,7 @@
 impl Type {
     /// The type of that number in the binary protocol. 1 (void) is no value's type.
     #[inline]
-    fn from_binary(number: u8) -> Result<Self, Fault> {
+    fn from_binary(number: u8) -> Result<Self, DecodeError> {
         Ok(match number {
             0 => Type::Stop,
             2 => Type::Bool,
@@ -84,43 +84,43 @@
             14 => Type::Set,
             15 => Type::List,
             16 => Type::Uuid,
-            _ => return Err(Fault::Type(number)),
+            _ => return Err(DecodeError::Type(number)),
         })
     }
 }
 
 /// What bounds a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct MessageLimits {
     /// The most bytes of a message that is read, without its frame's length.
-    pub frame: usize,
+    pub max_frame_bytes: usize,
     /// The most levels of structs and containers within each other.
-    pub depth: usize,
+    pub max_depth: usize,
     /// The most bytes of a method's name.
-    pub name: usize,
+    pub max_name_bytes: usize,
 }
 
-impl Bounds {
+impl MessageLimits {
     /// The most bytes of a message that is written. A number of the node's own in the head may be longer than the
     /// caller's, and what is compact grows in binary: what was taken for its size is not to fail for that.
-    pub fn written(&self) -> usize {
-        self.frame * 2
+    pub fn max_written_bytes(&self) -> usize {
+        self.max_frame_bytes * 2
     }
 }
 
-impl Default for Bounds {
+impl Default for MessageLimits {
     fn default() -> Self {
-        Bounds {
-            frame: 64 * 1024,
-            depth: 32,
-            name: 256,
+        MessageLimits {
+            max_frame_bytes: 64 * 1024,
+            max_depth: 32,
+            max_name_bytes: 256,
         }
     }
 }
 
 /// Why bytes are no message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum DecodeError {
     /// They end within a value.
     Short,
     /// More follows where the message has ended.
@@ -151,28 +151,28 @@
     Twice(i16),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Short => write!(f, "it ends within a value"),
-            Fault::Behind => write!(f, "more follows behind its end"),
-            Fault::Type(number) => write!(f, "no type has number {number}"),
-            Fault::Negative => write!(f, "a negative length"),
-            Fault::Count => write!(f, "a length beyond the bytes at hand"),
-            Fault::Varint => write!(f, "a number too large for its type"),
-            Fault::Bool(byte) => write!(f, "{byte} is no truth value"),
-            Fault::FieldId => write!(f, "a field number beyond 16 bits"),
-            Fault::Depth => write!(f, "too many levels"),
-            Fault::Large => write!(f, "too large"),
-            Fault::Version => write!(f, "unknown version or protocol"),
-            Fault::Kind(number) => write!(f, "no message type has number {number}"),
-            Fault::Name => write!(f, "a method name too long, or no text"),
-            Fault::Twice(id) => write!(f, "field {id} stands twice"),
+            DecodeError::Short => write!(f, "it ends within a value"),
+            DecodeError::Behind => write!(f, "more follows behind its end"),
+            DecodeError::Type(number) => write!(f, "no type has number {number}"),
+            DecodeError::Negative => write!(f, "a negative length"),
+            DecodeError::Count => write!(f, "a length beyond the bytes at hand"),
+            DecodeError::Varint => write!(f, "a number too large for its type"),
+            DecodeError::Bool(byte) => write!(f, "{byte} is no truth value"),
+            DecodeError::FieldId => write!(f, "a field number beyond 16 bits"),
+            DecodeError::Depth => write!(f, "too many levels"),
+            DecodeError::Large => write!(f, "too large"),
+            DecodeError::Version => write!(f, "unknown version or protocol"),
+            DecodeError::Kind(number) => write!(f, "no message type has number {number}"),
+            DecodeError::Name => write!(f, "a method name too long, or no text"),
+            DecodeError::Twice(id) => write!(f, "field {id} stands twice"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for DecodeError {}
 
 /// Reads values of one encoding from a slice, which it never reads past.
 pub trait Reader<'a> {
@@ -188,27 +188,27 @@
     ///
     /// # Errors
     /// The bytes don't read so, as for all that follow.
-    fn field(&mut self) -> Result<Option<(Type, i16)>, Fault>;
+    fn field(&mut self) -> Result<Option<(Type, i16)>, DecodeError>;
     /// A truth value.
-    fn bool(&mut self) -> Result<bool, Fault>;
+    fn bool(&mut self) -> Result<bool, DecodeError>;
     /// An 8-bit number.
-    fn i8(&mut self) -> Result<i8, Fault>;
+    fn i8(&mut self) -> Result<i8, DecodeError>;
     /// A 16-bit number.
-    fn i16(&mut self) -> Result<i16, Fault>;
+    fn i16(&mut self) -> Result<i16, DecodeError>;
     /// A 32-bit number.
-    fn i32(&mut self) -> Result<i32, Fault>;
+    fn i32(&mut self) -> Result<i32, DecodeError>;
     /// A 64-bit number.
-    fn i64(&mut self) -> Result<i64, Fault>;
+    fn i64(&mut self) -> Result<i64, DecodeError>;
     /// A double, as its bits: no NaN is altered.
-    fn double(&mut self) -> Result<u64, Fault>;
+    fn double(&mut self) -> Result<u64, DecodeError>;
     /// Text or bytes.
-    fn bytes(&mut self) -> Result<&'a [u8], Fault>;
+    fn bytes(&mut self) -> Result<&'a [u8], DecodeError>;
     /// A UUID.
-    fn uuid(&mut self) -> Result<[u8; 16], Fault>;
+    fn uuid(&mut self) -> Result<[u8; 16], DecodeError>;
     /// A list's or a set's element type and count, which the bytes at hand can meet.
-    fn list(&mut self) -> Result<(Type, usize), Fault>;
+    fn list(&mut self) -> Result<(Type, usize), DecodeError>;
     /// A map's types and count, which the bytes at hand can meet.
-    fn map(&mut self) -> Result<(Type, Type, usize), Fault>;
+    fn map(&mut self) -> Result<(Type, Type, usize), DecodeError>;
 }
 
 /// Writes values of one encoding.
@@ -252,22 +252,22 @@
 
 impl<'a> Slice<'a> {
     #[inline]
-    fn take(&mut self, count: usize) -> Result<&'a [u8], Fault> {
-        let (taken, rest) = self.0.split_at_checked(count).ok_or(Fault::Short)?;
+    fn take(&mut self, count: usize) -> Result<&'a [u8], DecodeError> {
+        let (taken, rest) = self.0.split_at_checked(count).ok_or(DecodeError::Short)?;
         self.0 = rest;
         Ok(taken)
     }
 
     #[inline]
-    fn array<const N: usize>(&mut self) -> Result<[u8; N], Fault> {
-        let (taken, rest) = self.0.split_first_chunk::<N>().ok_or(Fault::Short)?;
+    fn array<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
+        let (taken, rest) = self.0.split_first_chunk::<N>().ok_or(DecodeError::Short)?;
         self.0 = rest;
         Ok(*taken)
     }
 
     #[inline]
-    fn byte(&mut self) -> Result<u8, Fault> {
-        let (first, rest) = self.0.split_first().ok_or(Fault::Short)?;
+    fn byte(&mut self) -> Result<u8, DecodeError> {
+        let (first, rest) = self.0.split_first().ok_or(DecodeError::Short)?;
         self.0 = rest;
         Ok(*first)
     }
@@ -275,13 +275,13 @@
     /// A count whose elements take at least so many bytes each. Guards the loops over elements, and all that is
     /// reserved for them, against counts that no bytes stand behind.
     #[inline]
-    fn met(&self, count: usize, each: usize) -> Result<usize, Fault> {
+    fn met(&self, count: usize, each: usize) -> Result<usize, DecodeError> {
         if each == 0 && count > 0 {
-            return Err(Fault::Type(0)); // nothing ends a loop over elements that take no bytes
+            return Err(DecodeError::Type(0)); // nothing ends a loop over elements that take no bytes
         }
         let most = self.0.len().checked_div(each).unwrap_or_default();
         if count > most {
-            Err(Fault::Count)
+            Err(DecodeError::Count)
         } else {
             Ok(count)
         }
--- a/crates/thrift/src/wire/binary.rs
+++ b/crates/thrift/src/wire/binary.rs
@@ -1,6 +1,6 @@
 //! The binary protocol: fixed sizes, big endian.
 
-use super::{Fault, Reader, Slice, Type, Writer};
+use super::{DecodeError, Reader, Slice, Type, Writer};
 
 /// Reads the binary protocol.
 pub struct BinaryReader<'a>(Slice<'a>);
@@ -12,8 +12,8 @@
     }
 
     #[inline]
-    fn length(&mut self) -> Result<usize, Fault> {
-        usize::try_from(self.i32()?).map_err(|_| Fault::Negative)
+    fn length(&mut self) -> Result<usize, DecodeError> {
+        usize::try_from(self.i32()?).map_err(|_| DecodeError::Negative)
     }
 }
 
@@ -46,7 +46,7 @@
     fn struct_end(&mut self, _: i16) {}
 
     #[inline]
-    fn field(&mut self) -> Result<Option<(Type, i16)>, Fault> {
+    fn field(&mut self) -> Result<Option<(Type, i16)>, DecodeError> {
         match Type::from_binary(self.0.byte()?)? {
             Type::Stop => Ok(None),
             of => Ok(Some((of, self.i16()?))),
@@ -54,69 +54,69 @@
     }
 
     #[inline]
-    fn bool(&mut self) -> Result<bool, Fault> {
+    fn bool(&mut self) -> Result<bool, DecodeError> {
         match self.0.byte()? {
             0 => Ok(false),
             1 => Ok(true),
-            other => Err(Fault::Bool(other)),
+            other => Err(DecodeError::Bool(other)),
         }
     }
 
     #[inline]
-    fn i8(&mut self) -> Result<i8, Fault> {
+    fn i8(&mut self) -> Result<i8, DecodeError> {
         self.0.byte().map(|byte| byte as i8)
     }
 
     #[inline]
-    fn i16(&mut self) -> Result<i16, Fault> {
+    fn i16(&mut self) -> Result<i16, DecodeError> {
         self.0.array().map(i16::from_be_bytes)
     }
 
     #[inline]
-    fn i32(&mut self) -> Result<i32, Fault> {
+    fn i32(&mut self) -> Result<i32, DecodeError> {
         self.0.array().map(i32::from_be_bytes)
     }
 
     #[inline]
-    fn i64(&mut self) -> Result<i64, Fault> {
+    fn i64(&mut self) -> Result<i64, DecodeError> {
         self.0.array().map(i64::from_be_bytes)
     }
 
     #[inline]
-    fn double(&mut self) -> Result<u64, Fault> {
+    fn double(&mut self) -> Result<u64, DecodeError> {
         self.0.array().map(u64::from_be_bytes)
     }
 
     #[inline]
-    fn bytes(&mut self) -> Result<&'a [u8], Fault> {
+    fn bytes(&mut self) -> Result<&'a [u8], DecodeError> {
         let length = self.length()?;
         if length > self.0.0.len() {
-            return Err(Fault::Count);
+            return Err(DecodeError::Count);
         }
         self.0.take(length)
     }
 
     #[inline]
-    fn uuid(&mut self) -> Result<[u8; 16], Fault> {
+    fn uuid(&mut self) -> Result<[u8; 16], DecodeError> {
         self.0.array()
     }
 
     #[inline]
-    fn list(&mut self) -> Result<(Type, usize), Fault> {
+    fn list(&mut self) -> Result<(Type, usize), DecodeError> {
         let of = Type::from_binary(self.0.byte()?)?;
         let count = self.length()?;
         Ok((of, self.0.met(count, Self::least(of))?))
     }
 
     #[inline]
-    fn map(&mut self) -> Result<(Type, Type, usize), Fault> {
+    fn map(&mut self) -> Result<(Type, Type, usize), DecodeError> {
         let (keys, values) = (
             Type::from_binary(self.0.byte()?)?,
             Type::from_binary(self.0.byte()?)?,
         );
         let count = self.length()?;
         if count > 0 && (keys == Type::Stop || values == Type::Stop) {
-            return Err(Fault::Type(0));
+            return Err(DecodeError::Type(0));
         }
         Ok((
             keys,
--- a/crates/thrift/src/wire/compact.rs
+++ b/crates/thrift/src/wire/compact.rs
@@ -1,6 +1,6 @@
 //! The compact protocol: variable lengths, zig-zag numbers, truth values within field heads.
 
-use super::{Fault, Reader, Slice, Type, Writer};
+use super::{DecodeError, Reader, Slice, Type, Writer};
 
 const TRUE: u8 = 1;
 const FALSE: u8 = 2;
@@ -8,7 +8,7 @@
 const LONG: u8 = 15;
 
 /// The type of that number in the compact protocol. Truth values have two, by their value where they are fields.
-fn from_compact(number: u8) -> Result<Type, Fault> {
+fn from_compact(number: u8) -> Result<Type, DecodeError> {
     Ok(match number {
         0 => Type::Stop,
         TRUE | FALSE => Type::Bool,
@@ -23,7 +23,7 @@
         11 => Type::Map,
         12 => Type::Struct,
         13 => Type::Uuid,
-        _ => return Err(Fault::Type(number)),
+        _ => return Err(DecodeError::Type(number)),
     })
 }
 
@@ -74,7 +74,7 @@
     /// # Errors
     /// It is longer, or the bytes end.
     #[inline]
-    pub(super) fn varint(&mut self, bits: u32) -> Result<u64, Fault> {
+    pub(super) fn varint(&mut self, bits: u32) -> Result<u64, DecodeError> {
         // Most are one byte.
         match self.slice.byte()? {
             byte if byte < 0x80 => Ok(u64::from(byte)),
@@ -82,14 +82,14 @@
         }
     }
 
-    fn long_varint(&mut self, first: u8, bits: u32) -> Result<u64, Fault> {
+    fn long_varint(&mut self, first: u8, bits: u32) -> Result<u64, DecodeError> {
         let (mut value, mut shift) = (u64::from(first & 0x7f), 7);
         loop {
             let byte = self.slice.byte()?;
             let part = u64::from(byte & 0x7f);
             // Neither beyond the type's bits nor, with nothing in it, without end.
             if shift >= bits || (shift + 7 > bits && part >> (bits - shift) != 0) {
-                return Err(Fault::Varint);
+                return Err(DecodeError::Varint);
             }
             value |= part << shift;
             if byte & 0x80 == 0 {
@@ -101,10 +101,10 @@
 
     /// A length or count: 32 bits on the wire, of which the specification uses 31.
     #[inline]
-    fn length(&mut self) -> Result<usize, Fault> {
+    fn length(&mut self) -> Result<usize, DecodeError> {
         let length = self.varint(32)?;
         if length > i32::MAX as u64 {
-            Err(Fault::Negative)
+            Err(DecodeError::Negative)
         } else {
             Ok(length as usize)
         }
@@ -138,7 +138,7 @@
     }
 
     #[inline]
-    fn field(&mut self) -> Result<Option<(Type, i16)>, Fault> {
+    fn field(&mut self) -> Result<Option<(Type, i16)>, DecodeError> {
         let head = self.slice.byte()?;
         let number = head & 0x0f;
         let of = from_compact(number)?;
@@ -147,7 +147,7 @@
             return if head == 0 {
                 Ok(None)
             } else {
-                Err(Fault::Type(0))
+                Err(DecodeError::Type(0))
             };
         }
         self.last = match head >> 4 {
@@ -155,7 +155,7 @@
             delta => self
                 .last
                 .checked_add(i16::from(delta))
-                .ok_or(Fault::FieldId)?,
+                .ok_or(DecodeError::FieldId)?,
         };
         if of == Type::Bool {
             self.pending = Some(number == TRUE);
@@ -164,7 +164,7 @@
     }
 
     #[inline]
-    fn bool(&mut self) -> Result<bool, Fault> {
+    fn bool(&mut self) -> Result<bool, DecodeError> {
         if let Some(value) = self.pending.take() {
             return Ok(value);
         }
@@ -172,52 +172,52 @@
         match self.slice.byte()? {
             TRUE => Ok(true),
             0 | FALSE => Ok(false),
-            other => Err(Fault::Bool(other)),
+            other => Err(DecodeError::Bool(other)),
         }
     }
 
     #[inline]
-    fn i8(&mut self) -> Result<i8, Fault> {
+    fn i8(&mut self) -> Result<i8, DecodeError> {
         self.slice.byte().map(|byte| byte as i8)
     }
 
     #[inline]
-    fn i16(&mut self) -> Result<i16, Fault> {
-        i16::try_from(zigzag(self.varint(32)?)).map_err(|_| Fault::Varint)
+    fn i16(&mut self) -> Result<i16, DecodeError> {
+        i16::try_from(zigzag(self.varint(32)?)).map_err(|_| DecodeError::Varint)
     }
 
     #[inline]
-    fn i32(&mut self) -> Result<i32, Fault> {
-        i32::try_from(zigzag(self.varint(32)?)).map_err(|_| Fault::Varint)
+    fn i32(&mut self) -> Result<i32, DecodeError> {
+        i32::try_from(zigzag(self.varint(32)?)).map_err(|_| DecodeError::Varint)
     }
 
     #[inline]
-    fn i64(&mut self) -> Result<i64, Fault> {
+    fn i64(&mut self) -> Result<i64, DecodeError> {
         self.varint(64).map(zigzag)
     }
 
     #[inline]
-    fn double(&mut self) -> Result<u64, Fault> {
+    fn double(&mut self) -> Result<u64, DecodeError> {
         // The first specification said big endian, the first library wrote little endian, and so all do.
         self.slice.array().map(u64::from_le_bytes)
     }
 
     #[inline]
-    fn bytes(&mut self) -> Result<&'a [u8], Fault> {
+    fn bytes(&mut self) -> Result<&'a [u8], DecodeError> {
         let length = self.length()?;
         if length > self.slice.0.len() {
-            return Err(Fault::Count);
+            return Err(DecodeError::Count);
         }
         self.slice.take(length)
     }
 
     #[inline]
-    fn uuid(&mut self) -> Result<[u8; 16], Fault> {
+    fn uuid(&mut self) -> Result<[u8; 16], DecodeError> {
         self.slice.array()
     }
 
     #[inline]
-    fn list(&mut self) -> Result<(Type, usize), Fault> {
+    fn list(&mut self) -> Result<(Type, usize), DecodeError> {
         let head = self.slice.byte()?;
         let of = from_compact(head & 0x0f)?;
         let count = match head >> 4 {
@@ -228,7 +228,7 @@
     }
 
     #[inline]
-    fn map(&mut self) -> Result<(Type, Type, usize), Fault> {
+    fn map(&mut self) -> Result<(Type, Type, usize), DecodeError> {
         let count = self.length()?;
         if count == 0 {
             return Ok((Type::Stop, Type::Stop, 0)); // an empty map is one byte, its types are not told
@@ -236,7 +236,7 @@
         let types = self.slice.byte()?;
         let (keys, values) = (from_compact(types >> 4)?, from_compact(types & 0x0f)?);
         if keys == Type::Stop || values == Type::Stop {
-            return Err(Fault::Type(0));
+            return Err(DecodeError::Type(0));
         }
         Ok((
             keys,
--- a/crates/thrift/src/wire/pick.rs
+++ b/crates/thrift/src/wire/field_path.rs
@@ -1,27 +1,27 @@
 //! Single values out of a struct, by the numbers of their fields.
 
-use super::{Bounds, Fault, Reader, Type, copy::skip};
+use super::{DecodeError, MessageLimits, Reader, Type, transcode::skip};
 use std::fmt;
 use std::str::FromStr;
 
 /// The way to a value: `1.3` is field 3 of the struct in field 1.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Path(Vec<i16>);
+pub struct FieldPath(Vec<i16>);
 
-impl Path {
+impl FieldPath {
     /// The way to a field of the struct itself.
     pub fn field(id: i16) -> Self {
-        Path(vec![id])
+        FieldPath(vec![id])
     }
 }
 
-impl FromStr for Path {
+impl FromStr for FieldPath {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
         let parts: Result<Vec<i16>, _> = text.split('.').map(str::parse).collect();
         match parts {
-            Ok(parts) if parts.len() <= 8 => Ok(Path(parts)),
+            Ok(parts) if parts.len() <= 8 => Ok(FieldPath(parts)),
             _ => Err(format!(
                 "{text:?} is no field path like \"1.3\" of at most 8 fields"
             )),
@@ -29,7 +29,7 @@
     }
 }
 
-impl fmt::Display for Path {
+impl fmt::Display for FieldPath {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let parts: Vec<String> = self.0.iter().map(i16::to_string).collect();
         write!(f, "{}", parts.join("."))
@@ -69,31 +69,31 @@
 ///
 /// # Panics
 /// There are more than 32 paths.
-pub fn pick<'a, R: Reader<'a>>(
+pub fn read_fields<'a, R: Reader<'a>>(
     from: &mut R,
-    paths: &[Option<&Path>],
-    bounds: &Bounds,
-) -> Result<Vec<Option<Scalar<'a>>>, Fault> {
+    paths: &[Option<&FieldPath>],
+    limits: &MessageLimits,
+) -> Result<Vec<Option<Scalar<'a>>>, DecodeError> {
     assert!(paths.len() <= 32, "one bit each");
     let mut found = vec![None; paths.len()];
     let all = (0..paths.len())
         .filter(|i| paths[*i].is_some())
         .fold(0, |bits, i| bits | 1 << i);
-    walk(from, paths, 0, all, &mut found, bounds, bounds.depth)?;
+    walk(from, paths, 0, all, &mut found, limits, limits.max_depth)?;
     Ok(found)
 }
 
 /// `active` has a bit for each path that leads through this struct, with its field at `level`.
 fn walk<'a, R: Reader<'a>>(
     from: &mut R,
-    paths: &[Option<&Path>],
+    paths: &[Option<&FieldPath>],
     level: usize,
     active: u32,
     found: &mut [Option<Scalar<'a>>],
-    bounds: &Bounds,
+    limits: &MessageLimits,
     depth: usize,
-) -> Result<(), Fault> {
-    let depth = depth.checked_sub(1).ok_or(Fault::Depth)?;
+) -> Result<(), DecodeError> {
+    let depth = depth.checked_sub(1).ok_or(DecodeError::Depth)?;
     let saved = from.struct_begin();
     let mut met = 0;
     while let Some((of, id)) = from.field()? {
@@ -115,13 +115,13 @@
             }
         }
         if met & (ends | on) != 0 {
-            return Err(Fault::Twice(id));
+            return Err(DecodeError::Twice(id));
         }
         met |= ends | on;
         if on != 0 && of == Type::Struct {
-            walk(from, paths, level + 1, on, found, bounds, depth)?;
+            walk(from, paths, level + 1, on, found, limits, depth)?;
         } else if ends != 0 {
-            let value = scalar(from, of, bounds, depth)?;
+            let value = scalar(from, of, limits, depth)?;
             for (_, place) in found
                 .iter_mut()
                 .enumerate()
@@ -130,7 +130,7 @@
                 *place = value;
             }
         } else {
-            skip(from, of, bounds, depth)?;
+            skip(from, of, limits, depth)?;
         }
     }
     from.struct_end(saved);
@@ -140,9 +140,9 @@
 fn scalar<'a, R: Reader<'a>>(
     from: &mut R,
     of: Type,
-    bounds: &Bounds,
+    limits: &MessageLimits,
     depth: usize,
-) -> Result<Option<Scalar<'a>>, Fault> {
+) -> Result<Option<Scalar<'a>>, DecodeError> {
     Ok(Some(match of {
         Type::Bytes => Scalar::Bytes(from.bytes()?),
         Type::Bool => Scalar::Number(i64::from(from.bool()?)),
@@ -152,7 +152,7 @@
         Type::I64 => Scalar::Number(from.i64()?),
         Type::Uuid => Scalar::Uuid(from.uuid()?),
         other => {
-            skip(from, other, bounds, depth)?;
+            skip(from, other, limits, depth)?;
             return Ok(None);
         }
     }))
--- a/crates/thrift/src/wire/frame.rs
+++ b/crates/thrift/src/wire/frame.rs
@@ -20,11 +20,11 @@
 
 /// What came of some bytes.
 #[derive(Debug, PartialEq)]
-pub enum Step {
+pub enum FrameProgress {
     /// They are part of a frame that has not ended.
-    More,
+    Incomplete,
     /// A whole frame.
-    Whole(Vec<u8>),
+    Complete(Vec<u8>),
     /// The beginning of a whole frame that there was no room for.
     Discarded(Vec<u8>),
     /// They are no frames; nothing more can be read.
@@ -65,18 +65,22 @@
     /// Takes bytes, and says how many of them: at most to the end of a frame. `room` is asked for more memory,
     /// in bytes, before it is used; if it says no, the frame is read to its end and all but its beginning is
     /// dropped.
-    pub fn take(&mut self, bytes: &[u8], room: &mut dyn FnMut(usize) -> bool) -> (usize, Step) {
+    pub fn take(
+        &mut self,
+        bytes: &[u8],
+        room: &mut dyn FnMut(usize) -> bool,
+    ) -> (usize, FrameProgress) {
         let mut used = 0;
         if self.had < 4 {
             let part = bytes.len().min(4 - self.had);
             self.head[self.had..self.had + part].copy_from_slice(&bytes[..part]);
             (self.had, used) = (self.had + part, part);
             if self.had < 4 {
-                return (used, Step::More);
+                return (used, FrameProgress::Incomplete);
             }
             match length(self.head, self.most) {
                 Ok(length) => self.left = length,
-                Err(what) => return (used, Step::NotFramed(what)),
+                Err(what) => return (used, FrameProgress::NotFramed(what)),
             }
         }
         let part = (bytes.len() - used).min(self.left);
@@ -84,7 +88,7 @@
         self.left -= part;
         used += part;
         if self.left > 0 {
-            return (used, Step::More);
+            return (used, FrameProgress::Incomplete);
         }
         self.had = 0;
         let body = std::mem::take(&mut self.body);
@@ -92,9 +96,9 @@
         (
             used,
             if discarded {
-                Step::Discarded(body)
+                FrameProgress::Discarded(body)
             } else {
-                Step::Whole(body)
+                FrameProgress::Complete(body)
             },
         )
     }
@@ -152,13 +156,13 @@
 mod tests {
     use super::*;
 
-    fn all(reader: &mut FrameReader, mut bytes: &[u8]) -> Vec<Step> {
+    fn all(reader: &mut FrameReader, mut bytes: &[u8]) -> Vec<FrameProgress> {
         let mut steps = Vec::new();
         while !bytes.is_empty() {
             let (used, step) = reader.take(bytes, &mut |_| true);
             assert!(used > 0);
             bytes = &bytes[used..];
-            let ended = matches!(step, Step::NotFramed(_));
+            let ended = matches!(step, FrameProgress::NotFramed(_));
             steps.push(step);
             if ended {
                 break;
@@ -177,7 +181,7 @@
             b"z",
         ]
         .concat();
-        let whole = |body: &[u8]| Step::Whole(body.to_vec());
+        let whole = |body: &[u8]| FrameProgress::Complete(body.to_vec());
         for piece in 1..=stream.len() {
             let mut reader = FrameReader::new(3);
             let mut steps = Vec::new();
@@ -185,7 +189,7 @@
                 steps.extend(
                     all(&mut reader, part)
                         .into_iter()
-                        .filter(|step| *step != Step::More),
+                        .filter(|step| *step != FrameProgress::Incomplete),
                 );
             }
             assert_eq!(
@@ -211,7 +215,7 @@
         for (bytes, what) in cases {
             assert_eq!(
                 all(&mut FrameReader::new(3), bytes).last(),
-                Some(&Step::NotFramed(what))
+                Some(&FrameProgress::NotFramed(what))
             );
         }
     }
@@ -226,7 +230,7 @@
         };
         assert_eq!(
             reader.take(&[0, 0x10, 0, 0, 1, 2, 3], &mut room),
-            (7, Step::More)
+            (7, FrameProgress::Incomplete)
         );
         assert!(asked <= FIRST_ROOM, "{asked} bytes for three that came");
         let mut reader = FrameReader::new(1 << 20);
@@ -235,11 +239,14 @@
         let (used, step) = reader.take(&long, &mut |_| false);
         assert_eq!(
             (used, step),
-            (long.len(), Step::Discarded(long[4..4 + KEPT].to_vec()))
+            (
+                long.len(),
+                FrameProgress::Discarded(long[4..4 + KEPT].to_vec())
+            )
         );
         assert_eq!(
             all(&mut reader, &[0, 0, 0, 1, 9]),
-            [Step::Whole(vec![9])],
+            [FrameProgress::Complete(vec![9])],
             "the next one is read"
         );
     }
--- a/crates/thrift/src/wire/message.rs
+++ b/crates/thrift/src/wire/message.rs
@@ -1,8 +1,8 @@
 //! Messages: a head (what it is, the method's name, the sequence number) before a struct.
 
 use super::{
-    BinaryReader, BinaryWriter, Bounds, CompactReader, CompactWriter, Encoding, Fault, Reader,
-    Slice, Type, Writer, copy_struct, skip,
+    BinaryReader, BinaryWriter, CompactReader, CompactWriter, DecodeError, Encoding, MessageLimits,
+    Reader, Slice, Type, Writer, copy_struct, skip,
 };
 
 const BINARY_VERSION: u32 = 0x8001_0000;
@@ -24,13 +24,13 @@
 }
 
 impl Kind {
-    fn from_number(number: u8) -> Result<Self, Fault> {
+    fn from_number(number: u8) -> Result<Self, DecodeError> {
         Ok(match number {
             1 => Kind::Call,
             2 => Kind::Reply,
             3 => Kind::Exception,
             4 => Kind::Oneway,
-            other => return Err(Fault::Kind(other)),
+            other => return Err(DecodeError::Kind(other)),
         })
     }
 }
@@ -90,11 +90,11 @@
 ///
 /// # Errors
 /// The bytes are no head, or the name is beyond its bound or no text.
-pub fn read_head<'a>(bytes: &'a [u8], bounds: &Bounds) -> Result<Message<'a>, Fault> {
-    let encoding = encoding_of(bytes).ok_or(Fault::Version)?;
+pub fn read_head<'a>(bytes: &'a [u8], limits: &MessageLimits) -> Result<Message<'a>, DecodeError> {
+    let encoding = encoding_of(bytes).ok_or(DecodeError::Version)?;
     let text = |name: &'a [u8]| match std::str::from_utf8(name) {
-        Ok(name) if name.len() <= bounds.name => Ok(name),
-        _ => Err(Fault::Name),
+        Ok(name) if name.len() <= limits.max_name_bytes => Ok(name),
+        _ => Err(DecodeError::Name),
     };
     let (head, body) = match encoding {
         Encoding::Binary { strict } => {
@@ -102,7 +102,7 @@
             if strict {
                 let version = reader.i32()? as u32;
                 if version & 0xffff_ff00 != BINARY_VERSION {
-                    return Err(Fault::Version);
+                    return Err(DecodeError::Version);
                 }
                 let kind = Kind::from_number(version as u8)?;
                 let name = text(reader.bytes()?)?;
@@ -131,7 +131,7 @@
             let mut slice = Slice(bytes);
             let [_, second] = slice.array()?;
             if second & 0x1f != COMPACT_VERSION {
-                return Err(Fault::Version);
+                return Err(DecodeError::Version);
             }
             let kind = Kind::from_number(second >> 5)?;
             let mut reader = CompactReader::new(slice.0);
@@ -185,13 +185,13 @@
 /// and stays compact, or was binary and stays so, goes on byte for byte.
 ///
 /// # Errors
-/// Its struct does not read, more stands behind it, or what comes out is larger than [`Bounds::written`].
-pub fn reword(
+/// Its struct does not read, more stands behind it, or what comes out is larger than [`MessageLimits::max_written_bytes`].
+pub fn transcode(
     message: &Message<'_>,
     to: Encoding,
     head: Head<'_>,
-    bounds: &Bounds,
-) -> Result<Vec<u8>, Fault> {
+    limits: &MessageLimits,
+) -> Result<Vec<u8>, DecodeError> {
     let mut out = Vec::with_capacity(4 + 32 + head.name.len() + message.body.len() * 2);
     out.extend_from_slice(&[0; 4]);
     write_head(&mut out, to, head);
@@ -199,59 +199,59 @@
         (message.encoding, to),
         (Encoding::Compact, Encoding::Compact) | (Encoding::Binary { .. }, Encoding::Binary { .. })
     );
-    let whole = Bounds {
-        frame: bounds.written() + 4,
-        ..*bounds
+    let whole = MessageLimits {
+        max_frame_bytes: limits.max_written_bytes() + 4,
+        ..*limits
     };
     let behind = match (message.encoding, to) {
         _ if same => {
             out.extend_from_slice(message.body);
-            check(message, bounds)?;
+            check(message, limits)?;
             &[][..]
         }
         (Encoding::Binary { .. }, _) => {
             let mut reader = BinaryReader::new(message.body);
             let mut writer = CompactWriter::after(out);
-            copy_struct(&mut reader, &mut writer, &whole, bounds.depth)?;
+            copy_struct(&mut reader, &mut writer, &whole, limits.max_depth)?;
             out = writer.out;
             reader.rest()
         }
         (Encoding::Compact, _) => {
             let mut reader = CompactReader::new(message.body);
             let mut writer = BinaryWriter(out);
-            copy_struct(&mut reader, &mut writer, &whole, bounds.depth)?;
+            copy_struct(&mut reader, &mut writer, &whole, limits.max_depth)?;
             out = writer.0;
             reader.rest()
         }
     };
     if !behind.is_empty() {
-        return Err(Fault::Behind);
+        return Err(DecodeError::Behind);
     }
-    if out.len() > whole.frame {
-        Err(Fault::Large)
+    if out.len() > whole.max_frame_bytes {
+        Err(DecodeError::Large)
     } else {
         Ok(super::frame(out))
     }
 }
 
 /// Checks that the message's struct reads and ends where the message does.
-fn check(message: &Message<'_>, bounds: &Bounds) -> Result<(), Fault> {
+fn check(message: &Message<'_>, limits: &MessageLimits) -> Result<(), DecodeError> {
     let rest = match message.encoding {
         Encoding::Binary { .. } => {
             let mut reader = BinaryReader::new(message.body);
-            skip(&mut reader, Type::Struct, bounds, bounds.depth)?;
+            skip(&mut reader, Type::Struct, limits, limits.max_depth)?;
             reader.rest()
         }
         Encoding::Compact => {
             let mut reader = CompactReader::new(message.body);
-            skip(&mut reader, Type::Struct, bounds, bounds.depth)?;
+            skip(&mut reader, Type::Struct, limits, limits.max_depth)?;
             reader.rest()
         }
     };
     if rest.is_empty() {
         Ok(())
     } else {
-        Err(Fault::Behind)
+        Err(DecodeError::Behind)
     }
 }
 
@@ -306,22 +306,28 @@
 ///
 /// # Errors
 /// The bytes are no such struct.
-pub fn read_exception(message: &Message<'_>, bounds: &Bounds) -> Result<(i32, String), Fault> {
-    fn fields<'a>(from: &mut impl Reader<'a>, bounds: &Bounds) -> Result<(i32, String), Fault> {
+pub fn read_exception(
+    message: &Message<'_>,
+    limits: &MessageLimits,
+) -> Result<(i32, String), DecodeError> {
+    fn fields<'a>(
+        from: &mut impl Reader<'a>,
+        limits: &MessageLimits,
+    ) -> Result<(i32, String), DecodeError> {
         let (mut number, mut text) = (0, String::new());
         let saved = from.struct_begin();
         while let Some((of, id)) = from.field()? {
             match (id, of) {
                 (1, Type::Bytes) => text = String::from_utf8_lossy(from.bytes()?).into_owned(),
                 (2, Type::I32) => number = from.i32()?,
-                _ => skip(from, of, bounds, bounds.depth)?,
+                _ => skip(from, of, limits, limits.max_depth)?,
             }
         }
         from.struct_end(saved);
         Ok((number, text))
     }
     match message.encoding {
-        Encoding::Binary { .. } => fields(&mut BinaryReader::new(message.body), bounds),
-        Encoding::Compact => fields(&mut CompactReader::new(message.body), bounds),
+        Encoding::Binary { .. } => fields(&mut BinaryReader::new(message.body), limits),
+        Encoding::Compact => fields(&mut CompactReader::new(message.body), limits),
     }
 }
--- a/crates/thrift/src/wire/copy.rs
+++ b/crates/thrift/src/wire/transcode.rs
@@ -1,6 +1,6 @@
 //! Values from one encoding to another, or to nowhere: that is how they are checked.
 
-use super::{Bounds, Fault, Reader, Type, Writer};
+use super::{DecodeError, MessageLimits, Reader, Type, Writer};
 
 /// Copies a value of that type. `depth` is how many levels it may have.
 ///
@@ -10,15 +10,15 @@
     from: &mut R,
     to: &mut W,
     of: Type,
-    bounds: &Bounds,
+    limits: &MessageLimits,
     depth: usize,
-) -> Result<(), Fault> {
+) -> Result<(), DecodeError> {
     // A byte may become eight: what is written is bounded by itself.
-    if to.len() > bounds.frame {
-        return Err(Fault::Large);
+    if to.len() > limits.max_frame_bytes {
+        return Err(DecodeError::Large);
     }
     match of {
-        Type::Stop => return Err(Fault::Type(0)),
+        Type::Stop => return Err(DecodeError::Type(0)),
         Type::Bool => to.bool(from.bool()?),
         Type::I8 => to.i8(from.i8()?),
         Type::Double => to.double(from.double()?),
@@ -27,22 +27,22 @@
         Type::I64 => to.i64(from.i64()?),
         Type::Bytes => to.bytes(from.bytes()?),
         Type::Uuid => to.uuid(from.uuid()?),
-        Type::Struct => return copy_struct(from, to, bounds, depth),
+        Type::Struct => return copy_struct(from, to, limits, depth),
         Type::List | Type::Set => {
-            let depth = depth.checked_sub(1).ok_or(Fault::Depth)?;
+            let depth = depth.checked_sub(1).ok_or(DecodeError::Depth)?;
             let (of, count) = from.list()?;
             to.list(of, count);
             for _ in 0..count {
-                copy(from, to, of, bounds, depth)?;
+                copy(from, to, of, limits, depth)?;
             }
         }
         Type::Map => {
-            let depth = depth.checked_sub(1).ok_or(Fault::Depth)?;
+            let depth = depth.checked_sub(1).ok_or(DecodeError::Depth)?;
             let (keys, values, count) = from.map()?;
             to.map(keys, values, count);
             for _ in 0..count {
-                copy(from, to, keys, bounds, depth)?;
-                copy(from, to, values, bounds, depth)?;
+                copy(from, to, keys, limits, depth)?;
+                copy(from, to, values, limits, depth)?;
             }
         }
     }
@@ -56,19 +56,19 @@
 pub fn copy_struct<'a, R: Reader<'a>, W: Writer>(
     from: &mut R,
     to: &mut W,
-    bounds: &Bounds,
+    limits: &MessageLimits,
     depth: usize,
-) -> Result<(), Fault> {
-    let depth = depth.checked_sub(1).ok_or(Fault::Depth)?;
+) -> Result<(), DecodeError> {
+    let depth = depth.checked_sub(1).ok_or(DecodeError::Depth)?;
     let (read, written) = (from.struct_begin(), to.struct_begin());
     while let Some((of, id)) = from.field()? {
         to.field(of, id);
-        copy(from, to, of, bounds, depth)?;
+        copy(from, to, of, limits, depth)?;
     }
     from.struct_end(read);
     to.struct_end(written);
-    if to.len() > bounds.frame {
-        Err(Fault::Large)
+    if to.len() > limits.max_frame_bytes {
+        Err(DecodeError::Large)
     } else {
         Ok(())
     }
@@ -81,10 +81,10 @@
 pub fn skip<'a, R: Reader<'a>>(
     from: &mut R,
     of: Type,
-    bounds: &Bounds,
+    limits: &MessageLimits,
     depth: usize,
-) -> Result<(), Fault> {
-    copy(from, &mut Nowhere, of, bounds, depth)
+) -> Result<(), DecodeError> {
+    copy(from, &mut Nowhere, of, limits, depth)
 }
 
 /// Takes what is only to be checked.
--- a/crates/thrift/tests/interop.rs
+++ b/crates/thrift/tests/interop.rs
@@ -5,10 +5,10 @@
 use sillward_thrift::wire::*;
 use values::{Random, Value, apache_message, read_apache, written_by_apache};
 
-const BOUNDS: Bounds = Bounds {
-    frame: 1 << 20,
-    depth: 32,
-    name: 256,
+const LIMITS: MessageLimits = MessageLimits {
+    max_frame_bytes: 1 << 20,
+    max_depth: 32,
+    max_name_bytes: 256,
 };
 const HEAD: Head<'_> = Head {
     kind: Kind::Call,
@@ -27,7 +27,7 @@
         let value = Value::random_struct(&mut Random::new(seed), 5);
         for from in ENCODINGS {
             let theirs = written_by_apache(from, HEAD, &value);
-            let message = read_head(&theirs, &BOUNDS).expect("a head");
+            let message = read_head(&theirs, &LIMITS).expect("a head");
             assert_eq!(
                 (message.head, message.encoding),
                 (HEAD, from),
@@ -35,7 +35,7 @@
             );
             for to in ENCODINGS {
                 let head = Head { seqid: 99, ..HEAD };
-                let ours = reword(&message, to, head, &BOUNDS).expect("it reads");
+                let ours = transcode(&message, to, head, &LIMITS).expect("it reads");
                 let (length, ours) = ours.split_first_chunk::<4>().expect("a frame");
                 assert_eq!(u32::from_be_bytes(*length) as usize, ours.len());
                 let (seqid, back) = read_apache(to, ours);
@@ -60,8 +60,8 @@
         for encoding in ENCODINGS {
             let whole = written_by_apache(encoding, HEAD, &value);
             for end in 0..whole.len() {
-                let cut = read_head(&whole[..end], &BOUNDS)
-                    .and_then(|message| reword(&message, Encoding::Compact, HEAD, &BOUNDS));
+                let cut = read_head(&whole[..end], &LIMITS)
+                    .and_then(|message| transcode(&message, Encoding::Compact, HEAD, &LIMITS));
                 assert!(
                     cut.is_err(),
                     "seed {seed}, {encoding:?}, {end} of {} bytes",
@@ -69,9 +69,12 @@
                 );
             }
             let more = [&whole[..], &[0]].concat();
-            let message = read_head(&more, &BOUNDS).expect("a head");
+            let message = read_head(&more, &LIMITS).expect("a head");
             for to in ENCODINGS {
-                assert_eq!(reword(&message, to, HEAD, &BOUNDS), Err(Fault::Behind));
+                assert_eq!(
+                    transcode(&message, to, HEAD, &LIMITS),
+                    Err(DecodeError::Behind)
+                );
             }
         }
     }
@@ -81,12 +84,12 @@
 /// the bound.
 #[test]
 fn a_million_mutated_frames_bring_no_panic_and_no_growth() {
-    let bounds = Bounds {
-        frame: 4096,
-        depth: 16,
-        name: 64,
+    let limits = MessageLimits {
+        max_frame_bytes: 4096,
+        max_depth: 16,
+        max_name_bytes: 64,
     };
-    let path: Path = "1.2".parse().expect("a path");
+    let path: FieldPath = "1.2".parse().expect("a path");
     let mut random = Random::new(1);
     let mut read = 0;
     let mut frames = Vec::new();
@@ -106,12 +109,12 @@
                 _ => frame.insert(at, [0, 0x7f, 0x80, 0xff][random.below(4)]),
             }
         }
-        let Ok(message) = read_head(&frame, &bounds) else {
+        let Ok(message) = read_head(&frame, &limits) else {
             continue;
         };
         let to = ENCODINGS[i % 3];
-        if let Ok(out) = reword(&message, to, HEAD, &bounds) {
-            assert!(out.len() <= bounds.written() + 4);
+        if let Ok(out) = transcode(&message, to, HEAD, &limits) {
+            assert!(out.len() <= limits.max_written_bytes() + 4);
             assert!(
                 out.capacity() <= 16 * (frame.len() + 64),
                 "{} for {}",
@@ -121,15 +124,15 @@
             read += 1;
         }
         let picked = match message.encoding {
-            Encoding::Compact => pick(
+            Encoding::Compact => read_fields(
                 &mut CompactReader::new(message.body),
                 &[Some(&path)],
-                &bounds,
+                &limits,
             ),
-            Encoding::Binary { .. } => pick(
+            Encoding::Binary { .. } => read_fields(
                 &mut BinaryReader::new(message.body),
                 &[Some(&path)],
-                &bounds,
+                &limits,
             ),
         };
         drop(picked);
@@ -141,7 +144,7 @@
 }
 
 /// The whole of a message's struct, of bytes written by hand.
-fn body(encoding: Encoding, bytes: &[u8]) -> Result<Vec<u8>, Fault> {
+fn body(encoding: Encoding, bytes: &[u8]) -> Result<Vec<u8>, DecodeError> {
     let to = if encoding == Encoding::Compact {
         Encoding::Binary { strict: true }
     } else {
@@ -152,8 +155,8 @@
         head: HEAD,
         body: bytes,
     };
-    let same = reword(&message, encoding, HEAD, &BOUNDS).map(drop);
-    let other = reword(&message, to, HEAD, &BOUNDS);
+    let same = transcode(&message, encoding, HEAD, &LIMITS).map(drop);
+    let other = transcode(&message, to, HEAD, &LIMITS);
     assert_eq!(same, other.clone().map(drop), "both ways judge alike");
     other
 }
@@ -164,39 +167,39 @@
     // A list said to have 2^31 - 1 truth values, and nothing behind it.
     assert_eq!(
         compact(&[0x19, 0xf1, 0xff, 0xff, 0xff, 0xff, 0x07, 0]),
-        Err(Fault::Count)
+        Err(DecodeError::Count)
     );
     // Elements that take no bytes: a list of 2^31 - 1 stops.
     assert_eq!(
         compact(&[0x19, 0xf0, 0xff, 0xff, 0xff, 0xff, 0x07, 0]),
-        Err(Fault::Type(0))
+        Err(DecodeError::Type(0))
     );
     // A map of stops.
     assert_eq!(
         compact(&[0x1b, 0x02, 0x00, 1, 1, 1, 1, 0]),
-        Err(Fault::Type(0))
+        Err(DecodeError::Type(0))
     );
     // A length with its 32nd bit.
     assert_eq!(
         compact(&[0x18, 0xff, 0xff, 0xff, 0xff, 0x0f, 0]),
-        Err(Fault::Negative)
+        Err(DecodeError::Negative)
     );
     // Numbers longer than their type, by a bit and without end.
     assert_eq!(
         compact(&[0x15, 0xff, 0xff, 0xff, 0xff, 0x1f, 0]),
-        Err(Fault::Varint)
+        Err(DecodeError::Varint)
     );
     assert_eq!(
         compact(&[0x15, 0x80, 0x80, 0x80, 0x80, 0x80, 0x00, 0]),
-        Err(Fault::Varint)
+        Err(DecodeError::Varint)
     );
     assert_eq!(
         compact(&[0x16, 255, 255, 255, 255, 255, 255, 255, 255, 255, 2, 0]),
-        Err(Fault::Varint)
+        Err(DecodeError::Varint)
     );
     assert_eq!(
         compact(&[0x14, 0x80, 0x80, 0x04, 0]),
-        Err(Fault::Varint),
+        Err(DecodeError::Varint),
         "32768 as 16 bits"
     );
     // The largest that fit.
@@ -205,7 +208,7 @@
     // A field's number beyond 16 bits by its delta: 32767, then 1 more.
     assert_eq!(
         compact(&[0x03, 0xfe, 0xff, 0x03, 7, 0x13, 7, 0]),
-        Err(Fault::FieldId)
+        Err(DecodeError::FieldId)
     );
     // A step of 15, the short way and the long way.
     assert!(compact(&[0xf3, 7, 0]).is_ok() && compact(&[0x03, 30, 7, 0]).is_ok());
@@ -217,8 +220,8 @@
         by_book.ends_with(&[2, 0, 0, 0, 3, 1, 0, 0, 0]),
         "{by_book:?}"
     );
-    assert_eq!(compact(&[0x19, 0x11, 3, 0]), Err(Fault::Bool(3)));
-    assert_eq!(compact(&[0x1e, 0]), Err(Fault::Type(14)));
+    assert_eq!(compact(&[0x19, 0x11, 3, 0]), Err(DecodeError::Bool(3)));
+    assert_eq!(compact(&[0x1e, 0]), Err(DecodeError::Type(14)));
 }
 
 #[test]
@@ -226,32 +229,35 @@
     let binary = |bytes: &[u8]| body(Encoding::Binary { strict: true }, bytes);
     assert_eq!(
         binary(&[11, 0, 1, 0xff, 0xff, 0xff, 0xff, 0]),
-        Err(Fault::Negative)
+        Err(DecodeError::Negative)
     );
     assert_eq!(
         binary(&[11, 0, 1, 0x7f, 0xff, 0xff, 0xff, 0]),
-        Err(Fault::Count)
+        Err(DecodeError::Count)
     );
     assert_eq!(
         binary(&[15, 0, 1, 2, 0x80, 0, 0, 0, 0]),
-        Err(Fault::Negative)
+        Err(DecodeError::Negative)
+    );
+    assert_eq!(
+        binary(&[15, 0, 1, 12, 0x10, 0, 0, 0, 0]),
+        Err(DecodeError::Count)
     );
-    assert_eq!(binary(&[15, 0, 1, 12, 0x10, 0, 0, 0, 0]), Err(Fault::Count));
     assert_eq!(
         binary(&[15, 0, 1, 0, 0, 0, 0, 9, 0]),
-        Err(Fault::Type(0)),
+        Err(DecodeError::Type(0)),
         "elements that take no bytes"
     );
     assert_eq!(
         binary(&[15, 0, 1, 1, 0, 0, 0, 9, 0]),
-        Err(Fault::Type(1)),
+        Err(DecodeError::Type(1)),
         "void is no value"
     );
     assert_eq!(
         binary(&[13, 0, 1, 0, 11, 0, 0, 0, 1, 0, 0, 0, 0, 0]),
-        Err(Fault::Type(0))
+        Err(DecodeError::Type(0))
     );
-    assert_eq!(binary(&[2, 0, 1, 2, 0]), Err(Fault::Bool(2)));
+    assert_eq!(binary(&[2, 0, 1, 2, 0]), Err(DecodeError::Bool(2)));
     // An empty list whose element type nobody told, as some libraries write it.
     assert!(binary(&[15, 0, 1, 0, 0, 0, 0, 0, 0]).is_ok());
 }
@@ -265,13 +271,13 @@
     };
     let binary = |bytes: &[u8]| body(Encoding::Binary { strict: true }, bytes);
     assert!(binary(&levels(32)).is_ok());
-    assert_eq!(binary(&levels(33)), Err(Fault::Depth));
-    assert_eq!(binary(&levels(100)), Err(Fault::Depth));
+    assert_eq!(binary(&levels(33)), Err(DecodeError::Depth));
+    assert_eq!(binary(&levels(100)), Err(DecodeError::Depth));
     // Lists within lists, a byte a level in compact: each would be 5 in binary.
     let mut lists = vec![0x19];
     lists.extend(vec![0x19; 100]);
     lists.extend([0x03, 0]);
-    assert_eq!(body(Encoding::Compact, &lists), Err(Fault::Depth));
+    assert_eq!(body(Encoding::Compact, &lists), Err(DecodeError::Depth));
 }
 
 #[test]
@@ -279,19 +285,19 @@
     // Zeros of a byte in compact, of eight in binary.
     let mut zeros = vec![0x19, 0xf6, 0x80, 0x80, 0x04];
     zeros.extend(vec![0; 65536 + 1]);
-    let bounds = Bounds {
-        frame: 70_000,
-        ..BOUNDS
+    let limits = MessageLimits {
+        max_frame_bytes: 70_000,
+        ..LIMITS
     };
     let message = Message {
         encoding: Encoding::Compact,
         head: HEAD,
         body: &zeros,
     };
-    assert!(reword(&message, Encoding::Compact, HEAD, &bounds).is_ok());
+    assert!(transcode(&message, Encoding::Compact, HEAD, &limits).is_ok());
     assert_eq!(
-        reword(&message, Encoding::Binary { strict: true }, HEAD, &bounds),
-        Err(Fault::Large)
+        transcode(&message, Encoding::Binary { strict: true }, HEAD, &limits),
+        Err(DecodeError::Large)
     );
 }
 
@@ -312,11 +318,12 @@
     writer.field(Type::Bool, 5);
     writer.bool(true);
     writer.struct_end(outer);
-    let paths: Vec<Path> = ["1.3", "2.3", "5", "1.4", "3.3", "1.3.1", "2"]
+    let paths: Vec<FieldPath> = ["1.3", "2.3", "5", "1.4", "3.3", "1.3.1", "2"]
         .map(|p| p.parse().expect("one"))
         .into();
-    let paths: Vec<Option<&Path>> = paths.iter().map(Some).chain([None]).collect();
-    let found = pick(&mut CompactReader::new(&writer.out), &paths, &BOUNDS).expect("it reads");
+    let paths: Vec<Option<&FieldPath>> = paths.iter().map(Some).chain([None]).collect();
+    let found =
+        read_fields(&mut CompactReader::new(&writer.out), &paths, &LIMITS).expect("it reads");
     let expected = [
         Some(Scalar::Bytes(b"a")),
         Some(Scalar::Bytes(b"b")),
@@ -331,11 +338,11 @@
     let twice = [11, 0, 1, 0, 0, 0, 1, b'a', 11, 0, 1, 0, 0, 0, 1, b'b', 0];
     let path = "1".parse().expect("a path");
     assert_eq!(
-        pick(&mut BinaryReader::new(&twice), &[Some(&path)], &BOUNDS),
-        Err(Fault::Twice(1))
+        read_fields(&mut BinaryReader::new(&twice), &[Some(&path)], &LIMITS),
+        Err(DecodeError::Twice(1))
     );
     assert!(
-        pick(&mut BinaryReader::new(&twice), &[None], &BOUNDS).is_ok(),
+        read_fields(&mut BinaryReader::new(&twice), &[None], &LIMITS).is_ok(),
         "nobody asked for it"
     );
 }
@@ -352,7 +359,7 @@
             "refused: full",
             Some(250),
         );
-        let message = read_head(&frame[4..], &BOUNDS).expect("a head");
+        let message = read_head(&frame[4..], &LIMITS).expect("a head");
         assert_eq!(
             message.head,
             Head {
@@ -362,7 +369,7 @@
             }
         );
         assert_eq!(
-            read_exception(&message, &BOUNDS),
+            read_exception(&message, &LIMITS),
             Ok((10, "refused: full".to_owned()))
         );
         let (seqid, read) = apache_message(encoding, &frame[4..], |protocol| {
--- a/testing/scenarios/src/scenario/demo.rs
+++ b/testing/scenarios/src/scenario/demo.rs
@@ -5,7 +5,7 @@
 use crate::peers::{self, Backend, Client, Discovery, Watch, config, entry_of, list, settings};
 use crate::random::Random;
 use crate::tally::{self, BINARY, BOTH, Caller, End, Reply, Tally, Value, origin};
-use sillward_thrift::wire::{self, Bounds, Encoding, Head, read_head};
+use sillward_thrift::wire::{self, Encoding, Head, MessageLimits, read_head};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -187,7 +187,7 @@
                     ledger.runs(message.header("x-call-id").unwrap_or_default(), 0);
                     return peers::ok(&own);
                 };
-                let bounds = Bounds::default();
+                let bounds = MessageLimits::default();
                 let call = read_head(&message.body, &bounds).expect("a message");
                 ledger.runs(&tally::sheet_of(&call).unwrap_or_default(), 0);
                 let head = Head {
--- a/testing/servers/src/tally.rs
+++ b/testing/servers/src/tally.rs
@@ -12,7 +12,7 @@
 //! ```
 
 use crate::peers::PATIENCE;
-use sillward_thrift::names::told;
+use sillward_thrift::method_names::reply_name;
 use sillward_thrift::wire::*;
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -25,10 +25,10 @@
 pub const BINARY: Encoding = Encoding::Binary { strict: true };
 /// Both encodings.
 pub const BOTH: [Encoding; 2] = [BINARY, Encoding::Compact];
-const BOUNDS: Bounds = Bounds {
-    frame: 1 << 24,
-    depth: 64,
-    name: 1024,
+const BOUNDS: MessageLimits = MessageLimits {
+    max_frame_bytes: 1 << 24,
+    max_depth: 64,
+    max_name_bytes: 1024,
 };
 
 /// A value that peers send.
@@ -104,7 +104,7 @@
         };
     }
     let length = u32::from_be_bytes(length) as usize;
-    if length > BOUNDS.frame {
+    if length > BOUNDS.max_frame_bytes {
         return Err(io::Error::other("no frame"));
     }
     let mut body = vec![0; length];
@@ -122,14 +122,16 @@
 
 /// Values at these paths, as text.
 fn values(message: &Message<'_>, paths: &[&str]) -> Vec<Option<String>> {
-    let paths: Vec<Path> = paths
+    let paths: Vec<FieldPath> = paths
         .iter()
         .map(|path| path.parse().expect("a path"))
         .collect();
-    let paths: Vec<Option<&Path>> = paths.iter().map(Some).collect();
+    let paths: Vec<Option<&FieldPath>> = paths.iter().map(Some).collect();
     let found = match message.encoding {
-        Encoding::Binary { .. } => pick(&mut BinaryReader::new(message.body), &paths, &BOUNDS),
-        Encoding::Compact => pick(&mut CompactReader::new(message.body), &paths, &BOUNDS),
+        Encoding::Binary { .. } => {
+            read_fields(&mut BinaryReader::new(message.body), &paths, &BOUNDS)
+        }
+        Encoding::Compact => read_fields(&mut CompactReader::new(message.body), &paths, &BOUNDS),
     };
     let found = found.expect("what the node sends reads");
     found
@@ -153,7 +155,7 @@
     pub station: Option<String>,
     pub key: Option<String>,
     pub sheet: Option<String>,
-    /// Path and query of a call that came over HTTP.
+    /// FieldPath and query of a call that came over HTTP.
     pub target: Option<String>,
     /// The whole message, without its frame.
     pub bytes: Vec<u8>,
@@ -166,7 +168,7 @@
     }
     /// The name that the libraries' processors answer with: behind `TMultiplexedProcessor`, the method's alone.
     pub fn told(&self) -> &str {
-        told(&self.name)
+        reply_name(&self.name)
     }
     pub fn reply_as(&self, name: &str, seqid: i32, fields: &[(i16, Value)]) -> Vec<u8> {
         message(
@@ -505,7 +507,7 @@
 
     /// Whether an answer is to the last call made, of that name: as strict clients look at it.
     pub fn is_last(&self, answer: &Answer, name: &str) -> bool {
-        answer.seqid == self.seqid && answer.name == told(name)
+        answer.seqid == self.seqid && answer.name == reply_name(name)
     }
 
     /// Leaves in good order; returns how many answers came to nobody.
@@ -535,7 +537,7 @@
             .expect("an answer");
         assert_eq!(
             (answer.seqid, answer.name.as_str()),
-            (self.seqid, told(name)),
+            (self.seqid, reply_name(name)),
             "an answer to this call"
         );
         answer
--- a/testing/simulation/src/parties/boxes.rs
+++ b/testing/simulation/src/parties/boxes.rs
@@ -6,8 +6,8 @@
 use crate::parties::speech::{self, Inbox, call_in};
 use crate::script::{BackendPlan, COLD_SHARE, Script, WARM_MS};
 use sillward_runtime::time::{sleep, timeout};
-use sillward_thrift::names::told;
-use sillward_thrift::wire::{Bounds, read_head};
+use sillward_thrift::method_names::reply_name;
+use sillward_thrift::wire::{MessageLimits, read_head};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,10 +15,10 @@
 use tokio::sync::Semaphore;
 use tokio::task::{JoinHandle, JoinSet, spawn_local};
 
-const BOUNDS: Bounds = Bounds {
-    frame: 1 << 20,
-    depth: 32,
-    name: 256,
+const BOUNDS: MessageLimits = MessageLimits {
+    max_frame_bytes: 1 << 20,
+    max_depth: 32,
+    max_name_bytes: 256,
 };
 /// Connections that a box holds; those beyond are closed.
 const CONNECTIONS: usize = 76;
@@ -237,7 +237,7 @@
         begun: Duration,
     ) -> Option<(Vec<u8>, Option<Vec<u8>>)> {
         let message = read_head(body, &BOUNDS).ok()?;
-        let (name, seqid) = (told(message.head.name).to_owned(), message.head.seqid);
+        let (name, seqid) = (reply_name(message.head.name).to_owned(), message.head.seqid);
         if name == "load" {
             return Some((
                 speech::thrift_reply(&name, seqid, &self.load(), &self.load()),
