--- a/crates/thrift/benches/transcode.rs
+++ b/crates/thrift/benches/transcode.rs
@@ -1,5 +1,5 @@
-//! Transcoding a tally sheet of 2 KiB, here and by reading and writing it with the library of Apache.
-//! `cargo bench -p sillward-thrift` prints both, and their ratio last.
+//! Compares transcoding a message of 2 KiB with reading and writing it with the Apache Thrift library.
+//! `cargo bench -p sillward-thrift` prints the time of both, then their ratio.
 
 #[path = "../tests/values/mod.rs"]
 mod values;
@@ -9,7 +9,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 use thrift::protocol::*;
-use values::{Value, tally_sheet, written_by_apache};
+use values::{Value, encode_with_apache, sample_message};
 
 const HEAD: Head<'_> = Head {
     kind: Kind::Call,
@@ -18,14 +18,14 @@
 };
 const BINARY: Encoding = Encoding::Binary { strict: true };
 
-fn ours(message: &[u8], to: Encoding) -> Vec<u8> {
+fn transcode_here(message: &[u8], to: Encoding) -> Vec<u8> {
     let limits = MessageLimits::default();
     let message = read_head(message, &limits).expect("a head");
     transcode(&message, to, HEAD, &limits).expect("it reads")
 }
 
-/// Reads the sheet into values and writes them again, as a proxy without a schema would with the library.
-fn theirs(message: &[u8], to: Encoding) -> Vec<u8> {
+/// Reads the message into values and writes them again, as a proxy without a schema would do with the library.
+fn transcode_by_values(message: &[u8], to: Encoding) -> Vec<u8> {
     let value = match to {
         Encoding::Compact => {
             let mut from = TBinaryInputProtocol::new(message, true);
@@ -38,11 +38,11 @@
             Value::read(&mut from, TType::Struct)
         }
     };
-    written_by_apache(to, HEAD, &value.expect("a struct"))
+    encode_with_apache(to, HEAD, &value.expect("a struct"))
 }
 
-/// The same with nothing kept: each value is written as soon as it is read.
-fn theirs_at_once(message: &[u8], to: Encoding) -> Vec<u8> {
+/// Transcodes with the library without intermediate values: each is written as soon as it is read.
+fn transcode_at_once(message: &[u8], to: Encoding) -> Vec<u8> {
     let mut out = Vec::new();
     let id = TMessageIdentifier::new(HEAD.name, TMessageType::Call, HEAD.seqid);
     match to {
@@ -51,20 +51,20 @@
             from.read_message_begin().expect("a head");
             let mut to = TCompactOutputProtocol::new(&mut out);
             to.write_message_begin(&id).expect("written");
-            copied(&mut from, &mut to, TType::Struct).expect("copied");
+            copy_value(&mut from, &mut to, TType::Struct).expect("copies");
         }
         Encoding::Binary { .. } => {
             let mut from = TCompactInputProtocol::new(message);
             from.read_message_begin().expect("a head");
             let mut to = TBinaryOutputProtocol::new(&mut out, true);
             to.write_message_begin(&id).expect("written");
-            copied(&mut from, &mut to, TType::Struct).expect("copied");
+            copy_value(&mut from, &mut to, TType::Struct).expect("copies");
         }
     }
     out
 }
 
-fn copied<I: TInputProtocol, O: TOutputProtocol>(
+fn copy_value<I: TInputProtocol, O: TOutputProtocol>(
     from: &mut I,
     to: &mut O,
     of: TType,
@@ -86,7 +86,7 @@
                     break;
                 }
                 to.write_field_begin(&field)?;
-                copied(from, to, field.field_type)?;
+                copy_value(from, to, field.field_type)?;
                 from.read_field_end()?;
                 to.write_field_end()?;
             }
@@ -97,7 +97,7 @@
         TType::List => {
             let list = from.read_list_begin()?;
             to.write_list_begin(&list)?;
-            (0..list.size).try_for_each(|_| copied(from, to, list.element_type))?;
+            (0..list.size).try_for_each(|_| copy_value(from, to, list.element_type))?;
             from.read_list_end()?;
             to.write_list_end()
         }
@@ -105,34 +105,34 @@
             let map = from.read_map_begin()?;
             to.write_map_begin(&map)?;
             for _ in 0..map.size {
-                copied(from, to, map.key_type.expect("its type"))?;
-                copied(from, to, map.value_type.expect("its type"))?;
+                copy_value(from, to, map.key_type.expect("its type"))?;
+                copy_value(from, to, map.value_type.expect("its type"))?;
             }
             from.read_map_end()?;
             to.write_map_end()
         }
-        other => panic!("a sheet has none: {other:?}"),
+        other => panic!("unexpected type in the message: {other:?}"),
     }
 }
 
-/// How long so many rounds take, in turn with the other side's, so that both meet the same machine.
-fn ratio(message: &[u8], to: Encoding, theirs: fn(&[u8], Encoding) -> Vec<u8>) -> f64 {
-    let (mut here, mut there) = (0.0, 0.0);
+/// How many times as long the library takes. Rounds of both alternate, so that both run under the same load.
+fn ratio(message: &[u8], to: Encoding, library: fn(&[u8], Encoding) -> Vec<u8>) -> f64 {
+    let (mut here_s, mut library_s) = (0.0, 0.0);
     for _ in 0..200 {
         let start = Instant::now();
-        (0..50).for_each(|_| drop(black_box(ours(black_box(message), to))));
+        (0..50).for_each(|_| drop(black_box(transcode_here(black_box(message), to))));
         let middle = Instant::now();
-        (0..50).for_each(|_| drop(black_box(theirs(black_box(message), to))));
-        here += (middle - start).as_secs_f64();
-        there += middle.elapsed().as_secs_f64();
+        (0..50).for_each(|_| drop(black_box(library(black_box(message), to))));
+        here_s += (middle - start).as_secs_f64();
+        library_s += middle.elapsed().as_secs_f64();
     }
-    there / here
+    library_s / here_s
 }
 
 fn main() {
-    let sheet = tally_sheet();
-    let binary = written_by_apache(BINARY, HEAD, &sheet);
-    let compact = written_by_apache(Encoding::Compact, HEAD, &sheet);
+    let value = sample_message();
+    let binary = encode_with_apache(BINARY, HEAD, &value);
+    let compact = encode_with_apache(Encoding::Compact, HEAD, &value);
     println!(
         "binary_bytes {}\ncompact_bytes {}",
         binary.len(),
@@ -144,24 +144,33 @@
         ("compact to binary", &compact, BINARY),
     ] {
         criterion.bench_function(&format!("{name}, here"), |b| {
-            b.iter(|| ours(black_box(message), to))
+            b.iter(|| transcode_here(black_box(message), to))
         });
         criterion.bench_function(&format!("{name}, library"), |b| {
-            b.iter(|| theirs(black_box(message), to))
+            b.iter(|| transcode_by_values(black_box(message), to))
         });
-        assert_eq!(theirs(message, to), theirs_at_once(message, to));
-        assert_eq!(theirs(message, to), ours(message, to)[4..]);
-        for (how, theirs) in [
-            ("by_values", theirs as fn(&[u8], Encoding) -> Vec<u8>),
-            ("at_once", theirs_at_once),
+        assert_eq!(
+            transcode_by_values(message, to),
+            transcode_at_once(message, to)
+        );
+        assert_eq!(
+            transcode_by_values(message, to),
+            transcode_here(message, to)[4..]
+        );
+        for (method, library) in [
+            (
+                "by_values",
+                transcode_by_values as fn(&[u8], Encoding) -> Vec<u8>,
+            ),
+            ("at_once", transcode_at_once),
         ] {
-            let ratio = ratio(message, to, theirs);
-            println!("{}_{how} {ratio:.2}", name.replace(' ', "_"));
-            // A program reads a sheet into values and writes it from values. The library's stream, at once from one
-            // encoding to the other, is the harder comparison: a figure, without a bound.
+            let ratio = ratio(message, to, library);
+            println!("{}_{method} {ratio:.2}", name.replace(' ', "_"));
+            // A program that uses the library reads a message into values and writes it from values. Copying at once
+            // is a harder comparison, which is printed but has no required ratio.
             assert!(
-                ratio >= 3.0 || how == "at_once",
-                "not 3 times as fast as the library"
+                ratio >= 3.0 || method == "at_once",
+                "less than 3 times as fast as the library"
             );
         }
     }
--- a/crates/thrift/src/backend.rs
+++ b/crates/thrift/src/backend.rs
@@ -1,7 +1,7 @@
-//! The backends' side: attempts, what their replies tell, and probes.
+//! The backend client: attempts, the outcomes of replies, and health checks.
 //!
-//! A frame runs only once it is whole. So an attempt whose frame the kernel has not taken to its last byte has
-//! never run, and one whose frame it has may have run, whatever becomes of the connection.
+//! A backend runs a call only once its frame is complete. So a call has not run unless the kernel took the last byte
+//! of its frame, and may have run from then on, whatever happens to the connection.
 
 use crate::config::{BackendConfig, RejectedReply};
 use crate::method_names;
@@ -30,56 +30,58 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// So many connections in a row may turn out broken before a call has gone out on them.
-const BROKEN_IN_A_ROW: usize = 4;
+/// How many connections an attempt uses at most, one after the other, while each breaks before the frame is written.
+const MAX_CONNECTIONS_PER_ATTEMPT: usize = 4;
 
-/// Framed Thrift over a connection to a backend.
+/// The framed transport on connections to backends.
 pub struct Thrift {
-    /// The bytes that the kernel may take before the backend does; `None` for what the system is set to.
+    /// The size of the socket's send buffer, which bounds how many bytes the kernel takes before the backend reads
+    /// them; `None` for the system's default.
     pub send_buffer_bytes: Option<usize>,
 }
 
-/// Carries one call at a time.
-pub struct Line {
+/// A connection to a backend, which carries one call at a time.
+pub struct BackendSession {
     stream: Stream,
-    /// The last sequence number. A reply to an earlier call of this connection can't pass for one to this.
+    /// The sequence number of the last call. It differs for each call, so that a late reply to an earlier call of the
+    /// connection is not taken for the reply to the current one.
     seqid: Cell<i32>,
 }
 
 impl ConnectionProtocol for Thrift {
-    type Session = Line;
+    type Session = BackendSession;
 
-    async fn handshake(&self, stream: Stream) -> io::Result<Line> {
+    async fn handshake(&self, stream: Stream) -> io::Result<BackendSession> {
         if let Some(bytes) = self.send_buffer_bytes {
             stream.set_send_buffer_size(bytes);
         }
-        Ok(Line {
+        Ok(BackendSession {
             stream,
             seqid: Cell::new(0),
         })
     }
 
-    fn is_closed(_: &Line) -> bool {
-        false // the pool asks the kernel before it hands one out
+    fn is_closed(_: &BackendSession) -> bool {
+        false // the pool checks the socket itself before it hands out a connection
     }
 }
 
-/// The backends of one machine type that speak Thrift.
+/// The client for the Thrift backends of one machine type.
 pub struct Backend {
     pool: Rc<Pool<Thrift>>,
-    terms: BackendConfig,
-    /// Room for messages.
+    config: BackendConfig,
+    /// The memory for messages.
     budget: MemoryBudget,
     reports: LoadReportParser,
     counters: Rc<Counters>,
 }
 
-/// Why there is no reply that can be used.
-enum Broken {
-    /// The connection ended, or broke.
-    Ended,
-    /// What came makes no sense, or there was no room for it.
-    Nonsense(&'static str),
+/// Why there is no usable reply.
+enum ReplyError {
+    /// The connection was closed or reset.
+    Closed,
+    /// The input is not a valid frame, or there was no memory for it.
+    Invalid(&'static str),
 }
 
 impl BackendProtocol for Backend {
@@ -102,7 +104,7 @@
 
     fn health_check(self: Rc<Self>, server: ServerId) -> LocalBoxFuture<HealthCheckResponse> {
         Box::pin(async move {
-            timeout(HEALTH_CHECK_TIMEOUT, self.probed(server))
+            timeout(HEALTH_CHECK_TIMEOUT, self.check_health(server))
                 .await
                 .unwrap_or(HealthCheckResponse::from(Outcome::TimedOut))
         })
@@ -125,14 +127,14 @@
 impl Backend {
     pub fn new(
         pool: Rc<Pool<Thrift>>,
-        terms: BackendConfig,
+        config: BackendConfig,
         budget: MemoryBudget,
         reports: LoadReportParser,
         counters: Rc<Counters>,
     ) -> Rc<Self> {
         Rc::new(Backend {
             pool,
-            terms,
+            config,
             budget,
             reports,
             counters,
@@ -141,35 +143,35 @@
 
     async fn exchange(self: &Rc<Self>, attempt: &Attempt, written: &Cell<bool>) -> Exchange {
         let (call, clock) = (&attempt.call, self.pool.clock);
-        for _ in 0..BROKEN_IN_A_ROW {
+        for _ in 0..MAX_CONNECTIONS_PER_ATTEMPT {
             let connection = match self.pool.acquire(attempt.server).await {
                 Ok(connection) => connection,
                 Err(outcome) => return Exchange::from(outcome),
             };
-            let line = &connection.session;
-            line.seqid.set(line.seqid.get().wrapping_add(1));
-            let seqid = line.seqid.get();
-            // Before the claim: what can't be worded was never begun.
-            let Some(frame) = self.worded(call, seqid) else {
+            let session = &connection.session;
+            session.seqid.set(session.seqid.get().wrapping_add(1));
+            let seqid = session.seqid.get();
+            // Before the claim: a call that can't be encoded for this backend is not sent.
+            let Some(frame) = self.encode_call(call, seqid) else {
                 log_peer(format_args!(
-                    "server {:x}: a call that can't be worded there",
+                    "server {:x}: a call can't be encoded for this backend: not sent",
                     attempt.server.0
                 ));
                 self.pool.release_unused(connection);
                 return Exchange::from(Outcome::NotSent);
             };
-            let Some(_room) = self.budget.try_reserve(frame.capacity()) else {
-                log_peer("no room for a call's frame: not sent");
+            let Some(_reservation) = self.budget.try_reserve(frame.capacity()) else {
+                log_peer("no memory for a call's frame: not sent");
                 self.pool.release_unused(connection);
                 return Exchange::from(Outcome::NotSent);
             };
-            let drained = self.pool.usable_address(attempt.server).is_none();
-            if drained || !call.claim(clock.now(), attempt.deadline) {
+            let not_usable = self.pool.usable_address(attempt.server).is_none();
+            if not_usable || !call.claim(clock.now(), attempt.deadline) {
                 self.pool.release_unused(connection);
                 return Exchange::from(Outcome::NotSent);
             }
-            if !write_whole(&line.stream, &frame).await {
-                // Its last byte was not taken: it never ran there, and another connection may have it.
+            if !write_all(&session.stream, &frame).await {
+                // The kernel did not take the last byte, so the call has not run and may go to another connection.
                 call.release_claim();
                 continue;
             }
@@ -179,33 +181,39 @@
                 self.pool.release(connection);
                 return Exchange::from(Outcome::Served);
             }
-            return match self.reply(&connection.session).await {
-                Ok((body, behind)) => {
-                    let read = self.read(&body, self.name(call).unwrap_or_default(), seqid, call);
-                    // What is no reply to this call leaves the connection in a state that nobody knows.
-                    match read {
+            return match self.read_reply(&connection.session).await {
+                Ok((body, has_trailing_bytes)) => {
+                    let exchange = self.parse_reply(
+                        &body,
+                        self.method_name(call).unwrap_or_default(),
+                        seqid,
+                        call,
+                    );
+                    // After anything but a reply to this call the state of the connection is unknown, so it is not
+                    // reused.
+                    match exchange {
                         Some(exchange) => {
                             if exchange.outcome.never_ran() {
                                 call.release_claim();
                             }
-                            if !behind {
+                            if !has_trailing_bytes {
                                 self.pool.release(connection);
                             }
                             exchange
                         }
                         None => {
                             log_peer(format_args!(
-                                "server {:x}: no reply to its call",
+                                "server {:x}: received a message that is no reply to the call",
                                 attempt.server.0
                             ));
                             Exchange::from(Outcome::Error)
                         }
                     }
                 }
-                Err(Broken::Ended) => Exchange::from(Outcome::Reset),
-                Err(Broken::Nonsense(what)) => {
+                Err(ReplyError::Closed) => Exchange::from(Outcome::Reset),
+                Err(ReplyError::Invalid(reason)) => {
                     log_peer(format_args!(
-                        "server {:x}: {what}: dropped",
+                        "server {:x}: dropped a reply: {reason}",
                         attempt.server.0
                     ));
                     Exchange::from(Outcome::Error)
@@ -215,37 +223,37 @@
         Exchange::from(Outcome::ConnectFailed)
     }
 
-    /// The method's name as it goes on.
-    fn name<'a>(&'a self, call: &'a Call) -> Option<&'a str> {
+    /// The name of the method in the call to the backend.
+    fn method_name<'a>(&'a self, call: &'a Call) -> Option<&'a str> {
         if call.payload.format == PayloadFormat::PLAIN {
-            let terms = self
-                .terms
+            let mapping = self
+                .config
                 .http_calls
                 .iter()
-                .find(|terms| terms.class == call.class)?;
-            return Some(&terms.method);
+                .find(|mapping| mapping.class == call.class)?;
+            return Some(&mapping.method);
         }
-        read_head(&call.payload.bytes, &self.terms.limits)
+        read_head(&call.payload.bytes, &self.config.limits)
             .ok()
             .map(|message| message.head.name)
     }
 
-    /// The call's frame in these backends' encoding; `None` if it can't be worded there, or would not carry the
-    /// key by which they know a repeat.
-    fn worded(&self, call: &Call, seqid: i32) -> Option<Vec<u8>> {
+    /// The call's frame in the backends' encoding; `None` if the call can't be encoded for them, or if the frame would
+    /// lack the key by which they recognize a repeated call.
+    fn encode_call(&self, call: &Call, seqid: i32) -> Option<Vec<u8>> {
         if call.streaming_body.is_some() {
-            return None; // a frame begins with its length and holds a whole message
+            return None; // a frame begins with its length, which a streamed body doesn't tell in advance
         }
-        let (limits, encoding) = (&self.terms.limits, self.terms.encoding);
+        let (limits, encoding) = (&self.config.limits, self.config.encoding);
         if call.payload.format == PayloadFormat::PLAIN {
-            let terms = self
-                .terms
+            let mapping = self
+                .config
                 .http_calls
                 .iter()
-                .find(|terms| terms.class == call.class)?;
-            let key = match (&call.idempotency_key, terms.key) {
+                .find(|mapping| mapping.class == call.class)?;
+            let key = match (&call.idempotency_key, mapping.key) {
                 (Some(key), Some(field)) => Some((field, &key[..])),
-                // By the key alone would these backends know a repeat of it.
+                // These backends could not recognize a repeat of a keyed call without its key.
                 (Some(_), None) if call.idempotency_window.is_some() => return None,
                 _ => None,
             };
@@ -255,13 +263,13 @@
                 encoding,
                 Head {
                     kind: Kind::Call,
-                    name: &terms.method,
+                    name: &mapping.method,
                     seqid,
                 },
             );
             let mut arguments = vec![
-                (terms.target, &call.target[..]),
-                (terms.body, &call.payload.bytes[..]),
+                (mapping.target, &call.target[..]),
+                (mapping.body, &call.payload.bytes[..]),
             ];
             arguments.extend(key);
             arguments.sort_unstable_by_key(|(field, _)| *field);
@@ -292,49 +300,50 @@
         .ok()
     }
 
-    /// Reads a reply's frame, and whether something came behind it.
-    async fn reply(&self, line: &Line) -> Result<(Bytes, bool), Broken> {
-        let mut lease = self
+    /// Reads a reply's frame, and reports whether further bytes followed it.
+    async fn read_reply(&self, session: &BackendSession) -> Result<(Bytes, bool), ReplyError> {
+        let mut reservation = self
             .budget
             .try_reserve(0)
-            .ok_or(Broken::Nonsense("no room for a reply"))?;
-        let mut reader = FrameReader::new(self.terms.limits.max_frame_bytes);
+            .ok_or(ReplyError::Invalid("no memory for it"))?;
+        let mut reader = FrameReader::new(self.config.limits.max_frame_bytes);
         let mut chunk = [0; READ_BUFFER_BYTES];
         loop {
-            let count = line
+            let count = session
                 .stream
                 .read(&mut chunk)
                 .await
-                .map_err(|_| Broken::Ended)?;
+                .map_err(|_| ReplyError::Closed)?;
             if count == 0 {
-                return Err(Broken::Ended);
+                return Err(ReplyError::Closed);
             }
-            let (used, step) = reader.take(&chunk[..count], &mut |bytes| lease.try_grow(bytes));
-            match step {
+            let (used, progress) =
+                reader.take(&chunk[..count], &mut |bytes| reservation.try_grow(bytes));
+            match progress {
                 FrameProgress::Incomplete => {}
                 FrameProgress::Complete(body) => {
-                    return Ok((lease.attach(body.into()), used < count));
+                    return Ok((reservation.attach(body.into()), used < count));
                 }
-                FrameProgress::Discarded(_) => return Err(Broken::Nonsense("no room for a reply")),
+                FrameProgress::Discarded(_) => return Err(ReplyError::Invalid("no memory for it")),
                 FrameProgress::NotFramed(_) => {
-                    return Err(Broken::Nonsense("a reply that is too long, or no frame"));
+                    return Err(ReplyError::Invalid("it is too long, or not framed"));
                 }
             }
         }
     }
 
-    /// What a reply says; `None` if it is none to this call.
-    fn read(&self, body: &Bytes, name: &str, seqid: i32, call: &Call) -> Option<Exchange> {
-        let message = read_head(body, &self.terms.limits).ok()?;
+    /// The result of a reply; `None` if the message is no reply to this call.
+    fn parse_reply(&self, body: &Bytes, name: &str, seqid: i32, call: &Call) -> Option<Exchange> {
+        let message = read_head(body, &self.config.limits).ok()?;
         if message.head.seqid != seqid || !method_names::is_reply_name(message.head.name, name) {
             return None;
         }
         match message.head.kind {
             Kind::Reply => {}
             Kind::Exception => {
-                let (number, _) = read_exception(&message, &self.terms.limits).ok()?;
+                let (number, _) = read_exception(&message, &self.config.limits).ok()?;
                 let never_ran = self
-                    .terms
+                    .config
                     .rejected_replies
                     .contains(&RejectedReply::Exception(number));
                 let outcome = if never_ran {
@@ -346,44 +355,48 @@
             }
             Kind::Call | Kind::Oneway => return None,
         }
-        let first = FieldPath::field(0);
+        let result_path = FieldPath::field(0);
         let plain = call.payload.format == PayloadFormat::PLAIN;
-        let paths = [self.terms.load_report.as_ref(), plain.then_some(&first)];
+        let paths = [
+            self.config.load_report.as_ref(),
+            plain.then_some(&result_path),
+        ];
         let (field, found) = match message.encoding {
             Encoding::Binary { .. } => {
                 let mut reader = BinaryReader::new(message.body);
-                let found = read_fields(&mut reader, &paths, &self.terms.limits).ok()?;
+                let found = read_fields(&mut reader, &paths, &self.config.limits).ok()?;
                 (
                     first_field(BinaryReader::new(message.body)),
-                    reader.rest().is_empty().then_some(found)?,
+                    reader.remaining().is_empty().then_some(found)?,
                 )
             }
             Encoding::Compact => {
                 let mut reader = CompactReader::new(message.body);
-                let found = read_fields(&mut reader, &paths, &self.terms.limits).ok()?;
+                let found = read_fields(&mut reader, &paths, &self.config.limits).ok()?;
                 (
                     first_field(CompactReader::new(message.body)),
-                    reader.rest().is_empty().then_some(found)?,
+                    reader.remaining().is_empty().then_some(found)?,
                 )
             }
         };
-        let report = found[0].and_then(|report| self.report(report));
-        let turned = field.is_some_and(|field| {
-            self.terms
+        let report = found[0].and_then(|report| self.parse_report(report));
+        let rejected = field.is_some_and(|field| {
+            self.config
                 .rejected_replies
                 .contains(&RejectedReply::Field(field))
         });
-        if turned {
+        if rejected {
             return Some(Exchange::failed(Outcome::Rejected, report));
         }
         if plain {
-            // A void result has no field; an exception that the service declares has no place in HTTP.
-            let answer = match (field, found[1]) {
+            // The reply of a void method has no field. Exceptions that the service declares have no counterpart in
+            // HTTP.
+            let response = match (field, found[1]) {
                 (Some(0), Some(value)) => Some(Payload::plain(value.text().into())),
                 (None, _) => Some(Payload::plain(Bytes::new())),
                 _ => None,
             };
-            let outcome = if answer.is_some() {
+            let outcome = if response.is_some() {
                 Outcome::Served
             } else {
                 Outcome::Error
@@ -391,10 +404,10 @@
             return Some(Exchange {
                 outcome,
                 report,
-                response: answer,
+                response,
             });
         }
-        let form = if message.encoding == Encoding::Compact {
+        let format = if message.encoding == Encoding::Compact {
             COMPACT
         } else {
             BINARY
@@ -403,13 +416,13 @@
             outcome: Outcome::Served,
             report,
             response: Some(Payload {
-                format: form,
+                format,
                 bytes: body.clone(),
             }),
         })
     }
 
-    fn report(&self, value: Scalar<'_>) -> Option<LoadReport> {
+    fn parse_report(&self, value: Scalar<'_>) -> Option<LoadReport> {
         let Scalar::Bytes(text) = value else {
             return None;
         };
@@ -418,48 +431,46 @@
             .filter(|_| self.reports.is_enabled())?;
         let report = self.reports.parse(text);
         if report.is_none() {
-            log_peer(format_args!(
-                "a malformed load report was dropped: {text:?}"
-            ));
+            log_peer(format_args!("dropped a malformed load report: {text:?}"));
         }
         report
     }
 
-    async fn probed(self: &Rc<Self>, server: ServerId) -> HealthCheckResponse {
+    async fn check_health(self: &Rc<Self>, server: ServerId) -> HealthCheckResponse {
         let connection = match self.pool.acquire(server).await {
             Ok(connection) => connection,
             Err(outcome) => return HealthCheckResponse::from(outcome),
         };
-        let Some(name) = self.terms.health_check_method.as_deref() else {
-            self.pool.release(connection); // that it took a connection is its sign of life
+        let Some(name) = self.config.health_check_method.as_deref() else {
+            self.pool.release(connection); // without a method to call, an accepted connection counts as healthy
             return HealthCheckResponse::from(Outcome::Served);
         };
         if self.pool.usable_address(server).is_none() {
             return HealthCheckResponse::from(Outcome::NotSent);
         }
-        let line = &connection.session;
-        line.seqid.set(line.seqid.get().wrapping_add(1));
-        let seqid = line.seqid.get();
+        let session = &connection.session;
+        session.seqid.set(session.seqid.get().wrapping_add(1));
+        let seqid = session.seqid.get();
         let mut out = vec![0; 4];
         write_head(
             &mut out,
-            self.terms.encoding,
+            self.config.encoding,
             Head {
                 kind: Kind::Call,
                 name,
                 seqid,
             },
         );
-        out.push(0); // no arguments: a stop, in either encoding
-        if !write_whole(&line.stream, &frame(out)).await {
+        out.push(0); // no arguments: the stop byte is the same in both encodings
+        if !write_all(&session.stream, &frame(out)).await {
             return HealthCheckResponse::from(Outcome::Reset);
         }
-        match self.reply(line).await {
-            Ok((body, behind)) => {
-                let Some(report) = self.probe_report(&body, name, seqid) else {
+        match self.read_reply(session).await {
+            Ok((body, has_trailing_bytes)) => {
+                let Some(report) = self.parse_health_check_reply(&body, name, seqid) else {
                     return HealthCheckResponse::from(Outcome::Error);
                 };
-                if !behind {
+                if !has_trailing_bytes {
                     self.pool.release(connection);
                 }
                 HealthCheckResponse {
@@ -467,41 +478,49 @@
                     report,
                 }
             }
-            Err(Broken::Ended) => HealthCheckResponse::from(Outcome::Reset),
-            Err(Broken::Nonsense(_)) => HealthCheckResponse::from(Outcome::Error),
+            Err(ReplyError::Closed) => HealthCheckResponse::from(Outcome::Reset),
+            Err(ReplyError::Invalid(_)) => HealthCheckResponse::from(Outcome::Error),
         }
     }
 
-    /// The report in a probe's reply; `None` if it is no reply to it.
-    fn probe_report(&self, body: &[u8], name: &str, seqid: i32) -> Option<Option<LoadReport>> {
-        let message = read_head(body, &self.terms.limits).ok()?;
+    /// The load report in a reply to a health check; `None` if the message is no reply to it.
+    fn parse_health_check_reply(
+        &self,
+        body: &[u8],
+        name: &str,
+        seqid: i32,
+    ) -> Option<Option<LoadReport>> {
+        let message = read_head(body, &self.config.limits).ok()?;
         let Head {
             kind,
-            name: answered,
-            seqid: to,
+            name: reply_name,
+            seqid: reply_seqid,
         } = message.head;
-        if kind != Kind::Reply || to != seqid || !method_names::is_reply_name(answered, name) {
+        if kind != Kind::Reply
+            || reply_seqid != seqid
+            || !method_names::is_reply_name(reply_name, name)
+        {
             return None;
         }
-        let paths = [self.terms.load_report.as_ref()];
+        let paths = [self.config.load_report.as_ref()];
         let found = match message.encoding {
             Encoding::Binary { .. } => read_fields(
                 &mut BinaryReader::new(message.body),
                 &paths,
-                &self.terms.limits,
+                &self.config.limits,
             ),
             Encoding::Compact => read_fields(
                 &mut CompactReader::new(message.body),
                 &paths,
-                &self.terms.limits,
+                &self.config.limits,
             ),
         };
-        Some(found.ok()?[0].and_then(|report| self.report(report)))
+        Some(found.ok()?[0].and_then(|report| self.parse_report(report)))
     }
 }
 
-/// Whether the kernel has taken every byte. Dropped half way it has taken less, and the frame is never whole.
-async fn write_whole(stream: &Stream, mut bytes: &[u8]) -> bool {
+/// Whether the kernel took every byte. If the future is dropped earlier, it took fewer, and the frame stays incomplete.
+async fn write_all(stream: &Stream, mut bytes: &[u8]) -> bool {
     while !bytes.is_empty() {
         match stream.write(bytes).await {
             Ok(count) if count > 0 => bytes = &bytes[count..],
@@ -525,14 +544,14 @@
     reader.field().ok().flatten().map(|(_, id)| id)
 }
 
-/// Whether a body is a reply to that call, as a backend of another protocol brought it.
-pub fn is_reply(body: &[u8], to: &Message<'_>, limits: &crate::wire::MessageLimits) -> bool {
+/// Whether a response body from a backend of another protocol is a reply to this call.
+pub fn is_reply(body: &[u8], call: &Message<'_>, limits: &crate::wire::MessageLimits) -> bool {
     let Ok(message) = read_head(body, limits) else {
         return false;
     };
     let Head { kind, name, seqid } = message.head;
     kind == Kind::Reply
-        && seqid == to.head.seqid
-        && method_names::is_reply_name(name, to.head.name)
+        && seqid == call.head.seqid
+        && method_names::is_reply_name(name, call.head.name)
         && transcode(&message, message.encoding, message.head, limits).is_ok()
 }
--- a/crates/thrift/src/calls.rs
+++ b/crates/thrift/src/calls.rs
@@ -1,4 +1,4 @@
-//! What a caller's message must be to be taken, and how it is answered: without I/O.
+//! Validates calls of clients and encodes the replies to them. Does no I/O.
 
 use crate::backend::is_reply;
 use crate::config::{FrontendConfig, Method};
@@ -19,22 +19,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const LONGEST_BUDGET_MS: i64 = 600_000;
-/// The longest station key and idempotency key.
-const LONGEST_KEY: usize = 256;
+const MAX_TIME_BUDGET_MS: i64 = 600_000;
+/// The longest station key and idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 256;
 
-/// Whose answer it is: how a caller knows it.
+/// What a reply takes over from its call, so that the client can match it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Caller {
+pub struct ReplyContext {
     encoding: Encoding,
     name: String,
     pub seqid: i32,
 }
 
-impl Caller {
+impl ReplyContext {
     pub fn of(message: &Message<'_>) -> Self {
         let Head { name, seqid, .. } = message.head;
-        Caller {
+        ReplyContext {
             encoding: message.encoding,
             name: method_names::reply_name(name).to_owned(),
             seqid,
@@ -42,36 +42,39 @@
     }
 }
 
-/// A message that can be taken.
+/// A call that passed validation.
 pub struct ValidatedCall {
-    pub new: NewRequest,
+    pub request: NewRequest,
     pub call: Call,
-    pub caller: Caller,
+    pub context: ReplyContext,
 }
 
-/// Why a message is not taken.
+/// The consequences of a message that is no valid call.
 #[derive(Debug)]
 pub struct InvalidCall {
-    /// The answer's frame; `None` where nobody waits for one.
-    pub frame: Option<Vec<u8>>,
-    /// Nobody can tell what follows: the connection ends.
-    pub last: bool,
+    /// The frame of the reply; `None` for a oneway call, which has no reply.
+    pub reply_frame: Option<Vec<u8>>,
+    /// Whether the connection must be closed, as what follows can't be interpreted.
+    pub ends_connection: bool,
 }
 
-/// Reads a message's head, as far as `bytes` have it.
-pub fn head<'a>(terms: &FrontendConfig, bytes: &'a [u8]) -> Result<Message<'a>, InvalidCall> {
-    let message = read_head(bytes, &terms.limits).map_err(|fault| {
+/// Reads the head of a call, of which `bytes` may hold only the beginning.
+pub fn read_call_head<'a>(
+    config: &FrontendConfig,
+    bytes: &'a [u8],
+) -> Result<Message<'a>, InvalidCall> {
+    let message = read_head(bytes, &config.limits).map_err(|error| {
         let encoding = crate::wire::encoding_of(bytes).unwrap_or(Encoding::Binary { strict: true });
-        let text = format!("no message: {fault}");
+        let text = format!("no message: {error}");
         let frame = exception(encoding, "", 0, ExceptionKind::ProtocolError, &text, None);
         InvalidCall {
-            frame: Some(frame),
-            last: true,
+            reply_frame: Some(frame),
+            ends_connection: true,
         }
     })?;
     match message.head.kind {
         Kind::Call | Kind::Oneway => Ok(message),
-        Kind::Reply | Kind::Exception => Err(turned(
+        Kind::Reply | Kind::Exception => Err(invalid_call(
             &message,
             ExceptionKind::InvalidMessageType,
             "neither a call nor a oneway call",
@@ -79,31 +82,36 @@
     }
 }
 
-fn turned(message: &Message<'_>, kind: ExceptionKind, text: &str) -> InvalidCall {
-    let answered = message.head.kind != Kind::Oneway;
-    let frame = answered.then(|| {
-        let Caller {
+/// Rejects a message whose head is valid; the connection goes on.
+fn invalid_call(message: &Message<'_>, kind: ExceptionKind, text: &str) -> InvalidCall {
+    let expects_reply = message.head.kind != Kind::Oneway;
+    let reply_frame = expects_reply.then(|| {
+        let ReplyContext {
             encoding,
             name,
             seqid,
-        } = Caller::of(message);
+        } = ReplyContext::of(message);
         exception(encoding, &name, seqid, kind, text, None)
     });
-    InvalidCall { frame, last: false }
+    InvalidCall {
+        reply_frame,
+        ends_connection: false,
+    }
 }
 
-/// Reads a message as the terms word it. What does not fit never reaches a backend.
-pub fn check(
-    terms: &FrontendConfig,
-    site: &PlatformSettings,
+/// Validates a call against the configuration of its method and the platform's settings. Invalid calls never reach
+/// a backend.
+pub fn validate(
+    config: &FrontendConfig,
+    platform: &PlatformSettings,
     bytes: Bytes,
     call_id: u128,
     now: Duration,
 ) -> Result<ValidatedCall, InvalidCall> {
-    let message = head(terms, &bytes)?;
-    let bad = |text: &str| turned(&message, ExceptionKind::ProtocolError, text);
-    let method = method(terms, message.head.name)
-        .ok_or_else(|| turned(&message, ExceptionKind::UnknownMethod, "unknown method"))?;
+    let message = read_call_head(config, &bytes)?;
+    let protocol_error = |text: &str| invalid_call(&message, ExceptionKind::ProtocolError, text);
+    let method = find_method(config, message.head.name)
+        .ok_or_else(|| invalid_call(&message, ExceptionKind::UnknownMethod, "unknown method"))?;
     let paths = [
         method.station_key.as_ref(),
         method.idempotency_key.as_ref(),
@@ -113,19 +121,21 @@
     let found = match message.encoding {
         Encoding::Binary { .. } => {
             let mut reader = BinaryReader::new(message.body);
-            read_fields(&mut reader, &paths, &terms.limits).map(|found| (found, reader.rest()))
+            read_fields(&mut reader, &paths, &config.limits)
+                .map(|found| (found, reader.remaining()))
         }
         Encoding::Compact => {
             let mut reader = CompactReader::new(message.body);
-            read_fields(&mut reader, &paths, &terms.limits).map(|found| (found, reader.rest()))
+            read_fields(&mut reader, &paths, &config.limits)
+                .map(|found| (found, reader.remaining()))
         }
     };
     let (found, rest) =
-        found.map_err(|fault| bad(&format!("arguments that can't be read: {fault}")))?;
+        found.map_err(|error| protocol_error(&format!("arguments that can't be read: {error}")))?;
     if !rest.is_empty() {
-        return Err(bad(&format!(
+        return Err(protocol_error(&format!(
             "arguments that can't be read: {}",
-            DecodeError::Behind
+            DecodeError::TrailingBytes
         )));
     }
 
@@ -133,54 +143,58 @@
         key.text()
     });
     let key = found[1].map(|key| key.text());
-    if station.len() > LONGEST_KEY || key.as_ref().is_some_and(|key| key.len() > LONGEST_KEY) {
-        return Err(bad("a key of more than 256 bytes"));
+    if station.len() > MAX_KEY_BYTES || key.as_ref().is_some_and(|key| key.len() > MAX_KEY_BYTES) {
+        return Err(protocol_error("a key of more than 256 bytes"));
     }
-    if !site.active_classes[method.class] {
-        return Err(turned(
+    if !platform.active_classes[method.class] {
+        return Err(invalid_call(
             &message,
             ExceptionKind::UnknownMethod,
             "its class is none of the settings any more",
         ));
     }
-    let class = &site.settings.classes[method.class];
+    let class = &platform.settings.classes[method.class];
     let window = match class.idempotency {
         Idempotency::Keyed { window, .. } => Some(window),
         Idempotency::Idempotent | Idempotency::NonIdempotent => None,
     };
     if window.is_some() && key.as_ref().is_none_or(Vec::is_empty) && !method.key_from_content {
-        return Err(bad("no idempotency key"));
+        return Err(protocol_error("no idempotency key"));
     }
     let tenant = match found[2] {
         Some(name) => {
             let name = name.text();
-            site.tenant(&name).ok_or_else(|| bad("unknown tenant"))?
+            platform
+                .tenant(&name)
+                .ok_or_else(|| protocol_error("unknown tenant"))?
         }
-        None if site.tenant_names.is_empty() => 0,
-        None => method.default_tenant.ok_or_else(|| bad("no tenant"))?,
+        None if platform.tenant_names.is_empty() => 0,
+        None => method
+            .default_tenant
+            .ok_or_else(|| protocol_error("no tenant"))?,
     };
     let budget = match found[3] {
-        Some(Scalar::Number(ms)) if (1..=LONGEST_BUDGET_MS).contains(&ms) => {
+        Some(Scalar::Number(ms)) if (1..=MAX_TIME_BUDGET_MS).contains(&ms) => {
             Duration::from_millis(ms as u64)
         }
-        Some(_) => return Err(bad("no budget that makes sense")),
+        Some(_) => return Err(protocol_error("no budget that makes sense")),
         None => method.default_time_budget,
     };
 
-    let station_number = match std::str::from_utf8(&station) {
+    let station_hash = match std::str::from_utf8(&station) {
         Ok("") => 0,
         Ok(text) => key_hash(text),
-        Err(_) => hashed(&station),
+        Err(_) => hash_bytes(&station),
     };
-    let new = NewRequest {
+    let request = NewRequest {
         class: method.class,
         tenant,
-        key: station_number,
+        key: station_hash,
         remaining: budget,
         ..NewRequest::default()
     };
-    let caller = Caller::of(&message);
-    let form = if message.encoding == Encoding::Compact {
+    let context = ReplyContext::of(&message);
+    let format = if message.encoding == Encoding::Compact {
         COMPACT
     } else {
         BINARY
@@ -188,41 +202,46 @@
     let call = Call {
         class: method.class,
         safe: class.idempotency == Idempotency::Idempotent,
-        target: target(&site.class_names[method.class], &station),
+        target: http_target(&platform.class_names[method.class], &station),
         call_id: format!("{call_id:032x}").into(),
         idempotency_key: key.filter(|key| !key.is_empty()).map(Bytes::from),
-        response_validator: Some(judge(&bytes, terms)),
+        response_validator: Some(reply_validator(&bytes, config)),
         expects_response: message.head.kind != Kind::Oneway,
         payload: Payload {
-            format: form,
+            format,
             bytes: bytes.clone(),
         },
         streaming_body: None,
-        client_connected_check: None, // the front knows the caller; of a oneway call nobody waits
+        client_connected_check: None, // set by the frontend; a oneway call has no waiting client
         deadline: Cell::new(now + budget),
         idempotency_window: window,
         progress: CallProgress::default(),
     };
-    Ok(ValidatedCall { new, call, caller })
+    Ok(ValidatedCall {
+        request,
+        call,
+        context,
+    })
 }
 
-fn judge(call: &Bytes, terms: &FrontendConfig) -> ResponseValidator {
-    let (call, limits) = (call.clone(), terms.limits);
+/// Checks that a response body from a backend of another protocol is a reply to this call.
+fn reply_validator(call: &Bytes, config: &FrontendConfig) -> ResponseValidator {
+    let (call, limits) = (call.clone(), config.limits);
     Rc::new(move |body| {
         read_head(&call, &limits).is_ok_and(|message| is_reply(body, &message, &limits))
     })
 }
 
-fn method<'a>(terms: &'a FrontendConfig, name: &str) -> Option<&'a Method> {
+fn find_method<'a>(config: &'a FrontendConfig, name: &str) -> Option<&'a Method> {
     let (service, name) = method_names::split(name);
-    terms
+    config
         .methods
         .iter()
         .find(|method| method.name == name && method.service.as_deref() == service)
 }
 
-/// Where an HTTP backend finds the call: its class first and its station last, whatever bytes that has.
-fn target(class: &str, station: &[u8]) -> Bytes {
+/// The request target for HTTP backends: the class and the percent-encoded station key, which may hold any bytes.
+fn http_target(class: &str, station: &[u8]) -> Bytes {
     let mut target = format!("/{class}/").into_bytes();
     for byte in station {
         match byte {
@@ -235,44 +254,49 @@
     target.into()
 }
 
-fn hashed(bytes: &[u8]) -> u64 {
+fn hash_bytes(bytes: &[u8]) -> u64 {
     let mut hasher = DefaultHasher::new();
     bytes.hash(&mut hasher);
     hasher.finish()
 }
 
-/// The frame of a final answer, in its caller's words. Refused, failed and timed out are told apart by the type
-/// of the `TApplicationException`.
-pub fn worded(terms: &FrontendConfig, caller: &Caller, answer: FinalResponse) -> Vec<u8> {
-    let Caller {
+/// Encodes a final response as a reply frame in the call's encoding. The type of the `TApplicationException`
+/// distinguishes rejected, failed and timed out.
+pub fn encode_response(
+    config: &FrontendConfig,
+    context: &ReplyContext,
+    response: FinalResponse,
+) -> Vec<u8> {
+    let ReplyContext {
         encoding,
         name,
         seqid,
-    } = caller;
-    let except = |kind, text: &str, retry| exception(*encoding, name, *seqid, kind, text, retry);
+    } = context;
+    let exception_frame =
+        |kind, text: &str, retry| exception(*encoding, name, *seqid, kind, text, retry);
     let failed = || {
-        except(
+        exception_frame(
             ExceptionKind::InternalError,
             "failed: it may have run",
             None,
         )
     };
-    match answer {
+    match response {
         FinalResponse::Complete(content)
             if content.format == BINARY || content.format == COMPACT =>
         {
-            let reworded = read_head(&content.bytes, &terms.limits).and_then(|message| {
+            let transcoded = read_head(&content.bytes, &config.limits).and_then(|message| {
                 let head = Head {
                     kind: message.head.kind,
                     name,
                     seqid: *seqid,
                 };
-                transcode(&message, *encoding, head, &terms.limits)
+                transcode(&message, *encoding, head, &config.limits)
             });
-            // A reply that is compact in time may be too large for a frame in binary.
-            reworded.unwrap_or_else(|_| failed())
+            // A reply within the limits in the compact encoding may exceed them in binary.
+            transcoded.unwrap_or_else(|_| failed())
         }
-        // A caller judges its answers whole, so that none comes in parts.
+        // The response validator needs a complete body, so no response to a Thrift call is streamed.
         FinalResponse::Complete(_) | FinalResponse::Streamed { .. } | FinalResponse::Failed => {
             failed()
         }
@@ -290,9 +314,9 @@
                 Some(ms) => format!("refused: {ran}; try again in {ms} ms"),
                 None => format!("refused: {ran}"),
             };
-            except(ExceptionKind::UnsupportedClientType, &text, ms)
+            exception_frame(ExceptionKind::UnsupportedClientType, &text, ms)
         }
-        FinalResponse::TimedOut => except(
+        FinalResponse::TimedOut => exception_frame(
             ExceptionKind::MissingResult,
             "timed out: it may have run",
             None,
--- a/crates/thrift/src/config.rs
+++ b/crates/thrift/src/config.rs
@@ -1,85 +1,88 @@
-//! What an installation says of its Thrift callers and backends.
+//! Configuration of the Thrift frontend and of Thrift backends.
 
 use crate::wire::{Encoding, FieldPath, MessageLimits};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The front's settings.
+/// Configuration of the frontend.
 #[derive(Clone, Debug)]
 pub struct FrontendConfig {
-    /// Where it listens.
+    /// The address of the listener.
     pub listen: SocketAddr,
-    /// The most connections of callers; `None` for half of the node's.
+    /// The maximum number of client connections; `None` for half of the node's limit.
     pub max_connections: Option<usize>,
-    /// The most calls that are open on a connection at once; at least 1.
+    /// The maximum number of calls in flight on a connection; at least 1.
     pub max_calls_in_flight: usize,
-    /// In which order calls of a connection are answered.
+    /// The order of the replies on a connection.
     pub reply_order: ReplyOrder,
-    /// What bounds a message.
+    /// Limits for messages.
     pub limits: MessageLimits,
-    /// The methods that are served. All others are unknown.
+    /// The methods that are served. Calls of any other method get an `UnknownMethod` exception.
     pub methods: Vec<Method>,
 }
 
-/// In which order calls of a connection are answered.
+/// The order of the replies on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyOrder {
-    /// Each when it has its answer. A call with the sequence number of one that is open waits, unread, until that
-    /// is answered: a client that does not count its calls is answered in their order.
+    /// Each reply is sent as soon as it is available. A call with the same sequence number as a call in flight
+    /// waits until that one has its reply, so a client that does not number its calls gets replies in call order.
     Completion,
-    /// In the order of the calls: the next is read when the last is answered.
+    /// Replies are sent in call order: a call is processed after the reply to the previous one was written.
     Arrival,
 }
 
-/// A method that is served, and where its arguments hold what the node needs to know.
+/// A method that is served, and the fields of its arguments that the node reads.
 #[derive(Clone, Debug)]
 pub struct Method {
-    /// The service's name before the colon of a multiplexed name; `None` for a name without one.
+    /// The service, which precedes the colon in a multiplexed name; `None` for a name without a service.
     pub service: Option<String>,
-    /// The method's name.
+    /// The name without the service.
     pub name: String,
-    /// Its class, by its position in the platform's settings.
+    /// The class of its calls, as an index into the platform's settings.
     pub class: usize,
-    /// What a call concerns.
+    /// The field with the station key, which identifies what a call concerns.
     pub station_key: Option<FieldPath>,
-    /// And if the field is not there.
+    /// The station key of calls without that field.
     pub default_station_key: String,
-    /// By what backends know a repeat.
+    /// The field with the key by which backends recognize a repeated call.
     pub idempotency_key: Option<FieldPath>,
-    /// Without that field, the call's own content is its key: equal calls are repeats. Otherwise it is turned down.
+    /// Whether calls without that field are keyed by their content, so that equal calls count as repeats. Otherwise
+    /// calls of a keyed class without the field are rejected.
     pub key_from_content: bool,
-    /// Who calls, by the tenant's name.
+    /// The field with the tenant's name.
     pub tenant: Option<FieldPath>,
-    /// And if the field is not there: the tenant's position in the platform's settings.
+    /// The tenant of calls without that field, as an index into the platform's settings.
     pub default_tenant: Option<usize>,
-    /// How long the caller waits, in milliseconds.
+    /// The field with the time budget, in milliseconds.
     pub time_budget: Option<FieldPath>,
-    /// And if the field is not there.
+    /// The time budget of calls without that field.
     pub default_time_budget: Duration,
 }
 
-/// The backends of a machine type that speak Thrift.
+/// Configuration of the Thrift backends of one machine type.
 #[derive(Clone, Debug)]
 pub struct BackendConfig {
-    /// The machine type, by its position in the platform's settings.
+    /// The machine type, as an index into the platform's settings.
     pub machine_type: u8,
-    /// What they read and write.
+    /// The encoding of calls to these backends.
     pub encoding: Encoding,
-    /// The replies that say that the call was turned away and never ran.
+    /// The replies by which a backend rejects a call without running it.
     pub rejected_replies: Vec<RejectedReply>,
-    /// Where in a reply's struct a load report stands, as text like `inflight=7,queue=2`.
+    /// The field of a reply's struct with the load report, as text like `inflight=7,queue=2`.
     pub load_report: Option<FieldPath>,
-    /// The method that is called, without arguments, to ask for the load; without it a probe is a connection.
+    /// The method that a health check calls, without arguments, and whose reply may hold a load report. Without it,
+    /// a health check only opens a connection.
     pub health_check_method: Option<String>,
-    /// How calls that came over HTTP are worded, by class.
+    /// How HTTP requests are mapped to calls, by class.
     pub http_calls: Vec<HttpCallMapping>,
-    /// The bytes that the kernel may take before the backend does; `None` for what the system is set to.
+    /// The size of the socket's send buffer, which bounds how many bytes the kernel takes before the backend reads
+    /// them; `None` for the system's default.
     pub send_buffer_bytes: Option<usize>,
-    /// What bounds a message.
+    /// Limits for messages.
     pub limits: MessageLimits,
 }
 
-/// A reply that says that the call was turned away and never ran.
+/// A reply by which a backend rejects a call without running it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectedReply {
     /// A `TApplicationException` of this type.
@@ -88,17 +91,18 @@
     Field(i16),
 }
 
-/// How a call that came over HTTP is worded for backends that speak Thrift.
+/// How HTTP requests of one class are mapped to calls of a Thrift method.
 #[derive(Clone, Debug)]
 pub struct HttpCallMapping {
-    /// The class, by its position in the platform's settings.
+    /// The class, as an index into the platform's settings.
     pub class: usize,
-    /// The method's full name.
+    /// The method's name, with its service where services are multiplexed.
     pub method: String,
-    /// The argument that takes the path and query, as text.
+    /// The field id of the argument for the path and query, as text.
     pub target: i16,
-    /// The argument that takes the body, as bytes.
+    /// The field id of the argument for the body, as bytes.
     pub body: i16,
-    /// The argument that takes the idempotency key, as text. Without it a keyed call does not go there.
+    /// The field id of the argument for the idempotency key, as text. Without it, keyed requests are not sent to
+    /// these backends.
     pub key: Option<i16>,
 }
--- a/crates/thrift/src/frontend.rs
+++ b/crates/thrift/src/frontend.rs
@@ -1,7 +1,6 @@
-//! The callers' side: takes frames, several calls of a connection at once, and writes the final answers that the
-//! node gives.
+//! The frontend: reads framed calls from clients, with several in flight on a connection, and writes the replies.
 
-use crate::calls::{self, Caller, InvalidCall, ValidatedCall};
+use crate::calls::{self, InvalidCall, ReplyContext, ValidatedCall};
 use crate::config::{FrontendConfig, ReplyOrder};
 use crate::wire::{
     Encoding, ExceptionKind, FrameProgress, FrameReader, NotFramed, exception, read_head,
@@ -23,54 +22,55 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A caller that takes nothing of its answers for so long is closed.
+/// A connection is closed after this long without progress in writing replies to it.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// While so many bytes of answers wait to be taken, no further call of that connection is read.
-const UNTAKEN: usize = 64 * 1024;
-const HTTP_ANSWER: &[u8] =
+/// While more than this many bytes of replies wait to be written, no further call of the connection is processed.
+const MAX_UNWRITTEN_BYTES: usize = 64 * 1024;
+/// The response to a client that sends HTTP to the Thrift listener.
+const HTTP_RESPONSE: &[u8] =
     b"HTTP/1.1 400 Bad Request\r\nContent-Type: text/plain\r\nContent-Length: 36\r\n\
 Connection: close\r\n\r\nThis listener speaks framed Thrift.\n";
 
-/// The front for callers that speak Thrift.
+/// Serves clients that speak Thrift.
 pub struct Frontend {
-    intake: NodeHandle,
-    live: Rc<LiveSettings>,
-    terms: FrontendConfig,
+    node: NodeHandle,
+    settings: Rc<LiveSettings>,
+    config: FrontendConfig,
     connections: Rc<ConnectionManager>,
-    /// Room for frames.
+    /// The memory for frames.
     budget: MemoryBudget,
     random: RefCell<Random>,
-    oneway: Cell<u64>,
+    oneway_calls: Cell<u64>,
 }
 
 impl Frontend {
     pub fn new(
-        intake: NodeHandle,
-        live: Rc<LiveSettings>,
-        terms: FrontendConfig,
+        node: NodeHandle,
+        settings: Rc<LiveSettings>,
+        config: FrontendConfig,
         connections: Rc<ConnectionManager>,
         budget: MemoryBudget,
         seed: u64,
     ) -> Rc<Self> {
         let random = RefCell::new(Random::seeded(seed.rotate_left(32)));
         Rc::new(Frontend {
-            intake,
-            live,
-            terms,
+            node,
+            settings,
+            config,
             connections,
             budget,
             random,
-            oneway: Cell::new(0),
+            oneway_calls: Cell::new(0),
         })
     }
 
-    /// How many oneway calls have been taken.
+    /// The number of oneway calls accepted so far.
     pub fn oneway_calls(&self) -> u64 {
-        self.oneway.get()
+        self.oneway_calls.get()
     }
 
-    /// A name for a call, which no other node's call is likely to have.
-    fn call_id(&self) -> u128 {
+    /// A random id for a call, unlikely to collide with that of another node's call.
+    fn new_call_id(&self) -> u128 {
         let mut random = self.random.borrow_mut();
         (0..4).fold(0, |id, _| id << 32 | u128::from(random.next_u32()))
     }
@@ -78,78 +78,80 @@
 
 impl ConnectionHandler for Frontend {
     async fn serve(self: Rc<Self>, stream: Stream, connection: Rc<ClientConnection>) {
-        let Some(room) = self.budget.try_reserve(0) else {
+        let Some(reservation) = self.budget.try_reserve(0) else {
             return;
         };
-        let reader = FrameReader::new(self.terms.limits.max_frame_bytes);
+        let reader = FrameReader::new(self.config.limits.max_frame_bytes);
         let mut session = Session {
-            front: self,
+            frontend: self,
             stream,
             connection,
             reader,
-            room,
-            unread: VecDeque::new(),
-            until: None,
+            reservation,
+            unparsed: VecDeque::new(),
+            frame_deadline: None,
             waiting: None,
             calls: JoinSet::new(),
-            open: BTreeSet::new(),
-            out: VecDeque::new(),
-            taken: 0,
-            progress: Instant::now(),
+            open_seqids: BTreeSet::new(),
+            unwritten: VecDeque::new(),
+            written_of_first: 0,
+            last_progress: Instant::now(),
             busy: false,
-            ended: false,
-            leaving: false,
+            read_closed: false,
+            closing: false,
         };
         session.run().await;
     }
 }
 
-/// A caller's connection.
+/// A client's connection.
 struct Session {
-    front: Rc<Frontend>,
+    frontend: Rc<Frontend>,
     stream: Stream,
     connection: Rc<ClientConnection>,
     reader: FrameReader,
-    /// The room of the frame that is being read.
-    room: MemoryReservation,
-    /// What came behind a frame whose turn has not come; at most a chunk.
-    unread: VecDeque<u8>,
-    /// When the frame that is being read must be whole.
-    until: Option<Instant>,
-    /// A frame whose turn has not come.
+    /// The memory of the frame that is being read.
+    reservation: MemoryReservation,
+    /// Bytes that were read but not parsed yet, as they follow a waiting frame; at most one chunk.
+    unparsed: VecDeque<u8>,
+    /// When the frame that is being read must be complete.
+    frame_deadline: Option<Instant>,
+    /// A frame that has to wait for other calls of the connection.
     waiting: Option<Bytes>,
     calls: JoinSet<(i32, Vec<u8>, Option<MemoryReservation>)>,
-    /// The sequence numbers of the calls that are open.
-    open: BTreeSet<i32>,
-    /// Answers' frames that wait to be taken, and how much of the first has been.
-    out: VecDeque<(Vec<u8>, Option<MemoryReservation>)>,
-    taken: usize,
-    /// When the caller last took something, or had nothing to take.
-    progress: Instant,
-    /// A call has been taken since the connection was last idle.
+    /// The sequence numbers of the calls in flight.
+    open_seqids: BTreeSet<i32>,
+    /// Frames of replies that have not been written completely.
+    unwritten: VecDeque<(Vec<u8>, Option<MemoryReservation>)>,
+    /// How many bytes of the first of them have been written.
+    written_of_first: usize,
+    /// When bytes were last written, or when the first of the unwritten frames was queued.
+    last_progress: Instant,
+    /// Whether a call has been accepted since the connection was last idle.
     busy: bool,
-    /// Nothing more is read: what came can't be.
-    ended: bool,
-    /// Told to close.
-    leaving: bool,
+    /// Whether reading has ended because the input is invalid or there is no memory for a frame.
+    read_closed: bool,
+    /// Whether the node has asked for the connection to be closed.
+    closing: bool,
 }
 
 impl Session {
     async fn run(&mut self) {
         let mut chunk = [0; READ_BUFFER_BYTES];
         loop {
-            self.advance();
+            self.parse_frames();
             if self.is_idle() {
-                if self.busy && !self.ended {
+                if self.busy && !self.read_closed {
                     self.busy = false;
-                    // A frame that has begun has its own time, `until`.
-                    self.front
+                    // A frame that has begun has its own time limit, `frame_deadline`.
+                    self.frontend
                         .connections
                         .request_finished(&self.connection, AfterRequest::KeepAlive);
                 }
-                let nothing_more =
-                    self.leaving && !self.reader.is_within() && self.connection.read_would_block();
-                if self.ended || nothing_more {
+                let closed_when_idle = self.closing
+                    && !self.reader.is_in_frame()
+                    && self.connection.read_would_block();
+                if self.read_closed || closed_when_idle {
                     break;
                 }
             }
@@ -157,221 +159,243 @@
                 calls,
                 stream,
                 connection,
-                out,
+                unwritten,
                 ..
             } = self;
-            let may_read = self.waiting.is_none() && !self.ended && self.unread.is_empty();
-            let taken_by = self.progress + WRITE_TIMEOUT;
-            let answer = out
+            let may_read = self.waiting.is_none() && !self.read_closed && self.unparsed.is_empty();
+            let write_deadline = self.last_progress + WRITE_TIMEOUT;
+            let first_frame = unwritten
                 .front()
-                .map_or(&[][..], |(frame, _)| &frame[self.taken..]);
+                .map_or(&[][..], |(frame, _)| &frame[self.written_of_first..]);
             tokio::select! {
                 biased;
                 Some(done) = calls.join_next(), if !calls.is_empty() => {
-                    // A task that panicked would be this node's fault: its caller sees the connection end.
-                    let Ok((seqid, frame, lease)) = done else { return };
-                    self.open.remove(&seqid);
-                    self.push(frame, lease);
+                    // A call's task failed only if it panicked: the client sees the connection close.
+                    let Ok((seqid, frame, reservation)) = done else { return };
+                    self.open_seqids.remove(&seqid);
+                    self.queue_reply(frame, reservation);
                 }
-                count = stream.write(answer), if !answer.is_empty() => match count {
-                    Ok(count) if count > 0 => self.took(count),
+                count = stream.write(first_frame), if !first_frame.is_empty() => match count {
+                    Ok(count) if count > 0 => self.advance_written(count),
                     _ => return,
                 },
                 count = stream.read(&mut chunk), if may_read => match count {
-                    // The caller has left: its calls go with it.
+                    // The client has closed the connection, which cancels its calls.
                     Ok(0) | Err(_) => return,
-                    Ok(count) => self.unread.extend(&chunk[..count]),
+                    Ok(count) => self.unparsed.extend(&chunk[..count]),
                 },
-                () = connection.close_requested(), if !self.leaving => self.leaving = true,
-                () = sleep_until(self.until.unwrap_or(taken_by)), if self.until.is_some() => {
-                    self.turn_down(NotWhole::Slow);
+                () = connection.close_requested(), if !self.closing => self.closing = true,
+                () = sleep_until(self.frame_deadline.unwrap_or(write_deadline)), if self.frame_deadline.is_some() => {
+                    self.reject_input(FrameError::Slow);
                 }
-                () = sleep_until(taken_by), if !out.is_empty() => return,
+                () = sleep_until(write_deadline), if !unwritten.is_empty() => return,
             }
         }
-        self.front
+        self.frontend
             .connections
             .request_finished(&self.connection, AfterRequest::Close);
         self.connection.lingering_close(&self.stream).await;
     }
 
-    /// Whether no call is open and every answer has been taken.
+    /// Whether no call is in flight or waiting and every reply has been written.
     fn is_idle(&self) -> bool {
-        self.calls.is_empty() && self.out.is_empty() && self.waiting.is_none()
+        self.calls.is_empty() && self.unwritten.is_empty() && self.waiting.is_none()
     }
 
-    /// Small frames, which the node makes itself, have no lease.
-    fn push(&mut self, frame: Vec<u8>, lease: Option<MemoryReservation>) {
-        if self.out.is_empty() {
-            self.progress = Instant::now();
+    /// Queues a reply. The small frames that the node generates itself have no memory reservation.
+    fn queue_reply(&mut self, frame: Vec<u8>, reservation: Option<MemoryReservation>) {
+        if self.unwritten.is_empty() {
+            self.last_progress = Instant::now();
         }
-        self.out.push_back((frame, lease));
+        self.unwritten.push_back((frame, reservation));
     }
 
-    fn took(&mut self, count: usize) {
-        self.progress = Instant::now();
-        self.taken += count;
+    fn advance_written(&mut self, count: usize) {
+        self.last_progress = Instant::now();
+        self.written_of_first += count;
         if self
-            .out
+            .unwritten
             .front()
-            .is_some_and(|(frame, _)| self.taken >= frame.len())
+            .is_some_and(|(frame, _)| self.written_of_first >= frame.len())
         {
-            self.out.pop_front();
-            self.taken = 0;
+            self.unwritten.pop_front();
+            self.written_of_first = 0;
         }
     }
 
-    /// Takes frames out of what has come, for as long as their turn comes.
-    fn advance(&mut self) {
+    /// Parses frames from the bytes that were read, until one of them has to wait.
+    fn parse_frames(&mut self) {
         if let Some(frame) = self.waiting.take() {
-            self.arrived(frame);
+            self.handle_frame(frame);
         }
-        let untaken: usize = self.out.iter().map(|(frame, _)| frame.len()).sum();
-        if untaken > UNTAKEN {
+        let unwritten: usize = self.unwritten.iter().map(|(frame, _)| frame.len()).sum();
+        if unwritten > MAX_UNWRITTEN_BYTES {
             return;
         }
-        while self.waiting.is_none() && !self.ended && !self.unread.is_empty() {
-            let room = &mut self.room;
-            let bytes = self.unread.make_contiguous();
-            let (used, step) = self.reader.take(bytes, &mut |bytes| room.try_grow(bytes));
-            self.unread.drain(..used);
-            let lease = match step {
+        while self.waiting.is_none() && !self.read_closed && !self.unparsed.is_empty() {
+            let reservation = &mut self.reservation;
+            let bytes = self.unparsed.make_contiguous();
+            let (used, progress) = self
+                .reader
+                .take(bytes, &mut |bytes| reservation.try_grow(bytes));
+            self.unparsed.drain(..used);
+            let reservation = match progress {
                 FrameProgress::Incomplete => {
-                    self.until = self.until.or_else(|| Some(Instant::now() + READ_TIMEOUT));
+                    self.frame_deadline = self
+                        .frame_deadline
+                        .or_else(|| Some(Instant::now() + READ_TIMEOUT));
                     continue;
                 }
                 _ => self
-                    .front
+                    .frontend
                     .budget
                     .try_reserve(0)
-                    .map(|new| std::mem::replace(&mut self.room, new)),
+                    .map(|new| std::mem::replace(&mut self.reservation, new)),
             };
-            self.until = None;
-            match (step, lease) {
-                (FrameProgress::Complete(frame), Some(lease)) => {
-                    let frame = lease.attach(frame.into());
-                    self.arrived(frame);
+            self.frame_deadline = None;
+            match (progress, reservation) {
+                (FrameProgress::Complete(frame), Some(reservation)) => {
+                    let frame = reservation.attach(frame.into());
+                    self.handle_frame(frame);
                 }
-                (FrameProgress::Discarded(begin), _) => self.turn_down(NotWhole::NoRoom(&begin)),
-                (FrameProgress::NotFramed(what), _) => self.turn_down(NotWhole::NotFramed(what)),
-                _ => self.ended = true,
+                (FrameProgress::Discarded(begin), _) => {
+                    self.reject_input(FrameError::NoMemory(&begin))
+                }
+                (FrameProgress::NotFramed(reason), _) => {
+                    self.reject_input(FrameError::NotFramed(reason))
+                }
+                _ => self.read_closed = true,
             }
         }
     }
 
-    /// A whole frame: taken if its turn has come.
-    fn arrived(&mut self, frame: Bytes) {
-        let terms = &self.front.terms;
-        let seqid = read_head(&frame, &terms.limits).map(|message| message.head.seqid);
-        let later = match terms.reply_order {
-            ReplyOrder::Arrival => !self.calls.is_empty() || !self.out.is_empty(),
-            ReplyOrder::Completion => seqid.is_ok_and(|seqid| self.open.contains(&seqid)),
+    /// Handles a complete frame, or lets it wait for other calls of the connection.
+    fn handle_frame(&mut self, frame: Bytes) {
+        let config = &self.frontend.config;
+        let seqid = read_head(&frame, &config.limits).map(|message| message.head.seqid);
+        let must_wait = match config.reply_order {
+            ReplyOrder::Arrival => !self.calls.is_empty() || !self.unwritten.is_empty(),
+            ReplyOrder::Completion => seqid.is_ok_and(|seqid| self.open_seqids.contains(&seqid)),
         };
-        if later || self.calls.len() >= terms.max_calls_in_flight {
+        if must_wait || self.calls.len() >= config.max_calls_in_flight {
             self.waiting = Some(frame);
             return;
         }
         self.connection.request_opened();
         self.busy = true;
-        let front = self.front.clone();
-        let at = front.intake.clock().now();
-        match calls::check(terms, &front.live.get(), frame, front.call_id(), at) {
-            Ok(ValidatedCall { new, call, .. }) if !call.expects_response => {
-                front.oneway.set(front.oneway.get() + 1);
-                // Whoever called may leave at once: the call stays.
+        let frontend = self.frontend.clone();
+        let now = frontend.node.clock().now();
+        match calls::validate(
+            config,
+            &frontend.settings.get(),
+            frame,
+            frontend.new_call_id(),
+            now,
+        ) {
+            Ok(ValidatedCall { request, call, .. }) if !call.expects_response => {
+                frontend.oneway_calls.set(frontend.oneway_calls.get() + 1);
+                // The client may disconnect at once, which doesn't cancel a oneway call.
                 spawn_local(async move {
-                    let _ = front.intake.submit(new, call, at).await;
+                    let _ = frontend.node.submit(request, call, now).await;
                 });
             }
             Ok(ValidatedCall {
-                new,
+                request,
                 mut call,
-                caller,
+                context,
             }) => {
                 call.client_connected_check = Some(self.connection.connected_check());
-                self.open.insert(caller.seqid);
+                self.open_seqids.insert(context.seqid);
                 self.calls.spawn_local(async move {
-                    let answer = front.intake.submit(new, call, at).await;
-                    let answer = answer.unwrap_or(FinalResponse::Failed);
-                    let frame = calls::worded(&front.terms, &caller, answer);
-                    match front.budget.try_reserve(frame.capacity()) {
-                        Some(lease) => (caller.seqid, frame, Some(lease)),
+                    let response = frontend.node.submit(request, call, now).await;
+                    let response = response.unwrap_or(FinalResponse::Failed);
+                    let frame = calls::encode_response(&frontend.config, &context, response);
+                    match frontend.budget.try_reserve(frame.capacity()) {
+                        Some(reservation) => (context.seqid, frame, Some(reservation)),
                         None => {
-                            log_peer("no room for an answer's frame: dropped");
+                            log_peer("dropped a reply: no memory for its frame");
                             (
-                                caller.seqid,
-                                calls::worded(&front.terms, &caller, FinalResponse::Failed),
+                                context.seqid,
+                                calls::encode_response(
+                                    &frontend.config,
+                                    &context,
+                                    FinalResponse::Failed,
+                                ),
                                 None,
                             )
                         }
                     }
                 });
             }
-            Err(turned) => self.turned(turned),
+            Err(invalid) => self.reject_invalid(invalid),
         }
     }
 
-    fn turned(&mut self, turned: InvalidCall) {
-        if let Some(frame) = turned.frame {
-            self.push(frame, None);
+    fn reject_invalid(&mut self, invalid: InvalidCall) {
+        if let Some(frame) = invalid.reply_frame {
+            self.queue_reply(frame, None);
         }
-        self.ended |= turned.last;
+        self.read_closed |= invalid.ends_connection;
     }
 
-    /// Answers what will not be read.
-    fn turn_down(&mut self, what: NotWhole<'_>) {
+    /// Replies to input that yields no complete frame.
+    fn reject_input(&mut self, error: FrameError<'_>) {
         let strict = Encoding::Binary { strict: true };
-        let refuse = |encoding, text: &str| {
+        let protocol_error = |encoding, text: &str| {
             exception(encoding, "", 0, ExceptionKind::ProtocolError, text, None)
         };
-        self.until = None;
-        let (frame, last) = match what {
-            NotWhole::NoRoom(begin) => match calls::head(&self.front.terms, begin) {
-                Ok(message) => {
-                    log_peer("no room for a call's frame: refused");
-                    let caller = Caller::of(&message);
-                    let after = self.front.live.get().settings.limits.max_retry_after;
-                    let refused = FinalResponse::Rejected {
-                        retry_after: after,
-                        never_ran: true,
-                    };
-                    (calls::worded(&self.front.terms, &caller, refused), false)
+        self.frame_deadline = None;
+        let (frame, ends_connection) = match error {
+            FrameError::NoMemory(begin) => {
+                match calls::read_call_head(&self.frontend.config, begin) {
+                    Ok(message) => {
+                        log_peer("rejected a call: no memory for its frame");
+                        let context = ReplyContext::of(&message);
+                        let after = self.frontend.settings.get().settings.limits.max_retry_after;
+                        let rejected = FinalResponse::Rejected {
+                            retry_after: after,
+                            never_ran: true,
+                        };
+                        (
+                            calls::encode_response(&self.frontend.config, &context, rejected),
+                            false,
+                        )
+                    }
+                    Err(invalid) => return self.reject_invalid(invalid),
                 }
-                Err(turned) => return self.turned(turned),
-            },
-            NotWhole::Slow => (
-                refuse(strict, "too slow: the frame is not whole after 2 s"),
+            }
+            FrameError::Slow => (
+                protocol_error(strict, "too slow: the frame is not whole after 2 s"),
                 true,
             ),
-            NotWhole::NotFramed(NotFramed::Http) => (HTTP_ANSWER.to_vec(), true),
-            NotWhole::NotFramed(NotFramed::Unframed) => {
+            FrameError::NotFramed(NotFramed::Http) => (HTTP_RESPONSE.to_vec(), true),
+            FrameError::NotFramed(NotFramed::Unframed) => {
                 let text = "this listener takes framed messages only";
-                // In kind: without the frame's length.
-                (refuse(strict, text).split_off(4), true)
+                // The client reads no frames either, so the reply goes without the frame's length.
+                (protocol_error(strict, text).split_off(4), true)
             }
-            NotWhole::NotFramed(NotFramed::Tls) => (Vec::new(), true),
-            NotWhole::NotFramed(NotFramed::Length(length)) => {
-                let most = self.front.terms.limits.max_frame_bytes;
+            FrameError::NotFramed(NotFramed::Tls) => (Vec::new(), true),
+            FrameError::NotFramed(NotFramed::Length(length)) => {
+                let max = self.frontend.config.limits.max_frame_bytes;
                 (
-                    refuse(
-                        strict,
-                        &format!("a frame of {length} bytes: {most} at most"),
-                    ),
+                    protocol_error(strict, &format!("a frame of {length} bytes: {max} at most")),
                     true,
                 )
             }
         };
         if !frame.is_empty() {
-            self.push(frame, None);
+            self.queue_reply(frame, None);
         }
-        self.ended |= last;
+        self.read_closed |= ends_connection;
     }
 }
 
-/// What comes to no frame that can be taken.
-enum NotWhole<'a> {
+/// Why the input yields no complete frame.
+enum FrameError<'a> {
+    /// The frame was not complete in time.
     Slow,
-    /// There was no room for it; this is its beginning.
-    NoRoom(&'a [u8]),
+    /// There was no memory for the frame, of which this is the beginning.
+    NoMemory(&'a [u8]),
+    /// The input is not framed Thrift, or the frame is too long.
     NotFramed(NotFramed),
 }
--- a/crates/thrift/src/lib.rs
+++ b/crates/thrift/src/lib.rs
@@ -1,4 +1,6 @@
-//! Thrift: framed transport, binary and compact encoding, multiplexed names. The encodings ([`wire`]) do no I/O.
+//! Thrift over the framed transport, in the binary and compact encodings, with multiplexed services.
+//!
+//! [`wire`] holds the encodings and does no I/O.
 #![forbid(unsafe_code)]
 
 mod backend;
@@ -16,7 +18,7 @@
 
 use sillward_forwarding::PayloadFormat;
 
-/// A message in the binary encoding. Its name is the media type of Thrift over HTTP.
+/// A message in the binary encoding, named by its media type in Thrift over HTTP.
 pub const BINARY: PayloadFormat = PayloadFormat("application/vnd.apache.thrift.binary");
 /// A message in the compact encoding.
 pub const COMPACT: PayloadFormat = PayloadFormat("application/vnd.apache.thrift.compact");
--- a/crates/thrift/src/method_names.rs
+++ b/crates/thrift/src/method_names.rs
@@ -1,16 +1,16 @@
-//! Names of methods where services are multiplexed: what goes on, what may come back, what a caller is told.
+//! Names of methods where several services share a connection.
 //!
-//! A client of several services over one connection writes `Service:method` at the head of its calls
-//! (`TMultiplexedProtocol`). The server's processor (`TMultiplexedProcessor`) takes the service off again before
-//! it hands the message to that service's own processor, which knows nothing of this and answers as `method`. The
-//! client's decorator leaves what it reads alone, so `method` is what the generated client compares with. A box
-//! without such a processor, one that looks the whole name up itself, answers as it was called.
+//! A client with `TMultiplexedProtocol` writes `Service:method` as the name of its calls. The server's
+//! `TMultiplexedProcessor` strips the service before it passes the message to that service's own processor, which
+//! replies as `method`. The client's decorator does not change what it reads, so the generated client compares the
+//! reply's name with `method`. A backend without such a processor, which looks up the whole name itself, replies
+//! with the name that was called.
 
-/// Stands between a service's name and a method's.
+/// Separates the service's name from the method's.
 const SEPARATOR: char = ':';
 
-/// A name's service, where it has one, and its method. All libraries split at the first colon: the names of
-/// methods have none.
+/// Splits a name into its service, if it has one, and its method. All Thrift libraries split at the first colon,
+/// as names of methods contain none.
 pub fn split(name: &str) -> (Option<&str>, &str) {
     match name.split_once(SEPARATOR) {
         Some((service, method)) => (Some(service), method),
@@ -18,12 +18,14 @@
     }
 }
 
-/// The name under which a caller's answers come, whoever words them: its generated client knows only the method's.
+/// The name of every reply to the client, whether from a backend or from the node: the generated client knows
+/// only the method's own name.
 pub fn reply_name(called: &str) -> &str {
     split(called).1
 }
 
-/// Whether a message of that name may answer a call of the other: as the method alone, or as it was called.
+/// Whether a message with this name can be the reply to a call of `called`: it has the name of the method alone
+/// or the name that was called.
 pub fn is_reply_name(name: &str, called: &str) -> bool {
     name == reply_name(called) || name == called
 }
@@ -33,7 +35,7 @@
     use super::{is_reply_name, reply_name, split};
 
     #[test]
-    fn the_service_ends_at_the_first_colon() {
+    fn name_is_split_at_the_first_colon() {
         assert_eq!(split("Tally:read"), (Some("Tally"), "read"));
         assert_eq!(split("read"), (None, "read"));
         assert_eq!(split("Tally:read:again"), (Some("Tally"), "read:again"));
@@ -42,13 +44,13 @@
     }
 
     #[test]
-    fn a_call_is_answered_as_its_method_or_as_it_was_called_and_not_otherwise() {
+    fn reply_name_is_the_method_alone_or_the_name_that_was_called() {
         assert!(
             is_reply_name("read", "Tally:read")
                 && is_reply_name("Tally:read", "Tally:read")
                 && is_reply_name("read", "read")
         );
-        for stranger in [
+        for other in [
             "",
             "reads",
             "Other:read",
@@ -58,7 +60,7 @@
             "Tally:Tally:read",
             "read:",
         ] {
-            assert!(!is_reply_name(stranger, "Tally:read"), "{stranger}");
+            assert!(!is_reply_name(other, "Tally:read"), "{other}");
         }
         assert!(
             !is_reply_name("Tally:read", "read"),
--- a/crates/thrift/src/wire.rs
+++ b/crates/thrift/src/wire.rs
@@ -1,6 +1,6 @@
-//! The encodings, without I/O and without a schema: bytes in, bytes out.
+//! The encodings, without I/O and without a schema.
 //!
-//! From the public specifications of Apache Thrift: "Thrift Binary protocol encoding", "Thrift Compact protocol
+//! They follow the public specifications of Apache Thrift: "Thrift Binary protocol encoding", "Thrift Compact protocol
 //! encoding", "Thrift Remote Procedure Call" (framed transport) and the multiplexed protocol's names.
 
 mod binary;
@@ -22,12 +22,12 @@
 
 use std::fmt;
 
-/// How values are written.
+/// How messages are encoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Encoding {
-    /// The binary protocol; `strict` messages begin with a version.
+    /// The binary protocol.
     Binary {
-        /// Whether the message's head names its version (all but very old peers).
+        /// Whether the message's head begins with a version, as it does with all but very old peers.
         strict: bool,
     },
     /// The compact protocol.
@@ -38,9 +38,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Type {
-    /// No type: ends a struct, and stands for the unknown types of an empty container.
+    /// Ends a struct; also the element type of an empty container whose type is unknown.
     Stop = 0,
-    /// A truth value.
+    /// A boolean.
     Bool = 2,
     /// 8 bits, signed.
     I8 = 3,
@@ -48,11 +48,11 @@
     Double = 4,
     /// 16 bits, signed.
     I16 = 6,
-    /// 32 bits, signed: enums too.
+    /// 32 bits, signed; also used for enums.
     I32 = 8,
     /// 64 bits, signed.
     I64 = 10,
-    /// Text or bytes: the wire doesn't tell them apart.
+    /// Text or bytes, which are encoded the same.
     Bytes = 11,
     /// A struct, union or exception.
     Struct = 12,
@@ -62,12 +62,12 @@
     Set = 14,
     /// A list.
     List = 15,
-    /// A UUID, in network order.
+    /// A UUID, in network byte order.
     Uuid = 16,
 }
 
 impl Type {
-    /// The type of that number in the binary protocol. 1 (void) is no value's type.
+    /// The type with this number in the binary protocol. Number 1 (void) is not valid for a value.
     #[inline]
     fn from_binary(number: u8) -> Result<Self, DecodeError> {
         Ok(match number {
@@ -89,20 +89,21 @@
     }
 }
 
-/// What bounds a message.
+/// Limits for messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MessageLimits {
-    /// The most bytes of a message that is read, without its frame's length.
+    /// The maximum size of a message that is read, without the frame's length field.
     pub max_frame_bytes: usize,
-    /// The most levels of structs and containers within each other.
+    /// The maximum nesting depth of structs and containers.
     pub max_depth: usize,
-    /// The most bytes of a method's name.
+    /// The maximum length of a method's name.
     pub max_name_bytes: usize,
 }
 
 impl MessageLimits {
-    /// The most bytes of a message that is written. A number of the node's own in the head may be longer than the
-    /// caller's, and what is compact grows in binary: what was taken for its size is not to fail for that.
+    /// The maximum size of a message that is written. It exceeds that for reading so that a message that was accepted
+    /// does not fail when it grows: the node's sequence number may be longer than the client's, and compact values
+    /// are longer in binary.
     pub fn max_written_bytes(&self) -> usize {
         self.max_frame_bytes * 2
     }
@@ -118,44 +119,44 @@
     }
 }
 
-/// Why bytes are no message.
+/// Why a message can't be decoded or transcoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// They end within a value.
-    Short,
-    /// More follows where the message has ended.
-    Behind,
-    /// No type has that number.
+    /// The input ends within a value.
+    Truncated,
+    /// Further bytes follow the message.
+    TrailingBytes,
+    /// The type number is unknown or not valid here.
     Type(u8),
     /// A length or a count is negative.
     Negative,
-    /// A length or a count can't be met by the bytes that are left.
+    /// A length or a count needs more bytes than are left.
     Count,
-    /// A number is longer or larger than its type.
+    /// A variable-length integer is longer or larger than its type allows.
     Varint,
-    /// A truth value that is neither.
+    /// The byte of a boolean is neither true nor false.
     Bool(u8),
-    /// A field's number is beyond 16 bits.
+    /// A field id exceeds 16 bits.
     FieldId,
-    /// Levels within levels, beyond the bound.
+    /// The nesting depth exceeds the limit.
     Depth,
-    /// Larger than a frame may be.
-    Large,
-    /// The head's version is not known.
+    /// The message exceeds the maximum size.
+    TooLarge,
+    /// The version in the head is unknown.
     Version,
-    /// No message type has that number.
+    /// The number of the message type is unknown.
     Kind(u8),
-    /// The method's name is longer than the bound or no text.
+    /// The method's name is too long or not UTF-8.
     Name,
-    /// A field that is asked for stands twice: a backend might read the other one.
-    Twice(i16),
+    /// A field on a requested path occurs twice. A backend might read the other one.
+    Duplicate(i16),
 }
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DecodeError::Short => write!(f, "it ends within a value"),
-            DecodeError::Behind => write!(f, "more follows behind its end"),
+            DecodeError::Truncated => write!(f, "it ends within a value"),
+            DecodeError::TrailingBytes => write!(f, "more follows behind its end"),
             DecodeError::Type(number) => write!(f, "no type has number {number}"),
             DecodeError::Negative => write!(f, "a negative length"),
             DecodeError::Count => write!(f, "a length beyond the bytes at hand"),
@@ -163,124 +164,130 @@
             DecodeError::Bool(byte) => write!(f, "{byte} is no truth value"),
             DecodeError::FieldId => write!(f, "a field number beyond 16 bits"),
             DecodeError::Depth => write!(f, "too many levels"),
-            DecodeError::Large => write!(f, "too large"),
+            DecodeError::TooLarge => write!(f, "too large"),
             DecodeError::Version => write!(f, "unknown version or protocol"),
             DecodeError::Kind(number) => write!(f, "no message type has number {number}"),
             DecodeError::Name => write!(f, "a method name too long, or no text"),
-            DecodeError::Twice(id) => write!(f, "field {id} stands twice"),
+            DecodeError::Duplicate(id) => write!(f, "field {id} stands twice"),
         }
     }
 }
 
 impl std::error::Error for DecodeError {}
 
-/// Reads values of one encoding from a slice, which it never reads past.
+/// Reads values of one encoding from a slice, never past its end.
 pub trait Reader<'a> {
-    /// The least bytes that a value of this type takes: what bounds a container's count.
-    fn least(of: Type) -> usize;
-    /// What has not been read yet.
-    fn rest(&self) -> &'a [u8];
-    /// Enters a struct; what it returns goes to `struct_end`.
+    /// The minimum encoded size of a value of this type, which limits the count of a container.
+    fn min_size(of: Type) -> usize;
+    /// The bytes that have not been read yet.
+    fn remaining(&self) -> &'a [u8];
+    /// Enters a struct; the result is passed to `struct_end`.
     fn struct_begin(&mut self) -> i16;
-    /// Leaves a struct, after its stop.
+    /// Leaves a struct after its stop byte.
     fn struct_end(&mut self, saved: i16);
-    /// The next field's type and number; `None` at the stop.
+    /// The next field's type and id; `None` at the stop byte.
     ///
     /// # Errors
-    /// The bytes don't read so, as for all that follow.
+    /// The bytes are not valid, as for all following methods.
     fn field(&mut self) -> Result<Option<(Type, i16)>, DecodeError>;
-    /// A truth value.
+    /// A boolean.
     fn bool(&mut self) -> Result<bool, DecodeError>;
-    /// An 8-bit number.
+    /// An 8-bit integer.
     fn i8(&mut self) -> Result<i8, DecodeError>;
-    /// A 16-bit number.
+    /// A 16-bit integer.
     fn i16(&mut self) -> Result<i16, DecodeError>;
-    /// A 32-bit number.
+    /// A 32-bit integer.
     fn i32(&mut self) -> Result<i32, DecodeError>;
-    /// A 64-bit number.
+    /// A 64-bit integer.
     fn i64(&mut self) -> Result<i64, DecodeError>;
-    /// A double, as its bits: no NaN is altered.
+    /// A double, as its bits, so that no NaN is altered.
     fn double(&mut self) -> Result<u64, DecodeError>;
     /// Text or bytes.
     fn bytes(&mut self) -> Result<&'a [u8], DecodeError>;
     /// A UUID.
     fn uuid(&mut self) -> Result<[u8; 16], DecodeError>;
-    /// A list's or a set's element type and count, which the bytes at hand can meet.
+    /// The element type and count of a list or set. The count is checked against the remaining bytes.
     fn list(&mut self) -> Result<(Type, usize), DecodeError>;
-    /// A map's types and count, which the bytes at hand can meet.
+    /// The types and count of a map. The count is checked against the remaining bytes.
     fn map(&mut self) -> Result<(Type, Type, usize), DecodeError>;
 }
 
 /// Writes values of one encoding.
 pub trait Writer {
-    /// How many bytes there are so far.
+    /// The number of bytes written so far.
     fn len(&self) -> usize;
-    /// Whether nothing was written.
+    /// Whether nothing was written yet.
     fn is_empty(&self) -> bool {
         self.len() == 0
     }
-    /// Enters a struct; what it returns goes to `struct_end`.
+    /// Enters a struct; the result is passed to `struct_end`.
     fn struct_begin(&mut self) -> i16;
-    /// Writes the stop and leaves a struct.
+    /// Writes the stop byte and leaves a struct.
     fn struct_end(&mut self, saved: i16);
-    /// A field's type and number; its value follows.
+    /// A field's type and id; its value follows.
     fn field(&mut self, of: Type, id: i16);
-    /// A truth value.
+    /// A boolean.
     fn bool(&mut self, value: bool);
-    /// An 8-bit number.
+    /// An 8-bit integer.
     fn i8(&mut self, value: i8);
-    /// A 16-bit number.
+    /// A 16-bit integer.
     fn i16(&mut self, value: i16);
-    /// A 32-bit number.
+    /// A 32-bit integer.
     fn i32(&mut self, value: i32);
-    /// A 64-bit number.
+    /// A 64-bit integer.
     fn i64(&mut self, value: i64);
-    /// A double's bits.
+    /// A double, as its bits.
     fn double(&mut self, bits: u64);
     /// Text or bytes.
     fn bytes(&mut self, value: &[u8]);
     /// A UUID.
     fn uuid(&mut self, value: [u8; 16]);
-    /// A list's or a set's element type and count; the elements follow.
+    /// The element type and count of a list or set; the elements follow.
     fn list(&mut self, of: Type, count: usize);
-    /// A map's types and count; keys and values follow in turn.
+    /// The types and count of a map; its keys and values follow alternately.
     fn map(&mut self, keys: Type, values: Type, count: usize);
 }
 
-/// The bytes that are left of a message.
-struct Slice<'a>(&'a [u8]);
+/// The remaining bytes of a message.
+struct Input<'a>(&'a [u8]);
 
-impl<'a> Slice<'a> {
+impl<'a> Input<'a> {
     #[inline]
     fn take(&mut self, count: usize) -> Result<&'a [u8], DecodeError> {
-        let (taken, rest) = self.0.split_at_checked(count).ok_or(DecodeError::Short)?;
+        let (taken, rest) = self
+            .0
+            .split_at_checked(count)
+            .ok_or(DecodeError::Truncated)?;
         self.0 = rest;
         Ok(taken)
     }
 
     #[inline]
     fn array<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
-        let (taken, rest) = self.0.split_first_chunk::<N>().ok_or(DecodeError::Short)?;
+        let (taken, rest) = self
+            .0
+            .split_first_chunk::<N>()
+            .ok_or(DecodeError::Truncated)?;
         self.0 = rest;
         Ok(*taken)
     }
 
     #[inline]
     fn byte(&mut self) -> Result<u8, DecodeError> {
-        let (first, rest) = self.0.split_first().ok_or(DecodeError::Short)?;
+        let (first, rest) = self.0.split_first().ok_or(DecodeError::Truncated)?;
         self.0 = rest;
         Ok(*first)
     }
 
-    /// A count whose elements take at least so many bytes each. Guards the loops over elements, and all that is
-    /// reserved for them, against counts that no bytes stand behind.
+    /// Checks a count of elements of at least `min_size` bytes each. Protects loops over elements, and memory reserved
+    /// for them, from counts that the remaining bytes can't hold.
     #[inline]
-    fn met(&self, count: usize, each: usize) -> Result<usize, DecodeError> {
-        if each == 0 && count > 0 {
-            return Err(DecodeError::Type(0)); // nothing ends a loop over elements that take no bytes
+    fn check_count(&self, count: usize, min_size: usize) -> Result<usize, DecodeError> {
+        if min_size == 0 && count > 0 {
+            return Err(DecodeError::Type(0)); // the input's length would not limit a loop over empty elements
         }
-        let most = self.0.len().checked_div(each).unwrap_or_default();
-        if count > most {
+        let max = self.0.len().checked_div(min_size).unwrap_or_default();
+        if count > max {
             Err(DecodeError::Count)
         } else {
             Ok(count)
--- a/crates/thrift/src/wire/binary.rs
+++ b/crates/thrift/src/wire/binary.rs
@@ -1,14 +1,14 @@
-//! The binary protocol: fixed sizes, big endian.
+//! The binary protocol: fixed-size integers in big endian.
 
-use super::{DecodeError, Reader, Slice, Type, Writer};
+use super::{DecodeError, Input, Reader, Type, Writer};
 
 /// Reads the binary protocol.
-pub struct BinaryReader<'a>(Slice<'a>);
+pub struct BinaryReader<'a>(Input<'a>);
 
 impl<'a> BinaryReader<'a> {
     /// A reader of these bytes.
     pub fn new(bytes: &'a [u8]) -> Self {
-        BinaryReader(Slice(bytes))
+        BinaryReader(Input(bytes))
     }
 
     #[inline]
@@ -19,7 +19,7 @@
 
 impl<'a> Reader<'a> for BinaryReader<'a> {
     #[inline]
-    fn least(of: Type) -> usize {
+    fn min_size(of: Type) -> usize {
         match of {
             Type::Stop => 0,
             Type::Bool | Type::I8 | Type::Struct => 1,
@@ -33,7 +33,7 @@
     }
 
     #[inline]
-    fn rest(&self) -> &'a [u8] {
+    fn remaining(&self) -> &'a [u8] {
         self.0.0
     }
 
@@ -105,7 +105,7 @@
     fn list(&mut self) -> Result<(Type, usize), DecodeError> {
         let of = Type::from_binary(self.0.byte()?)?;
         let count = self.length()?;
-        Ok((of, self.0.met(count, Self::least(of))?))
+        Ok((of, self.0.check_count(count, Self::min_size(of))?))
     }
 
     #[inline]
@@ -121,7 +121,8 @@
         Ok((
             keys,
             values,
-            self.0.met(count, Self::least(keys) + Self::least(values))?,
+            self.0
+                .check_count(count, Self::min_size(keys) + Self::min_size(values))?,
         ))
     }
 }
@@ -133,7 +134,7 @@
 impl BinaryWriter {
     #[inline]
     fn length(&mut self, length: usize) {
-        // Frames are far below 2 GiB, and with them all that is in one.
+        // Frames are far below 2 GiB, and so is everything within them.
         self.i32(i32::try_from(length).unwrap_or(i32::MAX));
     }
 }
--- a/crates/thrift/src/wire/compact.rs
+++ b/crates/thrift/src/wire/compact.rs
@@ -1,13 +1,14 @@
-//! The compact protocol: variable lengths, zig-zag numbers, truth values within field heads.
+//! The compact protocol: variable-length zig-zag integers, field id deltas, booleans within field headers.
 
-use super::{DecodeError, Reader, Slice, Type, Writer};
+use super::{DecodeError, Input, Reader, Type, Writer};
 
 const TRUE: u8 = 1;
 const FALSE: u8 = 2;
-/// A count that does not fit the short form's four bits.
-const LONG: u8 = 15;
+/// In a list's header, marks a count that does not fit into four bits and follows as a varint.
+const LONG_COUNT: u8 = 15;
 
-/// The type of that number in the compact protocol. Truth values have two, by their value where they are fields.
+/// The type with this number in the compact protocol. Booleans have two numbers, which in a field's header tell the
+/// value.
 fn from_compact(number: u8) -> Result<Type, DecodeError> {
     Ok(match number {
         0 => Type::Stop,
@@ -27,7 +28,7 @@
     })
 }
 
-/// A type's number; a truth value's as an element's, which every library writes as 1.
+/// The number of a type. For a boolean this is the number of an element type, which all Thrift libraries write as 1.
 fn to_compact(of: Type) -> u8 {
     match of {
         Type::Stop => 0,
@@ -52,31 +53,31 @@
 
 /// Reads the compact protocol.
 pub struct CompactReader<'a> {
-    slice: Slice<'a>,
-    /// The last field's number, from which the next one's is told.
-    last: i16,
-    /// A truth value that stood in its field's head.
-    pending: Option<bool>,
+    input: Input<'a>,
+    /// The id of the last field, to which the next field's delta is added.
+    last_id: i16,
+    /// The value of a boolean field, read from the field's header.
+    pending_bool: Option<bool>,
 }
 
 impl<'a> CompactReader<'a> {
     /// A reader of these bytes.
     pub fn new(bytes: &'a [u8]) -> Self {
         CompactReader {
-            slice: Slice(bytes),
-            last: 0,
-            pending: None,
+            input: Input(bytes),
+            last_id: 0,
+            pending_bool: None,
         }
     }
 
     /// A varint of at most `bits` bits.
     ///
     /// # Errors
-    /// It is longer, or the bytes end.
+    /// It is longer, or the input ends.
     #[inline]
     pub(super) fn varint(&mut self, bits: u32) -> Result<u64, DecodeError> {
-        // Most are one byte.
-        match self.slice.byte()? {
+        // Fast path: most varints have one byte.
+        match self.input.byte()? {
             byte if byte < 0x80 => Ok(u64::from(byte)),
             byte => self.long_varint(byte, bits),
         }
@@ -85,9 +86,9 @@
     fn long_varint(&mut self, first: u8, bits: u32) -> Result<u64, DecodeError> {
         let (mut value, mut shift) = (u64::from(first & 0x7f), 7);
         loop {
-            let byte = self.slice.byte()?;
+            let byte = self.input.byte()?;
             let part = u64::from(byte & 0x7f);
-            // Neither beyond the type's bits nor, with nothing in it, without end.
+            // Rejects values beyond the type's bits, and padding with zero groups beyond the type's longest encoding.
             if shift >= bits || (shift + 7 > bits && part >> (bits - shift) != 0) {
                 return Err(DecodeError::Varint);
             }
@@ -99,7 +100,7 @@
         }
     }
 
-    /// A length or count: 32 bits on the wire, of which the specification uses 31.
+    /// A length or count: 32 bits on the wire, of which the specification allows 31.
     #[inline]
     fn length(&mut self) -> Result<usize, DecodeError> {
         let length = self.varint(32)?;
@@ -113,7 +114,7 @@
 
 impl<'a> Reader<'a> for CompactReader<'a> {
     #[inline]
-    fn least(of: Type) -> usize {
+    fn min_size(of: Type) -> usize {
         match of {
             Type::Stop => 0,
             Type::Double => 8,
@@ -123,53 +124,53 @@
     }
 
     #[inline]
-    fn rest(&self) -> &'a [u8] {
-        self.slice.0
+    fn remaining(&self) -> &'a [u8] {
+        self.input.0
     }
 
     #[inline]
     fn struct_begin(&mut self) -> i16 {
-        std::mem::take(&mut self.last)
+        std::mem::take(&mut self.last_id)
     }
 
     #[inline]
     fn struct_end(&mut self, saved: i16) {
-        self.last = saved;
+        self.last_id = saved;
     }
 
     #[inline]
     fn field(&mut self) -> Result<Option<(Type, i16)>, DecodeError> {
-        let head = self.slice.byte()?;
-        let number = head & 0x0f;
+        let header = self.input.byte()?;
+        let number = header & 0x0f;
         let of = from_compact(number)?;
         if of == Type::Stop {
-            // A stop is the byte 0: with a delta before it, it is nothing that anybody writes.
-            return if head == 0 {
+            // A stop is the byte 0. With a nonzero delta it is invalid.
+            return if header == 0 {
                 Ok(None)
             } else {
                 Err(DecodeError::Type(0))
             };
         }
-        self.last = match head >> 4 {
+        self.last_id = match header >> 4 {
             0 => self.i16()?,
             delta => self
-                .last
+                .last_id
                 .checked_add(i16::from(delta))
                 .ok_or(DecodeError::FieldId)?,
         };
         if of == Type::Bool {
-            self.pending = Some(number == TRUE);
+            self.pending_bool = Some(number == TRUE);
         }
-        Ok(Some((of, self.last)))
+        Ok(Some((of, self.last_id)))
     }
 
     #[inline]
     fn bool(&mut self) -> Result<bool, DecodeError> {
-        if let Some(value) = self.pending.take() {
+        if let Some(value) = self.pending_bool.take() {
             return Ok(value);
         }
-        // An element: the specification says 1 and 0, the libraries write 1 and 2.
-        match self.slice.byte()? {
+        // For elements the specification has 1 and 0, but the Thrift libraries write 1 and 2.
+        match self.input.byte()? {
             TRUE => Ok(true),
             0 | FALSE => Ok(false),
             other => Err(DecodeError::Bool(other)),
@@ -178,7 +179,7 @@
 
     #[inline]
     fn i8(&mut self) -> Result<i8, DecodeError> {
-        self.slice.byte().map(|byte| byte as i8)
+        self.input.byte().map(|byte| byte as i8)
     }
 
     #[inline]
@@ -198,42 +199,42 @@
 
     #[inline]
     fn double(&mut self) -> Result<u64, DecodeError> {
-        // The first specification said big endian, the first library wrote little endian, and so all do.
-        self.slice.array().map(u64::from_le_bytes)
+        // An early specification had big endian, but the first library wrote little endian, and all others followed.
+        self.input.array().map(u64::from_le_bytes)
     }
 
     #[inline]
     fn bytes(&mut self) -> Result<&'a [u8], DecodeError> {
         let length = self.length()?;
-        if length > self.slice.0.len() {
+        if length > self.input.0.len() {
             return Err(DecodeError::Count);
         }
-        self.slice.take(length)
+        self.input.take(length)
     }
 
     #[inline]
     fn uuid(&mut self) -> Result<[u8; 16], DecodeError> {
-        self.slice.array()
+        self.input.array()
     }
 
     #[inline]
     fn list(&mut self) -> Result<(Type, usize), DecodeError> {
-        let head = self.slice.byte()?;
-        let of = from_compact(head & 0x0f)?;
-        let count = match head >> 4 {
-            LONG => self.length()?,
+        let header = self.input.byte()?;
+        let of = from_compact(header & 0x0f)?;
+        let count = match header >> 4 {
+            LONG_COUNT => self.length()?,
             short => usize::from(short),
         };
-        Ok((of, self.slice.met(count, Self::least(of))?))
+        Ok((of, self.input.check_count(count, Self::min_size(of))?))
     }
 
     #[inline]
     fn map(&mut self) -> Result<(Type, Type, usize), DecodeError> {
         let count = self.length()?;
         if count == 0 {
-            return Ok((Type::Stop, Type::Stop, 0)); // an empty map is one byte, its types are not told
+            return Ok((Type::Stop, Type::Stop, 0)); // an empty map is one byte and has no types
         }
-        let types = self.slice.byte()?;
+        let types = self.input.byte()?;
         let (keys, values) = (from_compact(types >> 4)?, from_compact(types & 0x0f)?);
         if keys == Type::Stop || values == Type::Stop {
             return Err(DecodeError::Type(0));
@@ -241,8 +242,8 @@
         Ok((
             keys,
             values,
-            self.slice
-                .met(count, Self::least(keys) + Self::least(values))?,
+            self.input
+                .check_count(count, Self::min_size(keys) + Self::min_size(values))?,
         ))
     }
 }
@@ -250,20 +251,21 @@
 /// Writes the compact protocol.
 #[derive(Default)]
 pub struct CompactWriter {
-    /// What was written.
+    /// The bytes written so far.
     pub out: Vec<u8>,
-    last: i16,
-    /// A truth value's field, whose head waits for the value.
-    pending: Option<i16>,
+    /// The id of the last field, from which the next field's delta is computed.
+    last_id: i16,
+    /// The id of a boolean field, whose header is written together with the value.
+    pending_bool: Option<i16>,
 }
 
 impl CompactWriter {
-    /// A writer that goes on behind these bytes.
+    /// A writer that appends to these bytes.
     pub fn after(out: Vec<u8>) -> Self {
         CompactWriter {
             out,
-            last: 0,
-            pending: None,
+            last_id: 0,
+            pending_bool: None,
         }
     }
 
@@ -282,15 +284,15 @@
     }
 
     #[inline]
-    fn head(&mut self, number: u8, id: i16) {
-        let delta = i32::from(id) - i32::from(self.last);
+    fn field_header(&mut self, number: u8, id: i16) {
+        let delta = i32::from(id) - i32::from(self.last_id);
         if (1..=15).contains(&delta) {
             self.out.push((delta as u8) << 4 | number);
         } else {
             self.out.push(number);
             self.signed(i64::from(id));
         }
-        self.last = id;
+        self.last_id = id;
     }
 }
 
@@ -302,29 +304,29 @@
 
     #[inline]
     fn struct_begin(&mut self) -> i16 {
-        std::mem::take(&mut self.last)
+        std::mem::take(&mut self.last_id)
     }
 
     #[inline]
     fn struct_end(&mut self, saved: i16) {
         self.out.push(0);
-        self.last = saved;
+        self.last_id = saved;
     }
 
     #[inline]
     fn field(&mut self, of: Type, id: i16) {
         if of == Type::Bool {
-            self.pending = Some(id);
+            self.pending_bool = Some(id);
         } else {
-            self.head(to_compact(of), id);
+            self.field_header(to_compact(of), id);
         }
     }
 
     #[inline]
     fn bool(&mut self, value: bool) {
         let number = if value { TRUE } else { FALSE };
-        match self.pending.take() {
-            Some(id) => self.head(number, id),
+        match self.pending_bool.take() {
+            Some(id) => self.field_header(number, id),
             None => self.out.push(number),
         }
     }
@@ -367,10 +369,10 @@
 
     #[inline]
     fn list(&mut self, of: Type, count: usize) {
-        match u8::try_from(count).ok().filter(|short| *short < LONG) {
+        match u8::try_from(count).ok().filter(|short| *short < LONG_COUNT) {
             Some(short) => self.out.push(short << 4 | to_compact(of)),
             None => {
-                self.out.push(LONG << 4 | to_compact(of));
+                self.out.push(LONG_COUNT << 4 | to_compact(of));
                 self.varint(count as u64);
             }
         }
--- a/crates/thrift/src/wire/field_path.rs
+++ b/crates/thrift/src/wire/field_path.rs
@@ -1,15 +1,15 @@
-//! Single values out of a struct, by the numbers of their fields.
+//! Reads single values of a struct by their field ids.
 
 use super::{DecodeError, MessageLimits, Reader, Type, transcode::skip};
 use std::fmt;
 use std::str::FromStr;
 
-/// The way to a value: `1.3` is field 3 of the struct in field 1.
+/// The path to a value: `1.3` is field 3 of the struct in field 1.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldPath(Vec<i16>);
 
 impl FieldPath {
-    /// The way to a field of the struct itself.
+    /// The path to a field of the outermost struct.
     pub fn field(id: i16) -> Self {
         FieldPath(vec![id])
     }
@@ -36,12 +36,12 @@
     }
 }
 
-/// A value that is no container.
+/// A value that is neither a container nor a double.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Scalar<'a> {
     /// Text or bytes.
     Bytes(&'a [u8]),
-    /// A number of whatever width, or a truth value as 0 or 1.
+    /// An integer of any width, or a boolean as 0 or 1.
     Number(i64),
     /// A UUID.
     Uuid([u8; 16]),
@@ -61,11 +61,11 @@
     }
 }
 
-/// Reads over a whole struct, and so checks it, and brings the values at these paths, each if it is there and is
-/// no container and no double.
+/// Reads a whole struct, which also validates it, and returns the values at these paths: `None` for a value that is
+/// missing, a container or a double.
 ///
 /// # Errors
-/// The bytes are no struct, or a field on the way to a value stands twice.
+/// The struct is invalid, or a field on one of the paths occurs twice.
 ///
 /// # Panics
 /// There are more than 32 paths.
@@ -74,17 +74,18 @@
     paths: &[Option<&FieldPath>],
     limits: &MessageLimits,
 ) -> Result<Vec<Option<Scalar<'a>>>, DecodeError> {
-    assert!(paths.len() <= 32, "one bit each");
+    assert!(paths.len() <= 32, "each path needs a bit in a u32");
     let mut found = vec![None; paths.len()];
     let all = (0..paths.len())
         .filter(|i| paths[*i].is_some())
         .fold(0, |bits, i| bits | 1 << i);
-    walk(from, paths, 0, all, &mut found, limits, limits.max_depth)?;
+    read_struct(from, paths, 0, all, &mut found, limits, limits.max_depth)?;
     Ok(found)
 }
 
-/// `active` has a bit for each path that leads through this struct, with its field at `level`.
-fn walk<'a, R: Reader<'a>>(
+/// Reads one struct. `active` has a bit for each path that leads through it; `level` is the index of the path's
+/// component that names a field of this struct.
+fn read_struct<'a, R: Reader<'a>>(
     from: &mut R,
     paths: &[Option<&FieldPath>],
     level: usize,
@@ -95,9 +96,9 @@
 ) -> Result<(), DecodeError> {
     let depth = depth.checked_sub(1).ok_or(DecodeError::Depth)?;
     let saved = from.struct_begin();
-    let mut met = 0;
+    let mut seen = 0;
     while let Some((of, id)) = from.field()? {
-        let (mut ends, mut on) = (0, 0);
+        let (mut ending, mut continuing) = (0, 0);
         for (i, path) in paths
             .iter()
             .enumerate()
@@ -106,26 +107,26 @@
             match path.map(|path| &path.0) {
                 Some(parts) if parts.get(level) == Some(&id) => {
                     if parts.len() == level + 1 {
-                        ends |= 1 << i
+                        ending |= 1 << i
                     } else {
-                        on |= 1 << i
+                        continuing |= 1 << i
                     }
                 }
                 _ => {}
             }
         }
-        if met & (ends | on) != 0 {
-            return Err(DecodeError::Twice(id));
+        if seen & (ending | continuing) != 0 {
+            return Err(DecodeError::Duplicate(id));
         }
-        met |= ends | on;
-        if on != 0 && of == Type::Struct {
-            walk(from, paths, level + 1, on, found, limits, depth)?;
-        } else if ends != 0 {
+        seen |= ending | continuing;
+        if continuing != 0 && of == Type::Struct {
+            read_struct(from, paths, level + 1, continuing, found, limits, depth)?;
+        } else if ending != 0 {
             let value = scalar(from, of, limits, depth)?;
             for (_, place) in found
                 .iter_mut()
                 .enumerate()
-                .filter(|(i, _)| ends & 1 << i != 0)
+                .filter(|(i, _)| ending & 1 << i != 0)
             {
                 *place = value;
             }
--- a/crates/thrift/src/wire/frame.rs
+++ b/crates/thrift/src/wire/frame.rs
@@ -1,37 +1,37 @@
-//! The framed transport: four bytes of length, big endian, and so many bytes.
+//! The framed transport: a length of four bytes in big endian, then that many bytes.
 
-/// Bytes reserved for a frame whose length is told but not yet covered by what has come.
-const FIRST_ROOM: usize = 1024;
-/// What is kept of a frame there is no room for: enough to tell whose it was.
-const KEPT: usize = 512;
+/// The minimum buffer for a longer frame of which only a few bytes have arrived.
+const MIN_BUFFER_BYTES: usize = 1024;
+/// How much is kept of a frame for which there is no memory: enough for its head, so that it can be replied to.
+const DISCARDED_PREFIX_BYTES: usize = 512;
 
-/// Takes frames out of a stream, one at a time. Holds no more memory than the bytes that have come call for.
+/// Splits a byte stream into frames. Its buffer grows with the bytes that arrived, not with the announced length.
 pub struct FrameReader {
-    most: usize,
-    head: [u8; 4],
-    /// Bytes of the head that have come.
-    had: usize,
-    /// What is left of the frame that is being read.
-    left: usize,
+    max_frame_bytes: usize,
+    length_field: [u8; 4],
+    /// How many bytes of the length field have arrived.
+    length_bytes_read: usize,
+    /// How many bytes are missing of the frame that is being read.
+    missing: usize,
     body: Vec<u8>,
-    /// There is no room for all of it: only its beginning is kept.
+    /// There is no memory for the frame: only its beginning is kept.
     discard: bool,
 }
 
-/// What came of some bytes.
+/// The result of parsing some bytes.
 #[derive(Debug, PartialEq)]
 pub enum FrameProgress {
-    /// They are part of a frame that has not ended.
+    /// The frame is not complete yet.
     Incomplete,
-    /// A whole frame.
+    /// A complete frame.
     Complete(Vec<u8>),
-    /// The beginning of a whole frame that there was no room for.
+    /// The beginning of a complete frame for which there was no memory.
     Discarded(Vec<u8>),
-    /// They are no frames; nothing more can be read.
+    /// The input is not framed, or the frame is too long; nothing more can be read.
     NotFramed(NotFramed),
 }
 
-/// What stands where a frame's length should.
+/// What was found in place of a valid frame length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotFramed {
     /// An HTTP request.
@@ -40,57 +40,58 @@
     Unframed,
     /// A TLS handshake.
     Tls,
-    /// A length beyond the bound, or a negative one.
+    /// A length that is too large or negative.
     Length(i32),
 }
 
 impl FrameReader {
-    /// A reader of frames of at most `most` bytes.
-    pub fn new(most: usize) -> Self {
+    /// A reader of frames of at most `max_frame_bytes` bytes.
+    pub fn new(max_frame_bytes: usize) -> Self {
         FrameReader {
-            most,
-            head: [0; 4],
-            had: 0,
-            left: 0,
+            max_frame_bytes,
+            length_field: [0; 4],
+            length_bytes_read: 0,
+            missing: 0,
             body: Vec::new(),
             discard: false,
         }
     }
 
-    /// Whether a frame has begun and not ended.
-    pub fn is_within(&self) -> bool {
-        self.had > 0
+    /// Whether a frame has begun and is not complete.
+    pub fn is_in_frame(&self) -> bool {
+        self.length_bytes_read > 0
     }
 
-    /// Takes bytes, and says how many of them: at most to the end of a frame. `room` is asked for more memory,
-    /// in bytes, before it is used; if it says no, the frame is read to its end and all but its beginning is
-    /// dropped.
+    /// Parses bytes at most to the end of a frame, and returns how many were used. `reserve` is called with a number
+    /// of bytes before more memory is used; if it returns false, the rest of the frame is read but only its beginning
+    /// is kept.
     pub fn take(
         &mut self,
         bytes: &[u8],
-        room: &mut dyn FnMut(usize) -> bool,
+        reserve: &mut dyn FnMut(usize) -> bool,
     ) -> (usize, FrameProgress) {
         let mut used = 0;
-        if self.had < 4 {
-            let part = bytes.len().min(4 - self.had);
-            self.head[self.had..self.had + part].copy_from_slice(&bytes[..part]);
-            (self.had, used) = (self.had + part, part);
-            if self.had < 4 {
+        if self.length_bytes_read < 4 {
+            let part = bytes.len().min(4 - self.length_bytes_read);
+            self.length_field[self.length_bytes_read..self.length_bytes_read + part]
+                .copy_from_slice(&bytes[..part]);
+            (self.length_bytes_read, used) = (self.length_bytes_read + part, part);
+            if self.length_bytes_read < 4 {
                 return (used, FrameProgress::Incomplete);
             }
-            match length(self.head, self.most) {
-                Ok(length) => self.left = length,
-                Err(what) => return (used, FrameProgress::NotFramed(what)),
+            match parse_length(self.length_field, self.max_frame_bytes) {
+                Ok(length) => self.missing = length,
+                Err(reason) => return (used, FrameProgress::NotFramed(reason)),
             }
         }
-        let part = (bytes.len() - used).min(self.left);
-        self.keep(&bytes[used..used + part], room);
-        self.left -= part;
+        let part = (bytes.len() - used).min(self.missing);
+        self.buffer(&bytes[used..used + part], reserve);
+        self.missing -= part;
         used += part;
-        if self.left > 0 {
+        if self.missing > 0 {
             return (used, FrameProgress::Incomplete);
         }
-        self.had = 0;
+        self.length_bytes_read = 0;
         let body = std::mem::take(&mut self.body);
         let discarded = std::mem::take(&mut self.discard);
         (
@@ -103,21 +104,23 @@
         )
     }
 
-    fn keep(&mut self, part: &[u8], room: &mut dyn FnMut(usize) -> bool) {
+    fn buffer(&mut self, part: &[u8], reserve: &mut dyn FnMut(usize) -> bool) {
         let needed = self.body.len() + part.len();
         if !self.discard && needed > self.body.capacity() {
-            // Doubled, so that a frame is copied a few times at most, but never beyond its own length.
-            let whole = self.body.len() + self.left;
-            let wanted = (needed * 2).max(FIRST_ROOM).min(whole);
-            if room(wanted - self.body.capacity()) {
+            // Doubled so that a frame is copied only a few times, but never beyond its own length.
+            let complete = self.body.len() + self.missing;
+            let wanted = (needed * 2).max(MIN_BUFFER_BYTES).min(complete);
+            if reserve(wanted - self.body.capacity()) {
                 self.body.reserve_exact(wanted - self.body.len());
             } else {
                 self.discard = true;
-                self.body.truncate(KEPT);
+                self.body.truncate(DISCARDED_PREFIX_BYTES);
             }
         }
         if self.discard {
-            let kept = part.len().min(KEPT.saturating_sub(self.body.len()));
+            let kept = part
+                .len()
+                .min(DISCARDED_PREFIX_BYTES.saturating_sub(self.body.len()));
             self.body.extend_from_slice(&part[..kept]);
         } else {
             self.body.extend_from_slice(part);
@@ -125,16 +128,19 @@
     }
 }
 
-fn length(head: [u8; 4], most: usize) -> Result<usize, NotFramed> {
-    let length = i32::from_be_bytes(head);
-    match head {
-        _ if usize::try_from(length).is_ok_and(|length| length <= most) => Ok(length as usize),
+fn parse_length(field: [u8; 4], max_frame_bytes: usize) -> Result<usize, NotFramed> {
+    let length = i32::from_be_bytes(field);
+    match field {
+        _ if usize::try_from(length).is_ok_and(|length| length <= max_frame_bytes) => {
+            Ok(length as usize)
+        }
         [0x80, 0x01, 0, _] | [0x82, 0x21 | 0x81, ..] => Err(NotFramed::Unframed),
         [0x16, 0x03, ..] => Err(NotFramed::Tls),
-        head if [
-            b"GET ", b"POST", b"HEAD", b"PUT ", b"DELE", b"OPTI", b"PATC", b"PRI ",
-        ]
-        .contains(&&head) =>
+        method
+            if [
+                b"GET ", b"POST", b"HEAD", b"PUT ", b"DELE", b"OPTI", b"PATC", b"PRI ",
+            ]
+            .contains(&&method) =>
         {
             Err(NotFramed::Http)
         }
@@ -142,12 +148,12 @@
     }
 }
 
-/// Puts a frame's length before it: `bytes` begins with four bytes for it.
+/// Fills in a frame's length, for which `bytes` begins with four placeholder bytes.
 pub fn frame(mut bytes: Vec<u8>) -> Vec<u8> {
-    // Frames are bounded far below 2 GiB.
+    // Frames are limited to far less than 2 GiB.
     let length = u32::try_from(bytes.len().saturating_sub(4)).unwrap_or(u32::MAX);
-    if let Some(head) = bytes.first_chunk_mut::<4>() {
-        *head = length.to_be_bytes();
+    if let Some(field) = bytes.first_chunk_mut::<4>() {
+        *field = length.to_be_bytes();
     }
     bytes
 }
@@ -156,7 +162,7 @@
 mod tests {
     use super::*;
 
-    fn all(reader: &mut FrameReader, mut bytes: &[u8]) -> Vec<FrameProgress> {
+    fn read_all(reader: &mut FrameReader, mut bytes: &[u8]) -> Vec<FrameProgress> {
         let mut steps = Vec::new();
         while !bytes.is_empty() {
             let (used, step) = reader.take(bytes, &mut |_| true);
@@ -172,7 +178,7 @@
     }
 
     #[test]
-    fn frames_come_out_whole_however_the_bytes_come() {
+    fn frames_are_complete_however_the_input_is_split() {
         let stream = [
             &[0, 0, 0, 3][..],
             b"abc",
@@ -181,28 +187,28 @@
             b"z",
         ]
         .concat();
-        let whole = |body: &[u8]| FrameProgress::Complete(body.to_vec());
+        let complete = |body: &[u8]| FrameProgress::Complete(body.to_vec());
         for piece in 1..=stream.len() {
             let mut reader = FrameReader::new(3);
             let mut steps = Vec::new();
             for part in stream.chunks(piece) {
                 steps.extend(
-                    all(&mut reader, part)
+                    read_all(&mut reader, part)
                         .into_iter()
                         .filter(|step| *step != FrameProgress::Incomplete),
                 );
             }
             assert_eq!(
                 steps,
-                [whole(b"abc"), whole(b""), whole(b"z")],
+                [complete(b"abc"), complete(b""), complete(b"z")],
                 "pieces of {piece}"
             );
-            assert!(!reader.is_within());
+            assert!(!reader.is_in_frame());
         }
     }
 
     #[test]
-    fn what_is_no_frame_is_told_apart() {
+    fn other_protocols_and_invalid_lengths_are_distinguished() {
         let cases: [(&[u8], NotFramed); 7] = [
             (b"GET / HTTP/1.1\r\n", NotFramed::Http),
             (&[0x80, 1, 0, 1, 0], NotFramed::Unframed),
@@ -214,14 +220,14 @@
         ];
         for (bytes, what) in cases {
             assert_eq!(
-                all(&mut FrameReader::new(3), bytes).last(),
+                read_all(&mut FrameReader::new(3), bytes).last(),
                 Some(&FrameProgress::NotFramed(what))
             );
         }
     }
 
     #[test]
-    fn a_frame_costs_what_has_come_of_it_and_one_without_room_is_read_over() {
+    fn buffer_grows_with_arrived_bytes_and_frame_without_memory_is_skipped() {
         let mut reader = FrameReader::new(1 << 20);
         let mut asked = 0;
         let mut room = |bytes| {
@@ -232,7 +238,10 @@
             reader.take(&[0, 0x10, 0, 0, 1, 2, 3], &mut room),
             (7, FrameProgress::Incomplete)
         );
-        assert!(asked <= FIRST_ROOM, "{asked} bytes for three that came");
+        assert!(
+            asked <= MIN_BUFFER_BYTES,
+            "{asked} bytes for three that arrived"
+        );
         let mut reader = FrameReader::new(1 << 20);
         let mut long = vec![0, 0, 0x10, 0];
         long.extend((0..0x1000).map(|i| i as u8));
@@ -241,13 +250,13 @@
             (used, step),
             (
                 long.len(),
-                FrameProgress::Discarded(long[4..4 + KEPT].to_vec())
+                FrameProgress::Discarded(long[4..4 + DISCARDED_PREFIX_BYTES].to_vec())
             )
         );
         assert_eq!(
-            all(&mut reader, &[0, 0, 0, 1, 9]),
+            read_all(&mut reader, &[0, 0, 0, 1, 9]),
             [FrameProgress::Complete(vec![9])],
-            "the next one is read"
+            "the next frame is read"
         );
     }
 }
--- a/crates/thrift/src/wire/message.rs
+++ b/crates/thrift/src/wire/message.rs
@@ -1,25 +1,25 @@
-//! Messages: a head (what it is, the method's name, the sequence number) before a struct.
+//! Messages: a head (message type, method name and sequence number), then a struct.
 
 use super::{
-    BinaryReader, BinaryWriter, CompactReader, CompactWriter, DecodeError, Encoding, MessageLimits,
-    Reader, Slice, Type, Writer, copy_struct, skip,
+    BinaryReader, BinaryWriter, CompactReader, CompactWriter, DecodeError, Encoding, Input,
+    MessageLimits, Reader, Type, Writer, copy_struct, skip,
 };
 
 const BINARY_VERSION: u32 = 0x8001_0000;
 const COMPACT_PROTOCOL: u8 = 0x82;
 const COMPACT_VERSION: u8 = 1;
 
-/// What a message is.
+/// The type of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Kind {
-    /// A call that wants a reply.
+    /// A call that expects a reply.
     Call = 1,
-    /// A result: a value or an exception that the service declares.
+    /// A reply with a value or an exception that the service declares.
     Reply = 2,
     /// A `TApplicationException`.
     Exception = 3,
-    /// A call that wants none.
+    /// A call without a reply.
     Oneway = 4,
 }
 
@@ -38,49 +38,49 @@
 /// A message's head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head<'a> {
-    /// What it is.
+    /// The message type.
     pub kind: Kind,
-    /// The method's name, with its service's and a colon before it where services are multiplexed.
+    /// The method's name, preceded by the service's name and a colon where services are multiplexed.
     pub name: &'a str,
-    /// By which an answer finds its call.
+    /// The sequence number, which matches a reply to its call.
     pub seqid: i32,
 }
 
 /// A message whose head has been read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Message<'a> {
-    /// How it is written.
+    /// Its encoding.
     pub encoding: Encoding,
     /// Its head.
     pub head: Head<'a>,
-    /// Its struct, and whatever stands behind that.
+    /// Its struct, and any bytes after that.
     pub body: &'a [u8],
 }
 
-/// The numbers of `TApplicationException`'s types that are common to all libraries.
+/// The types of `TApplicationException` that all Thrift libraries have in common.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(i32)]
 pub enum ExceptionKind {
     /// No such method.
     UnknownMethod = 1,
-    /// A message that is no call.
+    /// The message is no call.
     InvalidMessageType = 2,
-    /// No result.
+    /// There is no result.
     MissingResult = 5,
-    /// A failure within.
+    /// The call failed.
     InternalError = 6,
-    /// A message that can't be read.
+    /// The message can't be decoded.
     ProtocolError = 7,
-    /// A client that can't be served.
+    /// The call was rejected.
     UnsupportedClientType = 10,
 }
 
-/// The encoding that a message's first bytes tell; `None` if they are neither.
+/// Detects the encoding by a message's first bytes; `None` if it is unknown.
 pub fn encoding_of(bytes: &[u8]) -> Option<Encoding> {
     match bytes {
         [0x80, 0x01, ..] => Some(Encoding::Binary { strict: true }),
         [COMPACT_PROTOCOL, ..] => Some(Encoding::Compact),
-        // The old head begins with the name's length, and no name has 16 MiB.
+        // The head without a version begins with the name's length, which is below 16 MiB.
         [0x00, ..] => Some(Encoding::Binary { strict: false }),
         _ => None,
     }
@@ -89,7 +89,7 @@
 /// Reads a message's head.
 ///
 /// # Errors
-/// The bytes are no head, or the name is beyond its bound or no text.
+/// The bytes are no valid head, or the name is too long or not UTF-8.
 pub fn read_head<'a>(bytes: &'a [u8], limits: &MessageLimits) -> Result<Message<'a>, DecodeError> {
     let encoding = encoding_of(bytes).ok_or(DecodeError::Version)?;
     let text = |name: &'a [u8]| match std::str::from_utf8(name) {
@@ -112,7 +112,7 @@
                         name,
                         seqid: reader.i32()?,
                     },
-                    reader.rest(),
+                    reader.remaining(),
                 )
             } else {
                 let name = text(reader.bytes()?)?;
@@ -123,18 +123,18 @@
                         name,
                         seqid: reader.i32()?,
                     },
-                    reader.rest(),
+                    reader.remaining(),
                 )
             }
         }
         Encoding::Compact => {
-            let mut slice = Slice(bytes);
-            let [_, second] = slice.array()?;
+            let mut input = Input(bytes);
+            let [_, second] = input.array()?;
             if second & 0x1f != COMPACT_VERSION {
                 return Err(DecodeError::Version);
             }
             let kind = Kind::from_number(second >> 5)?;
-            let mut reader = CompactReader::new(slice.0);
+            let mut reader = CompactReader::new(input.0);
             let seqid = reader.varint(32)? as u32 as i32;
             (
                 Head {
@@ -142,7 +142,7 @@
                     name: text(reader.bytes()?)?,
                     seqid,
                 },
-                reader.rest(),
+                reader.remaining(),
             )
         }
     };
@@ -181,11 +181,11 @@
     }
 }
 
-/// Writes a message into a frame of its own, with another head and perhaps in another encoding. What was compact
-/// and stays compact, or was binary and stays so, goes on byte for byte.
+/// Encodes a message as a new frame, with another head and possibly in another encoding. If the encoding stays the
+/// same, the struct is copied byte for byte.
 ///
 /// # Errors
-/// Its struct does not read, more stands behind it, or what comes out is larger than [`MessageLimits::max_written_bytes`].
+/// Its struct is invalid, further bytes follow it, or the result is larger than [`MessageLimits::max_written_bytes`].
 pub fn transcode(
     message: &Message<'_>,
     to: Encoding,
@@ -195,16 +195,16 @@
     let mut out = Vec::with_capacity(4 + 32 + head.name.len() + message.body.len() * 2);
     out.extend_from_slice(&[0; 4]);
     write_head(&mut out, to, head);
-    let same = matches!(
+    let same_encoding = matches!(
         (message.encoding, to),
         (Encoding::Compact, Encoding::Compact) | (Encoding::Binary { .. }, Encoding::Binary { .. })
     );
-    let whole = MessageLimits {
+    let write_limits = MessageLimits {
         max_frame_bytes: limits.max_written_bytes() + 4,
         ..*limits
     };
-    let behind = match (message.encoding, to) {
-        _ if same => {
+    let trailing = match (message.encoding, to) {
+        _ if same_encoding => {
             out.extend_from_slice(message.body);
             check(message, limits)?;
             &[][..]
@@ -212,51 +212,51 @@
         (Encoding::Binary { .. }, _) => {
             let mut reader = BinaryReader::new(message.body);
             let mut writer = CompactWriter::after(out);
-            copy_struct(&mut reader, &mut writer, &whole, limits.max_depth)?;
+            copy_struct(&mut reader, &mut writer, &write_limits, limits.max_depth)?;
             out = writer.out;
-            reader.rest()
+            reader.remaining()
         }
         (Encoding::Compact, _) => {
             let mut reader = CompactReader::new(message.body);
             let mut writer = BinaryWriter(out);
-            copy_struct(&mut reader, &mut writer, &whole, limits.max_depth)?;
+            copy_struct(&mut reader, &mut writer, &write_limits, limits.max_depth)?;
             out = writer.0;
-            reader.rest()
+            reader.remaining()
         }
     };
-    if !behind.is_empty() {
-        return Err(DecodeError::Behind);
+    if !trailing.is_empty() {
+        return Err(DecodeError::TrailingBytes);
     }
-    if out.len() > whole.max_frame_bytes {
-        Err(DecodeError::Large)
+    if out.len() > write_limits.max_frame_bytes {
+        Err(DecodeError::TooLarge)
     } else {
         Ok(super::frame(out))
     }
 }
 
-/// Checks that the message's struct reads and ends where the message does.
+/// Checks that the message's struct is valid and ends where the message does.
 fn check(message: &Message<'_>, limits: &MessageLimits) -> Result<(), DecodeError> {
-    let rest = match message.encoding {
+    let remaining = match message.encoding {
         Encoding::Binary { .. } => {
             let mut reader = BinaryReader::new(message.body);
             skip(&mut reader, Type::Struct, limits, limits.max_depth)?;
-            reader.rest()
+            reader.remaining()
         }
         Encoding::Compact => {
             let mut reader = CompactReader::new(message.body);
             skip(&mut reader, Type::Struct, limits, limits.max_depth)?;
-            reader.rest()
+            reader.remaining()
         }
     };
-    if rest.is_empty() {
+    if remaining.is_empty() {
         Ok(())
     } else {
-        Err(DecodeError::Behind)
+        Err(DecodeError::TrailingBytes)
     }
 }
 
-/// A frame with a `TApplicationException`: its message (1), its type (2) and, beyond what the libraries know and
-/// skip, after how many milliseconds to try again (3).
+/// A frame with a `TApplicationException`: its message (field 1), its type (field 2) and the milliseconds after which
+/// to retry (field 3), which is not part of the standard struct and is skipped by the Thrift libraries.
 pub fn exception(
     encoding: Encoding,
     name: &str,
@@ -302,10 +302,10 @@
     super::frame(out)
 }
 
-/// The type and text of a `TApplicationException`; a type that is not told is 0, as in the libraries.
+/// The type and message of a `TApplicationException`; a missing type is 0, as in the Thrift libraries.
 ///
 /// # Errors
-/// The bytes are no such struct.
+/// The struct is invalid.
 pub fn read_exception(
     message: &Message<'_>,
     limits: &MessageLimits,
--- a/crates/thrift/src/wire/transcode.rs
+++ b/crates/thrift/src/wire/transcode.rs
@@ -1,11 +1,11 @@
-//! Values from one encoding to another, or to nowhere: that is how they are checked.
+//! Copies values from one encoding to another. Without an output this validates them.
 
 use super::{DecodeError, MessageLimits, Reader, Type, Writer};
 
-/// Copies a value of that type. `depth` is how many levels it may have.
+/// Copies a value of this type. `depth` is the nesting depth that it may have.
 ///
 /// # Errors
-/// The bytes are no such value, it has too many levels, or what is written is larger than `bounds` let a frame be.
+/// The value is invalid or nested too deeply, or the output is larger than `limits` allows for a frame.
 pub fn copy<'a, R: Reader<'a>, W: Writer>(
     from: &mut R,
     to: &mut W,
@@ -13,9 +13,9 @@
     limits: &MessageLimits,
     depth: usize,
 ) -> Result<(), DecodeError> {
-    // A byte may become eight: what is written is bounded by itself.
+    // One byte of compact input may become eight in binary, so the output has its own limit.
     if to.len() > limits.max_frame_bytes {
-        return Err(DecodeError::Large);
+        return Err(DecodeError::TooLarge);
     }
     match of {
         Type::Stop => return Err(DecodeError::Type(0)),
@@ -49,7 +49,7 @@
     Ok(())
 }
 
-/// Copies a struct with its stop.
+/// Copies a struct with its stop byte.
 ///
 /// # Errors
 /// As [`copy`].
@@ -60,21 +60,21 @@
     depth: usize,
 ) -> Result<(), DecodeError> {
     let depth = depth.checked_sub(1).ok_or(DecodeError::Depth)?;
-    let (read, written) = (from.struct_begin(), to.struct_begin());
+    let (saved_in, saved_out) = (from.struct_begin(), to.struct_begin());
     while let Some((of, id)) = from.field()? {
         to.field(of, id);
         copy(from, to, of, limits, depth)?;
     }
-    from.struct_end(read);
-    to.struct_end(written);
+    from.struct_end(saved_in);
+    to.struct_end(saved_out);
     if to.len() > limits.max_frame_bytes {
-        Err(DecodeError::Large)
+        Err(DecodeError::TooLarge)
     } else {
         Ok(())
     }
 }
 
-/// Reads over a value, and so checks it.
+/// Skips a value and thereby validates it.
 ///
 /// # Errors
 /// As [`copy`].
@@ -84,13 +84,13 @@
     limits: &MessageLimits,
     depth: usize,
 ) -> Result<(), DecodeError> {
-    copy(from, &mut Nowhere, of, limits, depth)
+    copy(from, &mut NullWriter, of, limits, depth)
 }
 
-/// Takes what is only to be checked.
-struct Nowhere;
+/// Discards everything, for values that are only validated.
+struct NullWriter;
 
-impl Writer for Nowhere {
+impl Writer for NullWriter {
     fn len(&self) -> usize {
         0
     }
--- a/crates/thrift/tests/interop.rs
+++ b/crates/thrift/tests/interop.rs
@@ -1,9 +1,9 @@
-//! The encodings against the library of Apache: what it writes reads here, and what is written here reads there.
+//! Interoperability with the Apache Thrift library: each side reads what the other writes.
 
 mod values;
 
 use sillward_thrift::wire::*;
-use values::{Random, Value, apache_message, read_apache, written_by_apache};
+use values::{Random, Value, decode_with_apache, encode_with_apache, read_with_apache};
 
 const LIMITS: MessageLimits = MessageLimits {
     max_frame_bytes: 1 << 20,
@@ -22,12 +22,12 @@
 ];
 
 #[test]
-fn random_structs_go_through_both_encodings_and_come_out_the_same() {
+fn random_structs_are_transcoded_without_loss() {
     for seed in 0..3000 {
         let value = Value::random_struct(&mut Random::new(seed), 5);
         for from in ENCODINGS {
-            let theirs = written_by_apache(from, HEAD, &value);
-            let message = read_head(&theirs, &LIMITS).expect("a head");
+            let from_library = encode_with_apache(from, HEAD, &value);
+            let message = read_head(&from_library, &LIMITS).expect("a head");
             assert_eq!(
                 (message.head, message.encoding),
                 (HEAD, from),
@@ -35,17 +35,17 @@
             );
             for to in ENCODINGS {
                 let head = Head { seqid: 99, ..HEAD };
-                let ours = transcode(&message, to, head, &LIMITS).expect("it reads");
-                let (length, ours) = ours.split_first_chunk::<4>().expect("a frame");
-                assert_eq!(u32::from_be_bytes(*length) as usize, ours.len());
-                let (seqid, back) = read_apache(to, ours);
+                let transcoded = transcode(&message, to, head, &LIMITS).expect("it reads");
+                let (length, transcoded) = transcoded.split_first_chunk::<4>().expect("a frame");
+                assert_eq!(u32::from_be_bytes(*length) as usize, transcoded.len());
+                let (seqid, back) = read_with_apache(to, transcoded);
                 assert_eq!(seqid, 99);
                 assert_eq!(back, value, "seed {seed}, {from:?} to {to:?}");
                 if !value.has_empty_map() {
-                    let direct = written_by_apache(to, head, &value);
+                    let direct = encode_with_apache(to, head, &value);
                     assert_eq!(
-                        ours, direct,
-                        "seed {seed}: byte for byte what the library writes"
+                        transcoded, direct,
+                        "seed {seed}: differs from the library's encoding"
                     );
                 }
             }
@@ -54,36 +54,36 @@
 }
 
 #[test]
-fn what_is_cut_off_anywhere_is_no_message() {
+fn truncated_messages_and_trailing_bytes_are_rejected() {
     for seed in 0..40 {
         let value = Value::random_struct(&mut Random::new(seed), 4);
         for encoding in ENCODINGS {
-            let whole = written_by_apache(encoding, HEAD, &value);
+            let whole = encode_with_apache(encoding, HEAD, &value);
             for end in 0..whole.len() {
-                let cut = read_head(&whole[..end], &LIMITS)
+                let truncated = read_head(&whole[..end], &LIMITS)
                     .and_then(|message| transcode(&message, Encoding::Compact, HEAD, &LIMITS));
                 assert!(
-                    cut.is_err(),
+                    truncated.is_err(),
                     "seed {seed}, {encoding:?}, {end} of {} bytes",
                     whole.len()
                 );
             }
-            let more = [&whole[..], &[0]].concat();
-            let message = read_head(&more, &LIMITS).expect("a head");
+            let extended = [&whole[..], &[0]].concat();
+            let message = read_head(&extended, &LIMITS).expect("a head");
             for to in ENCODINGS {
                 assert_eq!(
                     transcode(&message, to, HEAD, &LIMITS),
-                    Err(DecodeError::Behind)
+                    Err(DecodeError::TrailingBytes)
                 );
             }
         }
     }
 }
 
-/// A million frames, each with a few bytes changed: an error or a message, never a panic, and nothing larger than
-/// the bound.
+/// Each of a million mutated frames yields an error or a message, without a panic and without output or memory beyond
+/// the limits.
 #[test]
-fn a_million_mutated_frames_bring_no_panic_and_no_growth() {
+fn a_million_mutated_frames_cause_no_panic_and_no_excess_memory() {
     let limits = MessageLimits {
         max_frame_bytes: 4096,
         max_depth: 16,
@@ -91,11 +91,11 @@
     };
     let path: FieldPath = "1.2".parse().expect("a path");
     let mut random = Random::new(1);
-    let mut read = 0;
+    let mut valid = 0;
     let mut frames = Vec::new();
     for seed in 0..200 {
         let value = Value::random_struct(&mut Random::new(seed), 3);
-        frames.extend(ENCODINGS.map(|encoding| written_by_apache(encoding, HEAD, &value)));
+        frames.extend(ENCODINGS.map(|encoding| encode_with_apache(encoding, HEAD, &value)));
     }
     frames.retain(|frame| frame.len() < 600);
     for i in 0..1_000_000 {
@@ -121,9 +121,9 @@
                 out.capacity(),
                 frame.len()
             );
-            read += 1;
+            valid += 1;
         }
-        let picked = match message.encoding {
+        let fields = match message.encoding {
             Encoding::Compact => read_fields(
                 &mut CompactReader::new(message.body),
                 &[Some(&path)],
@@ -135,16 +135,17 @@
                 &limits,
             ),
         };
-        drop(picked);
+        drop(fields);
     }
     assert!(
-        (10_000..900_000).contains(&read),
-        "{read} of a million still read: the mutations are no test"
+        (10_000..900_000).contains(&valid),
+        "{valid} of a million were still valid: too few or too many for a useful test"
     );
 }
 
-/// The whole of a message's struct, of bytes written by hand.
-fn body(encoding: Encoding, bytes: &[u8]) -> Result<Vec<u8>, DecodeError> {
+/// Transcodes a message with this struct into the other encoding, and checks that a copy within the same encoding
+/// has the same result.
+fn transcode_struct(encoding: Encoding, bytes: &[u8]) -> Result<Vec<u8>, DecodeError> {
     let to = if encoding == Encoding::Compact {
         Encoding::Binary { strict: true }
     } else {
@@ -157,19 +158,23 @@
     };
     let same = transcode(&message, encoding, HEAD, &LIMITS).map(drop);
     let other = transcode(&message, to, HEAD, &LIMITS);
-    assert_eq!(same, other.clone().map(drop), "both ways judge alike");
+    assert_eq!(
+        same,
+        other.clone().map(drop),
+        "copying and transcoding have different results"
+    );
     other
 }
 
 #[test]
-fn traps_of_the_compact_encoding() {
-    let compact = |bytes: &[u8]| body(Encoding::Compact, bytes);
-    // A list said to have 2^31 - 1 truth values, and nothing behind it.
+fn edge_cases_of_the_compact_encoding() {
+    let compact = |bytes: &[u8]| transcode_struct(Encoding::Compact, bytes);
+    // A list with a count of 2^31 - 1 booleans, and no elements.
     assert_eq!(
         compact(&[0x19, 0xf1, 0xff, 0xff, 0xff, 0xff, 0x07, 0]),
         Err(DecodeError::Count)
     );
-    // Elements that take no bytes: a list of 2^31 - 1 stops.
+    // Elements without bytes: a list of 2^31 - 1 stops.
     assert_eq!(
         compact(&[0x19, 0xf0, 0xff, 0xff, 0xff, 0xff, 0x07, 0]),
         Err(DecodeError::Type(0))
@@ -179,12 +184,12 @@
         compact(&[0x1b, 0x02, 0x00, 1, 1, 1, 1, 0]),
         Err(DecodeError::Type(0))
     );
-    // A length with its 32nd bit.
+    // A length with its 32nd bit set.
     assert_eq!(
         compact(&[0x18, 0xff, 0xff, 0xff, 0xff, 0x0f, 0]),
         Err(DecodeError::Negative)
     );
-    // Numbers longer than their type, by a bit and without end.
+    // Varints longer than their type: by a bit, and by padding.
     assert_eq!(
         compact(&[0x15, 0xff, 0xff, 0xff, 0xff, 0x1f, 0]),
         Err(DecodeError::Varint)
@@ -202,31 +207,31 @@
         Err(DecodeError::Varint),
         "32768 as 16 bits"
     );
-    // The largest that fit.
+    // The largest values that fit.
     assert!(compact(&[0x16, 255, 255, 255, 255, 255, 255, 255, 255, 255, 1, 0]).is_ok());
     assert!(compact(&[0x15, 0xff, 0xff, 0xff, 0xff, 0x0f, 0]).is_ok());
-    // A field's number beyond 16 bits by its delta: 32767, then 1 more.
+    // A field id beyond 16 bits: 32767, then a delta of 1.
     assert_eq!(
         compact(&[0x03, 0xfe, 0xff, 0x03, 7, 0x13, 7, 0]),
         Err(DecodeError::FieldId)
     );
-    // A step of 15, the short way and the long way.
+    // A delta of 15, in the short form and in the long form.
     assert!(compact(&[0xf3, 7, 0]).is_ok() && compact(&[0x03, 30, 7, 0]).is_ok());
-    // An empty map is one byte; a truth value in a field's head takes none.
+    // An empty map takes one byte; a boolean field takes none besides its header.
     assert!(compact(&[0x1b, 0x00, 0x11, 0x12, 0]).is_ok());
-    // Elements that are false by the specification (0) and by the libraries (2).
-    let by_book = compact(&[0x19, 0x31, 1, 0, 2, 0]).expect("three truth values");
+    // False elements, as in the specification (0) and as the libraries write them (2).
+    let booleans = compact(&[0x19, 0x31, 1, 0, 2, 0]).expect("three booleans");
     assert!(
-        by_book.ends_with(&[2, 0, 0, 0, 3, 1, 0, 0, 0]),
-        "{by_book:?}"
+        booleans.ends_with(&[2, 0, 0, 0, 3, 1, 0, 0, 0]),
+        "{booleans:?}"
     );
     assert_eq!(compact(&[0x19, 0x11, 3, 0]), Err(DecodeError::Bool(3)));
     assert_eq!(compact(&[0x1e, 0]), Err(DecodeError::Type(14)));
 }
 
 #[test]
-fn traps_of_the_binary_encoding() {
-    let binary = |bytes: &[u8]| body(Encoding::Binary { strict: true }, bytes);
+fn edge_cases_of_the_binary_encoding() {
+    let binary = |bytes: &[u8]| transcode_struct(Encoding::Binary { strict: true }, bytes);
     assert_eq!(
         binary(&[11, 0, 1, 0xff, 0xff, 0xff, 0xff, 0]),
         Err(DecodeError::Negative)
@@ -246,43 +251,46 @@
     assert_eq!(
         binary(&[15, 0, 1, 0, 0, 0, 0, 9, 0]),
         Err(DecodeError::Type(0)),
-        "elements that take no bytes"
+        "elements without bytes"
     );
     assert_eq!(
         binary(&[15, 0, 1, 1, 0, 0, 0, 9, 0]),
         Err(DecodeError::Type(1)),
-        "void is no value"
+        "void is not a value's type"
     );
     assert_eq!(
         binary(&[13, 0, 1, 0, 11, 0, 0, 0, 1, 0, 0, 0, 0, 0]),
         Err(DecodeError::Type(0))
     );
     assert_eq!(binary(&[2, 0, 1, 2, 0]), Err(DecodeError::Bool(2)));
-    // An empty list whose element type nobody told, as some libraries write it.
+    // An empty list with an unknown element type, as some libraries write it.
     assert!(binary(&[15, 0, 1, 0, 0, 0, 0, 0, 0]).is_ok());
 }
 
 #[test]
-fn levels_are_counted_over_structs_and_containers() {
+fn nesting_depth_counts_structs_and_containers() {
     let levels = |count: usize| -> Vec<u8> {
         let mut bytes = [12, 0, 1].repeat(count - 1);
         bytes.extend(vec![0; count]);
         bytes
     };
-    let binary = |bytes: &[u8]| body(Encoding::Binary { strict: true }, bytes);
+    let binary = |bytes: &[u8]| transcode_struct(Encoding::Binary { strict: true }, bytes);
     assert!(binary(&levels(32)).is_ok());
     assert_eq!(binary(&levels(33)), Err(DecodeError::Depth));
     assert_eq!(binary(&levels(100)), Err(DecodeError::Depth));
-    // Lists within lists, a byte a level in compact: each would be 5 in binary.
+    // Nested lists, which take one byte per level in compact and 5 in binary.
     let mut lists = vec![0x19];
     lists.extend(vec![0x19; 100]);
     lists.extend([0x03, 0]);
-    assert_eq!(body(Encoding::Compact, &lists), Err(DecodeError::Depth));
+    assert_eq!(
+        transcode_struct(Encoding::Compact, &lists),
+        Err(DecodeError::Depth)
+    );
 }
 
 #[test]
-fn what_grows_beyond_a_frame_is_refused() {
-    // Zeros of a byte in compact, of eight in binary.
+fn output_larger_than_a_frame_is_rejected() {
+    // Zeros that take one byte each in compact and eight in binary.
     let mut zeros = vec![0x19, 0xf6, 0x80, 0x80, 0x04];
     zeros.extend(vec![0; 65536 + 1]);
     let limits = MessageLimits {
@@ -297,12 +305,12 @@
     assert!(transcode(&message, Encoding::Compact, HEAD, &limits).is_ok());
     assert_eq!(
         transcode(&message, Encoding::Binary { strict: true }, HEAD, &limits),
-        Err(DecodeError::Large)
+        Err(DecodeError::TooLarge)
     );
 }
 
 #[test]
-fn fields_are_found_by_their_paths_and_one_that_stands_twice_is_refused() {
+fn fields_are_read_by_path_and_duplicates_are_rejected() {
     // {1: {3: "a", 4: 7}, 2: {3: "b"}, 5: true}
     let mut writer = CompactWriter::default();
     let outer = writer.struct_begin();
@@ -335,20 +343,20 @@
         None,
     ];
     assert_eq!(found, expected);
-    let twice = [11, 0, 1, 0, 0, 0, 1, b'a', 11, 0, 1, 0, 0, 0, 1, b'b', 0];
+    let duplicate = [11, 0, 1, 0, 0, 0, 1, b'a', 11, 0, 1, 0, 0, 0, 1, b'b', 0];
     let path = "1".parse().expect("a path");
     assert_eq!(
-        read_fields(&mut BinaryReader::new(&twice), &[Some(&path)], &LIMITS),
-        Err(DecodeError::Twice(1))
+        read_fields(&mut BinaryReader::new(&duplicate), &[Some(&path)], &LIMITS),
+        Err(DecodeError::Duplicate(1))
     );
     assert!(
-        read_fields(&mut BinaryReader::new(&twice), &[None], &LIMITS).is_ok(),
-        "nobody asked for it"
+        read_fields(&mut BinaryReader::new(&duplicate), &[None], &LIMITS).is_ok(),
+        "the duplicate field is on no path"
     );
 }
 
 #[test]
-fn an_exception_reads_in_the_library() {
+fn exceptions_are_readable_by_the_library() {
     for encoding in ENCODINGS {
         let kind = ExceptionKind::UnsupportedClientType;
         let frame = exception(
@@ -372,7 +380,7 @@
             read_exception(&message, &LIMITS),
             Ok((10, "refused: full".to_owned()))
         );
-        let (seqid, read) = apache_message(encoding, &frame[4..], |protocol| {
+        let (seqid, read) = decode_with_apache(encoding, &frame[4..], |protocol| {
             thrift::Error::read_application_error_from_in_protocol(protocol).expect("it reads")
         });
         assert_eq!(seqid, 5);
--- a/crates/thrift/tests/values/mod.rs
+++ b/crates/thrift/tests/values/mod.rs
@@ -1,11 +1,11 @@
-//! Random values, and how the library of Apache writes and reads them.
+//! Random values, written and read by the Apache Thrift library.
 
-#![allow(dead_code)] // each test program and the bench use a part of it
+#![allow(dead_code)] // the tests and the benchmark each use a part of this module
 
 use sillward_thrift::wire::{Encoding, Head, Kind};
 use thrift::protocol::*;
 
-/// SplitMix64: the same numbers on every machine.
+/// SplitMix64, which yields the same numbers on every machine.
 pub struct Random(u64);
 
 impl Random {
@@ -22,7 +22,7 @@
     pub fn below(&mut self, bound: usize) -> usize {
         (self.next() % bound as u64) as usize
     }
-    /// A number of any magnitude: small ones, and those at the edges, as often as large ones.
+    /// A number of random magnitude: small numbers are as frequent as large ones.
     fn number(&mut self) -> i64 {
         let shift = self.below(64);
         let number = (self.next() >> shift) as i64;
@@ -51,7 +51,7 @@
 }
 
 impl PartialEq for Value {
-    /// The types of an empty map are not told in compact, and so don't count.
+    /// Ignores the types of empty maps, which the compact encoding doesn't contain.
     fn eq(&self, other: &Self) -> bool {
         use Value::*;
         match (self, other) {
@@ -90,17 +90,18 @@
     pub fn random_struct(random: &mut Random, depth: usize) -> Self {
         let mut id = 0i16;
         let fields = (0..random.below(6)).map(|_| {
-            // Mostly a step up, at times anywhere the library can go: it takes differences in 16 bits, and writes
-            // one of 15 the long way, where the specification has room for it in the short one.
+            // Mostly a small increment, sometimes any id that the library can encode: it computes deltas in 16 bits.
+            // A delta of 15 is avoided, as the library writes it in the long form and the specification allows the
+            // short form.
             let step = 1 + random.below(30) as i16;
             let anywhere = random.below(8) == 0;
-            let last = id;
+            let previous = id;
             id = if anywhere {
                 random.below(16_000) as i16 - 8_000
             } else {
                 id + step + i16::from(step == 15)
             };
-            id += i16::from(id - last == 15);
+            id += i16::from(id - previous == 15);
             let of = Value::random_type(random, depth);
             (id, Value::random(random, of, depth.saturating_sub(1)))
         });
@@ -112,8 +113,8 @@
     }
 
     fn random(random: &mut Random, of: TType, depth: usize) -> Self {
-        let most = if random.below(10) == 0 { 40 } else { 4 };
-        let count = random.below(most);
+        let max = if random.below(10) == 0 { 40 } else { 4 };
+        let count = random.below(max);
         let below = depth.saturating_sub(1);
         match of {
             TType::Bool => Value::Bool(random.below(2) == 0),
@@ -243,7 +244,7 @@
                         break;
                     }
                     let value = Value::read(from, field.field_type)?;
-                    fields.push((field.id.expect("its number"), value));
+                    fields.push((field.id.expect("a field id"), value));
                     from.read_field_end()?;
                 }
                 from.read_struct_end()?;
@@ -274,7 +275,7 @@
                     .collect();
                 Value::Map(keys, values, all?)
             }
-            other => panic!("no value: {other:?}"),
+            other => panic!("not the type of a value: {other:?}"),
         })
     }
 }
@@ -288,8 +289,8 @@
     }
 }
 
-/// A message, without its frame.
-pub fn written_by_apache(encoding: Encoding, head: Head<'_>, value: &Value) -> Vec<u8> {
+/// A message without the frame's length.
+pub fn encode_with_apache(encoding: Encoding, head: Head<'_>, value: &Value) -> Vec<u8> {
     let mut out = Vec::new();
     let id = TMessageIdentifier::new(head.name, kind(head.kind), head.seqid);
     let write = |to: &mut dyn TOutputProtocol| {
@@ -305,37 +306,37 @@
     out
 }
 
-/// Reads a message's head, and what stands behind it as told.
-pub fn apache_message<T>(
+/// Reads a message's head, and the rest with `read`; returns the sequence number and the result.
+pub fn decode_with_apache<T>(
     encoding: Encoding,
     bytes: &[u8],
     read: impl FnOnce(&mut dyn TInputProtocol) -> T,
 ) -> (i32, T) {
-    let both = |from: &mut dyn TInputProtocol| {
+    let read_seqid = |from: &mut dyn TInputProtocol| {
         let id = from.read_message_begin().expect("a head");
         id.sequence_number
     };
     match encoding {
         Encoding::Binary { .. } => {
             let mut protocol = TBinaryInputProtocol::new(bytes, false);
-            (both(&mut protocol), read(&mut protocol))
+            (read_seqid(&mut protocol), read(&mut protocol))
         }
         Encoding::Compact => {
             let mut protocol = TCompactInputProtocol::new(bytes);
-            (both(&mut protocol), read(&mut protocol))
+            (read_seqid(&mut protocol), read(&mut protocol))
         }
     }
 }
 
 /// The sequence number and the struct of a message.
-pub fn read_apache(encoding: Encoding, bytes: &[u8]) -> (i32, Value) {
-    apache_message(encoding, bytes, |from| {
+pub fn read_with_apache(encoding: Encoding, bytes: &[u8]) -> (i32, Value) {
+    decode_with_apache(encoding, bytes, |from| {
         Value::read(from, TType::Struct).expect("a struct")
     })
 }
 
-/// A tally sheet of 2 KiB or so: a station, its counts by candidate, its signatures.
-pub fn tally_sheet() -> Value {
+/// A message of about 2 KiB: a tally sheet with a station, counts by candidate, and pages.
+pub fn sample_message() -> Value {
     let counts = (0..48).map(|i| {
         let candidate = Value::Bytes(format!("candidate-{i:02}").into_bytes());
         (candidate, Value::I32(i * 37 % 701))
--- a/tests/thrift_matrix.rs
+++ b/tests/thrift_matrix.rs
@@ -24,7 +24,7 @@
 use thrift_codec::data::{Data, DataKind, DataRef, Elements, Field, List, Map, Set, Struct, Uuid};
 use thrift_codec::message::{Message, MessageKind};
 use thrift_codec::{BinaryDecode, BinaryEncode, CompactDecode, CompactEncode};
-use values::{Value, written_by_apache};
+use values::{Value, encode_with_apache};
 
 const STRICT: Encoding = Encoding::Binary { strict: true };
 const OLD: Encoding = Encoding::Binary { strict: false };
@@ -259,7 +259,7 @@
             seqid: call.sequence_number,
         };
         let (kind, body) = obey(&arguments, |body| {
-            written_by_apache(self.encoding, head, body).len()
+            encode_with_apache(self.encoding, head, body).len()
         });
         o.write_message_begin(&TMessageIdentifier::new(
             &*call.name,
@@ -604,7 +604,7 @@
         let name = if multiplexed { "Tally:echo" } else { "echo" };
         let of = |padding| arguments("void", Value::Bytes(vec![b'.'; padding]));
         padded(size, of, |body| match from.library {
-            Library::Apache => written_by_apache(
+            Library::Apache => encode_with_apache(
                 from.encoding,
                 Head {
                     kind: Kind::Call,
