--- a/crates/app/src/lib.rs
+++ b/crates/app/src/lib.rs
@@ -344,8 +344,13 @@
         };
         let pool = Pool::start(clock, protocol, terms, sockets.clone());
         let (place, budget) = (kind.machine_type, budget.clone());
-        let backends: Rc<dyn BackendProtocol> =
-            sillward_thrift::Backend::new(pool, kind, budget, reports.clone(), counters.clone());
+        let backends: Rc<dyn BackendProtocol> = sillward_thrift::BackendClient::new(
+            pool,
+            kind,
+            budget,
+            reports.clone(),
+            counters.clone(),
+        );
         (place, backends)
     });
     Rc::new(ProtocolDispatcher::new(http, others.collect()))
--- a/crates/thrift/src/backend.rs
+++ b/crates/thrift/src/backend.rs
@@ -67,7 +67,7 @@
 }
 
 /// The client for the Thrift backends of one machine type.
-pub struct Backend {
+pub struct BackendClient {
     pool: Rc<Pool<Thrift>>,
     config: BackendConfig,
     /// The memory for messages.
@@ -84,7 +84,7 @@
     Invalid(&'static str),
 }
 
-impl BackendProtocol for Backend {
+impl BackendProtocol for BackendClient {
     fn attempt(
         self: Rc<Self>,
         attempt: Attempt,
@@ -124,7 +124,7 @@
     }
 }
 
-impl Backend {
+impl BackendClient {
     pub fn new(
         pool: Rc<Pool<Thrift>>,
         config: BackendConfig,
@@ -132,7 +132,7 @@
         reports: LoadReportParser,
         counters: Rc<Counters>,
     ) -> Rc<Self> {
-        Rc::new(Backend {
+        Rc::new(BackendClient {
             pool,
             config,
             budget,
--- a/crates/thrift/src/lib.rs
+++ b/crates/thrift/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod method_names;
 pub mod wire;
 
-pub use backend::{Backend, Thrift};
+pub use backend::{BackendClient, Thrift};
 pub use config::{
     BackendConfig, FrontendConfig, HttpCallMapping, Method, RejectedReply, ReplyOrder,
 };
