--- a/crates/thrift/src/backend.rs
+++ b/crates/thrift/src/backend.rs
@@ -519,7 +519,8 @@
     }
 }
 
-/// Whether the kernel took every byte. If the future is dropped earlier, it took fewer, and the frame stays incomplete.
+/// Writes all bytes, and returns whether the kernel took every one. If the future is dropped earlier, it took fewer,
+/// and the frame stays incomplete.
 async fn write_all(stream: &Stream, mut bytes: &[u8]) -> bool {
     while !bytes.is_empty() {
         match stream.write(bytes).await {
--- a/crates/thrift/tests/values/mod.rs
+++ b/crates/thrift/tests/values/mod.rs
@@ -22,7 +22,7 @@
     pub fn below(&mut self, bound: usize) -> usize {
         (self.next() % bound as u64) as usize
     }
-    /// A number of random magnitude: small numbers are as frequent as large ones.
+    /// A number of random magnitude: small numbers, and those near the limits of a type, are as frequent as large ones.
     fn number(&mut self) -> i64 {
         let shift = self.below(64);
         let number = (self.next() >> shift) as i64;
