--- a/crates/app/src/agreement.rs
+++ b/crates/app/src/agreement.rs
@@ -193,7 +193,7 @@
 pub fn page(council: &Rc<ConsensusService>, live: &Rc<LiveSettings>) -> Route {
     let (council, live) = (council.clone(), live.clone());
     let text = move || {
-        Reply::json(sillward_consensus_io::page::settings(
+        Reply::json(sillward_consensus_io::settings_page::render(
             &council,
             &keys(&live.get()),
         ))
--- a/crates/consensus-io/src/lib.rs
+++ b/crates/consensus-io/src/lib.rs
@@ -5,8 +5,8 @@
 
 mod config;
 mod error;
-pub mod page;
 mod service;
+pub mod settings_page;
 mod voter_file;
 
 pub use config::ConsensusConfig;
--- a/crates/consensus-io/src/page.rs
+++ b/crates/consensus-io/src/settings_page.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// The page. `more_keys` are keys that the node's own configuration has.
-pub fn settings(service: &ConsensusService, more_keys: &[Key]) -> String {
+pub fn render(service: &ConsensusService, more_keys: &[Key]) -> String {
     let now = service.clock().now();
     let status = service.status();
     let config = service.config();
