--- a/crates/fleet-settings/src/diff.rs
+++ b/crates/fleet-settings/src/diff.rs
@@ -14,14 +14,14 @@
     pub from: Value,
     /// The value after.
     pub to: Value,
-    /// Whether nodes that use one value conflict with nodes that use the other.
+    /// Whether a node that uses one value conflicts with a node that uses the other.
     pub conflicts: bool,
 }
 
-/// All keys whose values differ, in order.
+/// The keys whose values differ, in ascending order.
 pub fn differences(from: &FleetSettings, to: &FleetSettings) -> Vec<Difference> {
     let keys: BTreeSet<Key> = from.keys().union(&to.keys()).cloned().collect();
-    let all = keys.into_iter().filter_map(|key| {
+    let differences = keys.into_iter().filter_map(|key| {
         let from = from.get(&key);
         let to = to.get(&key);
         let conflicts = key.conflicts(&from, &to);
@@ -32,5 +32,5 @@
             conflicts,
         })
     });
-    all.collect()
+    differences.collect()
 }
--- a/crates/fleet-settings/src/effective.rs
+++ b/crates/fleet-settings/src/effective.rs
@@ -10,28 +10,29 @@
 pub struct EffectiveValue {
     /// The value.
     pub value: Value,
-    /// The number of the version that has it; of a conservative value, that of the newest known version.
+    /// The number of the version that the value is from; for a conservative value, that of the newest known version.
     pub version: u64,
-    /// Whether it is the conservative value, which conflicts with no other.
+    /// Whether the value is the conservative one, which conflicts with no other.
     pub conservative: bool,
 }
 
-/// Which versions a node knows of, and whether it may act on them.
+/// The versions that a node knows of, and whether it may act on them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VersionStatus {
     /// The newest version that is known to be in force: no node has a lease on an older one.
     pub in_force: u64,
     /// The newest version that is known to be committed.
     pub newest: u64,
-    /// Whether the node's lease has not expired.
+    /// Whether the node holds a lease that has not expired.
     pub has_lease: bool,
 }
 
-/// A version that may be in force, by its number. Its settings are `None` if the node lacks it or cannot read it.
+/// The number and settings of a version that may be in force. The settings are `None` if the node does not have the version
+/// or cannot read it.
 type Candidate = (u64, Option<FleetSettings>);
 
 impl History {
-    /// All versions that may be in force somewhere in the fleet.
+    /// The versions that may be in force on some node of the fleet.
     fn candidates(&self, status: VersionStatus) -> Vec<Candidate> {
         let oldest_retained = status.newest.saturating_sub(MAX_VERSIONS as u64);
         let first = status.in_force.max(oldest_retained);
@@ -44,7 +45,7 @@
             .collect()
     }
 
-    /// The effective values of `more_keys` and of every key in a version that may be in force, in the order of keys.
+    /// The effective values of `more_keys` and of every key in a version that may be in force, in ascending order of keys.
     pub fn effective_values(
         &self,
         status: VersionStatus,
@@ -75,31 +76,31 @@
         .rev()
         .find_map(|(number, settings)| Some((*number, settings.as_ref()?.get(key))));
     let (version, newest) = newest_known.unwrap_or((status.newest, key.default_value()));
-    let of_a_version = |value| EffectiveValue {
+    let from_version = |value| EffectiveValue {
         value,
         version,
         conservative: false,
     };
     let Some(conservative) = key.conservative_value() else {
-        return of_a_version(newest);
+        return from_version(newest);
     };
     let all_agree = candidates.iter().all(|(_, settings)| {
         settings
             .as_ref()
             .is_some_and(|settings| settings.get(key) == newest)
     });
-    // An exclusion that all versions agree on outlives the lease.
+    // An exclusion that all candidates agree on applies without a lease too.
     if all_agree && (status.has_lease || key.is_exclusion()) {
-        return of_a_version(newest);
+        return from_version(newest);
     }
-    // What no known version excludes is not excluded for an unknown one, which would exclude everything.
+    // A version with unknown settings must not exclude what no known version excludes, or it would exclude everything.
     let no_known_exclusion = candidates.iter().all(|(_, settings)| {
         settings
             .as_ref()
             .is_none_or(|settings| settings.get(key) == key.default_value())
     });
     if key.is_exclusion() && no_known_exclusion {
-        return of_a_version(key.default_value());
+        return from_version(key.default_value());
     }
     EffectiveValue {
         value: conservative,
--- a/crates/fleet-settings/src/history.rs
+++ b/crates/fleet-settings/src/history.rs
@@ -1,27 +1,28 @@
-//! The committed versions, in order, as far back as they are retained.
+//! The history of committed versions.
 
 use crate::settings::FleetSettings;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use thiserror::Error;
 
-/// The most versions that are retained. Older ones cannot be reverted to.
+/// The most versions that are retained. Older ones cannot be restored.
 pub const MAX_VERSIONS: usize = 64;
-/// The bytes that a version is taken to have beside its texts.
+/// The estimated length of a version's encoding without its texts.
 const VERSION_OVERHEAD_BYTES: usize = 64;
 
 /// A version of the settings.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Version {
-    /// Consecutive, from 1 on. 0 is the empty version before the first.
+    /// Versions are numbered consecutively from 1 on. 0 is the empty version before the first.
     pub number: u64,
-    /// The identifier of the proposal, by which it is committed at most once however often it is sent.
+    /// The identifier of the proposal: a proposal that is sent repeatedly is committed at most once.
     pub id: u64,
     /// The author of the proposal.
     pub author: String,
-    /// The author's reason, in one line.
+    /// The author's reason for the change, in one line.
     pub reason: String,
-    /// The settings as [`FleetSettings::to_json`] writes them: a build that cannot read them still passes them on.
+    /// The settings as written by [`FleetSettings::to_json`]. Kept as text so that a build that cannot read them can still
+    /// pass them on.
     pub settings: String,
 }
 
@@ -32,33 +33,33 @@
     }
 }
 
-/// What became of a proposal.
+/// The result of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalOutcome {
-    /// It became the version of this number.
+    /// It was committed as the version of this number.
     Committed(u64),
-    /// It is the version of this number already.
+    /// It was already committed as the version of this number.
     AlreadyCommitted(u64),
-    /// It was based on another version than the newest, which has this number.
+    /// It was not based on the newest version, which has this number.
     StaleBase(u64),
 }
 
-/// Versions that are no history.
+/// The versions do not form a history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("versions that do not follow each other")]
+#[error("versions are not consecutive, are too many, or start at 0")]
 pub struct HistoryError;
 
-/// The retained versions, without a gap.
+/// The retained versions, without gaps.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct History {
     versions: VecDeque<Version>,
 }
 
 impl History {
-    /// The history of another node.
+    /// Creates a history from the versions that another node sent.
     ///
     /// # Errors
-    /// The numbers are not consecutive from 1 or later on, or there are more than [`MAX_VERSIONS`].
+    /// The numbers are not consecutive or start at 0, or there are more than [`MAX_VERSIONS`].
     pub fn from_versions(versions: Vec<Version>) -> Result<Self, HistoryError> {
         let consecutive = versions
             .windows(2)
@@ -84,17 +85,17 @@
         self.versions.get(usize::try_from(index).ok()?)
     }
 
-    /// All retained versions, in order.
+    /// All retained versions, in ascending order.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = &Version> {
         self.versions.iter()
     }
 
-    /// The version that the proposal with this identifier became.
+    /// The version that the proposal with this identifier was committed as, if it is retained.
     pub fn find_by_id(&self, id: u64) -> Option<&Version> {
         self.versions.iter().rev().find(|version| version.id == id)
     }
 
-    /// Applies a proposal from the log, as a compare-and-set on its base: the same on every node.
+    /// Applies a proposal from the log, as a compare-and-set on its base. The result is the same on every node.
     pub fn apply_proposal(&mut self, base: u64, mut version: Version) -> ProposalOutcome {
         if let Some(existing) = self.find_by_id(version.id) {
             return ProposalOutcome::AlreadyCommitted(existing.number);
@@ -124,9 +125,9 @@
         is_next
     }
 
-    /// Merges versions of another node's history. Returns whether there is a newer version now.
+    /// Merges versions of another node's history. Returns whether the newest version has changed.
     ///
-    /// Versions that leave a gap replace this history if they are newer: nobody retains the versions in between.
+    /// Versions that begin after a gap replace this history, because no node retains the versions in between.
     pub fn merge(&mut self, versions: Vec<Version>) -> bool {
         let Ok(other) = History::from_versions(versions) else {
             return false;
@@ -147,7 +148,7 @@
         self.newest() > newest_before
     }
 
-    /// The versions after that number, in order: as many as fit into `max_bytes`, and at least one if there is any.
+    /// The versions after this number, in ascending order: as many as fit into `max_bytes`, but at least one if there is any.
     pub fn versions_after(&self, number: u64, max_bytes: usize) -> Vec<Version> {
         let mut bytes = 0;
         let newer = self
--- a/crates/fleet-settings/src/key.rs
+++ b/crates/fleet-settings/src/key.rs
@@ -1,4 +1,4 @@
-//! Keys of settings, and how values of a key conflict.
+//! Keys of settings, and which values of a key conflict.
 
 use crate::value::{Idempotency, Value};
 use serde::{Deserialize, Serialize};
@@ -22,13 +22,13 @@
     /// Whether hedged requests are allowed.
     #[serde(rename = "hedges")]
     Hedging,
-    /// Whether the backend of this identity is ejected. Versions may hold it; no node acts on it yet.
+    /// Whether the backend of this identity is ejected. Allowed in versions; no node acts on it yet.
     #[serde(rename = "out")]
     EjectedBackend(String),
-    /// Whether calls of this tenant are rejected. Versions may hold it; no node acts on it yet.
+    /// Whether calls of this tenant are rejected. Allowed in versions; no node acts on it yet.
     #[serde(rename = "away")]
     RejectedTenant(String),
-    /// The zones in the order in which calls may fail over to them. Versions may hold it; no node acts on it yet.
+    /// The zones in the order in which calls may fail over to them. Allowed in versions; no node acts on it yet.
     #[serde(rename = "zones")]
     ZoneOrder,
 }
@@ -49,7 +49,7 @@
 }
 
 impl Key {
-    /// The value in a version that does not contain the key.
+    /// The value of the key in a version that does not contain it.
     pub fn default_value(&self) -> Value {
         match self {
             Key::EjectedBackend(_) | Key::RejectedTenant(_) => Value::Flag(false),
@@ -59,8 +59,8 @@
 
     /// The value that conflicts with no other value of this key.
     ///
-    /// `None` if no two values conflict, so that the newest known value may always be used: a wrong latency objective
-    /// costs time, but runs no call twice.
+    /// `None` if no two values conflict, so that the newest known value may always be used: a wrong latency objective, for
+    /// example, costs time but causes no call to run twice.
     pub fn conservative_value(&self) -> Option<Value> {
         match self {
             Key::Idempotency(_) => Some(Value::Idempotency(Idempotency::NonIdempotent)),
@@ -71,12 +71,12 @@
         }
     }
 
-    /// Whether two nodes conflict that use these values at the same time, neither of them as the conservative value.
+    /// Whether two nodes that use these values at the same time conflict, if neither value is the conservative one.
     pub fn conflicts(&self, one: &Value, other: &Value) -> bool {
         self.conservative_value().is_some() && one != other
     }
 
-    /// Whether a value has the type and range of this key.
+    /// Whether a value is of this key's type and in its range.
     pub fn accepts(&self, value: &Value) -> bool {
         matches!(
             (self, value),
@@ -94,7 +94,7 @@
         )
     }
 
-    /// The name of the class, backend or tenant that the key is about.
+    /// The name of the class, backend or tenant that the key applies to.
     pub fn name(&self) -> Option<&str> {
         match self {
             Key::Idempotency(name)
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Whether the key is an entry of a list of what is excluded: ejected backends and rejected tenants.
+    /// Whether the key is an entry in a list of exclusions: ejected backends or rejected tenants.
     pub(crate) fn is_exclusion(&self) -> bool {
         matches!(self, Key::EjectedBackend(_) | Key::RejectedTenant(_))
     }
--- a/crates/fleet-settings/src/settings.rs
+++ b/crates/fleet-settings/src/settings.rs
@@ -1,23 +1,23 @@
-//! The settings of one version, their validation, and their form in the replicated log.
+//! The settings of one version, their validation, and their encoding in the replicated log.
 
 use crate::key::Key;
 use crate::value::{Idempotency, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// The most keys of a version.
+/// The most keys in a version.
 pub const MAX_KEYS: usize = 4096;
 /// The longest name of a class, backend, tenant or zone, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// The longest reason and author of a version, in bytes.
+/// The longest reason or author of a version, in bytes.
 pub const MAX_REASON_BYTES: usize = 200;
-/// The most names of a [`Value::Names`].
+/// The most names in a [`Value::Names`].
 const MAX_NAMES: usize = 64;
 
-/// What is wrong with settings.
+/// A reason why settings are invalid.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The value has not the type or range of the key.
+    /// The value is not of the key's type or not in its range.
     #[error("{key}: {value} is no value of it")]
     NotAccepted {
         /// The key.
@@ -29,26 +29,26 @@
     #[error("{0}: stands twice")]
     Duplicate(Key),
     /// There are more than [`MAX_KEYS`].
-    #[error("{0} keys are more than {MAX_KEYS}")]
+    #[error("{0} keys exceed the limit of {MAX_KEYS}")]
     TooManyKeys(usize),
-    /// The name in the key is empty, too long or has control characters.
+    /// The name in the key is empty, too long or contains control characters.
     #[error("{0}: the name must have 1 to {MAX_NAME_BYTES} bytes and no control characters")]
     InvalidName(Key),
     /// A class whose calls carry idempotency keys has no window.
     #[error("{0}: keyed needs a window over 0")]
     MissingWindow(Key),
-    /// A list of names is too long, has a name twice, or has an invalid name.
+    /// A list of names is too long, or contains a duplicate or an invalid name.
     #[error("{0}: at most {MAX_NAMES} names, each once, of 1 to {MAX_NAME_BYTES} bytes")]
     InvalidNames(Key),
-    /// The text is no JSON, or has keys or values that this build does not know.
+    /// The text is not JSON, or contains keys or values that this build does not know.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// All that [`FleetSettings::validate`] has found.
-    #[error("{}", joined(.0))]
+    /// All errors that [`FleetSettings::validate`] found.
+    #[error("{}", join_errors(.0))]
     Invalid(Vec<SettingsError>),
 }
 
-fn joined(errors: &[SettingsError]) -> String {
+fn join_errors(errors: &[SettingsError]) -> String {
     let texts: Vec<String> = errors.iter().map(ToString::to_string).collect();
     texts.join("; ")
 }
@@ -58,12 +58,12 @@
 pub struct FleetSettings(BTreeMap<Key, Value>);
 
 impl FleetSettings {
-    /// All keys with their values, in the order of keys.
+    /// All keys with their values, in ascending order of keys.
     pub fn iter(&self) -> impl Iterator<Item = (&Key, &Value)> {
         self.0.iter()
     }
 
-    /// The value of a key, or [`Key::default_value`] if the key is not there.
+    /// The value of a key, or [`Key::default_value`] if the settings do not contain the key.
     pub fn get(&self, key: &Key) -> Value {
         self.0
             .get(key)
@@ -74,7 +74,7 @@
     /// Adds a key.
     ///
     /// # Errors
-    /// The value has not the type or range of the key, or the key is there already.
+    /// The value is not of the key's type or not in its range, or the settings already contain the key.
     pub fn insert(&mut self, key: Key, value: Value) -> Result<(), SettingsError> {
         if !key.accepts(&value) {
             return Err(SettingsError::NotAccepted { key, value });
@@ -90,7 +90,7 @@
         self.0.keys().cloned().collect()
     }
 
-    /// Everything that is wrong with these settings, in the order of keys.
+    /// All errors in these settings, in ascending order of keys.
     pub fn validate(&self) -> Vec<SettingsError> {
         let mut errors = Vec::new();
         if self.0.len() > MAX_KEYS {
@@ -102,13 +102,13 @@
         errors
     }
 
-    /// The JSON that goes into the log: equal settings have equal text.
+    /// Encodes the settings as JSON for the log. Equal settings have equal encodings.
     pub fn to_json(&self) -> String {
         let entries: Vec<(&Key, &Value)> = self.0.iter().collect();
         serde_json::to_string(&entries).unwrap_or_default()
     }
 
-    /// Reads what [`FleetSettings::to_json`] wrote, in this build or another one.
+    /// Decodes the result of [`FleetSettings::to_json`], of this build or another one.
     ///
     /// # Errors
     /// This build does not know a key or value, or the settings are not valid.
--- a/crates/fleet-settings/src/value.rs
+++ b/crates/fleet-settings/src/value.rs
@@ -9,10 +9,10 @@
     /// Calls may be retried at any time.
     #[serde(rename = "safe")]
     Idempotent,
-    /// Calls carry an idempotency key, which backends remember for this many milliseconds.
+    /// Calls carry an idempotency key, which backends remember for this window, in milliseconds.
     #[serde(rename = "keyed")]
     Keyed(u64),
-    /// Calls are retried only when no earlier attempt can have run.
+    /// Calls may be retried only if no earlier attempt can have run.
     #[serde(rename = "unsafe")]
     NonIdempotent,
 }
@@ -29,13 +29,13 @@
     /// A count.
     #[serde(rename = "count")]
     Count(u32),
-    /// Yes or no.
+    /// A flag.
     #[serde(rename = "is")]
     Flag(bool),
-    /// Names in order.
+    /// An ordered list of names.
     #[serde(rename = "names")]
     Names(Vec<String>),
-    /// The version leaves the key to each node's own configuration.
+    /// Each node uses the value in its own configuration.
     #[serde(rename = "own")]
     NodeDefault,
 }
--- a/crates/fleet-settings/tests/effective_values.rs
+++ b/crates/fleet-settings/tests/effective_values.rs
@@ -1,4 +1,4 @@
-//! Effective values of keys that several versions have, or none, or that a node may not act on.
+//! Effective values, the history of versions, and the validation and encoding of settings.
 
 use proptest::prelude::*;
 use sillward_fleet_settings::{
@@ -10,12 +10,12 @@
     Key::Idempotency("tally-correct".to_owned())
 }
 
-fn with(values: &[(Key, Value)]) -> FleetSettings {
+fn settings_with(values: &[(Key, Value)]) -> FleetSettings {
     let mut settings = FleetSettings::default();
     values.iter().for_each(|(key, value)| {
         settings
             .insert(key.clone(), value.clone())
-            .expect("a value")
+            .expect("a valid value")
     });
     settings
 }
@@ -51,67 +51,67 @@
 
 #[test]
 fn uses_the_conservative_value_of_changed_keys_until_a_version_is_in_force() {
-    let safe = with(&[
+    let idempotent = settings_with(&[
         (class(), Value::Idempotency(Idempotency::Idempotent)),
         (Key::MaxAttempts, Value::Count(3)),
     ]);
-    let keyed = with(&[
+    let keyed = settings_with(&[
         (class(), Value::Idempotency(Idempotency::Keyed(900))),
         (Key::MaxAttempts, Value::Count(3)),
     ]);
-    let history = history(&[safe, keyed]);
-    let read = |status, key: &Key| history.effective_value(status, key);
-    let between = read(status(1, 2, true), &class());
+    let history = history(&[idempotent, keyed]);
+    let effective_value = |status, key: &Key| history.effective_value(status, key);
+    let while_pending = effective_value(status(1, 2, true), &class());
     assert_eq!(
-        (between.value, between.conservative),
+        (while_pending.value, while_pending.conservative),
         (Value::Idempotency(Idempotency::NonIdempotent), true)
     );
-    let same = read(status(1, 2, true), &Key::MaxAttempts);
+    let unchanged = effective_value(status(1, 2, true), &Key::MaxAttempts);
     assert_eq!(
-        (same.value, same.conservative, same.version),
+        (unchanged.value, unchanged.conservative, unchanged.version),
         (Value::Count(3), false, 2)
     );
-    let after = read(status(2, 2, true), &class());
+    let in_force = effective_value(status(2, 2, true), &class());
     assert_eq!(
-        (after.value, after.conservative),
+        (in_force.value, in_force.conservative),
         (Value::Idempotency(Idempotency::Keyed(900)), false)
     );
-    // Without a lease any key may have changed.
-    let without = read(status(2, 2, false), &Key::MaxAttempts);
+    // Without a lease, a version that the node does not know of may have changed any key.
+    let without_lease = effective_value(status(2, 2, false), &Key::MaxAttempts);
     assert_eq!(
-        (without.value, without.conservative),
+        (without_lease.value, without_lease.conservative),
         (Value::Count(1), true)
     );
 }
 
 #[test]
 fn uses_keys_that_cannot_conflict_at_once() {
-    let aim = Key::LatencyObjective("tally-read".to_owned());
+    let latency_objective = Key::LatencyObjective("tally-read".to_owned());
     let history = history(&[
-        with(&[(aim.clone(), Value::Milliseconds(40))]),
-        with(&[(aim.clone(), Value::Milliseconds(60))]),
+        settings_with(&[(latency_objective.clone(), Value::Milliseconds(40))]),
+        settings_with(&[(latency_objective.clone(), Value::Milliseconds(60))]),
     ]);
-    let reading = history.effective_value(status(0, 2, false), &aim);
+    let effective = history.effective_value(status(0, 2, false), &latency_objective);
     assert_eq!(
-        (reading.value, reading.conservative),
+        (effective.value, effective.conservative),
         (Value::Milliseconds(60), false)
     );
 }
 
 #[test]
 fn excludes_what_any_candidate_version_excludes() {
-    let out = Key::EjectedBackend("00000000000000a1".to_owned());
-    let listed = with(&[(out.clone(), Value::Flag(true))]);
+    let ejected = Key::EjectedBackend("00000000000000a1".to_owned());
+    let listed = settings_with(&[(ejected.clone(), Value::Flag(true))]);
     let history = history(&[listed, FleetSettings::default()]);
     assert_eq!(
-        history.effective_value(status(1, 2, true), &out).value,
+        history.effective_value(status(1, 2, true), &ejected).value,
         Value::Flag(true)
     );
     assert_eq!(
-        history.effective_value(status(2, 2, true), &out).value,
+        history.effective_value(status(2, 2, true), &ejected).value,
         Value::Flag(false)
     );
-    // An unknown version must not exclude everything.
+    // A version that the node does not know of must not exclude everything.
     let other = Key::EjectedBackend("00000000000000b2".to_owned());
     assert_eq!(
         history.effective_value(status(1, 2, false), &other).value,
@@ -121,8 +121,8 @@
 
 #[test]
 fn uses_the_conservative_value_if_a_version_is_missing_or_unreadable() {
-    let safe = with(&[(class(), Value::Idempotency(Idempotency::Idempotent))]);
-    let mut history = history(&[safe]);
+    let idempotent = settings_with(&[(class(), Value::Idempotency(Idempotency::Idempotent))]);
+    let mut history = history(&[idempotent]);
     assert!(
         history
             .effective_value(status(1, 2, true), &class())
@@ -148,13 +148,13 @@
             .conservative,
         "version 2 is unreadable"
     );
-    assert_eq!(history.newest(), 2, "it is retained all the same");
+    assert_eq!(history.newest(), 2, "an unreadable version is retained");
 }
 
 #[test]
 fn commits_a_proposal_once_and_on_its_base_only() {
     let mut history = history(&[FleetSettings::default()]);
-    let settings = with(&[(Key::Hedging, Value::Flag(false))]);
+    let settings = settings_with(&[(Key::Hedging, Value::Flag(false))]);
     assert_eq!(
         history.apply_proposal(1, version(7, &settings)),
         ProposalOutcome::Committed(2)
@@ -176,19 +176,19 @@
 #[test]
 fn reports_errors_with_their_keys() {
     let mut settings = FleetSettings::default();
-    let wrong = settings
+    let error = settings
         .insert(Key::MaxAttempts, Value::Count(0))
-        .expect_err("no attempts");
-    assert!(wrong.to_string().contains("limits.attempts"), "{wrong}");
+        .expect_err("0 attempts are out of range");
+    assert!(error.to_string().contains("limits.attempts"), "{error}");
     settings
         .insert(class(), Value::Idempotency(Idempotency::Keyed(0)))
-        .expect("validated as a whole");
+        .expect("insert does not check the window");
     settings
         .insert(
             Key::ZoneOrder,
             Value::Names(vec!["a".to_owned(), "a".to_owned()]),
         )
-        .expect("as well");
+        .expect("insert does not check for duplicate names");
     assert_eq!(settings.validate().len(), 2, "{:?}", settings.validate());
     assert!(FleetSettings::from_json(&settings.to_json()).is_err());
     assert!(
@@ -199,48 +199,48 @@
 }
 
 #[test]
-fn drops_the_oldest_versions_and_merges_what_is_retained() {
+fn drops_the_oldest_versions_and_merges_the_retained_ones() {
     let all: Vec<FleetSettings> = (0..MAX_VERSIONS as u32 + 20)
-        .map(|n| with(&[(Key::MaxAttempts, Value::Count(n % 16 + 1))]))
+        .map(|n| settings_with(&[(Key::MaxAttempts, Value::Count(n % 16 + 1))]))
         .collect();
     let full = history(&all);
     assert_eq!(full.iter().count(), MAX_VERSIONS);
-    let mut away = history(&all[..3]);
-    assert!(away.merge(full.versions_after(3, 1 << 20)));
-    assert_eq!(away, full);
-    // In parts as well; and known versions stay.
-    let mut slow = History::default();
-    while slow.newest() < full.newest() {
-        assert!(slow.merge(full.versions_after(slow.newest(), 200)));
+    let mut outdated = history(&all[..3]);
+    assert!(outdated.merge(full.versions_after(3, 1 << 20)));
+    assert_eq!(outdated, full);
+    // A merge in several parts reaches the same version, and merging known versions changes nothing.
+    let mut in_parts = History::default();
+    while in_parts.newest() < full.newest() {
+        assert!(in_parts.merge(full.versions_after(in_parts.newest(), 200)));
     }
-    assert!(!slow.merge(full.versions_after(70, 1 << 20)));
-    assert_eq!(slow.newest(), full.newest());
+    assert!(!in_parts.merge(full.versions_after(70, 1 << 20)));
+    assert_eq!(in_parts.newest(), full.newest());
 }
 
-fn value() -> impl Strategy<Value = FleetSettings> {
-    let repeat = prop_oneof![
+fn any_settings() -> impl Strategy<Value = FleetSettings> {
+    let idempotency = prop_oneof![
         Just(Value::Idempotency(Idempotency::Idempotent)),
         Just(Value::Idempotency(Idempotency::NonIdempotent)),
         (1u64..3).prop_map(|ms| Value::Idempotency(Idempotency::Keyed(ms))),
     ];
     (
-        proptest::option::of(repeat),
+        proptest::option::of(idempotency),
         proptest::option::of(1u32..4),
         proptest::option::of(any::<bool>()),
     )
-        .prop_map(|(repeat, attempts, out)| {
+        .prop_map(|(idempotency, attempts, ejected)| {
             let mut settings = FleetSettings::default();
-            repeat.map(|value| settings.insert(class(), value));
+            idempotency.map(|value| settings.insert(class(), value));
             attempts.map(|count| settings.insert(Key::MaxAttempts, Value::Count(count)));
-            out.map(|is| settings.insert(Key::EjectedBackend("b".to_owned()), Value::Flag(is)));
+            ejected.map(|is| settings.insert(Key::EjectedBackend("b".to_owned()), Value::Flag(is)));
             settings
         })
 }
 
 proptest! {
-    /// Two nodes with leases whose candidate versions overlap never use different values, except for the conservative one.
+    /// Two nodes with leases and a common candidate version never use different values, except for the conservative one.
     #[test]
-    fn nodes_with_a_common_candidate_version_do_not_conflict(all in proptest::collection::vec(value(), 1..6), a in 0u64..6, b in 0u64..6, c in 0u64..6, d in 0u64..6) {
+    fn nodes_with_a_common_candidate_version_do_not_conflict(all in proptest::collection::vec(any_settings(), 1..6), a in 0u64..6, b in 0u64..6, c in 0u64..6, d in 0u64..6) {
         let history = history(&all);
         let last = all.len() as u64;
         let range = |x: u64, y: u64| (x.min(y).min(last), x.max(y).min(last));
@@ -250,22 +250,22 @@
             let one = history.effective_value(status(from, to, true), &key);
             let other = history.effective_value(status(since, until, true), &key);
             prop_assert!(one.conservative || other.conservative || one.value == other.value, "{key}: {one:?} {other:?}");
-            for reading in [one, other] {
-                prop_assert!(!reading.conservative || Some(reading.value) == key.conservative_value());
+            for effective in [one, other] {
+                prop_assert!(!effective.conservative || Some(effective.value) == key.conservative_value());
             }
         }
     }
 
     #[test]
-    fn rules_are_read_as_they_were_written(settings in value()) {
+    fn settings_survive_encoding_and_decoding(settings in any_settings()) {
         prop_assert_eq!(FleetSettings::from_json(&settings.to_json()).map_err(|e| e.to_string()), Ok(settings));
     }
 
     #[test]
-    fn differences_are_symmetric(one in value(), other in value()) {
-        let (there, back) = (differences(&one, &other), differences(&other, &one));
-        prop_assert_eq!(there.len(), back.len());
-        prop_assert!(there.iter().zip(&back).all(|(t, b)| t.key == b.key && t.from == b.to && t.conflicts == b.conflicts));
-        prop_assert!(one != other || there.is_empty());
+    fn differences_are_symmetric(one in any_settings(), other in any_settings()) {
+        let (forward, backward) = (differences(&one, &other), differences(&other, &one));
+        prop_assert_eq!(forward.len(), backward.len());
+        prop_assert!(forward.iter().zip(&backward).all(|(t, b)| t.key == b.key && t.from == b.to && t.conflicts == b.conflicts));
+        prop_assert!(one != other || forward.is_empty());
     }
 }
