--- a/crates/consensus-io/src/config.rs
+++ b/crates/consensus-io/src/config.rs
@@ -1,25 +1,25 @@
-//! What a log is, and who its voters are.
+//! The configuration of the log and its voters.
 
 use sillward_consensus::Timing;
 use sillward_membership::Name;
 use std::path::PathBuf;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The configuration of the consensus, which is the same on every node except for the folder.
+/// The configuration of the consensus, which must be the same on every node except for the folder.
 #[derive(Clone, Debug)]
 pub struct ConsensusConfig {
     /// The log's name.
     pub log_name: String,
     /// The voters, in order.
     pub voters: Vec<Name>,
-    /// The folder of a voter's state; a node that is no voter needs none.
+    /// The folder of a voter's state; only voters need one.
     pub folder: Option<PathBuf>,
-    /// Times and bounds.
+    /// The durations and limits of the lease protocol.
     pub timing: Timing,
 }
 
 impl ConsensusConfig {
-    /// The log's identifier: nodes that name another log or other voters ignore each other's messages.
+    /// The log's identifier. Nodes whose configurations name different logs or voters ignore each other's messages.
     pub fn log_id(&self) -> u64 {
         let mut text = self.log_name.clone();
         for name in &self.voters {
@@ -29,13 +29,13 @@
         xxh3_64(text.as_bytes())
     }
 
-    /// The place of a voter, from 1 on; `None` if the node is no voter.
-    pub fn voter_place(&self, name: &Name) -> Option<usize> {
+    /// The number of a voter, from 1 on; `None` if the node is not a voter.
+    pub fn voter_id(&self, name: &Name) -> Option<usize> {
         Some(1 + self.voters.iter().position(|voter| voter == name)?)
     }
 
-    /// The voter at a place, counted from 1.
-    pub fn voter(&self, place: usize) -> Option<&Name> {
-        self.voters.get(place.checked_sub(1)?)
+    /// The name of the voter with this number.
+    pub fn voter(&self, voter_id: usize) -> Option<&Name> {
+        self.voters.get(voter_id.checked_sub(1)?)
     }
 }
--- a/crates/consensus-io/src/error.rs
+++ b/crates/consensus-io/src/error.rs
@@ -10,16 +10,16 @@
 /// Why the service does not start, or a voter's folder cannot be initialised.
 #[derive(Debug, Error)]
 pub enum ConsensusError {
-    /// The node is not among the voters.
+    /// The node is not a voter.
     #[error("{0} is no voter of this log")]
     NotAVoter(String),
-    /// The node is a voter, and its configuration names no folder.
+    /// The node is a voter, but its configuration names no folder.
     #[error("agreement.folder: is missing, and a voter needs one")]
     MissingFolder,
-    /// The folder has a voter's file.
+    /// The folder already has a voter's file.
     #[error("{} is there already: nothing was changed", .0.display())]
     AlreadyInitialised(PathBuf),
-    /// The folder cannot be created or written, or there are no random numbers for it.
+    /// The folder cannot be created or written, or no random identifier can be drawn.
     #[error("cannot use {}: {source}", path.display())]
     Initialise {
         /// The voter's file.
@@ -35,18 +35,18 @@
         /// The cause.
         source: io::Error,
     },
-    /// The system has no random numbers.
-    #[error("no random numbers for the agreement: {0}")]
+    /// The system provides no random numbers.
+    #[error("cannot draw random numbers for the consensus on settings: {0}")]
     Random(#[source] io::Error),
 }
 
-/// Why a voter's state counts as lost, so that the voter does not vote.
+/// Why a voter's state is treated as lost, so that the voter does not vote.
 #[derive(Debug, Error)]
 pub enum LostState {
-    /// There is no file.
-    #[error("{} is not there: it was never founded, or is lost", .0.display())]
+    /// The file does not exist.
+    #[error("{} does not exist: the voter was never founded, or the file is lost", .0.display())]
     Missing(PathBuf),
-    /// The file is damaged, or not this voter's.
+    /// The file is damaged or not this voter's.
     #[error("{}: {source}", path.display())]
     Invalid {
         /// The voter's file.
@@ -56,22 +56,22 @@
     },
 }
 
-/// Why a proposal is not taken.
+/// Why a proposal is not accepted.
 #[derive(Debug, Error)]
 pub enum ProposeError {
-    /// The settings, the reason and the author are too long.
-    #[error("{0} bytes are more than the {MAX_PROPOSAL_BYTES} of a change")]
+    /// The settings, the reason and the author are too long together.
+    #[error("the change has {0} bytes, more than the limit of {MAX_PROPOSAL_BYTES}")]
     TooLong(usize),
     /// The settings are not valid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Members run builds that cannot read the settings.
+    /// Some members run builds that cannot read the settings.
     #[error(
-        "can't be read by {}: they would go by the careful reading of everything until they can",
+        "cannot be read by {}: until they can, they would use the conservative value of every key",
         .0.join(", ")
     )]
     UnreadableByMembers(Vec<String>),
-    /// Too many proposals of this node are in progress.
-    #[error("too many changes are under way here")]
+    /// Too many proposals of this node are pending.
+    #[error("too many proposals of this node are pending")]
     TooManyPending,
 }
--- a/crates/consensus-io/src/lib.rs
+++ b/crates/consensus-io/src/lib.rs
@@ -1,5 +1,5 @@
-//! Runs the consensus on settings in a process of the fleet: carries the messages of [`sillward_consensus`] over the network and
-//! the voter's state to its disk. One loop takes all events in their order.
+//! Runs the consensus on settings in a process of the fleet: sends and receives the messages of [`sillward_consensus`] over the
+//! network, and writes the voter's state to disk. A single loop handles all events in their order.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/consensus-io/src/service/mod.rs
+++ b/crates/consensus-io/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! The loop that runs this node's part in the consensus.
+//! The service that runs a node's part in the consensus, and its event loop.
 
 mod proposals;
 mod receive;
@@ -29,16 +29,16 @@
 use std::time::Duration;
 use tokio::sync::{Notify, mpsc};
 
-/// The most events that wait: a request of every member, twice over. Those beyond count as lost messages.
+/// The most queued events: two requests of every member. Events beyond that are dropped like lost messages.
 const MAX_QUEUED_EVENTS: usize = 8192;
 
-/// What waits for the loop.
+/// An event that waits for the loop.
 enum QueuedEvent {
     LeaseRequest(Name, LeaseRequest),
-    /// Of the voter at that place, from 0 on.
+    /// From the voter with this index in the list of voters.
     LeaseResponse(usize, LeaseResponse),
     Fetch(Name, SocketAddr, FetchVersions),
-    /// Of the voter at that place, from 1 on.
+    /// From the voter with this number.
     VoterMessage(usize, Envelope),
     Versions(Vec<Version>),
     Propose(Proposal),
@@ -48,18 +48,18 @@
 /// The lease of this node after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseUpdate {
-    /// When it expires, by the node's clock; zero if there is none.
+    /// When the lease expires, by the node's clock; zero if there is none.
     pub expires_at: Duration,
     /// Whether the versions that the node may act on have changed.
     pub status_changed: bool,
 }
 
-/// The numbers of messages that were sent, and of events that were dropped because the queue was full.
+/// The numbers of sent messages, and of events that were dropped because the queue was full.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MessageCounts {
     /// Lease requests.
     pub requests: u64,
-    /// Responses to them.
+    /// Lease responses.
     pub responses: u64,
     /// Messages to other voters.
     pub voter_messages: u64,
@@ -75,21 +75,22 @@
     fleet: Rc<PeerTransport>,
     config: ConsensusConfig,
     log_id: u64,
-    /// This node's place among the voters, from 1 on, if it is one.
-    own_place: Option<usize>,
+    /// This node's voter number, if it is a voter.
+    own_voter_id: Option<usize>,
     node: RefCell<Node>,
     voter: RefCell<Option<Voter>>,
-    /// Why this voter's state counts as lost, if it does.
+    /// Why this voter's state is treated as lost, if it is.
     lost_state: Option<LostState>,
     queue: RefCell<VecDeque<QueuedEvent>>,
     pending_proposals: RefCell<Vec<PendingProposal>>,
     wakeup: Notify,
     on_lease_update: Box<dyn Fn(LeaseUpdate)>,
-    next_slot: Cell<u32>,
+    /// The slot of the last message over a link.
+    last_slot: Cell<u32>,
     /// The newest version that this voter has announced to the fleet.
-    announced: Cell<u64>,
+    announced_version: Cell<u64>,
     random: RefCell<random::Random>,
-    /// Unbounded, and never longer than one: a voter has one write in progress.
+    /// Unbounded, but holds at most one result: a voter has only one write in progress.
     persist_results: mpsc::UnboundedSender<PersistResult>,
     message_counts: Cell<MessageCounts>,
 }
@@ -101,10 +102,10 @@
 pub struct PersistResults(mpsc::UnboundedReceiver<PersistResult>);
 
 impl ConsensusService {
-    /// Starts this node's part. `on_lease_update` is called after each event, before any other task can run.
+    /// Starts the service. `on_lease_update` is called after each event of the node, before any other task can run.
     ///
     /// # Errors
-    /// The voter's folder is missing in the configuration, its file cannot be read, or there are no random numbers.
+    /// The configuration lacks the voter's folder, its file cannot be read, or the system provides no random numbers.
     pub fn start(
         fleet: Rc<PeerTransport>,
         clock: Clock,
@@ -114,11 +115,11 @@
         let now = clock.now();
         let name = fleet.with_membership(|membership| membership.local_node().name.clone());
         let log_id = config.log_id();
-        let own_place = config.voter_place(&name);
+        let own_voter_id = config.voter_id(&name);
         let process_id = random::entropy().map_err(ConsensusError::Random)?;
         let session = random::entropy().map_err(ConsensusError::Random)?;
-        let (voter, lost_state) = match own_place {
-            Some(place) => start_voter(&config, place, process_id, now)?,
+        let (voter, lost_state) = match own_voter_id {
+            Some(voter_id) => start_voter(&config, voter_id, process_id, now)?,
             None => (None, None),
         };
         let node = Node::new(config.timing, log_id, config.voters.len(), session, now);
@@ -128,7 +129,7 @@
             fleet,
             config,
             log_id,
-            own_place,
+            own_voter_id,
             node: RefCell::new(node),
             voter: RefCell::new(voter),
             lost_state,
@@ -136,8 +137,8 @@
             pending_proposals: RefCell::default(),
             wakeup: Notify::new(),
             on_lease_update: Box::new(on_lease_update),
-            next_slot: Cell::new(0),
-            announced: Cell::new(u64::MAX),
+            last_slot: Cell::new(0),
+            announced_version: Cell::new(u64::MAX),
             random: RefCell::new(random::Random::seeded(session)),
             persist_results,
             message_counts: Cell::default(),
@@ -156,13 +157,14 @@
         }
     }
 
-    fn count(&self, which: fn(&mut MessageCounts) -> &mut u64) {
+    fn count(&self, counter: fn(&mut MessageCounts) -> &mut u64) {
         let mut counts = self.message_counts.get();
-        *which(&mut counts) += 1;
+        *counter(&mut counts) += 1;
         self.message_counts.set(counts);
     }
 
-    /// Runs until `stop` ends. Dropped at any await, it loses no event: all wait in the queue or in `results`.
+    /// Runs until `stop` completes. The future may be dropped at any await without losing an event: all events wait in the
+    /// queue or in `results`.
     pub async fn run(self: Rc<Self>, results: PersistResults, stop: impl Future<Output = ()>) {
         let mut stop = pin!(stop);
         let PersistResults(mut results) = results;
@@ -203,11 +205,11 @@
             QueuedEvent::LeaseRequest(name, request) => {
                 self.handle_as_voter(voter::Event::LeaseRequest(name, request));
             }
-            QueuedEvent::LeaseResponse(place, response) => {
-                self.handle_as_node(node::Event::LeaseResponse(place, response));
+            QueuedEvent::LeaseResponse(voter_index, response) => {
+                self.handle_as_node(node::Event::LeaseResponse(voter_index, response));
             }
-            QueuedEvent::VoterMessage(place, envelope) => {
-                self.handle_as_voter(voter::Event::VoterMessage(place, envelope));
+            QueuedEvent::VoterMessage(voter_id, envelope) => {
+                self.handle_as_voter(voter::Event::VoterMessage(voter_id, envelope));
             }
             QueuedEvent::Versions(versions) => {
                 self.handle_as_node(node::Event::Versions(versions));
@@ -247,21 +249,21 @@
         let results = self.persist_results.clone();
         let folder = self.config.folder.clone().unwrap_or_default();
         spawn_local(async move {
-            let written = files::write_atomic_in_background(&folder.join(FILE_NAME), bytes).await;
-            if let Err(e) = &written {
+            let result = files::write_atomic_in_background(&folder.join(FILE_NAME), bytes).await;
+            if let Err(e) = &result {
                 log(format_args!(
-                    "cannot keep the agreement in {}: {e}",
+                    "cannot write the voter's state in {}: {e}",
                     folder.display()
                 ));
             }
-            let _ = results.send((number, written.is_ok())); // nobody waits for it once the node ends
+            let _ = results.send((number, result.is_ok())); // the receiver is gone once the node stops
         });
     }
 
     fn report_committed(&self, versions: Vec<Version>) {
         for version in &versions {
             log(format_args!(
-                "version {} of the settings is confirmed, by {}: {}",
+                "version {} of the settings is committed, by {}: {}",
                 version.number, version.author, version.reason
             ));
         }
@@ -288,7 +290,7 @@
         }
     }
 
-    /// The versions that this node knows of, and whether it has a lease.
+    /// The versions that this node knows of, and whether it holds a lease.
     pub fn status(&self) -> VersionStatus {
         self.node.borrow().status(self.clock.now())
     }
@@ -299,7 +301,7 @@
         node.history().effective_values(self.status(), more_keys)
     }
 
-    /// As [`ConsensusService::effective_values`], but without a lease.
+    /// As [`ConsensusService::effective_values`], but as if the node held no lease.
     pub fn conservative_values(&self, more_keys: &[Key]) -> Vec<(Key, EffectiveValue)> {
         let status = VersionStatus {
             has_lease: false,
@@ -335,16 +337,16 @@
         read(&self.node.borrow())
     }
 
-    /// Reads the state of this voter, if it is one and its state is not lost.
+    /// Reads the state of this voter; `None` if the node is not a voter or the voter's state is lost.
     pub(crate) fn with_voter<T>(&self, read: impl FnOnce(&Voter) -> T) -> Option<T> {
         self.voter.borrow().as_ref().map(read)
     }
 }
 
-/// The voter, or why its state counts as lost.
+/// Starts the voter from its file, or returns why its state is treated as lost.
 fn start_voter(
     config: &ConsensusConfig,
-    place: usize,
+    voter_id: usize,
     process_id: u64,
     now: Duration,
 ) -> Result<(Option<Voter>, Option<LostState>), ConsensusError> {
@@ -352,7 +354,7 @@
         .folder
         .as_deref()
         .ok_or(ConsensusError::MissingFolder)?;
-    match voter_file::load(folder, config, place)? {
+    match voter_file::load(folder, config, voter_id)? {
         Ok(state) => {
             let voter = Voter::new(config.timing, state, process_id, now);
             Ok((Some(voter), None))
@@ -367,9 +369,9 @@
 fn log_status(status: &VoterStatus) {
     match status {
         VoterStatus::Joining => {}
-        VoterStatus::Voting => log("this voter votes"),
+        VoterStatus::Voting => log("this voter has begun to vote"),
         VoterStatus::Disabled(reason) => {
-            log(format_args!("this voter does not vote any more: {reason}"));
+            log(format_args!("this voter no longer votes: {reason}"));
         }
     }
 }
--- a/crates/consensus-io/src/service/proposals.rs
+++ b/crates/consensus-io/src/service/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals of this node's operators, until they are in the log or never will be.
+//! Pending proposals of this node's operators: resent until they are committed, can no longer be, or time out.
 
 use super::send::LINK_TOPIC;
 use super::{ConsensusService, QueuedEvent};
@@ -9,26 +9,27 @@
 use sillward_membership::MemberState;
 use std::time::Duration;
 
-/// Between two attempts to hand a proposal to a voter.
+/// The interval between two attempts to send a proposal to a voter.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a proposal is retried.
-const RETRY_TIME: Duration = Duration::from_secs(10);
-/// The most proposals in progress.
-const MAX_PENDING: usize = 64;
+/// How long sending a proposal is retried.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(10);
+/// The most pending proposals.
+const MAX_PENDING_PROPOSALS: usize = 64;
 
-/// A proposal in progress.
+/// A pending proposal.
 pub(super) struct PendingProposal {
     proposal: Proposal,
-    since: Duration,
+    proposed_at: Duration,
     next_attempt_at: Duration,
 }
 
 impl ConsensusService {
-    /// Proposes a version. The versions show what becomes of it: one has its identifier, or one is newer than its base.
-    /// With `ignore_unreadable` it is proposed even if members cannot read it.
+    /// Proposes a version. The result shows in the node's history: the proposal is committed if a version has its identifier,
+    /// and fails if another version is newer than its base. With `ignore_unreadable` it is proposed even if members cannot
+    /// read it.
     ///
     /// # Errors
-    /// The proposal is too long or not valid, there are too many in progress, or members cannot read it.
+    /// The proposal is too long or not valid, too many are pending, or members cannot read it.
     pub fn propose(
         &self,
         base: u64,
@@ -51,26 +52,27 @@
         if is_pending {
             return Ok(());
         }
-        if pending.len() >= MAX_PENDING {
+        if pending.len() >= MAX_PENDING_PROPOSALS {
             return Err(ProposeError::TooManyPending);
         }
         let now = self.clock.now();
         pending.push(PendingProposal {
             proposal: Proposal { base, version },
-            since: now,
+            proposed_at: now,
             next_attempt_at: now,
         });
         self.wakeup.notify_one();
         Ok(())
     }
 
-    /// The members whose builds are known not to read these settings.
+    /// The members whose builds are known to be unable to read these settings.
     fn members_unable_to_read(&self) -> Vec<String> {
         self.fleet.with_membership(|membership| {
             let present = membership.members().filter(|member| {
                 member.state != MemberState::Dead && member.state != MemberState::Left
             });
-            // A member that has announced no capabilities yet uses conservative values if it must.
+            // A member that has announced no capabilities yet does not block a proposal: if its build cannot read the settings, it
+            // uses conservative values.
             let unable = present.filter(|member| {
                 let capabilities = &member.metadata.capabilities;
                 let can_read = capabilities
@@ -90,18 +92,19 @@
         pending.iter().map(|pending| pending.next_attempt_at).min()
     }
 
-    /// Hands each pending proposal to one voter after the other: a single one may be dead or partitioned.
+    /// Sends each pending proposal to one voter after another, because a single one may be dead or partitioned.
     pub(super) fn send_pending_proposals(&self) {
         let now = self.clock.now();
         let newest = self.node.borrow().history().newest();
         let mut pending = self.pending_proposals.borrow_mut();
-        pending
-            .retain(|pending| pending.proposal.base >= newest && now < pending.since + RETRY_TIME);
+        pending.retain(|pending| {
+            pending.proposal.base >= newest && now < pending.proposed_at + RETRY_TIMEOUT
+        });
         let due = pending
             .iter_mut()
             .filter(|pending| now >= pending.next_attempt_at);
         for pending in due {
-            let elapsed = pending.next_attempt_at.saturating_sub(pending.since);
+            let elapsed = pending.next_attempt_at.saturating_sub(pending.proposed_at);
             let attempt = elapsed.as_millis() / RETRY_INTERVAL.as_millis();
             pending.next_attempt_at = now + RETRY_INTERVAL;
             self.send_proposal(&pending.proposal, attempt as usize);
@@ -110,10 +113,10 @@
 
     fn send_proposal(&self, proposal: &Proposal, attempt: usize) {
         let first = self
-            .own_place
-            .map_or(proposal.version.id as usize, |own| own - 1);
+            .own_voter_id
+            .map_or(proposal.version.id as usize, |voter_id| voter_id - 1);
         let index = (first + attempt) % self.config.voters.len();
-        if Some(index + 1) == self.own_place {
+        if Some(index + 1) == self.own_voter_id {
             return self.enqueue(QueuedEvent::Propose(proposal.clone()));
         }
         let voter = &self.config.voters[index];
--- a/crates/consensus-io/src/service/receive.rs
+++ b/crates/consensus-io/src/service/receive.rs
@@ -1,4 +1,4 @@
-//! What comes over the network. Nothing is decided here: all of it goes into the queue.
+//! Receives messages from the network and queues them as events; they are handled only by the loop.
 
 use super::send::{LINK_TOPIC, NODE_TOPIC, VOTER_TOPIC};
 use super::{ConsensusService, QueuedEvent};
@@ -24,9 +24,9 @@
             let Some(service) = service.upgrade() else {
                 return;
             };
-            let place = service.config.voter_place(name);
-            if let (Some(place), Some(envelope)) = (place, Envelope::decode(bytes)) {
-                service.enqueue(QueuedEvent::VoterMessage(place, envelope));
+            let voter_id = service.config.voter_id(name);
+            if let (Some(voter_id), Some(envelope)) = (voter_id, Envelope::decode(bytes)) {
+                service.enqueue(QueuedEvent::VoterMessage(voter_id, envelope));
             }
         });
         let service = Rc::downgrade(self);
@@ -42,9 +42,9 @@
         if let Some(request) = datagram.request.filter(|request| request.log_id == log_id) {
             self.enqueue(QueuedEvent::LeaseRequest(name.clone(), request));
         }
-        let place = self.config.voter_place(name);
-        if let (Some(place), Some(response)) = (place, datagram.response) {
-            self.enqueue(QueuedEvent::LeaseResponse(place - 1, response));
+        let voter_id = self.config.voter_id(name);
+        if let (Some(voter_id), Some(response)) = (voter_id, datagram.response) {
+            self.enqueue(QueuedEvent::LeaseResponse(voter_id - 1, response));
         }
         if let Some(fetch) = datagram.fetch.filter(|fetch| fetch.log_id == log_id) {
             self.enqueue(QueuedEvent::Fetch(name.clone(), address, fetch));
@@ -56,8 +56,8 @@
 
     fn receive_link_message(&self, bytes: &[u8]) {
         let envelope = Envelope::<LinkMessage>::decode(bytes);
-        let own = envelope.filter(|envelope| envelope.log_id == self.log_id);
-        match own.map(|envelope| envelope.message) {
+        let of_this_log = envelope.filter(|envelope| envelope.log_id == self.log_id);
+        match of_this_log.map(|envelope| envelope.message) {
             Some(LinkMessage::Versions(versions)) => {
                 self.enqueue(QueuedEvent::Versions(versions));
             }
--- a/crates/consensus-io/src/service/send.rs
+++ b/crates/consensus-io/src/service/send.rs
@@ -1,4 +1,4 @@
-//! What goes over the network.
+//! Sends messages over the network.
 
 use super::{ConsensusService, QueuedEvent};
 use prost::Message;
@@ -13,13 +13,13 @@
 pub(super) const NODE_TOPIC: u32 = 2;
 /// The topic of messages between voters, over links.
 pub(super) const VOTER_TOPIC: u32 = 3;
-/// The topic of what is too long for a datagram, over links.
+/// The topic of messages that are too long for a datagram, over links.
 pub(super) const LINK_TOPIC: u32 = 4;
-/// The key of the value by which voters announce their newest version to the fleet.
+/// The key of the gossiped value in which a voter announces its newest version to the fleet.
 const NEWEST_KEY: &str = "agreement";
-/// The longest versions that go in a datagram, in bytes.
+/// The longest encoded versions that are sent in a datagram, in bytes.
 const MAX_DATAGRAM_VERSIONS: usize = 1000;
-/// The longest versions that go over a link at once, in bytes.
+/// The longest versions that are sent over a link in one message, in bytes.
 const MAX_LINK_VERSIONS: usize = 32 * 1024;
 
 impl ConsensusService {
@@ -35,9 +35,9 @@
         topic: u32,
         bytes: Vec<u8>,
     ) {
-        // Each message has a slot of its own, so that none replaces another that still waits.
-        let slot = self.next_slot.get().wrapping_add(1);
-        self.next_slot.set(slot);
+        // A message replaces a waiting one with the same slot, so each message gets its own.
+        let slot = self.last_slot.get().wrapping_add(1);
+        self.last_slot.set(slot);
         self.fleet
             .send_message(to, address, OutboundMessage { topic, slot, bytes });
     }
@@ -59,11 +59,11 @@
 
     pub(super) fn send_lease_response(&self, to: &Name, response: LeaseResponse) {
         self.count(|counts| &mut counts.responses);
-        let own_place = self
-            .own_place
-            .filter(|place| self.config.voter(*place) == Some(to));
-        if let Some(place) = own_place {
-            self.enqueue(QueuedEvent::LeaseResponse(place - 1, response));
+        let own_voter_id = self
+            .own_voter_id
+            .filter(|voter_id| self.config.voter(*voter_id) == Some(to));
+        if let Some(voter_id) = own_voter_id {
+            self.enqueue(QueuedEvent::LeaseResponse(voter_id - 1, response));
         } else if let Some(address) = self.address_of(to) {
             let datagram = Datagram {
                 response: Some(response),
@@ -79,7 +79,7 @@
             .fleet
             .with_membership(|membership| membership.local_node().name.clone());
         for (index, name) in self.config.voters.iter().enumerate() {
-            if Some(index + 1) == self.own_place {
+            if Some(index + 1) == self.own_voter_id {
                 let event = QueuedEvent::LeaseRequest(own_name.clone(), request.clone());
                 self.enqueue(event);
             } else if let Some(address) = self.address_of(name) {
@@ -91,13 +91,14 @@
                 self.send_datagram(address, &datagram);
             }
         }
-        // What voters announce to the fleet also reaches nodes that their datagrams do not reach.
+        // Announcements of voters spread through the fleet, and also reach nodes to which the voters' datagrams do not get
+        // through.
         if let Some(newest) = self.newest_announced() {
             self.enqueue(QueuedEvent::VersionObserved(newest));
         }
     }
 
-    /// The newest version that voters have announced to the fleet.
+    /// The newest version that any voter has announced to the fleet.
     fn newest_announced(&self) -> Option<u64> {
         self.fleet.with_membership(|membership| {
             let voters = self
@@ -117,16 +118,16 @@
         (log_id == self.log_id.to_le_bytes()).then_some(newest)
     }
 
-    /// A voter announces its newest version to the fleet when it has changed.
+    /// If this node is a voter, announces its newest version to the fleet when it has changed.
     pub(super) fn announce_newest(&self) {
         let newest = self.node.borrow().history().newest();
-        if self.own_place.is_some() && self.announced.replace(newest) != newest {
+        if self.own_voter_id.is_some() && self.announced_version.replace(newest) != newest {
             let value: Vec<u8> = [self.log_id.to_le_bytes(), newest.to_le_bytes()].concat();
-            let _ = self.fleet.publish(NEWEST_KEY, &value); // two numbers are within all bounds
+            let _ = self.fleet.publish(NEWEST_KEY, &value); // 16 bytes are within the limits of a value
         }
     }
 
-    /// Requests versions of a living voter or member, drawn at random.
+    /// Requests versions from a live voter or any live member, drawn at random.
     pub(super) fn send_fetch(&self, after: u64, from_voter: bool) {
         let Some(to) = self.draw_fetch_target(from_voter) else {
             return;
@@ -167,7 +168,7 @@
         })
     }
 
-    /// Answers a request for versions, if there are newer ones.
+    /// Responds to a request for versions, if this node has newer ones.
     pub(super) fn send_versions(&self, to: &Name, address: SocketAddr, fetch: &FetchVersions) {
         let node = self.node.borrow();
         let versions = node
--- a/crates/consensus-io/src/settings_page.rs
+++ b/crates/consensus-io/src/settings_page.rs
@@ -1,4 +1,4 @@
-//! The operators' page of the consensus: one JSON object. Times are in milliseconds.
+//! The settings page of the admin interface: the state of the consensus as one JSON object, with times in milliseconds.
 
 use crate::service::ConsensusService;
 use serde_json::{Value, json};
@@ -7,7 +7,7 @@
 use sillward_fleet_settings::Key;
 use std::time::Duration;
 
-/// The page. `more_keys` are keys that the node's own configuration has.
+/// Renders the page. `more_keys` are the keys of the node's own configuration.
 pub fn render(service: &ConsensusService, more_keys: &[Key]) -> String {
     let now = service.clock().now();
     let status = service.status();
@@ -28,8 +28,8 @@
         "right": status.has_lease,
         "right_for_ms": if status.has_lease { remaining } else { None },
         "voters_answering": responding,
-        "voter": voter(service, now),
-        "readings": readings(service, more_keys),
+        "voter": voter_state(service, now),
+        "readings": effective_values(service, more_keys),
         "versions": service.with_node(versions),
         "sent": { "askings": counts.requests, "answers": counts.responses,
             "between_voters": counts.voter_messages, "fetches": counts.fetches },
@@ -38,8 +38,8 @@
     page.to_string()
 }
 
-fn milliseconds(time: Duration) -> u64 {
-    time.as_millis() as u64
+fn milliseconds(duration: Duration) -> u64 {
+    duration.as_millis() as u64
 }
 
 fn versions(node: &Node) -> Vec<Value> {
@@ -51,28 +51,28 @@
     versions.collect()
 }
 
-fn readings(service: &ConsensusService, more_keys: &[Key]) -> Vec<Value> {
+fn effective_values(service: &ConsensusService, more_keys: &[Key]) -> Vec<Value> {
     let values = service.effective_values(more_keys).into_iter();
-    let readings = values.map(|(key, effective)| {
+    let values = values.map(|(key, effective)| {
         json!({ "key": key.to_string(), "value": effective.value.to_string(),
             "version": effective.version, "careful": effective.conservative })
     });
-    readings.collect()
+    values.collect()
 }
 
-/// This voter's state, or why it counts as lost; `None` on a node that is no voter.
-fn voter(service: &ConsensusService, now: Duration) -> Option<Value> {
-    let running = service.with_voter(|voter| running_voter(service, voter, now));
-    running.or_else(|| {
+/// This voter's state, or why it is treated as lost; `None` on a node that is not a voter.
+fn voter_state(service: &ConsensusService, now: Duration) -> Option<Value> {
+    let running_state = service.with_voter(|voter| running_voter_state(service, voter, now));
+    running_state.or_else(|| {
         let lost = service.lost_state()?;
         Some(json!({ "stands": format!("does not vote: {lost}") }))
     })
 }
 
-fn running_voter(service: &ConsensusService, voter: &Voter, now: Duration) -> Value {
+fn running_voter_state(service: &ConsensusService, voter: &Voter, now: Duration) -> Value {
     let leader = voter
         .leader()
-        .and_then(|place| service.config().voter(place))
+        .and_then(|voter_id| service.config().voter(voter_id))
         .map(|name| name.as_str());
     let log = voter.log_length();
     let leases = voter.leases();
--- a/crates/consensus-io/src/voter_file.rs
+++ b/crates/consensus-io/src/voter_file.rs
@@ -1,4 +1,4 @@
-//! The file with a voter's state.
+//! The file that holds a voter's state.
 
 use crate::config::ConsensusConfig;
 use crate::error::{ConsensusError, LostState};
@@ -8,32 +8,32 @@
 use std::io;
 use std::path::Path;
 
-/// Initialises a voter's folder, once, on an operator's command. A voter without a file in its folder does not vote: so one
-/// that has lost its file does not vote a second time on what it has voted on before.
+/// Initialises a voter's folder, once, on an operator's command. It is never done automatically: a voter that has lost its
+/// file must not vote, because it could vote again, and differently, on what it has voted on before.
 ///
 /// # Errors
-/// The node is no voter, there is a file already, or the folder cannot be used.
+/// The node is not a voter, the folder already has a file, or the folder cannot be used.
 pub fn initialise(config: &ConsensusConfig, name: &Name) -> Result<String, ConsensusError> {
-    let place = config
-        .voter_place(name)
+    let voter_id = config
+        .voter_id(name)
         .ok_or_else(|| ConsensusError::NotAVoter(name.as_str().to_owned()))?;
     let folder = config
         .folder
         .as_deref()
         .ok_or(ConsensusError::MissingFolder)?;
     let path = folder.join(FILE_NAME);
-    let failed = |source: io::Error| ConsensusError::Initialise {
+    let to_error = |source: io::Error| ConsensusError::Initialise {
         path: path.clone(),
         source,
     };
-    files::create_dir_all(folder).map_err(failed)?;
-    if files::read(&path, 1).map_err(failed)?.is_some() {
+    files::create_dir_all(folder).map_err(to_error)?;
+    if files::read(&path, 1).map_err(to_error)?.is_some() {
         return Err(ConsensusError::AlreadyInitialised(path));
     }
-    let storage_id = random::entropy().map_err(failed)?;
-    let voters = config.voters.len();
-    let state = VoterState::initial(config.log_id(), place as u64, voters, storage_id);
-    files::write_atomic(&path, &state.encode()).map_err(failed)?;
+    let storage_id = random::entropy().map_err(to_error)?;
+    let voter_count = config.voters.len();
+    let state = VoterState::initial(config.log_id(), voter_id as u64, voter_count, storage_id);
+    files::write_atomic(&path, &state.encode()).map_err(to_error)?;
     Ok(format!(
         "voter {} of log {:?} is founded in {}",
         name.as_str(),
@@ -42,14 +42,14 @@
     ))
 }
 
-/// Reads the state of the voter at that place.
+/// Reads the state of the voter with this number.
 ///
 /// # Errors
-/// The file cannot be read. A missing or invalid file is the inner error.
+/// The file cannot be read. If it is missing or invalid, that is the inner error.
 pub(crate) fn load(
     folder: &Path,
     config: &ConsensusConfig,
-    place: usize,
+    voter_id: usize,
 ) -> Result<Result<VoterState, LostState>, ConsensusError> {
     let path = folder.join(FILE_NAME);
     let bytes = match files::read(&path, MAX_FILE_BYTES) {
@@ -57,7 +57,7 @@
         Ok(None) => return Ok(Err(LostState::Missing(path))),
         Err(source) => return Err(ConsensusError::Read { path, source }),
     };
-    let voters = config.voters.len();
-    let state = VoterState::decode(&bytes, config.log_id(), place as u64, voters);
+    let voter_count = config.voters.len();
+    let state = VoterState::decode(&bytes, config.log_id(), voter_id as u64, voter_count);
     Ok(state.map_err(|source| LostState::Invalid { path, source }))
 }
