--- a/crates/consensus-io/src/voter_file.rs
+++ b/crates/consensus-io/src/voter_file.rs
@@ -8,8 +8,8 @@
 use std::io;
 use std::path::Path;
 
-/// Initialises a voter's folder, once, on an operator's command. It is never done automatically: a voter that has lost its
-/// file must not vote, because it could vote again, and differently, on what it has voted on before.
+/// Initialises a voter's folder, once, on an operator's command. A voter without a file in its folder does not vote, so that
+/// one that has lost its file cannot vote a second time on what it has already voted on.
 ///
 /// # Errors
 /// The node is not a voter, the folder already has a file, or the folder cannot be used.
