--- a/crates/consensus/src/lease/granter.rs
+++ b/crates/consensus/src/lease/granter.rs
@@ -1,4 +1,4 @@
-//! A voter's side of leases.
+//! The voter's side of the lease protocol.
 
 use crate::messages::{LeaseRequest, LeaseResponse};
 use crate::timing::{InjectedBug, Timing};
@@ -6,29 +6,28 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// A node by its name, and the session of its process.
+/// A node's name and the session of its process.
 type Session<N> = (N, u64);
 
-/// The most leases on different versions that are distinguished for one session.
+/// The most grants on different versions that are kept apart for one session; beyond that the oldest two are merged.
 const MAX_GRANTS: usize = 8;
 
-/// The lease on one version.
+/// A granted lease on one version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Grant {
     /// The newest version that the response named.
     version: u64,
-    /// When the lease ends for certain.
+    /// When the lease has expired by the holder's clock too.
     until: Duration,
 }
 
-/// The leases of one session. A response may be lost: an earlier lease stays outstanding beside a later one until it has
-/// expired or the node reports that it knows of a newer version.
+/// The grants to one session. The response to a later request may be lost, so an earlier grant stays outstanding beside a
+/// later one until it expires or the node reports that it knows of a newer version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Grants {
-    /// By rising version.
+    /// In ascending order of versions.
     grants: VecDeque<Grant>,
-    /// The number of the newest request that was answered.
-    last_request: u64,
+    last_request_number: u64,
 }
 
 impl Grants {
@@ -46,7 +45,7 @@
         }
     }
 
-    /// Merges the two oldest into one that is no shorter than either.
+    /// Merges the two oldest grants into one that covers both.
     fn merge_oldest(&mut self) {
         if let (Some(oldest), Some(next)) = (self.grants.pop_front(), self.grants.pop_front()) {
             self.grants.push_front(Grant {
@@ -56,46 +55,48 @@
         }
     }
 
-    /// The node acts on nothing older any more.
+    /// Drops grants on versions that the node no longer acts on.
     fn drop_older_than(&mut self, version: u64) {
         self.grants.retain(|grant| grant.version >= version);
     }
 
-    /// Drops what has expired. Returns whether anything is left.
-    fn expire(&mut self, now: Duration) -> bool {
+    /// Drops expired grants. Returns whether any is left.
+    fn drop_expired(&mut self, now: Duration) -> bool {
         self.grants.retain(|grant| grant.until > now);
         !self.grants.is_empty()
     }
 }
 
-/// A lease that keeps a voter from consenting to the newest version.
+/// A lease that prevents a voter from consenting to the newest version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BlockingLease<N> {
-    /// The node that has it.
+    /// The node that holds the lease.
     pub node: N,
     /// The newest version that the node may act on.
     pub version: u64,
-    /// How long at the most.
+    /// The longest time for which the lease still blocks.
     pub remaining: Duration,
 }
 
-/// The leases that a voter has granted. They are not stored on disk: a restarted voter waits as if it had granted every
-/// possible lease.
+/// The leases that a voter has granted. They are not persisted: a restarted voter waits for [`Timing::grant_duration`], in
+/// which every lease that an earlier process may have granted expires.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseGranter<N: Ord = Name> {
     timing: Timing,
     log_id: u64,
-    /// Until when leases of an earlier process may be outstanding.
+    /// Until when leases that an earlier process granted may be outstanding.
     restart_wait_until: Duration,
+    /// The newest version that is committed and on this voter's disk.
     newest: u64,
+    /// The last result of [`LeaseGranter::consented`].
     consented: u64,
     outstanding: BTreeMap<Session<N>, Grants>,
-    /// How many requests were rejected because there were [`Timing::max_leases`].
+    /// The number of requests that were rejected because [`Timing::max_leases`] were outstanding.
     pub rejected: u64,
 }
 
 impl<N: Ord + Clone> LeaseGranter<N> {
-    /// The granter of a process that starts now, with `newest` as the newest version on its disk.
+    /// Creates the granter at the start of a process; `newest` is the newest committed version on the voter's disk.
     pub fn new(timing: Timing, log_id: u64, newest: u64, now: Duration) -> Self {
         let restart_wait = if timing.has_bug(InjectedBug::ForgetLeases) {
             Duration::ZERO
@@ -107,26 +108,26 @@
             log_id,
             restart_wait_until: now + restart_wait,
             newest,
-            // Version 0 conflicts with nothing.
+            // Version 0 is empty and conflicts with no other.
             consented: 0,
             outstanding: BTreeMap::new(),
             rejected: 0,
         }
     }
 
-    /// A version is committed, and on this voter's disk.
+    /// Records that a version is committed and on this voter's disk.
     pub fn on_committed(&mut self, newest: u64) {
         self.newest = self.newest.max(newest);
     }
 
-    /// Grants a lease, or rejects it if there are too many.
+    /// Grants a lease, or rejects the request if too many sessions have one.
     pub fn handle_request(
         &mut self,
         now: Duration,
         from: &N,
         request: &LeaseRequest,
     ) -> LeaseResponse {
-        self.expire(now);
+        self.drop_expired(now);
         let session = (from.clone(), request.session);
         let granted = self.outstanding.contains_key(&session)
             || self.outstanding.len() < self.timing.max_leases;
@@ -142,21 +143,21 @@
         let until = now + self.timing.grant_duration();
         let grants = self.outstanding.entry(session).or_insert(Grants {
             grants: VecDeque::new(),
-            last_request: 0,
+            last_request_number: 0,
         });
-        grants.last_request = grants.last_request.max(request.number);
+        grants.last_request_number = grants.last_request_number.max(request.number);
         grants.drop_older_than(request.known_version);
-        // A node that knows of a newer version than this voter learns of it from one that has it committed.
+        // The node may know of a newer version than this voter if another voter has told it that the version is committed.
         grants.add(self.newest.max(request.known_version), until);
     }
 
-    /// Notifications of the present state, without a lease, for all nodes that have one.
+    /// Returns notifications of the current state, which grant no lease, for all nodes that hold one.
     pub fn notifications(&mut self, now: Duration) -> Vec<(N, LeaseResponse)> {
-        self.expire(now);
+        self.drop_expired(now);
         let sessions: Vec<(N, u64, u64)> = self
             .outstanding
             .iter()
-            .map(|((name, session), grants)| (name.clone(), *session, grants.last_request))
+            .map(|((name, session), grants)| (name.clone(), *session, grants.last_request_number))
             .collect();
         sessions
             .into_iter()
@@ -182,13 +183,14 @@
         }
     }
 
-    fn expire(&mut self, now: Duration) {
-        self.outstanding.retain(|_, grants| grants.expire(now));
+    fn drop_expired(&mut self, now: Duration) {
+        self.outstanding
+            .retain(|_, grants| grants.drop_expired(now));
     }
 
-    /// The newest version below which no lease is outstanding. It never falls.
+    /// The newest version to which this voter consents: no lease on an older one is outstanding. It never decreases.
     pub fn consented(&mut self, now: Duration) -> u64 {
-        self.expire(now);
+        self.drop_expired(now);
         let skip_wait = self.timing.has_bug(InjectedBug::SkipLeaseWait);
         if now < self.restart_wait_until && !skip_wait {
             return self.consented;
@@ -205,7 +207,7 @@
         self.consented
     }
 
-    /// When the next lease expires that blocks the newest version; `None` if nothing blocks it.
+    /// When the next of the leases that block the newest version expires; `None` if nothing blocks it.
     pub fn next_expiry(&self, now: Duration) -> Option<Duration> {
         if self.consented >= self.newest {
             return None;
--- a/crates/consensus/src/lease/holder.rs
+++ b/crates/consensus/src/lease/holder.rs
@@ -1,4 +1,4 @@
-//! A node's side of leases.
+//! The node's side of the lease protocol.
 
 use crate::messages::{LeaseRequest, LeaseResponse};
 use crate::timing::{InjectedBug, Timing, majority};
@@ -6,18 +6,19 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The most requests whose responses still count: more than are sent during a lease.
+/// The most requests whose responses are still accepted: more than a node sends during one lease.
 const MAX_OPEN_REQUESTS: usize = 16;
 
-/// What a node has from a voter.
+/// The state that a voter's responses have established.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct VoterGrant {
-    /// When the newest request was sent for which this voter granted a lease.
+    /// When the newest request that this voter granted was sent.
     requested_at: Option<Duration>,
+    /// The newest version to which the voter consents.
     consented: u64,
 }
 
-/// A request that may still be answered.
+/// A request whose responses are still accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct OpenRequest {
     number: u64,
@@ -30,25 +31,31 @@
     timing: Timing,
     log_id: u64,
     session: u64,
-    /// The number of the last request.
-    number: u64,
+    last_request_number: u64,
     open_requests: VecDeque<OpenRequest>,
-    voters: Vec<VoterGrant>,
+    grants_by_voter: Vec<VoterGrant>,
+    /// The newest version that is known to be committed.
     newest: u64,
     in_force: u64,
     next_request_at: Duration,
 }
 
 impl LeaseHolder {
-    /// The holder of a process that starts now, with that many voters. It has no lease before it has requested one.
-    pub fn new(timing: Timing, log_id: u64, voters: usize, session: u64, now: Duration) -> Self {
+    /// Creates the holder at the start of a process. It has no lease until a majority has granted one.
+    pub fn new(
+        timing: Timing,
+        log_id: u64,
+        voter_count: usize,
+        session: u64,
+        now: Duration,
+    ) -> Self {
         LeaseHolder {
             timing,
             log_id,
             session,
-            number: 0,
+            last_request_number: 0,
             open_requests: VecDeque::new(),
-            voters: vec![VoterGrant::default(); voters],
+            grants_by_voter: vec![VoterGrant::default(); voter_count],
             newest: 0,
             in_force: 0,
             next_request_at: now,
@@ -60,15 +67,15 @@
         self.next_request_at
     }
 
-    /// The request to send to every voter, if one is due.
+    /// Returns the request to send to every voter, if one is due.
     pub fn take_request(&mut self, now: Duration) -> Option<LeaseRequest> {
         if now < self.next_request_at {
             return None;
         }
         self.next_request_at = now + self.timing.renew_interval;
-        self.number += 1;
+        self.last_request_number += 1;
         self.open_requests.push_back(OpenRequest {
-            number: self.number,
+            number: self.last_request_number,
             sent_at: now,
         });
         while self.open_requests.len() > MAX_OPEN_REQUESTS {
@@ -77,7 +84,7 @@
         Some(LeaseRequest {
             log_id: self.log_id,
             session: self.session,
-            number: self.number,
+            number: self.last_request_number,
             known_version: self.newest,
         })
     }
@@ -86,15 +93,16 @@
         self.next_request_at = self.next_request_at.min(now);
     }
 
-    /// Takes the response of the voter at that place, counted from 0. Returns whether the status has changed.
+    /// Handles the response of a voter, by its index in the list of voters. Returns whether the status has changed.
     pub fn handle_response(
         &mut self,
         now: Duration,
-        voter: usize,
+        voter_index: usize,
         response: &LeaseResponse,
     ) -> bool {
-        let is_own = response.log_id == self.log_id && response.session == self.session;
-        if !is_own || voter >= self.voters.len() {
+        let is_for_this_session =
+            response.log_id == self.log_id && response.session == self.session;
+        if !is_for_this_session || voter_index >= self.grants_by_voter.len() {
             return false;
         }
         let before = self.status(now);
@@ -104,7 +112,7 @@
             .iter()
             .find(|request| request.number == response.number)
             .map(|request| request.sent_at);
-        let grant = &mut self.voters[voter];
+        let grant = &mut self.grants_by_voter[voter_index];
         if let (Some(requested_at), true) = (requested_at, response.granted) {
             let counts_from = if self.timing.has_bug(InjectedBug::LeaseFromArrival) {
                 now
@@ -120,14 +128,18 @@
 
     /// A version is in force once a majority consents to it or to a newer one.
     fn update_in_force(&mut self, now: Duration) {
-        let mut consented: Vec<u64> = self.voters.iter().map(|voter| voter.consented).collect();
+        let mut consented: Vec<u64> = self
+            .grants_by_voter
+            .iter()
+            .map(|voter| voter.consented)
+            .collect();
         consented.sort_unstable_by(|a, b| b.cmp(a));
-        let by_majority = consented[majority(consented.len()) - 1];
-        self.in_force = self.in_force.max(by_majority);
+        let consented_by_majority = consented[majority(consented.len()) - 1];
+        self.in_force = self.in_force.max(consented_by_majority);
         self.observe_version(self.in_force, now);
     }
 
-    /// A version is known to be committed. It counts from now on, whether the node has its contents or not.
+    /// Records that a version is committed. From now on it affects the status, whether the node has its contents or not.
     pub fn observe_version(&mut self, newest: u64, now: Duration) {
         if newest > self.newest {
             self.newest = newest;
@@ -135,16 +147,19 @@
         }
     }
 
-    /// When the lease expires; `None` without grants of a majority.
+    /// When the lease expires; `None` without grants from a majority of the voters.
     pub fn expires_at(&self) -> Option<Duration> {
-        let mut requested_at: Vec<Option<Duration>> =
-            self.voters.iter().map(|voter| voter.requested_at).collect();
+        let mut requested_at: Vec<Option<Duration>> = self
+            .grants_by_voter
+            .iter()
+            .map(|voter| voter.requested_at)
+            .collect();
         requested_at.sort_unstable_by(|a, b| b.cmp(a));
         let oldest_of_majority = requested_at[majority(requested_at.len()) - 1];
         oldest_of_majority.map(|at| at + self.timing.lease_duration())
     }
 
-    /// The versions that the node knows of, and whether it has a lease.
+    /// The versions that the node knows of, and whether it holds a lease.
     pub fn status(&self, now: Duration) -> VersionStatus {
         VersionStatus {
             in_force: self.in_force,
@@ -160,6 +175,6 @@
                 .requested_at
                 .is_some_and(|at| at + self.timing.lease_duration() > now)
         };
-        self.voters.iter().filter(is_valid).count()
+        self.grants_by_voter.iter().filter(is_valid).count()
     }
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,8 +1,9 @@
-//! One replicated log of settings versions among the voters, and the leases of all nodes to act on them. No I/O and no
-//! clock: events with times go in, actions come out.
+//! A replicated log of settings versions, kept by the voters, and the leases by which all nodes act on them. Without I/O
+//! and clock: the caller passes events with their times in and carries out the returned actions.
 //!
-//! [`voter`] runs the log on a consensus engine and grants leases. [`node`] is the side of every node: it requests leases,
-//! fetches versions and knows what it may act on. [`lease`] is the protocol between the two, which no engine provides.
+//! [`voter`] runs the log on a consensus engine and grants leases. [`node`] runs on every node: it requests leases, fetches
+//! versions and tracks which of them the node may act on. [`lease`] is the protocol between the two; the consensus engine
+//! has no leases of its own.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/consensus/src/messages.rs
+++ b/crates/consensus/src/messages.rs
@@ -1,21 +1,21 @@
-//! Messages between nodes and voters, in their wire form.
+//! Messages between nodes and voters, and their wire format.
 
 use serde::{Deserialize, Serialize};
 use sillward_fleet_settings::Version;
 
-/// A node requests a lease.
+/// A node's request for a lease.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct LeaseRequest {
-    /// The log: a hash of its name and its voters. Messages of another log are ignored.
+    /// Identifies the log: a hash of its name and its voters. Messages about another log are ignored.
     #[prost(fixed64, tag = "1")]
     pub log_id: u64,
-    /// Drawn at the start of the node's process, so that requests of different processes are distinguished.
+    /// Drawn at random when the node's process starts; distinguishes its requests from those of an earlier process.
     #[prost(fixed64, tag = "2")]
     pub session: u64,
     /// The number of the request, which the response repeats.
     #[prost(uint64, tag = "3")]
     pub number: u64,
-    /// The newest version that the node knows of: it acts on nothing older that conflicts with it any more.
+    /// The newest version that the node knows of. The node no longer acts on older versions that conflict with it.
     #[prost(uint64, tag = "4")]
     pub known_version: u64,
 }
@@ -35,21 +35,21 @@
     /// The newest version that the voter knows to be committed.
     #[prost(uint64, tag = "4")]
     pub newest: u64,
-    /// The newest version below which the voter has no lease outstanding.
+    /// The newest version to which the voter consents: it has no lease on an older one outstanding.
     #[prost(uint64, tag = "5")]
     pub consented: u64,
-    /// Whether a lease is granted; otherwise the response is only a notification.
+    /// Whether a lease is granted. If not, the response only reports the voter's state.
     #[prost(bool, tag = "6")]
     pub granted: bool,
 }
 
-/// What fits into a datagram between nodes and voters.
+/// The payload of a datagram between nodes and voters.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Datagram {
     /// A lease request.
     #[prost(message, optional, tag = "1")]
     pub request: Option<LeaseRequest>,
-    /// A response to one.
+    /// A response to a lease request.
     #[prost(message, optional, tag = "2")]
     pub response: Option<LeaseResponse>,
     /// A request for versions.
@@ -60,7 +60,7 @@
     pub versions: Vec<u8>,
 }
 
-/// A node that knows of newer versions than it has requests them.
+/// A request for versions that the node knows of and lacks.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct FetchVersions {
     /// See [`LeaseRequest::log_id`].
@@ -71,32 +71,32 @@
     pub after: u64,
 }
 
-/// What is too long for a datagram and goes over a link.
+/// A message over a link, for contents that are too long for a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LinkMessage {
-    /// Committed versions, in order.
+    /// Committed versions, in ascending order.
     Versions(Vec<Version>),
-    /// A proposal, to a voter.
+    /// A proposal for a voter to append to the log.
     Propose(Proposal),
 }
 
 /// A proposed version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// The number of the version that it changes.
+    /// The number of the version on which the proposal is based.
     pub base: u64,
-    /// The proposed version; the log gives its number.
+    /// The proposed version. Its number is assigned when the proposal is applied.
     pub version: Version,
 }
 
-/// The incarnation of a voter: a process on a state of the voter's storage.
+/// The incarnation of a voter: it identifies the voter's storage, a state of that storage and the process that uses it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterIncarnation {
-    /// Drawn when the storage was initialised.
+    /// Drawn at random when the storage was initialised.
     pub storage_id: u64,
     /// Increases with each incarnation on that storage.
     pub number: u64,
-    /// Drawn at the start of the process.
+    /// Drawn at random when the process started.
     pub process_id: u64,
 }
 
@@ -111,15 +111,15 @@
     IncarnationSeen {
         /// The incarnation that was announced.
         incarnation: VoterIncarnation,
-        /// A newer or other incarnation of that voter that the sender has seen; `None` if there is none.
+        /// An incarnation of that voter that the sender has seen and that is newer or on another storage.
         newer: Option<VoterIncarnation>,
     },
 }
 
-/// The version of the encoding of [`Envelope`]s. Those of another version are ignored.
+/// The version of the encoding of [`Envelope`]s. Envelopes of other versions are ignored.
 pub const WIRE_VERSION: u8 = 1;
 
-/// A [`VoterMessage`] or a [`LinkMessage`] as it goes over a link.
+/// A [`VoterMessage`] or a [`LinkMessage`] with the identifier of its log.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Envelope<T = VoterMessage> {
     /// See [`LeaseRequest::log_id`].
@@ -129,14 +129,14 @@
 }
 
 impl<T: Serialize + for<'a> Deserialize<'a>> Envelope<T> {
-    /// The wire form.
+    /// Encodes the envelope for the wire.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![WIRE_VERSION];
         bytes.extend(postcard::to_stdvec(self).unwrap_or_default());
         bytes
     }
 
-    /// Reads the wire form; `None` if it is malformed or of another version.
+    /// Decodes an envelope; `None` if it is malformed or of another wire version.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (version, rest) = bytes.split_first()?;
         (*version == WIRE_VERSION)
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,4 +1,4 @@
-//! The side of every node: it requests leases, fetches versions that it lacks, and knows what it may act on.
+//! The part that runs on every node: requests leases, fetches missing versions and tracks which versions the node may act on.
 
 use crate::lease::LeaseHolder;
 use crate::messages::{LeaseRequest, LeaseResponse};
@@ -6,41 +6,41 @@
 use sillward_fleet_settings::{History, Version, VersionStatus};
 use std::time::Duration;
 
-/// Between two attempts to fetch versions.
+/// The interval between two attempts to fetch versions.
 const FETCH_INTERVAL: Duration = Duration::from_millis(150);
-/// Attempts at voters before one at any member that knows of the versions.
-const ATTEMPTS_AT_VOTERS: u64 = 2;
+/// Fetch attempts from voters before each one from an arbitrary member.
+const VOTER_FETCH_ATTEMPTS: u64 = 2;
 
-/// What happens to a node.
+/// An input to a [`Node`].
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// A response of the voter at that place, counted from 0.
+    /// A voter's response, with the voter's index in the list of voters.
     LeaseResponse(usize, LeaseResponse),
-    /// Versions have come, from any sender.
+    /// Versions were received, from any sender.
     Versions(Vec<Version>),
-    /// Another member knows of a committed version.
+    /// Another member has reported that the version of this number is committed.
     VersionObserved(u64),
 }
 
-/// What a node does.
+/// What the caller must do for a [`Node`].
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Sends a request to every voter.
+    /// Send a request to every voter.
     RequestLease(LeaseRequest),
-    /// Requests the versions after that one.
+    /// Request newer versions.
     Fetch {
-        /// The number of the newest version that it has.
+        /// The number of the newest version that the node has.
         after: u64,
-        /// Whether to ask a voter, drawn at random, or any member.
+        /// Whether to request them from a voter drawn at random, or from any member.
         from_voter: bool,
     },
-    /// What it may act on has changed.
+    /// The versions that the node has or may act on have changed.
     StatusChanged,
 }
 
-/// A node.
+/// A node's lease and versions.
 pub struct Node {
     lease: LeaseHolder,
     history: History,
@@ -52,11 +52,17 @@
 }
 
 impl Node {
-    /// The node of a process that starts now, with that many voters. It knows no version, and uses conservative values
-    /// until it has a lease.
-    pub fn new(timing: Timing, log_id: u64, voters: usize, session: u64, now: Duration) -> Self {
+    /// Creates the node at the start of a process. It knows no version, and uses conservative values until it holds a
+    /// lease.
+    pub fn new(
+        timing: Timing,
+        log_id: u64,
+        voter_count: usize,
+        session: u64,
+        now: Duration,
+    ) -> Self {
         Node {
-            lease: LeaseHolder::new(timing, log_id, voters, session, now),
+            lease: LeaseHolder::new(timing, log_id, voter_count, session, now),
             history: History::default(),
             next_fetch_at: now,
             fetch_attempts: 0,
@@ -65,18 +71,18 @@
         }
     }
 
-    /// The versions that it has.
+    /// The versions that the node has.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// Its lease.
+    /// The node's lease.
     pub fn lease(&self) -> &LeaseHolder {
         &self.lease
     }
 
-    /// The versions that it knows of, and whether it has a lease. A newer version that it does not know of cannot matter
-    /// while it has one.
+    /// The versions that the node knows of, and whether it holds a lease. While it does, no version that it does not know
+    /// of can be in force.
     pub fn status(&self, now: Duration) -> VersionStatus {
         self.lease.status(now)
     }
@@ -97,12 +103,12 @@
         at.max(now)
     }
 
-    /// Takes an event.
+    /// Handles an event and returns the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
         match event {
             Event::Tick => {}
-            Event::LeaseResponse(voter, response) => {
-                self.lease.handle_response(now, voter, &response);
+            Event::LeaseResponse(voter_index, response) => {
+                self.lease.handle_response(now, voter_index, &response);
             }
             Event::Versions(versions) => {
                 if self.history.merge(versions) {
@@ -124,7 +130,7 @@
         if !self.is_missing_versions(now) || now < self.next_fetch_at {
             return None;
         }
-        let from_voter = self.fetch_attempts % (ATTEMPTS_AT_VOTERS + 1) < ATTEMPTS_AT_VOTERS;
+        let from_voter = self.fetch_attempts % (VOTER_FETCH_ATTEMPTS + 1) < VOTER_FETCH_ATTEMPTS;
         self.next_fetch_at = now + FETCH_INTERVAL;
         self.fetch_attempts += 1;
         Some(Action::Fetch {
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -1,5 +1,5 @@
-//! The engine's storage, in memory. The voter that runs the engine checks whether it has changed, and sends nothing that
-//! follows from a change before the change is on disk.
+//! The consensus engine's storage, in memory. The voter that runs the engine checks it for changes, and sends no message
+//! that depends on a change before the change is on disk.
 
 use crate::messages::Proposal;
 use crate::voter_state::{LogSnapshot, VoterState};
@@ -9,7 +9,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The storage. Clones share one state.
+/// The in-memory storage. All clones share one state.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryStorage(Rc<RefCell<Inner>>);
 
@@ -20,7 +20,7 @@
 }
 
 impl MemoryStorage {
-    /// A storage with this state.
+    /// Creates a storage that holds this state.
     pub fn new(state: VoterState) -> Self {
         MemoryStorage(Rc::new(RefCell::new(Inner {
             state,
@@ -38,14 +38,14 @@
         read(&self.0.borrow().state)
     }
 
-    /// Changes the state.
+    /// Changes the state and marks it as changed.
     pub fn update<T>(&self, update: impl FnOnce(&mut VoterState) -> T) -> T {
         let mut inner = self.0.borrow_mut();
         inner.changed = true;
         update(&mut inner.state)
     }
 
-    /// The versions that all decided entries result in.
+    /// The versions that result from all decided entries.
     pub fn history(&self) -> History {
         self.read(VoterState::history)
     }
@@ -97,8 +97,8 @@
     }
 
     fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<Proposal>> {
-        // The engine (0.2.4) calls this for snapshots only, and when it takes another voter's snapshot, up to that voter's
-        // decided index: entries of this log beyond its own decided index may never be decided.
+        // OmniPaxos 0.2.4 calls this only to create snapshots. When it installs another voter's snapshot, it reads up to that
+        // voter's decided index, but entries beyond this log's own decided index may never be decided.
         Ok(self.read(|state| state.entries_between(from, to.min(state.decided))))
     }
 
--- a/crates/consensus/src/timing.rs
+++ b/crates/consensus/src/timing.rs
@@ -1,13 +1,13 @@
-//! Times and bounds of the protocol, and the bugs that tests inject into it.
+//! Durations and limits of the lease protocol, and the bugs that tests inject into it.
 
 use std::time::Duration;
 
-/// A bug that tests inject to see that their checks find it. The shipped program has no way to inject one.
+/// A bug that tests inject to show that their checks detect it. The shipped program has no way to inject one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum InjectedBug {
-    /// A lease counts from the arrival of the response instead of from its request.
+    /// A lease is counted from the arrival of the response instead of the sending of the request.
     LeaseFromArrival,
-    /// A voter sends messages before its disk has what they follow from.
+    /// A voter sends messages before the state that they depend on is on its disk.
     SendBeforeSync,
     /// A voter consents to a version without waiting for the leases that it granted.
     SkipLeaseWait,
@@ -15,18 +15,19 @@
     ForgetLeases,
 }
 
-/// Times and bounds of the protocol.
+/// Durations and limits of the lease protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Timing {
-    /// No two nodes act on conflicting values for longer. A lease lasts half of it.
+    /// The longest time for which two nodes may act on conflicting values. A lease lasts half of it.
     pub conflict_bound: Duration,
-    /// Between two lease requests of a node.
+    /// The interval between two lease requests of a node.
     pub renew_interval: Duration,
-    /// By how many parts in a thousand two clocks may differ in rate.
+    /// The most by which the rates of two clocks may differ, in parts per thousand. Leases are shortened and waits for them
+    /// lengthened by as much.
     pub clock_drift_permille: u32,
-    /// The most nodes to which a voter grants leases at a time.
+    /// The most sessions of nodes that may hold leases of one voter at a time.
     pub max_leases: usize,
-    /// An injected bug.
+    /// The bug that a test injects, if any.
     pub injected_bug: Option<InjectedBug>,
 }
 
@@ -37,7 +38,7 @@
 }
 
 impl Timing {
-    /// The default times for a [`Timing::conflict_bound`].
+    /// Derives the other values from a [`Timing::conflict_bound`].
     pub fn with_bound(conflict_bound: Duration) -> Self {
         Timing {
             conflict_bound,
@@ -48,13 +49,13 @@
         }
     }
 
-    /// How long a node acts on what is committed, from the time of its request.
+    /// How long a lease lasts for its holder, from the sending of the request.
     pub fn lease_duration(&self) -> Duration {
         let half = self.conflict_bound / 2;
         half - half * self.clock_drift_permille / 1000
     }
 
-    /// How long a voter waits for a lease that it granted, from the time of the grant.
+    /// How long a voter waits for the expiry of a lease, from the time of the grant.
     pub fn grant_duration(&self) -> Duration {
         let half = self.conflict_bound / 2;
         half + half * self.clock_drift_permille / 1000
@@ -65,7 +66,7 @@
     }
 }
 
-/// The size of a majority of that many voters.
+/// The number of voters that form a majority.
 pub fn majority(voters: usize) -> usize {
     voters / 2 + 1
 }
--- a/crates/consensus/src/voter/incarnation.rs
+++ b/crates/consensus/src/voter/incarnation.rs
@@ -1,42 +1,42 @@
-//! The incarnations of voters, by which a voter finds out that its storage was lost or replaced by an older copy.
+//! The incarnations of voters, by which a voter detects that its storage was lost or replaced by an older copy.
 
 use crate::messages::VoterIncarnation;
 use crate::storage::MemoryStorage;
 use crate::timing::majority;
 use std::collections::BTreeSet;
 
-/// What another voter's answer to an announcement means.
-pub(super) enum Announcement {
-    /// It answers an earlier announcement.
+/// The meaning of another voter's response to an announcement.
+pub(super) enum AnnouncementResult {
+    /// The response is to an earlier announcement.
     Outdated,
     /// The other voter has seen no newer incarnation.
     Confirmed,
-    /// The other voter has seen this newer or other one.
+    /// The other voter has seen this incarnation, which is newer or on another storage.
     Superseded(VoterIncarnation),
 }
 
-/// This voter's incarnation, and what the others know of it.
+/// This voter's incarnation, and which voters have confirmed it.
 pub(super) struct Incarnations {
     storage: MemoryStorage,
-    place: usize,
-    voters: usize,
+    own_id: usize,
+    voter_count: usize,
     process_id: u64,
-    /// The places of the voters that have confirmed the incarnation.
+    /// The voters that have confirmed the incarnation.
     confirmed_by: BTreeSet<usize>,
 }
 
 impl Incarnations {
-    /// Begins a new incarnation of the stored one.
+    /// Begins a new incarnation, which succeeds the stored one.
     pub(super) fn new(
         storage: MemoryStorage,
-        place: usize,
-        voters: usize,
+        own_id: usize,
+        voter_count: usize,
         process_id: u64,
     ) -> Self {
         let incarnations = Incarnations {
             storage,
-            place,
-            voters,
+            own_id,
+            voter_count,
             process_id,
             confirmed_by: BTreeSet::new(),
         };
@@ -44,7 +44,7 @@
         incarnations
     }
 
-    /// Begins a new incarnation of this process.
+    /// Begins the next incarnation in this process.
     pub(super) fn renew(&self) {
         let process_id = self.process_id;
         self.storage.update(|state| {
@@ -60,23 +60,23 @@
         self.storage.read(|state| state.incarnation)
     }
 
-    /// The places of the other voters.
+    /// The numbers of the other voters.
     pub(super) fn others(&self) -> impl Iterator<Item = usize> + use<> {
-        let own = self.place;
-        (1..=self.voters).filter(move |place| *place != own)
+        let own_id = self.own_id;
+        (1..=self.voter_count).filter(move |id| *id != own_id)
     }
 
-    /// Whether that is the place of another voter.
-    pub(super) fn is_other(&self, place: usize) -> bool {
-        place != self.place && (1..=self.voters).contains(&place)
+    /// Whether this is the number of another voter.
+    pub(super) fn is_other(&self, voter_id: usize) -> bool {
+        voter_id != self.own_id && (1..=self.voter_count).contains(&voter_id)
     }
 
-    /// The engine's identifiers of all voters.
+    /// The identifiers that the engine uses for all voters: their numbers.
     pub(super) fn all_ids(&self) -> Vec<u64> {
-        (1..=self.voters as u64).collect()
+        (1..=self.voter_count as u64).collect()
     }
 
-    /// Records the announced incarnation of another voter. Returns a newer or other one, if one was seen.
+    /// Records the announced incarnation of another voter. Returns the seen incarnation if it is newer or on another storage.
     pub(super) fn observe(
         &self,
         from: usize,
@@ -91,28 +91,28 @@
         newer
     }
 
-    /// Takes another voter's answer to an announcement.
-    pub(super) fn confirm(
+    /// Handles another voter's response to an announcement.
+    pub(super) fn handle_response(
         &mut self,
         from: usize,
         incarnation: VoterIncarnation,
         newer: Option<VoterIncarnation>,
-    ) -> Announcement {
+    ) -> AnnouncementResult {
         if Some(incarnation) != self.own() || incarnation.process_id != self.process_id {
-            return Announcement::Outdated;
+            return AnnouncementResult::Outdated;
         }
         match newer {
             None => {
                 self.confirmed_by.insert(from);
-                Announcement::Confirmed
+                AnnouncementResult::Confirmed
             }
-            Some(newer) => Announcement::Superseded(newer),
+            Some(newer) => AnnouncementResult::Superseded(newer),
         }
     }
 
-    /// Whether a majority, with this voter, has confirmed the incarnation.
+    /// Whether a majority, counting this voter, has confirmed the incarnation.
     pub(super) fn is_confirmed(&self) -> bool {
-        self.confirmed_by.len() + 1 >= majority(self.voters)
+        self.confirmed_by.len() + 1 >= majority(self.voter_count)
     }
 
     pub(super) fn clear_confirmations(&mut self) {
@@ -120,7 +120,7 @@
     }
 }
 
-/// Whether an announced incarnation is the seen one or comes after it on the same storage.
+/// Whether an announced incarnation is the seen one or follows it on the same storage.
 fn succeeds(announced: &VoterIncarnation, seen: &VoterIncarnation) -> bool {
     let is_later = announced.number > seen.number;
     let is_same = announced.number == seen.number && announced.process_id == seen.process_id;
--- a/crates/consensus/src/voter/mod.rs
+++ b/crates/consensus/src/voter/mod.rs
@@ -1,5 +1,7 @@
-//! A voter: the log on the consensus engine, what must be on disk before anything that follows from it is sent, and the leases
-//! that it grants. A voter whose storage is lost or older than what the others have seen of it does not vote.
+//! A voter. It runs the log on the consensus engine, sends messages only once the state that they depend on is on disk, and
+//! grants leases. A voter whose storage was lost, or is older than what other voters have seen of it, does not vote.
+//!
+//! Voters are numbered from 1 on in the order in which the log lists them.
 
 mod incarnation;
 mod interface;
@@ -12,7 +14,7 @@
 use crate::storage::MemoryStorage;
 use crate::timing::{InjectedBug, Timing};
 use crate::voter_state::{LogLength, VoterState};
-use incarnation::{Announcement, Incarnations};
+use incarnation::{AnnouncementResult, Incarnations};
 use omnipaxos::messages::Message;
 use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
 use output::Output;
@@ -20,39 +22,40 @@
 use sillward_membership::Name;
 use std::time::Duration;
 
-/// Between two ticks of the engine.
-pub const TICK: Duration = Duration::from_millis(50);
-/// Ticks without a heartbeat of the leader until another one is elected.
+/// The interval between two ticks of the engine.
+pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Ticks without a heartbeat of the leader until a new leader is elected.
 const ELECTION_TICKS: u64 = 8;
 /// Ticks until the engine resends a message.
 const RESEND_TICKS: u64 = 10;
-/// Between two announcements of an incarnation that too few voters have confirmed.
+/// The interval between two announcements of an incarnation that no majority has confirmed yet.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
-/// Between two incarnations of a voting process.
+/// The interval between two incarnations in a process that votes.
 const INCARNATION_INTERVAL: Duration = Duration::from_secs(10);
-/// A voter that was silent for longer may have missed messages.
-const RECONNECT_AFTER: Duration = Duration::from_secs(1);
-/// Decided entries that stay in the log before it is compacted.
-const MAX_UNCOMPACTED: usize = 32;
-/// The longest proposal, in bytes: it must fit into a message of a link.
+/// A link to a voter that was silent for longer counts as reconnected: messages may have been lost.
+const RECONNECT_THRESHOLD: Duration = Duration::from_secs(1);
+/// The most decided entries in the log before it is compacted.
+const MAX_UNCOMPACTED_ENTRIES: usize = 32;
+/// The longest proposal, in bytes: it must fit into one message of a link.
 pub const MAX_PROPOSAL_BYTES: usize = 24 * 1024;
 
-/// A voter.
+/// A voter's state. Its caller passes it events and carries out its actions.
 pub struct Voter {
     log_id: u64,
-    place: usize,
+    id: usize,
     storage: MemoryStorage,
     /// `None` unless the status is [`VoterStatus::Voting`].
     engine: Option<OmniPaxos<Proposal, MemoryStorage>>,
     leases: LeaseGranter,
     status: VoterStatus,
     incarnations: Incarnations,
-    /// When the last message of each voter came, by place.
+    /// When the last message of each voter was received, by voter number.
     last_heard: Vec<Option<Duration>>,
-    /// The newest committed version, and the number of decided entries, that were reported.
+    /// The newest committed version that was reported.
     newest: u64,
+    /// The number of decided entries that were processed.
     decided: usize,
-    /// The newest and the consented version of the last notification.
+    /// The newest and the consented version in the last notification.
     notified: (u64, u64),
     next_tick_at: Duration,
     next_announcement_at: Duration,
@@ -61,23 +64,23 @@
 }
 
 impl Voter {
-    /// A voter that starts from what is on its disk. `process_id` is drawn for this process.
+    /// Creates a voter from the state on its disk. `process_id` is drawn at random for this process.
     pub fn new(timing: Timing, state: VoterState, process_id: u64, now: Duration) -> Self {
         let log_id = state.log_id;
-        let place = state.place as usize;
-        let voters = state.seen_incarnations.len();
+        let id = state.voter_id as usize;
+        let voter_count = state.seen_incarnations.len();
         let storage = MemoryStorage::new(state);
         let newest = storage.history().newest();
-        let incarnations = Incarnations::new(storage.clone(), place, voters, process_id);
+        let incarnations = Incarnations::new(storage.clone(), id, voter_count, process_id);
         let skip_sync = timing.has_bug(InjectedBug::SendBeforeSync);
         Voter {
             log_id,
-            place,
+            id,
             engine: None,
             leases: LeaseGranter::new(timing, log_id, newest, now),
             status: VoterStatus::Joining,
             incarnations,
-            last_heard: vec![None; voters + 1],
+            last_heard: vec![None; voter_count + 1],
             newest,
             decided: 0,
             notified: (0, 0),
@@ -89,22 +92,22 @@
         }
     }
 
-    /// Whether it votes.
+    /// Whether the voter votes, and why not.
     pub fn status(&self) -> &VoterStatus {
         &self.status
     }
 
-    /// The leases that it has granted.
+    /// The leases that the voter has granted.
     pub fn leases(&self) -> &LeaseGranter {
         &self.leases
     }
 
-    /// The committed versions in its log.
+    /// The committed versions in the voter's log.
     pub fn history(&self) -> History {
         self.storage.history()
     }
 
-    /// The length of its log.
+    /// The length of the voter's log.
     pub fn log_length(&self) -> LogLength {
         self.storage.read(VoterState::log_length)
     }
@@ -114,7 +117,7 @@
         self.output.failed_writes()
     }
 
-    /// The place of the leader, from 1 on, as far as this voter knows.
+    /// The number of the leader, as far as this voter knows.
     pub fn leader(&self) -> Option<usize> {
         let (leader, _) = self.engine.as_ref()?.get_current_leader()?;
         Some(leader as usize)
@@ -122,7 +125,7 @@
 
     /// Whether this voter is the leader, as far as it knows.
     pub fn is_leader(&self) -> bool {
-        self.leader() == Some(self.place)
+        self.leader() == Some(self.id)
     }
 
     /// When [`Event::Tick`] is due.
@@ -137,7 +140,7 @@
         at.max(now)
     }
 
-    /// Takes an event.
+    /// Handles an event and returns the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
         match event {
             Event::Tick => self.tick(now),
@@ -149,7 +152,7 @@
         self.poll_engine(now);
         self.notify_nodes(now);
         self.output.persist_if_changed(now);
-        self.output.take()
+        self.output.take_ready()
     }
 
     fn tick(&mut self, now: Duration) {
@@ -174,8 +177,8 @@
             self.announce_incarnation();
         }
         if now >= self.next_tick_at {
-            // From now on: ticks that a pause has swallowed are not made up for.
-            self.next_tick_at = now + TICK;
+            // Counted from now, so that ticks missed during a pause are not made up for.
+            self.next_tick_at = now + TICK_INTERVAL;
             if let Some(engine) = &mut self.engine {
                 engine.tick();
             }
@@ -191,7 +194,7 @@
         }
     }
 
-    /// Begins to vote once a majority has confirmed that this storage is the newest.
+    /// Begins to vote if a majority has confirmed that this storage is the newest.
     fn join_if_confirmed(&mut self, now: Duration) {
         if self.status != VoterStatus::Joining || !self.incarnations.is_confirmed() {
             return;
@@ -203,7 +206,7 @@
                 flexible_quorum: None,
             },
             server_config: ServerConfig {
-                pid: self.place as u64,
+                pid: self.id as u64,
                 election_tick_timeout: ELECTION_TICKS,
                 resend_message_tick_timeout: RESEND_TICKS,
                 ..ServerConfig::default()
@@ -235,7 +238,7 @@
             return;
         }
         let was_silent =
-            self.last_heard[from].is_none_or(|at| now.saturating_sub(at) > RECONNECT_AFTER);
+            self.last_heard[from].is_none_or(|at| now.saturating_sub(at) > RECONNECT_THRESHOLD);
         self.last_heard[from] = Some(now);
         match envelope.message {
             VoterMessage::Incarnation(incarnation) => {
@@ -257,10 +260,10 @@
         incarnation: VoterIncarnation,
         newer: Option<VoterIncarnation>,
     ) {
-        match self.incarnations.confirm(from, incarnation, newer) {
-            Announcement::Outdated => {}
-            Announcement::Confirmed => self.join_if_confirmed(now),
-            Announcement::Superseded(newer) => {
+        match self.incarnations.handle_response(from, incarnation, newer) {
+            AnnouncementResult::Outdated => {}
+            AnnouncementResult::Confirmed => self.join_if_confirmed(now),
+            AnnouncementResult::Superseded(newer) => {
                 if !matches!(self.status, VoterStatus::Disabled(_)) {
                     self.disable(DisabledReason::Superseded {
                         from,
@@ -279,12 +282,12 @@
         let Ok(message) = postcard::from_bytes::<Message<Proposal>>(bytes) else {
             return;
         };
-        let ends = match &message {
+        let (sender, receiver) = match &message {
             Message::SequencePaxos(paxos) => (paxos.from, paxos.to),
             Message::BLE(ble) => (ble.from, ble.to),
         };
         // The engine does not check the sender.
-        if ends != (from as u64, self.place as u64) {
+        if (sender, receiver) != (from as u64, self.id as u64) {
             return;
         }
         if was_silent {
@@ -299,7 +302,8 @@
         }
         self.poll_engine(now);
         let response = self.leases.handle_request(now, &from, request);
-        self.output.send(Action::SendLeaseResponse(from, response));
+        self.output
+            .send_when_persisted(Action::SendLeaseResponse(from, response));
     }
 
     fn propose(&mut self, proposal: Proposal) {
@@ -310,12 +314,12 @@
             && version.author.len() <= MAX_REASON_BYTES
             && FleetSettings::from_json(&version.settings).is_ok();
         if let (Some(engine), true) = (&mut self.engine, is_valid) {
-            // One that a reconfiguration blocks is sent again by its proposer.
+            // The engine rejects entries during a reconfiguration; the proposer then sends the proposal again.
             let _ = engine.append(proposal);
         }
     }
 
-    /// Takes what the engine has decided and wants to send.
+    /// Collects the engine's decided entries and outgoing messages.
     fn poll_engine(&mut self, now: Duration) {
         let Some(engine) = &mut self.engine else {
             return;
@@ -323,8 +327,9 @@
         let mut messages = Vec::new();
         engine.take_outgoing_messages(&mut messages);
         let log = self.storage.read(VoterState::log_length);
-        if log.uncompacted > MAX_UNCOMPACTED {
-            let _ = engine.snapshot(Some(log.decided), true); // if it fails, it is tried again after the next entry
+        if log.uncompacted > MAX_UNCOMPACTED_ENTRIES {
+            // A failed snapshot is retried with the next call.
+            let _ = engine.snapshot(Some(log.decided), true);
         }
         for message in messages {
             self.send_engine_message(now, &message);
@@ -343,7 +348,8 @@
             Message::SequencePaxos(paxos) => {
                 self.send_to_voter(paxos.to as usize, VoterMessage::Engine(bytes));
             }
-            // Heartbeats follow from nothing on disk. A voter with a slow or failing disk sends none, so that another leads.
+            // Heartbeats do not depend on the persisted state. A voter with a slow or failing disk sends none, so that another
+            // voter becomes the leader.
             Message::BLE(ble) => {
                 if self.output.is_disk_healthy(now) {
                     let envelope = self.envelope(VoterMessage::Engine(bytes));
@@ -366,10 +372,10 @@
             .collect();
         self.newest = history.newest();
         self.leases.on_committed(self.newest);
-        self.output.send(Action::Committed(versions));
+        self.output.send_when_persisted(Action::Committed(versions));
     }
 
-    /// Notifies all nodes with leases of a change, so that none has to wait for its next request.
+    /// Notifies all nodes with leases of a change, so that they need not wait for the response to their next request.
     fn notify_nodes(&mut self, now: Duration) {
         if self.status != VoterStatus::Voting {
             return;
@@ -380,13 +386,15 @@
         }
         self.notified = state;
         for (to, response) in self.leases.notifications(now) {
-            self.output.send(Action::SendLeaseResponse(to, response));
+            self.output
+                .send_when_persisted(Action::SendLeaseResponse(to, response));
         }
     }
 
     fn send_to_voter(&mut self, to: usize, message: VoterMessage) {
         let envelope = self.envelope(message);
-        self.output.send(Action::SendToVoter(to, envelope));
+        self.output
+            .send_when_persisted(Action::SendToVoter(to, envelope));
     }
 
     fn envelope(&self, message: VoterMessage) -> Envelope {
--- a/crates/consensus/src/voter/output.rs
+++ b/crates/consensus/src/voter/output.rs
@@ -1,4 +1,4 @@
-//! A voter's output, delayed until the state that it follows from is on disk.
+//! Holds back a voter's actions until the state that they depend on is on disk.
 
 use super::interface::Action;
 use crate::storage::MemoryStorage;
@@ -6,38 +6,38 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A write that takes longer counts as the sign of an unhealthy disk.
-const SLOW_WRITE: Duration = Duration::from_secs(2);
-/// After a failed write.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// The most actions that wait for the disk. The engine resends what is dropped.
-const MAX_WAITING: usize = 512;
+/// A write that takes longer means that the disk is unhealthy.
+const SLOW_WRITE_THRESHOLD: Duration = Duration::from_secs(2);
+/// The delay before a failed write is retried.
+const WRITE_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// The most actions that wait for the disk. Beyond that the oldest is dropped; the engine resends its messages.
+const MAX_WAITING_ACTIONS: usize = 512;
 
-/// A write that is in progress.
+/// A write in progress.
 struct Write {
     number: u64,
-    since: Duration,
+    started_at: Duration,
 }
 
 /// An action that waits for a write.
-struct Waiting {
+struct WaitingAction {
     write: u64,
     action: Action,
 }
 
-/// See the module.
+/// Actions that are ready or wait for a write, and the progress of writes.
 pub(super) struct Output {
     storage: MemoryStorage,
     skip_sync: bool,
     ready: Vec<Action>,
-    /// In the order of writes.
-    waiting: VecDeque<Waiting>,
+    /// In the order of the writes.
+    waiting: VecDeque<WaitingAction>,
     in_progress: Option<Write>,
     /// The number of the last successful write.
-    persisted: u64,
-    /// Whether the state has changed since the write in progress, or the last one, began.
+    last_persisted: u64,
+    /// Whether the state has changed since the latest write began.
     changed: bool,
-    /// When a failed write is tried again.
+    /// When a failed write is to be retried.
     retry_at: Option<Duration>,
     failed_writes: u64,
 }
@@ -50,7 +50,7 @@
             ready: Vec::new(),
             waiting: VecDeque::new(),
             in_progress: None,
-            persisted: 0,
+            last_persisted: 0,
             changed: true,
             retry_at: None,
             failed_writes: 0,
@@ -65,60 +65,63 @@
         self.failed_writes
     }
 
-    /// Whether no write has failed lately or takes too long.
+    /// Whether no write waits for a retry or takes too long.
     pub(super) fn is_disk_healthy(&self, now: Duration) -> bool {
         let is_slow = self
             .in_progress
             .as_ref()
-            .is_some_and(|write| now.saturating_sub(write.since) > SLOW_WRITE);
+            .is_some_and(|write| now.saturating_sub(write.started_at) > SLOW_WRITE_THRESHOLD);
         !is_slow && self.retry_at.is_none()
     }
 
-    /// Emits an action that follows from nothing on disk.
+    /// Emits an action that does not depend on the persisted state.
     pub(super) fn send_now(&mut self, action: Action) {
         self.ready.push(action);
     }
 
-    /// Emits an action once the present state is on disk.
-    pub(super) fn send(&mut self, action: Action) {
+    /// Emits an action once the current state is on disk.
+    pub(super) fn send_when_persisted(&mut self, action: Action) {
         self.changed |= self.storage.take_changed();
         if self.skip_sync {
             return self.ready.push(action);
         }
         let write = self.required_write();
-        let is_persisted = write <= self.persisted;
+        let is_persisted = write <= self.last_persisted;
         if is_persisted && self.waiting.is_empty() && self.retry_at.is_none() {
             return self.ready.push(action);
         }
-        if self.waiting.len() >= MAX_WAITING {
+        if self.waiting.len() >= MAX_WAITING_ACTIONS {
             self.waiting.pop_front();
         }
-        self.waiting.push_back(Waiting { write, action });
+        self.waiting.push_back(WaitingAction { write, action });
     }
 
-    /// The number of the write with the present state.
+    /// The number of the write that contains the current state.
     fn required_write(&self) -> u64 {
         let started = self
             .in_progress
             .as_ref()
-            .map_or(self.persisted, |write| write.number);
+            .map_or(self.last_persisted, |write| write.number);
         if self.changed { started + 1 } else { started }
     }
 
-    /// Starts a write if the state has changed and no other write is in progress.
+    /// Starts a write if the state has changed, unless a write is in progress or waits for its retry.
     pub(super) fn persist_if_changed(&mut self, now: Duration) {
         self.changed |= self.storage.take_changed();
         if !self.changed || self.in_progress.is_some() || self.retry_at.is_some() {
             return;
         }
-        let number = self.persisted + 1;
+        let number = self.last_persisted + 1;
         self.changed = false;
-        self.in_progress = Some(Write { number, since: now });
+        self.in_progress = Some(Write {
+            number,
+            started_at: now,
+        });
         let bytes = self.storage.read(VoterState::encode);
         self.ready.push(Action::Persist(number, bytes));
     }
 
-    /// A write has ended.
+    /// Handles the end of a write.
     pub(super) fn on_persisted(&mut self, now: Duration, number: u64, success: bool) {
         let is_in_progress = self
             .in_progress
@@ -130,10 +133,10 @@
         self.in_progress = None;
         if !success {
             self.failed_writes += 1;
-            self.retry_at = Some(now + RETRY_AFTER);
+            self.retry_at = Some(now + WRITE_RETRY_DELAY);
             return;
         }
-        self.persisted = number;
+        self.last_persisted = number;
         while self
             .waiting
             .front()
@@ -144,7 +147,7 @@
         }
     }
 
-    /// Tries a failed write again when it is due.
+    /// Retries a failed write if the retry is due.
     pub(super) fn retry_if_due(&mut self, now: Duration) {
         if self.retry_at.is_some_and(|at| now >= at) {
             self.retry_at = None;
@@ -152,8 +155,8 @@
         }
     }
 
-    /// Takes the actions that are due.
-    pub(super) fn take(&mut self) -> Vec<Action> {
+    /// Takes the actions that are ready.
+    pub(super) fn take_ready(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.ready)
     }
 }
--- a/crates/consensus/src/voter_state.rs
+++ b/crates/consensus/src/voter_state.rs
@@ -1,7 +1,7 @@
-//! The state that a voter keeps on disk: the engine's and the voter's own, in one file that is replaced as a whole.
+//! The state that a voter persists: the consensus engine's and the voter's own, in one file that is always replaced whole.
 //!
-//! A checksum detects damage. A damaged file, or one of another voter or log, counts as lost, and a voter that has lost its
-//! file does not vote.
+//! A checksum detects damage. A file that is damaged or belongs to another voter or log is treated as lost, and a voter
+//! without its file does not vote.
 
 use crate::messages::{Proposal, VoterIncarnation};
 use omnipaxos::ballot_leader_election::Ballot;
@@ -13,39 +13,39 @@
 
 /// The name of the file in the voter's folder.
 pub const FILE_NAME: &str = "agreement";
-/// The longest file that is read, in bytes: all retained versions, twice, at their longest.
+/// The longest file that is read, in bytes: room for twice all retained versions, each of the greatest length.
 pub const MAX_FILE_BYTES: u64 = 16 << 20;
 const MAGIC: &[u8; 8] = b"sillagr1";
-/// The bytes of the magic number and the checksum.
+/// The length of the magic number and the checksum.
 const HEADER_BYTES: usize = 16;
 
-/// Why a voter's file counts as lost.
+/// Why a voter's file is treated as lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum VoterStateError {
     /// The file is shorter than its header.
-    #[error("it is cut off")]
+    #[error("the file is truncated")]
     Truncated,
     /// The file does not start with the magic number.
-    #[error("it is no voter's file of this build's form")]
+    #[error("the file is not a voter's, or of an unknown format version")]
     UnknownFormat,
     /// The checksum or the encoding is wrong.
-    #[error("it is spoilt")]
+    #[error("the file is corrupt")]
     Corrupt,
-    /// The file is of another log, or of a log with other voters.
-    #[error("it is of another log, or of other voters")]
+    /// The file belongs to another log, or to a log with other voters.
+    #[error("the file belongs to another log, or to a log with other voters")]
     OtherLog,
-    /// The file is another voter's.
-    #[error("it is another voter's")]
+    /// The file belongs to another voter.
+    #[error("the file belongs to another voter")]
     OtherVoter,
 }
 
-/// The compacted beginning of the log. Between two steps of the engine it may also be a part of the log that is not yet
-/// applied.
+/// The compacted beginning of the log. While the engine builds or merges a snapshot, it may also hold just a range of the
+/// log whose entries are not applied yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogSnapshot {
-    /// The versions that the compacted entries resulted in.
+    /// The versions that result from the compacted entries.
     pub history: History,
-    /// Entries after those that are not applied yet.
+    /// The entries that follow them and are not applied yet.
     pub unapplied: Vec<Proposal>,
 }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The versions that all entries result in.
+    /// The versions that result from all entries.
     pub fn into_history(mut self) -> History {
         self.apply_all();
         self.history
@@ -89,10 +89,10 @@
     type Snapshot = LogSnapshot;
 }
 
-/// The number of entries of a log.
+/// The number of entries in a log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogLength {
-    /// All decided entries.
+    /// The decided entries.
     pub decided: usize,
     /// The decided entries that are not compacted yet.
     pub uncompacted: usize,
@@ -101,13 +101,14 @@
 /// The state of a voter.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct VoterState {
-    /// The log, see [`LeaseRequest::log_id`](crate::messages::LeaseRequest::log_id).
+    /// Identifies the log, see [`LeaseRequest::log_id`](crate::messages::LeaseRequest::log_id).
     pub log_id: u64,
-    /// The place of the voter, from 1 on.
-    pub place: u64,
-    /// The last incarnation of this voter.
+    /// The voter's number in the log's list of voters, from 1 on.
+    #[serde(rename = "place")]
+    pub voter_id: u64,
+    /// The latest incarnation of this voter.
     pub incarnation: Option<VoterIncarnation>,
-    /// The newest incarnation of each voter that was seen, by place.
+    /// The newest incarnation that was seen of each voter, by voter number less one.
     pub seen_incarnations: Vec<Option<VoterIncarnation>>,
     pub(crate) promise: Option<Ballot>,
     pub(crate) accepted: Option<Ballot>,
@@ -119,8 +120,8 @@
 }
 
 impl VoterState {
-    /// The state of a new voter, of an empty log.
-    pub fn initial(log_id: u64, place: u64, voters: usize, storage_id: u64) -> Self {
+    /// The state of a new voter with an empty log.
+    pub fn initial(log_id: u64, voter_id: u64, voter_count: usize, storage_id: u64) -> Self {
         let incarnation = Some(VoterIncarnation {
             storage_id,
             number: 0,
@@ -128,14 +129,14 @@
         });
         VoterState {
             log_id,
-            place,
+            voter_id,
             incarnation,
-            seen_incarnations: vec![None; voters],
+            seen_incarnations: vec![None; voter_count],
             ..VoterState::default()
         }
     }
 
-    /// The contents of the file.
+    /// Encodes the contents of the file.
     pub fn encode(&self) -> Vec<u8> {
         let body = postcard::to_stdvec(self).unwrap_or_default();
         let mut bytes = MAGIC.to_vec();
@@ -144,15 +145,15 @@
         bytes
     }
 
-    /// Reads a file of that log and that voter.
+    /// Decodes the file of this log and this voter.
     ///
     /// # Errors
-    /// The reason why the file counts as lost.
+    /// The reason why the file is treated as lost.
     pub fn decode(
         bytes: &[u8],
         log_id: u64,
-        place: u64,
-        voters: usize,
+        voter_id: u64,
+        voter_count: usize,
     ) -> Result<Self, VoterStateError> {
         let (header, body) = bytes
             .split_at_checked(HEADER_BYTES)
@@ -168,8 +169,8 @@
         if state.log_id != log_id {
             return Err(VoterStateError::OtherLog);
         }
-        let is_this_voter = state.place == place
-            && state.seen_incarnations.len() == voters
+        let is_this_voter = state.voter_id == voter_id
+            && state.seen_incarnations.len() == voter_count
             && state.incarnation.is_some();
         if !is_this_voter {
             return Err(VoterStateError::OtherVoter);
@@ -185,7 +186,7 @@
         }
     }
 
-    /// The versions that all decided entries result in.
+    /// The versions that result from all decided entries.
     pub fn history(&self) -> History {
         let mut snapshot = self.snapshot.clone().unwrap_or_default();
         let decided = self.log_length().uncompacted.min(self.entries.len());
@@ -195,16 +196,16 @@
         snapshot.into_history()
     }
 
-    /// The entries between two indices of the whole log; none if some of them are not there.
+    /// The entries between two indices of the whole log; none unless all of them are present.
     pub(crate) fn entries_between(&self, from: usize, to: usize) -> Vec<Proposal> {
-        let place = |index: usize| index.saturating_sub(self.compacted);
+        let offset = |index: usize| index.saturating_sub(self.compacted);
         self.entries
-            .get(place(from)..place(to))
+            .get(offset(from)..offset(to))
             .map(<[Proposal]>::to_vec)
             .unwrap_or_default()
     }
 
-    /// Applies a write of the engine.
+    /// Applies a storage operation of the engine.
     pub(crate) fn apply(&mut self, operation: StorageOp<Proposal>) {
         match operation {
             StorageOp::AppendEntry(entry) => self.entries.push(entry),
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated cluster: nodes with clocks, disks and network links of their own, in one true time.
-#![allow(dead_code, unreachable_pub)] // each test file uses its part
+//! A simulated cluster: nodes with their own clocks, disks and network links, on one virtual time line.
+#![allow(dead_code, unreachable_pub)] // each test file uses a part of it
 
 mod links;
 mod observations;
@@ -28,7 +28,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disk {
-    Good,
+    Healthy,
     Full,
     Slow(Duration),
 }
@@ -37,9 +37,9 @@
 pub enum Fault {
     /// One process is partitioned from all others.
     Isolate(usize),
-    /// These are partitioned from the others.
+    /// These processes are partitioned from all others.
     Partition(Vec<usize>),
-    /// All links work, without delay.
+    /// All links work again, without loss and delay.
     Heal,
     /// Messages to and from a process are delayed.
     Delay(usize, Duration),
@@ -48,7 +48,7 @@
     Kill(usize),
     Start(usize),
     Disk(usize, Disk),
-    Folder(usize, Option<Vec<u8>>),
+    ReplaceFolder(usize, Option<Vec<u8>>),
 }
 
 #[derive(Clone, Debug)]
@@ -59,7 +59,8 @@
     Fetch(u64),
     Versions(Vec<Version>),
     Propose(Proposal),
-    Written(u64, u64, Vec<u8>, bool),
+    /// The end of a write: the start count of its process, its number, the file's new contents, whether it succeeded.
+    WriteDone(u64, u64, Vec<u8>, bool),
 }
 
 struct Process {
@@ -68,76 +69,79 @@
     voter: Option<Voter>,
     folder: Option<Vec<u8>>,
     disk: Disk,
-    rate: f64,
-    offset: Duration,
+    clock_rate: f64,
+    clock_offset: Duration,
     paused: bool,
-    run: u64,
+    /// How often the process was started; results of writes of an earlier run are ignored.
+    start_count: u64,
+    /// Messages that were received during a pause, with their senders.
     backlog: Vec<(usize, InFlight)>,
-    due: Duration,
-    /// Values used that are not conservative: from, to, value.
-    acted: Vec<(Duration, Duration, Value)>,
-    acts: Option<(Duration, Value)>,
+    /// When the process is next woken up, in the cluster's time.
+    next_wakeup: Duration,
+    /// Past uses of values other than conservative ones: from, to, value.
+    used_values: Vec<(Duration, Duration, Value)>,
+    /// The value in use and since when, unless it is conservative.
+    current_value: Option<(Duration, Value)>,
     leased_time: Duration,
-    ran: Duration,
 }
 
 pub struct Cluster {
     timing: Timing,
     now: Duration,
     voters: usize,
-    places: Vec<Process>,
+    processes: Vec<Process>,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
     in_flight: BTreeMap<u64, (usize, usize, InFlight)>,
     sequence: u64,
     random: Pcg32,
-    cut: BTreeSet<usize>,
+    isolated: BTreeSet<usize>,
     partition: BTreeSet<usize>,
     delays: BTreeMap<usize, Duration>,
-    lost_percent: u32,
-    last: BTreeMap<(usize, usize), Duration>,
+    loss_percent: u32,
+    last_delivery: BTreeMap<(usize, usize), Duration>,
     pending: Vec<(usize, Proposal)>,
     resend_at: Duration,
     committed: BTreeMap<u64, u64>,
     log_violation: Option<String>,
-    /// Messages by kind: lease requests, responses, between voters, fetches.
+    /// The numbers of messages: lease requests, lease responses, messages between voters, all others.
     pub messages: [u64; 4],
     key: Key,
 }
 
 impl Cluster {
     pub fn new(seed: u64, voters: usize, nodes: usize, timing: Timing) -> Self {
-        let place = |at: usize| Process {
-            name: Name::new(&format!("n{at}")).expect("a name"),
+        let process = |index: usize| Process {
+            name: Name::new(&format!("n{index}")).expect("a valid name"),
             node: None,
             voter: None,
-            folder: (at < voters)
-                .then(|| VoterState::initial(LOG, at as u64 + 1, voters, at as u64 + 500).encode()),
-            disk: Disk::Good,
-            rate: 1.0,
-            offset: Duration::from_secs(5 + at as u64 * 1000),
+            folder: (index < voters).then(|| {
+                VoterState::initial(LOG, index as u64 + 1, voters, index as u64 + 500).encode()
+            }),
+            disk: Disk::Healthy,
+            clock_rate: 1.0,
+            clock_offset: Duration::from_secs(5 + index as u64 * 1000),
             paused: false,
-            run: 0,
+            start_count: 0,
             backlog: Vec::new(),
-            due: Duration::ZERO,
-            acted: Vec::new(),
-            acts: None,
+            next_wakeup: Duration::ZERO,
+            used_values: Vec::new(),
+            current_value: None,
             leased_time: Duration::ZERO,
-            ran: Duration::ZERO,
         };
         let mut cluster = Cluster {
             timing,
             now: Duration::ZERO,
             voters,
-            places: (0..nodes).map(place).collect(),
+            processes: (0..nodes).map(process).collect(),
             queue: BinaryHeap::new(),
             in_flight: BTreeMap::new(),
             sequence: 0,
             random: Pcg32::seed_from_u64(seed),
-            cut: BTreeSet::new(),
+            isolated: BTreeSet::new(),
             partition: BTreeSet::new(),
             delays: BTreeMap::new(),
-            lost_percent: 0,
-            last: BTreeMap::new(),
+            loss_percent: 0,
+            last_delivery: BTreeMap::new(),
             pending: Vec::new(),
             resend_at: ms(500),
             committed: BTreeMap::new(),
@@ -145,102 +149,108 @@
             messages: [0; 4],
             key: Key::Idempotency("tally-correct".to_owned()),
         };
-        (0..nodes).for_each(|place| cluster.start(place));
+        (0..nodes).for_each(|process| cluster.start(process));
         cluster
     }
 
-    fn draw(&mut self, below: u64) -> u64 {
-        u64::from(self.random.next_u32()) % below.max(1)
+    fn random_below(&mut self, bound: u64) -> u64 {
+        u64::from(self.random.next_u32()) % bound.max(1)
     }
 
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    fn local(&self, place: usize) -> Duration {
-        self.places[place].offset + self.now.mul_f64(self.places[place].rate)
+    fn local_time(&self, process: usize) -> Duration {
+        self.processes[process].clock_offset + self.now.mul_f64(self.processes[process].clock_rate)
     }
 
-    fn true_time(&self, place: usize, local: Duration) -> Duration {
-        let place = &self.places[place];
-        local.saturating_sub(place.offset).div_f64(place.rate) + Duration::from_micros(1)
+    /// The cluster's time at which a process's clock shows this time.
+    fn true_time(&self, process: usize, local: Duration) -> Duration {
+        let process = &self.processes[process];
+        local
+            .saturating_sub(process.clock_offset)
+            .div_f64(process.clock_rate)
+            + Duration::from_micros(1)
     }
 
-    pub fn rate(&mut self, place: usize, rate: f64) {
-        self.places[place].rate = rate;
+    pub fn set_clock_rate(&mut self, process: usize, rate: f64) {
+        self.processes[process].clock_rate = rate;
     }
 
-    pub fn jump(&mut self, place: usize, by: Duration) {
-        self.places[place].offset += by;
-        self.reschedule(place);
+    pub fn advance_clock(&mut self, process: usize, by: Duration) {
+        self.processes[process].clock_offset += by;
+        self.reschedule(process);
     }
 
-    fn start(&mut self, at: usize) {
-        if self.places[at].node.is_some() {
+    fn start(&mut self, index: usize) {
+        if self.processes[index].node.is_some() {
             return;
         }
-        let now = self.local(at);
-        let session = self.draw(u64::MAX).wrapping_add(self.sequence << 32) | 1;
+        let now = self.local_time(index);
+        let session = self
+            .random_below(u64::MAX)
+            .wrapping_add(self.sequence << 32)
+            | 1;
         let (timing, voters) = (self.timing, self.voters);
-        let place = &mut self.places[at];
-        place.run += 1;
-        place.node = Some(Node::new(timing, LOG, voters, session, now));
-        let kept = place
+        let process = &mut self.processes[index];
+        process.start_count += 1;
+        process.node = Some(Node::new(timing, LOG, voters, session, now));
+        let state = process
             .folder
             .as_ref()
-            .map(|bytes| VoterState::decode(bytes, LOG, at as u64 + 1, voters));
-        place.voter = kept
+            .map(|bytes| VoterState::decode(bytes, LOG, index as u64 + 1, voters));
+        process.voter = state
             .and_then(Result::ok)
-            .map(|kept| Voter::new(timing, kept, session, now));
-        let known = place
+            .map(|state| Voter::new(timing, state, session, now));
+        let known = process
             .voter
             .as_ref()
             .map(|voter| voter.history().iter().cloned().collect::<Vec<_>>());
         if let Some(known) = known.filter(|known| !known.is_empty()) {
-            self.node(at, node::Event::Versions(known));
+            self.handle_as_node(index, node::Event::Versions(known));
         }
-        self.reschedule(at);
+        self.reschedule(index);
     }
 
     pub fn fault(&mut self, fault: Fault) {
         match fault {
-            Fault::Isolate(place) => drop(self.cut.insert(place)),
-            Fault::Partition(some) => self.partition = some.into_iter().collect(),
+            Fault::Isolate(process) => drop(self.isolated.insert(process)),
+            Fault::Partition(group) => self.partition = group.into_iter().collect(),
             Fault::Heal => {
-                self.cut.clear();
+                self.isolated.clear();
                 self.partition.clear();
                 self.delays.clear();
-                self.lost_percent = 0;
+                self.loss_percent = 0;
             }
-            Fault::Delay(place, by) => drop(self.delays.insert(place, by)),
-            Fault::Pause(place) => {
-                self.close(place);
-                self.places[place].paused = true;
-                self.reschedule(place);
+            Fault::Delay(process, by) => drop(self.delays.insert(process, by)),
+            Fault::Pause(process) => {
+                self.end_value_interval(process);
+                self.processes[process].paused = true;
+                self.reschedule(process);
             }
-            Fault::Resume(place) => {
-                self.places[place].paused = false;
-                let waiting = std::mem::take(&mut self.places[place].backlog);
-                self.reschedule(place);
+            Fault::Resume(process) => {
+                self.processes[process].paused = false;
+                let waiting = std::mem::take(&mut self.processes[process].backlog);
+                self.reschedule(process);
                 waiting
                     .into_iter()
-                    .for_each(|(from, message)| self.deliver(from, place, message));
+                    .for_each(|(from, message)| self.deliver(from, process, message));
             }
-            Fault::Kill(place) => {
-                self.close(place);
-                let at = place;
-                let place = &mut self.places[at];
-                (place.node, place.voter, place.paused) = (None, None, false);
-                place.backlog.clear();
-                self.reschedule(at);
+            Fault::Kill(index) => {
+                self.end_value_interval(index);
+                let process = &mut self.processes[index];
+                (process.node, process.voter, process.paused) = (None, None, false);
+                process.backlog.clear();
+                self.reschedule(index);
             }
-            Fault::Start(place) => self.start(place),
-            Fault::Disk(place, disk) => self.places[place].disk = disk,
-            Fault::Folder(place, folder) => self.places[place].folder = folder,
+            Fault::Start(process) => self.start(process),
+            Fault::Disk(process, disk) => self.processes[process].disk = disk,
+            Fault::ReplaceFolder(process, folder) => self.processes[process].folder = folder,
         }
     }
 
-    pub fn folder(&self, place: usize) -> Option<Vec<u8>> {
-        self.places[place].folder.clone()
+    pub fn folder(&self, process: usize) -> Option<Vec<u8>> {
+        self.processes[process].folder.clone()
     }
 }
--- a/crates/consensus/tests/common/observations.rs
+++ b/crates/consensus/tests/common/observations.rs
@@ -1,4 +1,4 @@
-//! What tests observe.
+//! What tests observe of the cluster, and the checks of its invariants.
 
 use super::{Cluster, Process};
 use sillward_consensus::voter::{Voter, VoterStatus};
@@ -7,14 +7,17 @@
 use std::time::Duration;
 
 impl Cluster {
-    pub fn effective_value(&self, place: usize, key: &Key) -> EffectiveValue {
-        let node = self.places[place].node.as_ref().expect("it runs");
+    pub fn effective_value(&self, process: usize, key: &Key) -> EffectiveValue {
+        let node = self.processes[process]
+            .node
+            .as_ref()
+            .expect("the process runs");
         node.history()
-            .effective_value(node.status(self.local(place)), key)
+            .effective_value(node.status(self.local_time(process)), key)
     }
 
-    pub fn newest(&self, place: usize) -> u64 {
-        self.places[place]
+    pub fn newest(&self, process: usize) -> u64 {
+        self.processes[process]
             .node
             .as_ref()
             .map_or(0, |node| node.history().newest())
@@ -25,34 +28,39 @@
     }
 
     pub fn in_force_except(&self, version: u64, except: &[usize]) -> bool {
-        let acts = |place: usize| {
-            let reading = self.effective_value(place, &self.key);
-            !reading.conservative && reading.version == version
+        let uses_version = |process: usize| {
+            let effective = self.effective_value(process, &self.key);
+            !effective.conservative && effective.version == version
         };
-        (0..self.places.len())
-            .filter(|place| !except.contains(place))
-            .all(|place| self.places[place].node.is_some() && acts(place))
+        (0..self.processes.len())
+            .filter(|process| !except.contains(process))
+            .all(|process| self.processes[process].node.is_some() && uses_version(process))
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |place: &Process| place.voter.as_ref().is_some_and(|voter| voter.is_leader());
-        self.places.iter().position(leads)
+        let is_leader = |process: &Process| {
+            process
+                .voter
+                .as_ref()
+                .is_some_and(|voter| voter.is_leader())
+        };
+        self.processes.iter().position(is_leader)
     }
 
-    pub fn status(&self, place: usize) -> Option<&VoterStatus> {
-        self.places[place].voter.as_ref().map(Voter::status)
+    pub fn status(&self, process: usize) -> Option<&VoterStatus> {
+        self.processes[process].voter.as_ref().map(Voter::status)
     }
 
-    pub fn is_voting(&self, place: usize) -> bool {
-        self.status(place) == Some(&VoterStatus::Voting)
+    pub fn is_voting(&self, process: usize) -> bool {
+        self.status(process) == Some(&VoterStatus::Voting)
     }
 
-    pub fn is_disabled(&self, place: usize) -> bool {
-        matches!(self.status(place), Some(VoterStatus::Disabled(_)))
+    pub fn is_disabled(&self, process: usize) -> bool {
+        matches!(self.status(process), Some(VoterStatus::Disabled(_)))
     }
 
-    pub fn log_length(&self, place: usize) -> LogLength {
-        self.places[place]
+    pub fn log_length(&self, process: usize) -> LogLength {
+        self.processes[process]
             .voter
             .as_ref()
             .map_or(LogLength::default(), Voter::log_length)
@@ -60,36 +68,36 @@
 
     pub fn leased_share(&self) -> f64 {
         let leased_time: Duration = self
-            .places
+            .processes
             .iter()
-            .map(|place| {
-                place.leased_time
-                    + place
-                        .acts
+            .map(|process| {
+                process.leased_time
+                    + process
+                        .current_value
                         .as_ref()
                         .map_or(Duration::ZERO, |(from, _)| self.now - *from)
             })
             .sum();
-        leased_time.as_secs_f64() / (self.now.as_secs_f64() * self.places.len() as f64)
+        leased_time.as_secs_f64() / (self.now.as_secs_f64() * self.processes.len() as f64)
     }
 
-    /// The longest time for which two places acted on values that differ, neither of them conservatively.
+    /// The longest time for which two processes used different values, neither of them conservative.
     pub fn longest_conflict(&mut self) -> Duration {
-        let all = 0..self.places.len();
-        for at in all.clone() {
-            self.close(at);
-            if self.places[at].node.is_some() && !self.places[at].paused {
-                self.reschedule(at);
+        let all = 0..self.processes.len();
+        for index in all.clone() {
+            self.end_value_interval(index);
+            if self.processes[index].node.is_some() && !self.processes[index].paused {
+                self.reschedule(index);
             }
         }
         let mut longest = Duration::ZERO;
         for one in all.clone() {
-            for other in one + 1..self.places.len() {
-                for (from, to, value) in &self.places[one].acted {
-                    for (since, until, second) in &self.places[other].acted {
+            for other in one + 1..self.processes.len() {
+                for (from, to, value) in &self.processes[one].used_values {
+                    for (since, until, second) in &self.processes[other].used_values {
                         if value != second {
-                            let (begins, ends) = (*from.max(since), *to.min(until));
-                            longest = longest.max(ends.saturating_sub(begins));
+                            let (start, end) = (*from.max(since), *to.min(until));
+                            longest = longest.max(end.saturating_sub(start));
                         }
                     }
                 }
@@ -98,34 +106,34 @@
         longest
     }
 
-    pub fn log_check(&self) -> Result<(), String> {
+    pub fn check_log(&self) -> Result<(), String> {
         if let Some(log_violation) = &self.log_violation {
             return Err(log_violation.clone());
         }
-        // Some voter still has every version that was committed.
+        // Some voter must still have the newest version that was committed.
         let newest = self.committed.keys().last().copied().unwrap_or_default();
-        let most = (0..self.voters)
-            .filter(|place| self.is_voting(*place))
-            .map(|place| {
-                self.places[place]
+        let newest_of_voters = (0..self.voters)
+            .filter(|process| self.is_voting(*process))
+            .map(|process| {
+                self.processes[process]
                     .voter
                     .as_ref()
                     .map_or(0, |voter| voter.history().newest())
             });
-        match most.max() {
-            Some(most) if most < newest => {
-                Err(format!("version {newest} was committed, and is lost"))
+        match newest_of_voters.max() {
+            Some(newest_kept) if newest_kept < newest => {
+                Err(format!("committed version {newest} is lost"))
             }
             _ => Ok(()),
         }
     }
 
-    pub fn check_log(&self) {
-        assert_eq!(self.log_check(), Ok(()));
+    pub fn assert_log(&self) {
+        assert_eq!(self.check_log(), Ok(()));
     }
 
-    pub fn check(&mut self) {
+    pub fn assert_invariants(&mut self) {
         assert_eq!(self.longest_conflict(), Duration::ZERO);
-        self.check_log();
+        self.assert_log();
     }
 }
--- a/crates/consensus/tests/common/proposals.rs
+++ b/crates/consensus/tests/common/proposals.rs
@@ -1,11 +1,11 @@
-//! Proposals, which are sent again until they are committed or never will be.
+//! Proposals, which are resent until they are committed or can no longer be.
 
 use super::{Cluster, InFlight};
 use sillward_consensus::messages::Proposal;
 use sillward_fleet_settings::{FleetSettings, Version};
 
 impl Cluster {
-    pub fn propose(&mut self, place: usize, base: u64, settings: FleetSettings) -> u64 {
+    pub fn propose(&mut self, process: usize, base: u64, settings: FleetSettings) -> u64 {
         self.sequence += 1;
         let id = self.sequence;
         let version = Version {
@@ -15,52 +15,52 @@
             reason: "a test".to_owned(),
             settings: settings.to_json(),
         };
-        self.pending.push((place, Proposal { base, version }));
-        self.hand_in(self.pending.len() - 1);
+        self.pending.push((process, Proposal { base, version }));
+        self.send_proposal(self.pending.len() - 1);
         id
     }
 
-    /// Another process sends the proposal too, as the first may have crashed.
-    pub fn propose_again(&mut self, place: usize, id: u64) {
+    /// Resends the proposal from another process, because the first may have crashed.
+    pub fn propose_again(&mut self, process: usize, id: u64) {
         if let Some(at) = self
             .pending
             .iter()
             .position(|(_, proposal)| proposal.version.id == id)
         {
-            self.pending[at].0 = place;
-            self.hand_in(at);
+            self.pending[at].0 = process;
+            self.send_proposal(at);
         }
     }
 
-    pub(super) fn hand_in(&mut self, at: usize) {
-        let (place, proposal) = self.pending[at].clone();
-        if self.places[place].node.is_none() || self.places[place].paused {
+    pub(super) fn send_proposal(&mut self, index: usize) {
+        let (process, proposal) = self.pending[index].clone();
+        if self.processes[process].node.is_none() || self.processes[process].paused {
             return;
         }
-        let to = if place < self.voters {
-            place
+        let to = if process < self.voters {
+            process
         } else {
-            self.draw(self.voters as u64) as usize
+            self.random_below(self.voters as u64) as usize
         };
-        self.send(place, to, InFlight::Propose(proposal));
+        self.send(process, to, InFlight::Propose(proposal));
     }
 
-    pub(super) fn resend(&mut self) {
-        let known = |cluster: &Cluster, at: usize| {
-            let (place, proposal) = &cluster.pending[at];
-            let newest = cluster.places[*place]
+    pub(super) fn resend_proposals(&mut self) {
+        let is_settled = |cluster: &Cluster, index: usize| {
+            let (process, proposal) = &cluster.pending[index];
+            let newest = cluster.processes[*process]
                 .node
                 .as_ref()
                 .map_or(0, |node| node.history().newest());
-            newest > proposal.base // it became a version, or never will
+            newest > proposal.base // it was committed, or its base is outdated
         };
-        let mut at = 0;
-        while at < self.pending.len() {
-            if known(self, at) {
-                self.pending.remove(at);
+        let mut index = 0;
+        while index < self.pending.len() {
+            if is_settled(self, index) {
+                self.pending.remove(index);
             } else {
-                self.hand_in(at);
-                at += 1;
+                self.send_proposal(index);
+                index += 1;
             }
         }
     }
--- a/crates/consensus/tests/common/random_faults.rs
+++ b/crates/consensus/tests/common/random_faults.rs
@@ -1,4 +1,4 @@
-//! Random faults.
+//! Random faults and proposals.
 
 use super::{Cluster, Disk, Fault, ms};
 use rand_pcg::rand_core::RngCore;
@@ -6,86 +6,92 @@
 use std::time::Duration;
 
 impl Cluster {
-    /// Random faults and proposals, and a time without faults at the end.
+    /// Injects random faults and proposals for this time, then ends all faults and runs on for a while.
     pub fn random_faults(&mut self, span: Duration, settings: impl Fn(u64) -> FleetSettings) {
         self.run(ms(2_500));
-        let nodes = self.places.len();
-        let mut ends: Vec<(Duration, Fault)> = Vec::new();
+        let nodes = self.processes.len();
+        let mut recoveries: Vec<(Duration, Fault)> = Vec::new();
         let mut number = 0;
         while self.now < span {
-            let pause = ms(100 + self.draw(700));
-            self.run(pause);
+            let interval = ms(100 + self.random_below(700));
+            self.run(interval);
             let now = self.now;
-            let (over, rest): (Vec<_>, Vec<_>) = ends.into_iter().partition(|(at, _)| *at <= now);
-            ends = rest;
-            over.into_iter().for_each(|(_, fault)| self.fault(fault));
-            let place = self.draw(nodes as u64) as usize;
-            let later = now + ms(200 + self.draw(4_000));
-            match self.draw(9) {
+            let (due, pending): (Vec<_>, Vec<_>) =
+                recoveries.into_iter().partition(|(at, _)| *at <= now);
+            recoveries = pending;
+            due.into_iter().for_each(|(_, fault)| self.fault(fault));
+            let process = self.random_below(nodes as u64) as usize;
+            let later = now + ms(200 + self.random_below(4_000));
+            match self.random_below(9) {
                 0 => {
-                    self.fault(Fault::Isolate(place));
-                    ends.push((later, Fault::Heal));
+                    self.fault(Fault::Isolate(process));
+                    recoveries.push((later, Fault::Heal));
                 }
                 1 => {
-                    let some = (0..nodes)
+                    let group = (0..nodes)
                         .filter(|_| self.random.next_u32() % 2 == 0)
                         .collect();
-                    self.fault(Fault::Partition(some));
-                    ends.push((later, Fault::Heal));
+                    self.fault(Fault::Partition(group));
+                    recoveries.push((later, Fault::Heal));
                 }
                 2 => {
-                    let late = ms(100 + self.draw(4_000));
-                    self.fault(Fault::Delay(place, late));
-                    ends.push((later, Fault::Heal));
+                    let delay = ms(100 + self.random_below(4_000));
+                    self.fault(Fault::Delay(process, delay));
+                    recoveries.push((later, Fault::Heal));
                 }
                 3 => {
-                    self.fault(Fault::Pause(place));
-                    ends.push((later, Fault::Resume(place)));
+                    self.fault(Fault::Pause(process));
+                    recoveries.push((later, Fault::Resume(process)));
                 }
                 4 => {
-                    self.fault(Fault::Kill(place));
-                    ends.push((later, Fault::Start(place)));
+                    self.fault(Fault::Kill(process));
+                    recoveries.push((later, Fault::Start(process)));
                 }
                 5 => {
-                    // Voters that are started anew almost at once, while somebody is cut off.
-                    self.fault(Fault::Isolate(self.voters + place % (nodes - self.voters)));
+                    // Voters that restart almost at once, while a node is isolated and may still hold a lease.
+                    self.fault(Fault::Isolate(
+                        self.voters + process % (nodes - self.voters),
+                    ));
                     for voter in 0..self.voters {
-                        if self.draw(4) > 0 {
+                        if self.random_below(4) > 0 {
                             self.fault(Fault::Kill(voter));
-                            ends.push((now + ms(20 + self.draw(100)), Fault::Start(voter)));
+                            recoveries
+                                .push((now + ms(20 + self.random_below(100)), Fault::Start(voter)));
                         }
                     }
-                    ends.push((later, Fault::Heal));
+                    recoveries.push((later, Fault::Heal));
                 }
-                6 => self.lost_percent = self.draw(40) as u32,
+                6 => self.loss_percent = self.random_below(40) as u32,
                 7 => {
-                    let voter = place % self.voters;
-                    let disk = if self.draw(2) == 0 {
+                    let voter = process % self.voters;
+                    let disk = if self.random_below(2) == 0 {
                         Disk::Full
                     } else {
                         Disk::Slow(ms(3_000))
                     };
                     self.fault(Fault::Disk(voter, disk));
-                    ends.push((later, Fault::Disk(voter, Disk::Good)));
+                    recoveries.push((later, Fault::Disk(voter, Disk::Healthy)));
                 }
                 _ => {}
             }
-            let from = self.draw(nodes as u64) as usize;
-            if self.places[from].node.is_some() {
+            let from = self.random_below(nodes as u64) as usize;
+            if self.processes[from].node.is_some() {
                 number += 1;
                 let base = self.newest(from);
                 self.propose(from, base, settings(number));
             }
         }
         self.fault(Fault::Heal);
-        ends.into_iter().for_each(|(_, fault)| self.fault(fault));
-        (0..self.voters).for_each(|place| self.fault(Fault::Disk(place, Disk::Good)));
+        recoveries
+            .into_iter()
+            .for_each(|(_, fault)| self.fault(fault));
+        (0..self.voters).for_each(|process| self.fault(Fault::Disk(process, Disk::Healthy)));
         self.fault(Fault::Heal);
-        for place in 0..nodes {
-            if self.places[place].paused {
-                self.fault(Fault::Resume(place));
+        for process in 0..nodes {
+            if self.processes[process].paused {
+                self.fault(Fault::Resume(process));
             }
-            self.fault(Fault::Start(place));
+            self.fault(Fault::Start(process));
         }
         self.run(ms(10_000));
     }
--- a/crates/consensus/tests/common/schedule.rs
+++ b/crates/consensus/tests/common/schedule.rs
@@ -1,4 +1,4 @@
-//! Time: what is due next, and the values that processes use meanwhile.
+//! The virtual time: which event is next, and which values the processes use in the meantime.
 
 use super::{Cluster, Event, InFlight, ms};
 use sillward_consensus::node;
@@ -6,84 +6,98 @@
 use std::time::Duration;
 
 impl Cluster {
-    /// Looks when a place is due, and what it acts on from now on.
-    pub(super) fn reschedule(&mut self, at: usize) {
-        let local = self.local(at);
-        let place = &self.places[at];
-        if place.paused || place.node.is_none() {
-            self.places[at].due = Duration::MAX;
+    /// Updates a process's next wake-up and the value that it uses from now on.
+    pub(super) fn reschedule(&mut self, index: usize) {
+        let local = self.local_time(index);
+        let process = &self.processes[index];
+        if process.paused || process.node.is_none() {
+            self.processes[index].next_wakeup = Duration::MAX;
             return;
         }
-        let node = place.node.as_ref().map(|node| node.next_wakeup(local));
-        let voter = place.voter.as_ref().map(|voter| voter.next_wakeup(local));
-        let due = node.into_iter().chain(voter).min().expect("a node");
-        self.places[at].due = self.true_time(at, due);
-        let reading = self.effective_value(at, &self.key.clone());
-        let acts = (!reading.conservative).then_some(reading.value);
-        if self.places[at].acts.as_ref().map(|(_, value)| value) != acts.as_ref() {
-            self.close(at);
-            self.places[at].acts = acts.map(|value| (self.now, value));
+        let node = process.node.as_ref().map(|node| node.next_wakeup(local));
+        let voter = process.voter.as_ref().map(|voter| voter.next_wakeup(local));
+        let due = node
+            .into_iter()
+            .chain(voter)
+            .min()
+            .expect("the process has a node");
+        self.processes[index].next_wakeup = self.true_time(index, due);
+        let effective = self.effective_value(index, &self.key.clone());
+        let current_value = (!effective.conservative).then_some(effective.value);
+        if self.processes[index]
+            .current_value
+            .as_ref()
+            .map(|(_, value)| value)
+            != current_value.as_ref()
+        {
+            self.end_value_interval(index);
+            self.processes[index].current_value = current_value.map(|value| (self.now, value));
         }
     }
 
-    pub(super) fn close(&mut self, at: usize) {
+    /// Records the use of the current value until now.
+    pub(super) fn end_value_interval(&mut self, index: usize) {
         let now = self.now;
-        let place = &mut self.places[at];
-        if let Some((from, value)) = place.acts.take() {
-            place.leased_time += now - from;
-            place.acted.push((from, now, value));
+        let process = &mut self.processes[index];
+        if let Some((from, value)) = process.current_value.take() {
+            process.leased_time += now - from;
+            process.used_values.push((from, now, value));
         }
     }
 
     pub fn run(&mut self, span: Duration) {
-        self.until(span, |_| false);
+        self.run_until(span, |_| false);
     }
 
-    /// Runs until that holds, at most so long; how long it took.
-    pub fn until(&mut self, most: Duration, holds: impl Fn(&Cluster) -> bool) -> Option<Duration> {
-        let (begun, end) = (self.now, self.now + most);
-        let mut looked = begun;
+    /// Runs until the condition holds, for at most `limit`. Returns how long it took.
+    pub fn run_until(
+        &mut self,
+        limit: Duration,
+        condition: impl Fn(&Cluster) -> bool,
+    ) -> Option<Duration> {
+        let (started_at, end) = (self.now, self.now + limit);
+        let mut next_check = started_at;
         loop {
-            // Looked at every millisecond at most: readings are as of then.
-            if self.now >= looked {
-                if holds(self) {
-                    return Some(self.now - begun);
+            // The condition is checked at most once per millisecond.
+            if self.now >= next_check {
+                if condition(self) {
+                    return Some(self.now - started_at);
                 }
-                looked = self.now + ms(1);
+                next_check = self.now + ms(1);
             }
             let message = self
                 .queue
                 .peek()
                 .map_or(Duration::MAX, |Reverse((at, _))| *at);
-            let (place, due) = self
-                .places
+            let (process, due) = self
+                .processes
                 .iter()
-                .map(|place| place.due)
+                .map(|process| process.next_wakeup)
                 .enumerate()
                 .min_by_key(|(_, due)| *due)
-                .expect("places");
+                .expect("the cluster has processes");
             let next = message.min(due).min(self.resend_at);
             if next > end {
                 self.now = end;
-                return holds(self).then_some(self.now - begun);
+                return condition(self).then_some(self.now - started_at);
             }
             self.now = self.now.max(next);
             if next == self.resend_at {
                 self.resend_at = self.now + ms(500);
-                self.resend();
+                self.resend_proposals();
             } else if next == message {
                 let Some(Reverse((_, sequence))) = self.queue.pop() else {
                     continue;
                 };
                 if let Some((from, to, message)) = self.in_flight.remove(&sequence) {
-                    // A message is lost if its link is cut before it arrives.
-                    if self.is_connected(from, to) || matches!(message, InFlight::Written(..)) {
+                    // A message is lost if its link fails before the message arrives.
+                    if self.is_connected(from, to) || matches!(message, InFlight::WriteDone(..)) {
                         self.deliver(from, to, message);
                     }
                 }
             } else {
-                self.node(place, node::Event::Tick);
-                self.voter(place, Event::Tick);
+                self.handle_as_node(process, node::Event::Tick);
+                self.handle_as_voter(process, Event::Tick);
             }
         }
     }
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden bytes of what goes between nodes and voters, and of a voter's file.
+//! The encodings of settings, messages and a voter's file, compared with golden files.
 
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::{Snapshot, Storage, StorageOp};
@@ -45,7 +45,9 @@
         ),
     ];
     for (key, value) in values {
-        settings.insert(key, value).expect("a value of its key");
+        settings
+            .insert(key, value)
+            .expect("a valid value of the key");
     }
     settings
 }
@@ -118,7 +120,7 @@
         number: 12,
         process_id: 13,
     };
-    let between = [
+    let voter_messages = [
         VoterMessage::Engine(vec![4, 5, 6]),
         VoterMessage::Incarnation(incarnation),
         VoterMessage::IncarnationSeen {
@@ -133,11 +135,11 @@
             }),
         },
     ];
-    let long = [
+    let link_messages = [
         LinkMessage::Versions(vec![version(1), version(2)]),
         LinkMessage::Propose(proposal(2)),
     ];
-    let mut written: Vec<_> = between
+    let mut encoded: Vec<_> = voter_messages
         .into_iter()
         .map(|message| {
             hex(&Envelope {
@@ -147,7 +149,7 @@
             .encode())
         })
         .collect();
-    written.extend(long.iter().map(|message| {
+    encoded.extend(link_messages.iter().map(|message| {
         hex(&Envelope {
             log_id: 0x77,
             message: message.clone(),
@@ -155,10 +157,10 @@
         .encode())
     }));
     assert_eq!(
-        written.join("\n"),
+        encoded.join("\n"),
         include_str!("golden/between.hex").trim()
     );
-    for message in long {
+    for message in link_messages {
         let bytes = Envelope {
             log_id: 0x77,
             message: message.clone(),
@@ -171,8 +173,8 @@
     }
 }
 
-/// A voter's file with something in each of its parts.
-fn file() -> Vec<u8> {
+/// A voter's file in which no part is empty.
+fn voter_file() -> Vec<u8> {
     let memory = MemoryStorage::new(VoterState::initial(0x77, 2, 3, 99));
     memory.update(|state| {
         state.seen_incarnations[0] = Some(VoterIncarnation {
@@ -199,14 +201,17 @@
     ];
     storage
         .write_atomically(operations)
-        .expect("storage in memory");
+        .expect("in-memory storage does not fail");
     memory.read(VoterState::encode)
 }
 
 #[test]
-fn voter_file_keeps_its_bytes_and_is_read() {
-    assert_eq!(hex(&file()), include_str!("golden/voter-file.hex").trim());
-    let read = VoterState::decode(&file(), 0x77, 2, 3).expect("a voter's file");
-    assert_eq!(read.encode(), file());
-    assert_eq!(MemoryStorage::new(read).history().newest(), 2);
+fn voter_file_keeps_its_bytes_and_can_be_decoded() {
+    assert_eq!(
+        hex(&voter_file()),
+        include_str!("golden/voter-file.hex").trim()
+    );
+    let state = VoterState::decode(&voter_file(), 0x77, 2, 3).expect("the file is valid");
+    assert_eq!(state.encode(), voter_file());
+    assert_eq!(MemoryStorage::new(state).history().newest(), 2);
 }
--- a/crates/consensus/tests/lease_model.rs
+++ b/crates/consensus/tests/lease_model.rs
@@ -1,7 +1,7 @@
-//! Model check of the leases of [`sillward_consensus::lease`]: three voters, some nodes, and one version that conflicts with
-//! the one in force. A voter's consent counts as soon as the voter would give it, as if there were any number of other nodes
-//! that act on the new version at once. Messages may arrive at any time, any number of times or never, before or after a
-//! restart of a voter; nodes may do nothing for any time; one clock may lag by a tick, which is the stated drift.
+//! Model check of [`sillward_consensus::lease`] with three voters, some nodes, and one version that conflicts with the one in
+//! force. A voter's consent counts from the moment at which the voter would give it, as if other nodes acted on the new
+//! version at once. Messages may arrive at any time, any number of times or never, before or after a restart of a voter.
+//! Nodes may be idle for any time. A node's clock may lag by a tick, which is the stated drift.
 
 use sillward_consensus::lease::{LeaseGranter, LeaseHolder};
 use sillward_consensus::messages::{LeaseRequest, LeaseResponse};
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// A tick; a lease lasts two by its node's clock, and a voter waits for three.
+/// The model's unit of time. A lease lasts two ticks by its holder's clock, and a voter waits for three.
 const TICK: Duration = Duration::from_millis(2);
 const VOTERS: usize = 3;
 const LOG: u64 = 7;
@@ -30,27 +30,27 @@
     timing
 }
 
-/// How far it goes.
+/// The bounds of the state space.
 #[derive(Clone, Copy)]
-struct Size {
+struct Bounds {
     nodes: usize,
     ticks: u32,
-    asks: u64,
+    requests: u64,
     restarts: u32,
     lags: u32,
 }
 
 struct LeaseModel {
     bug: Option<InjectedBug>,
-    size: Size,
+    bounds: Bounds,
 }
 
 /// A message that was sent: it may arrive any number of times.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum InFlight {
-    /// From a node, to a voter: number and what it knows.
+    /// From a node, to a voter: request number and newest known version.
     Request(usize, usize, u64, u64),
-    /// From a voter, to a node: number, newest, consent.
+    /// From a voter, to a node: request number, newest and consented version.
     Response(usize, usize, u64, u64, u64),
 }
 
@@ -62,19 +62,20 @@
     persisted: Vec<u64>,
     nodes: Vec<LeaseHolder>,
     lag: Vec<u32>,
-    asked: Vec<u64>,
+    requests_sent: Vec<u64>,
     in_flight: BTreeSet<InFlight>,
     restarts: u32,
-    /// The newest version that each voter ever consented to.
+    /// The newest version to which each voter has ever consented.
     consents: Vec<u64>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
+    /// Time advances; the clock of this node, if any, lags by the tick.
     Tick(Option<usize>),
-    RequestsLease(usize),
-    Arrives(InFlight),
-    Committed(usize),
+    RequestLease(usize),
+    Deliver(InFlight),
+    Commit(usize),
     Restart(usize),
 }
 
@@ -87,8 +88,8 @@
         TICK * (10 + self.ticks - self.lag[node])
     }
 
-    /// The version whose values a node may use, if no conflicting version may be in force.
-    fn acts(&self, node: usize) -> Option<u64> {
+    /// The version whose values a node may use; `None` if a conflicting version may be in force.
+    fn usable_version(&self, node: usize) -> Option<u64> {
         let status = self.nodes[node].status(self.node_now(node));
         (status.has_lease && status.in_force == status.newest).then_some(status.newest)
     }
@@ -100,7 +101,7 @@
 
     fn init_states(&self) -> Vec<State> {
         let (timing, start) = (timing(self.bug), Duration::ZERO);
-        // All have run for long, and version 1 is in force.
+        // All processes have run for a long time, and version 1 is in force.
         let voters = (0..VOTERS)
             .map(|_| LeaseGranter::new(timing, LOG, 1, start))
             .collect();
@@ -120,14 +121,14 @@
             }
             holder
         };
-        let nodes = (0..self.size.nodes).map(node).collect();
+        let nodes = (0..self.bounds.nodes).map(node).collect();
         vec![State {
             ticks: 0,
             voters,
             persisted: vec![1; VOTERS],
             nodes,
-            lag: vec![0; self.size.nodes],
-            asked: vec![0; self.size.nodes],
+            lag: vec![0; self.bounds.nodes],
+            requests_sent: vec![0; self.bounds.nodes],
             in_flight: BTreeSet::new(),
             restarts: 0,
             consents: vec![1; VOTERS],
@@ -135,26 +136,26 @@
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
-        if state.ticks < self.size.ticks {
+        if state.ticks < self.bounds.ticks {
             steps.push(Step::Tick(None));
             let lags: u32 = state.lag.iter().sum();
-            if lags < self.size.lags {
-                steps.extend((0..self.size.nodes).map(|node| Step::Tick(Some(node))));
+            if lags < self.bounds.lags {
+                steps.extend((0..self.bounds.nodes).map(|node| Step::Tick(Some(node))));
             }
         }
-        for node in 0..self.size.nodes {
-            if state.asked[node] < self.size.asks
+        for node in 0..self.bounds.nodes {
+            if state.requests_sent[node] < self.bounds.requests
                 && state.nodes[node].next_request_at() <= state.node_now(node)
             {
-                steps.push(Step::RequestsLease(node));
+                steps.push(Step::RequestLease(node));
             }
         }
-        steps.extend(state.in_flight.iter().cloned().map(Step::Arrives));
+        steps.extend(state.in_flight.iter().cloned().map(Step::Deliver));
         for voter in 0..VOTERS {
             if state.persisted[voter] == 1 {
-                steps.push(Step::Committed(voter));
+                steps.push(Step::Commit(voter));
             }
-            if state.restarts < self.size.restarts {
+            if state.restarts < self.bounds.restarts {
                 steps.push(Step::Restart(voter));
             }
         }
@@ -170,49 +171,50 @@
                     state.lag[node] += 1;
                 }
             }
-            Step::RequestsLease(node) => {
+            Step::RequestLease(node) => {
                 let at = state.node_now(node);
-                let ask = state.nodes[node].take_request(at)?;
-                state.asked[node] += 1;
-                let in_flight = (0..VOTERS)
-                    .map(|voter| InFlight::Request(node, voter, ask.number, ask.known_version));
+                let request = state.nodes[node].take_request(at)?;
+                state.requests_sent[node] += 1;
+                let in_flight = (0..VOTERS).map(|voter| {
+                    InFlight::Request(node, voter, request.number, request.known_version)
+                });
                 state.in_flight.extend(in_flight);
             }
-            Step::Arrives(InFlight::Request(node, voter, number, knows)) => {
-                let ask = LeaseRequest {
+            Step::Deliver(InFlight::Request(node, voter, number, known_version)) => {
+                let request = LeaseRequest {
                     log_id: LOG,
                     session: node as u64 + 1,
                     number,
-                    known_version: knows,
+                    known_version,
                 };
-                let answer = state.voters[voter].handle_request(now, &node, &ask);
+                let response = state.voters[voter].handle_request(now, &node, &request);
                 state.in_flight.insert(InFlight::Response(
                     voter,
                     node,
                     number,
-                    answer.newest,
-                    answer.consented,
+                    response.newest,
+                    response.consented,
                 ));
             }
-            Step::Arrives(InFlight::Response(voter, node, number, newest, consent)) => {
-                let answer = LeaseResponse {
+            Step::Deliver(InFlight::Response(voter, node, number, newest, consented)) => {
+                let response = LeaseResponse {
                     log_id: LOG,
                     session: node as u64 + 1,
                     number,
                     newest,
-                    consented: consent,
+                    consented,
                     granted: true,
                 };
                 let at = state.node_now(node);
-                state.nodes[node].handle_response(at, voter, &answer);
+                state.nodes[node].handle_response(at, voter, &response);
             }
-            Step::Committed(voter) => {
+            Step::Commit(voter) => {
                 state.persisted[voter] = 2;
                 state.voters[voter].on_committed(2);
             }
             Step::Restart(voter) => {
                 state.restarts += 1;
-                // What was not on disk is lost with the leases.
+                // The granted leases are lost, and with this bug also a version that is not on disk yet.
                 if self.bug == Some(InjectedBug::SendBeforeSync) {
                     state.persisted[voter] = 1;
                 }
@@ -221,8 +223,8 @@
             }
         }
         let now = state.now();
-        for (voter, consent) in state.voters.iter_mut().zip(&mut state.consents) {
-            *consent = (*consent).max(voter.consented(now));
+        for (voter, consented) in state.voters.iter_mut().zip(&mut state.consents) {
+            *consented = (*consented).max(voter.consented(now));
         }
         (state != *last).then_some(state)
     }
@@ -230,30 +232,33 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("no two nodes conflict", |_, state: &State| {
-                let force = state
+                let is_in_force = state
                     .consents
                     .iter()
-                    .filter(|consent| **consent == 2)
+                    .filter(|consented| **consented == 2)
                     .count()
                     * 2
                     > VOTERS;
-                !force || (0..state.nodes.len()).all(|node| state.acts(node) != Some(1))
+                !is_in_force
+                    || (0..state.nodes.len()).all(|node| state.usable_version(node) != Some(1))
             }),
             Property::sometimes(
-                "the old version is acted on beside a voter's consent",
-                |_, state: &State| state.consents.contains(&2) && state.acts(0) == Some(1),
+                "the old version is used while a voter consents to the new one",
+                |_, state: &State| {
+                    state.consents.contains(&2) && state.usable_version(0) == Some(1)
+                },
             ),
             Property::sometimes("the new version is in force", |_, state: &State| {
-                state.acts(0) == Some(2)
+                state.usable_version(0) == Some(2)
             }),
         ]
     }
 }
 
-/// Whether a conflict was found, whether the expected states were reached, and the number of states.
-fn checked(bug: Option<InjectedBug>, size: Size) -> (bool, bool, usize) {
-    let begun = Instant::now();
-    let checker = LeaseModel { bug, size }
+/// Returns whether a conflict was found, whether the expected states were reached, and the number of states.
+fn check_model(bug: Option<InjectedBug>, bounds: Bounds) -> (bool, bool, usize) {
+    let started_at = Instant::now();
+    let checker = LeaseModel { bug, bounds }
         .checker()
         .threads(4)
         .target_state_count(20_000_000);
@@ -263,33 +268,33 @@
         checker
     };
     let checker = checker.spawn_dfs().join();
-    let broken = checker.discovery("no two nodes conflict").is_some();
+    let violated = checker.discovery("no two nodes conflict").is_some();
     let reached = [
-        "the old version is acted on beside a voter's consent",
+        "the old version is used while a voter consents to the new one",
         "the new version is in force",
     ];
     let reached = reached.iter().all(|what| checker.discovery(what).is_some());
     let (states, depth) = (checker.unique_state_count(), checker.max_depth());
     println!(
-        "{bug:?}: broken {broken}, {states} states, depth {depth}, {:?}",
-        begun.elapsed()
+        "{bug:?}: violated {violated}, {states} states, depth {depth}, {:?}",
+        started_at.elapsed()
     );
-    (broken, reached, states)
+    (violated, reached, states)
 }
 
-/// What is looked through in each run of the tests.
-const SMALL: Size = Size {
+/// The state space that each test run explores.
+const SMALL_BOUNDS: Bounds = Bounds {
     nodes: 1,
     ticks: 3,
-    asks: 1,
+    requests: 1,
     restarts: 0,
     lags: 0,
 };
 
 #[test]
 fn no_order_of_events_makes_two_nodes_conflict() {
-    let (broken, reached, states) = checked(None, SMALL);
-    assert!(!broken);
+    let (violated, reached, states) = check_model(None, SMALL_BOUNDS);
+    assert!(!violated);
     assert!(reached && states > 10_000, "{states}");
 }
 
@@ -307,33 +312,33 @@
             1
         };
         let restarts = u32::from(bug != InjectedBug::LeaseFromArrival);
-        let (broken, ..) = checked(
+        let (violated, ..) = check_model(
             Some(bug),
-            Size {
+            Bounds {
                 nodes: 1,
                 ticks,
-                asks: 1,
+                requests: 1,
                 restarts,
                 lags: 0,
             },
         );
-        assert!(broken, "{bug:?}");
+        assert!(violated, "{bug:?}");
     }
 }
 
 #[test]
 #[ignore = "a measurement"]
-fn sizes() {
+fn measures_the_state_space() {
     let number = |name: &str| {
         std::env::var(name)
             .ok()
             .and_then(|n| n.parse().ok())
             .unwrap_or(0u32)
     };
-    let size = Size {
+    let bounds = Bounds {
         nodes: 1,
         ticks: number("TICKS"),
-        asks: number("ASKS").into(),
+        requests: number("REQUESTS").into(),
         restarts: number("RESTARTS"),
         lags: number("LAGS"),
     };
@@ -343,6 +348,6 @@
         Some(InjectedBug::SendBeforeSync),
         Some(InjectedBug::SkipLeaseWait),
         Some(InjectedBug::ForgetLeases),
-    ][number("PLANT") as usize];
-    checked(bug, size);
+    ][number("INJECTED_BUG") as usize];
+    check_model(bug, bounds);
 }
--- a/crates/consensus/tests/voter_file_and_leases.rs
+++ b/crates/consensus/tests/voter_file_and_leases.rs
@@ -1,4 +1,4 @@
-//! A voter's file, and leases whose responses are lost.
+//! Damage to a voter's file, and the lease protocol between one granter and one holder.
 
 use sillward_consensus::lease::{LeaseGranter, LeaseHolder};
 use sillward_consensus::messages::LeaseRequest;
@@ -15,19 +15,19 @@
     for at in 0..bytes.len() {
         assert!(
             VoterState::decode(&bytes[..at], LOG, 2, 5).is_err(),
-            "cut at {at}"
+            "truncated at {at}"
         );
         let mut flipped = bytes.clone();
         flipped[at] ^= 0x10;
         assert!(
             VoterState::decode(&flipped, LOG, 2, 5).is_err(),
-            "flipped at {at}"
+            "bit flipped in byte {at}"
         );
     }
     for (log, place, voters) in [(8, 2, 5), (LOG, 3, 5), (LOG, 2, 3)] {
         assert!(
             VoterState::decode(&bytes, log, place, voters).is_err(),
-            "of another voter or log"
+            "belongs to another voter or log"
         );
     }
 }
@@ -52,7 +52,7 @@
     let now = ms(10_000);
     granter.handle_request(now, &1, &request(1, 1));
     granter.on_committed(2);
-    // The response with version 2 is lost, and the node sends another request.
+    // The response that names version 2 is lost, and the node requests again without knowing that version.
     granter.handle_request(now + ms(300), &1, &request(2, 1));
     assert_eq!(granter.consented(now + ms(400)), 1);
     assert_eq!(granter.blocking_leases(now + ms(400)).len(), 1);
@@ -61,7 +61,7 @@
         2,
         "the first lease has expired"
     );
-    // With that response the node would know version 2.
+    // A node that has received the response reports version 2 with its next request.
     let mut granter: LeaseGranter<u8> = LeaseGranter::new(timing, LOG, 1, ms(0));
     granter.handle_request(now, &1, &request(1, 1));
     granter.on_committed(2);
@@ -94,7 +94,7 @@
         };
         let mut holder = LeaseHolder::new(timing, LOG, 5, 5, ms(0));
         let mut granter: LeaseGranter<u8> = LeaseGranter::new(timing, LOG, 1, ms(0));
-        let request = holder.take_request(ms(10_000)).expect("it is due");
+        let request = holder.take_request(ms(10_000)).expect("a request is due");
         let response = granter.handle_request(ms(10_001), &1, &request);
         (0..majority(5)).for_each(|voter| {
             assert!(
