--- a/crates/consensus/tests/lease_model.rs
+++ b/crates/consensus/tests/lease_model.rs
@@ -338,7 +338,7 @@
     let bounds = Bounds {
         nodes: 1,
         ticks: number("TICKS"),
-        requests: number("REQUESTS").into(),
+        requests: number("ASKS").into(),
         restarts: number("RESTARTS"),
         lags: number("LAGS"),
     };
@@ -348,6 +348,6 @@
         Some(InjectedBug::SendBeforeSync),
         Some(InjectedBug::SkipLeaseWait),
         Some(InjectedBug::ForgetLeases),
-    ][number("INJECTED_BUG") as usize];
+    ][number("PLANT") as usize];
     check_model(bug, bounds);
 }
