--- a/crates/peer-transport/src/connection.rs
+++ b/crates/peer-transport/src/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to another member, or one that is being made: what waits to be sent over it.
+//! Sending side of a connection to another member; messages can be queued before the connection is established.
 
 use crate::send_queue::{OutboundMessage, SendQueue};
 use std::cell::{Cell, RefCell};
@@ -8,10 +8,10 @@
 /// The sending side of a connection.
 pub(crate) struct Connection {
     queue: RefCell<SendQueue>,
-    queued: Notify,
-    /// Whether this end dialed.
+    message_queued: Notify,
+    /// Whether this node dialed the connection.
     dialed: bool,
-    /// Whether a message was sent or received since the last check for idleness.
+    /// Whether a message was sent or received since the last idle check.
     used: Cell<bool>,
 }
 
@@ -19,7 +19,7 @@
     pub(crate) fn new(dialed: bool) -> Rc<Self> {
         Rc::new(Connection {
             queue: RefCell::default(),
-            queued: Notify::new(),
+            message_queued: Notify::new(),
             dialed,
             used: Cell::new(true),
         })
@@ -29,24 +29,23 @@
         self.dialed
     }
 
-    /// Queues a message.
     pub(crate) fn send(&self, message: OutboundMessage) {
         self.queue.borrow_mut().push(message);
-        self.queued.notify_one();
+        self.message_queued.notify_one();
     }
 
-    /// Waits for the next message. Cancellation safe: a message is removed only when it is returned.
+    /// Waits for the next queued message. Cancellation safe: a message is removed from the queue only when it is returned.
     pub(crate) async fn next_message(&self) -> OutboundMessage {
         loop {
             let next = self.queue.borrow_mut().pop();
             match next {
                 Some(message) => return message,
-                None => self.queued.notified().await,
+                None => self.message_queued.notified().await,
             }
         }
     }
 
-    /// Takes over the messages that wait for another connection to the same member.
+    /// Moves the queued messages of another connection to the same member to this one.
     pub(crate) fn take_over(&self, other: &Connection) {
         loop {
             let next = other.queue.borrow_mut().pop();
@@ -57,12 +56,12 @@
         }
     }
 
-    /// Notes that a message was sent or received.
+    /// Records that a message was sent or received.
     pub(crate) fn mark_used(&self) {
         self.used.set(true);
     }
 
-    /// Whether no message waits and none was sent or received since the last check.
+    /// Whether no message is queued and none was sent or received since the last call.
     pub(crate) fn check_idle(&self) -> bool {
         let used = self.used.replace(false);
         !used && self.queue.borrow().is_empty()
--- a/crates/peer-transport/src/connections.rs
+++ b/crates/peer-transport/src/connections.rs
@@ -15,13 +15,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The longest time that connecting, a handshake or a write may take.
+/// Timeout of connecting, of the handshake and of writing one message.
 const IO_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection that carries nothing for so long is closed.
+/// Interval of the idle check; a connection without traffic since the last check is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl PeerTransport {
-    /// Sends a message to a member, over an existing connection or a new one. It is lost if the connection fails.
+    /// Sends a message to a member over the existing connection, or dials one. The message is lost if the connection fails.
     pub fn send_message(self: &Rc<Self>, to: &Name, address: SocketAddr, message: OutboundMessage) {
         if let Some(connection) = self.connections.borrow().get(to) {
             connection.send(message);
@@ -44,7 +44,7 @@
         });
     }
 
-    /// Connects to a member and serves the connection until it ends.
+    /// Dials a member and runs the connection until it closes.
     async fn dial(self: &Rc<Self>, to: &Name, address: SocketAddr, connection: &Connection) {
         let connect = TcpStream::connect_from(self.own_ip, address);
         let Ok(Ok(stream)) = timeout(IO_TIMEOUT, connect).await else {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Serves an accepted connection until it ends.
+    /// Performs the handshake on an accepted connection and runs it until it closes.
     pub(crate) async fn accept(self: Rc<Self>, stream: TcpStream) {
         let (stream, _) = Stream::new(stream);
         let handshake = async { handshake::accept(&stream, self.local_end()).await };
@@ -70,19 +70,20 @@
         };
         let peer = session.peer.clone();
         let connection = Connection::new(false);
-        self.add_accepted(&peer, &connection);
+        self.register_accepted(&peer, &connection);
         self.serve(&stream, session, &connection).await;
         self.remove_connection(&peer, &connection);
     }
 
-    /// Sends over an accepted connection from now on. Of two connections that were made at once the one counts that the
-    /// lesser name dialed; the other is read until it is idle.
-    fn add_accepted(&self, peer: &Name, connection: &Rc<Connection>) {
+    /// Uses an accepted connection for sending from now on. If both members dialed at the same time, the connection dialed by
+    /// the member with the lesser name is used; the other one is only read until it is idle.
+    fn register_accepted(&self, peer: &Name, connection: &Rc<Connection>) {
         let mut connections = self.connections.borrow_mut();
-        let known = connections.get(peer);
-        let keeps_own = known.is_some_and(|known| known.is_dialed() && self.name < *peer);
-        let has_capacity = known.is_some() || connections.len() < self.max_connections;
-        if keeps_own || !has_capacity {
+        let existing = connections.get(peer);
+        let prefers_existing =
+            existing.is_some_and(|existing| existing.is_dialed() && self.name < *peer);
+        let has_capacity = existing.is_some() || connections.len() < self.max_connections;
+        if prefers_existing || !has_capacity {
             return;
         }
         if let Some(replaced) = connections.insert(peer.clone(), connection.clone()) {
@@ -107,8 +108,8 @@
         }
     }
 
-    /// Reads and writes messages until either end closes the connection, a message is invalid, or it is idle. What is
-    /// dropped half read or written then goes with the connection.
+    /// Reads and writes messages until either end closes the connection, a message is invalid, or the connection is idle.
+    /// Dropping a partly read or written message is safe, because the connection is closed with it.
     async fn serve(self: &Rc<Self>, stream: &Stream, session: Session, connection: &Connection) {
         let Session {
             peer,
@@ -164,7 +165,7 @@
             };
             let bytes = outbound.seal(&message.encode_to_vec());
             self.traffic.sent_messages.add(bytes.len());
-            // A member that reads nothing for so long is cut off; anti-entropy makes up for what it missed.
+            // Disconnects a member that stops reading; anti-entropy later repairs what it missed.
             let written = timeout(IO_TIMEOUT, write_all(stream, &bytes)).await;
             if !matches!(written, Ok(Some(()))) {
                 return;
--- a/crates/peer-transport/src/envelope.rs
+++ b/crates/peer-transport/src/envelope.rs
@@ -1,8 +1,8 @@
 //! The envelope of a datagram: the fleet's name, the sender with its incarnation, the receiver's incarnation, a sequence
-//! number, and a message authentication code over all of it. No I/O.
+//! number, and a message authentication code (MAC) over all of it. Does no I/O.
 //!
-//! Wire: the version (1 byte), the code (16 bytes), then the protobuf message `EnvelopeMessage`. The code is BLAKE3's
-//! keyed hash under a key derived from the fleet's, truncated to 16 bytes.
+//! Wire format: version (1 byte), MAC (16 bytes), then the protobuf message `EnvelopeMessage`. The MAC is BLAKE3's keyed
+//! hash under a key derived from the fleet's secret, truncated to 16 bytes.
 
 use crate::mac::{self, MAC_BYTES, Mac};
 use prost::Message;
@@ -10,17 +10,17 @@
 use sillward_membership::{Incarnation, Name};
 use std::net::SocketAddr;
 
-/// The version of the envelope. Datagrams of another version are rejected; fields that are added within one are skipped by
-/// builds that do not know them.
+/// Version of the envelope. Datagrams of another version are rejected; fields added within a version are skipped by builds
+/// that do not know them.
 const VERSION: u8 = 1;
-/// The version and the code.
+/// Size of the version and the MAC.
 const HEADER_BYTES: usize = 1 + MAC_BYTES;
-/// The longest datagram that carries a payload, in bytes with its envelope: it passes any network unfragmented.
+/// Maximum size of a datagram with a payload, in bytes including the envelope; small enough to avoid fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// The longest name of a fleet, in bytes.
+/// Maximum length of a fleet name, in bytes.
 pub const MAX_FLEET_NAME_BYTES: usize = 16;
 
-/// The fleet's key, by its use.
+/// Keys of the fleet, one per use.
 #[derive(Clone)]
 pub struct Keys {
     datagrams: [u8; 32],
@@ -37,7 +37,7 @@
     }
 }
 
-/// Keys are never shown.
+/// Never shows the key bytes.
 impl std::fmt::Debug for Keys {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Keys")
@@ -69,20 +69,20 @@
     payload: Vec<u8>,
 }
 
-/// The content of a datagram: a frame of membership, or a payload of another part of the node.
+/// The content of a datagram: a membership frame, or a payload of another part of the node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Envelope {
     /// The sender.
     pub name: Name,
-    /// Where the sender says that it is reached.
+    /// The sender's advertised address.
     pub address: SocketAddr,
     /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// Rises from datagram to datagram of an incarnation.
+    /// Sequence number; increases with each datagram of an incarnation.
     pub sequence: u64,
     /// The salt of the receiver's incarnation; 0 if the sender does not know it.
     pub to_salt: u32,
-    /// The frame; empty where there is a topic.
+    /// The membership frame; empty if the topic is not 0.
     pub frame: Frame,
     /// The topic of the payload; 0 for a frame.
     pub topic: u32,
@@ -90,24 +90,24 @@
     pub payload: Vec<u8>,
 }
 
-/// Why a datagram is rejected.
+/// Reason why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectReason {
-    /// Shorter or longer than any datagram of the fleet.
+    /// Shorter or longer than any valid datagram.
     Length,
-    /// Another version of the envelope.
+    /// The envelope has another version.
     Version,
-    /// The code is wrong: another key, a forgery, or corrupted on the way.
+    /// The MAC does not match: another key, a forgery, or corruption in transit.
     Authentication,
-    /// Another fleet's, under the same key.
+    /// Sent by another fleet that uses the same key.
     Fleet,
-    /// No valid message, or one without a name, address or incarnation.
+    /// Not a valid protobuf message, or without a valid name, address, incarnation or frame.
     Malformed,
-    /// The sequence number was seen, or is too old to tell.
+    /// The sequence number was already seen, or is older than the replay window.
     Replayed,
-    /// Too many of one member.
+    /// The sender exceeds the rate limit of a member.
     RateLimited,
-    /// More than this node reads of all members.
+    /// All senders together exceed the total rate limit of this node.
     Overload,
 }
 
@@ -124,7 +124,7 @@
         RejectReason::Overload,
     ];
 
-    /// The reason as admin pages show it.
+    /// The name of the reason on admin pages.
     pub fn as_str(self) -> &'static str {
         match self {
             RejectReason::Length => "length",
@@ -139,16 +139,16 @@
     }
 }
 
-/// The field of an unknown newer build, for tests.
+/// Number of a field that no build knows, for tests.
 #[cfg(feature = "faults")]
 const UNKNOWN_FIELD: u32 = 60;
 
 #[cfg(not(feature = "faults"))]
-fn imitate_other_build(_: &mut Vec<u8>) {}
+fn simulate_other_build(_: &mut Vec<u8>) {}
 
-/// Imitates a newer build, which has a field that this one does not know, or an incompatible one of another version.
+/// Simulates a newer build that adds an unknown field, or an incompatible build with another envelope version.
 #[cfg(feature = "faults")]
-fn imitate_other_build(bytes: &mut Vec<u8>) {
+fn simulate_other_build(bytes: &mut Vec<u8>) {
     match sillward_runtime::fault_variable("SILLWARD_FAULT_BUILD").as_deref() {
         Some("newer") => {
             prost::encoding::string::encode(UNKNOWN_FIELD, &"a newer build's".to_owned(), bytes);
@@ -158,7 +158,7 @@
     }
 }
 
-/// Seals and opens the envelopes of a fleet.
+/// Encodes and authenticates the envelopes of a fleet.
 pub struct EnvelopeCodec {
     keys: Keys,
     fleet: String,
@@ -166,7 +166,7 @@
 }
 
 impl EnvelopeCodec {
-    /// A fleet's codec; `max_frame_bytes` is the longest envelope that carries a frame, in bytes.
+    /// Creates the codec of a fleet; `max_frame_bytes` is the maximum size of an envelope with a frame, in bytes.
     pub fn new(keys: Keys, fleet: &str, max_frame_bytes: usize) -> Self {
         EnvelopeCodec {
             keys,
@@ -175,17 +175,17 @@
         }
     }
 
-    /// The bytes that the longest envelope of a sender leaves for its frame.
+    /// Returns the space for a frame, in bytes, after the largest envelope header of a sender.
     pub fn frame_capacity(&self, name: &Name, address: SocketAddr) -> usize {
         let address_bytes = if address.is_ipv4() { 6 } else { 18 };
-        // Each of these has a byte for its field number and one for its length.
-        let texts = 2 + self.fleet.len() + 2 + name.as_str().len() + 2 + address_bytes;
+        // Each of these fields takes one byte for its tag and one for its length.
+        let length_delimited = 2 + self.fleet.len() + 2 + name.as_str().len() + 2 + address_bytes;
         let (epoch, salt, sequence, to_salt, frame_header) = (6, 5, 11, 5, 3);
-        let fields = texts + epoch + salt + sequence + to_salt + frame_header;
+        let fields = length_delimited + epoch + salt + sequence + to_salt + frame_header;
         self.max_frame_bytes.saturating_sub(HEADER_BYTES + fields)
     }
 
-    /// The datagram of an envelope.
+    /// Encodes an envelope as an authenticated datagram.
     pub fn seal(&self, envelope: &Envelope) -> Vec<u8> {
         let message = EnvelopeMessage {
             fleet: self.fleet.clone(),
@@ -202,16 +202,16 @@
         let mut bytes = vec![VERSION];
         bytes.resize(HEADER_BYTES, 0);
         message.encode_raw(&mut bytes);
-        imitate_other_build(&mut bytes);
+        simulate_other_build(&mut bytes);
         let mac = self.mac(&bytes);
         bytes[1..HEADER_BYTES].copy_from_slice(&mac);
         bytes
     }
 
-    /// Opens a datagram. Cheap checks come first, and nothing is parsed before its code is verified.
+    /// Verifies and decodes a datagram. Cheap checks come first, and nothing is parsed before the MAC is verified.
     ///
     /// # Errors
-    /// Why the datagram is rejected.
+    /// The reason for the rejection.
     pub fn open(&self, bytes: &[u8]) -> Result<Envelope, RejectReason> {
         self.authenticate(bytes)?;
         let message =
@@ -225,7 +225,7 @@
         message.into_envelope().ok_or(RejectReason::Malformed)
     }
 
-    /// Checks the length, the version and the code.
+    /// Checks the length, the version and the MAC.
     fn authenticate(&self, bytes: &[u8]) -> Result<(), RejectReason> {
         let longest = self.max_frame_bytes.max(MAX_DATAGRAM_BYTES);
         if bytes.len() <= HEADER_BYTES || bytes.len() > longest {
@@ -248,7 +248,7 @@
 }
 
 impl EnvelopeMessage {
-    /// Validates the message; `None` if it is invalid.
+    /// Validates the decoded message; `None` if it is invalid.
     fn into_envelope(self) -> Option<Envelope> {
         let incarnation = Incarnation {
             epoch: self.epoch,
--- a/crates/peer-transport/src/error.rs
+++ b/crates/peer-transport/src/error.rs
@@ -1,29 +1,29 @@
-//! Errors of the transport.
+//! Transport errors.
 
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why the transport could not be started.
+/// Reason why the transport could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum TransportError {
     /// The sockets could not be bound.
-    #[error("cannot listen for the fleet on {address}: {source}")]
+    #[error("cannot bind the sockets for fleet traffic to {address}: {source}")]
     Listen {
-        /// The address of the settings.
+        /// The configured listen address.
         address: SocketAddr,
-        /// The system's error.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The state directory could not be created, or the file in it not be read.
-    #[error("cannot use the fleet's folder {}: {source}", path.display())]
+    /// The state directory could not be created, or the incarnation file could not be read.
+    #[error("cannot use the fleet's state directory {}: {source}", path.display())]
     StateDir {
         /// The state directory.
         path: PathBuf,
-        /// The system's error.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The system gave no random numbers.
-    #[error("no random numbers for the fleet: {0}")]
+    /// The operating system provided no random numbers.
+    #[error("cannot get random numbers for the fleet transport: {0}")]
     Random(#[source] io::Error),
 }
--- a/crates/peer-transport/src/event_loop.rs
+++ b/crates/peer-transport/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: timers, datagrams and accepted connections.
+//! Event loop for timers, datagrams and accepted connections.
 
 use crate::envelope::{Envelope, RejectReason};
 use crate::send_queue::OutboundMessage;
@@ -18,19 +18,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// After more datagrams than a node accepts, and when accepting a connection fails, no datagram is read for so long; the
-/// system drops what its buffer cannot hold.
+/// Pause in reading datagrams after the total rate limit is exceeded or accepting a connection fails. The kernel drops
+/// datagrams that its socket buffer cannot hold meanwhile.
 const READ_PAUSE: Duration = Duration::from_millis(20);
-/// Longer than any datagram that is accepted.
+/// Size of the receive buffer; larger than any datagram that is accepted.
 const RECEIVE_BUFFER_BYTES: usize = 2048;
-/// The topic of anti-entropy. Those of other parts are higher.
+/// Topic of anti-entropy messages. Other parts of the node use higher topics.
 const SYNC_TOPIC: u32 = 1;
 
-/// Whether more datagrams may be read.
+/// Whether the event loop may continue to read datagrams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadState {
     Ready,
-    /// Too many arrive.
+    /// The total rate limit is exceeded.
     Overloaded,
 }
 
@@ -41,24 +41,24 @@
         let mut stop = pin!(stop);
         let mut accepted: JoinSet<()> = JoinSet::new();
         let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
-        let mut reads_from: Option<Instant> = None;
+        let mut read_resume_at: Option<Instant> = None;
         loop {
             let deadline = self.clock.instant(self.membership.borrow().next_deadline());
-            let deadline = reads_from.map_or(deadline, |from| deadline.min(from));
-            // All branches are cancellation safe: they wait for readiness and lose nothing when dropped.
+            let deadline = read_resume_at.map_or(deadline, |at| deadline.min(at));
+            // All branches are cancellation safe: they only wait for readiness.
             tokio::select! {
                 biased;
                 () = &mut stop => break,
                 () = sleep_until(deadline) => {
-                    reads_from = reads_from.filter(|from| *from > Instant::now());
+                    read_resume_at = read_resume_at.filter(|at| *at > Instant::now());
                     self.handle_event(&udp, Event::Tick);
                 }
                 () = self.wake.notified() => self.handle_event(&udp, Event::Tick),
-                received = udp.receive(&mut buffer), if reads_from.is_none() => {
-                    // An error is about an earlier datagram that nobody received.
+                received = udp.receive(&mut buffer), if read_resume_at.is_none() => {
+                    // An error here reports an earlier datagram that could not be delivered.
                     if let Ok((count, _)) = received {
                         if self.handle_datagram(&udp, &buffer[..count]) == ReadState::Overloaded {
-                            reads_from = Some(Instant::now() + READ_PAUSE);
+                            read_resume_at = Some(Instant::now() + READ_PAUSE);
                         }
                     }
                 }
@@ -68,24 +68,24 @@
                         accepted.spawn_local(self.clone().accept(stream));
                     }
                     Ok(_) => increment(&self.traffic.bad_connections),
-                    // The process is out of file descriptors.
-                    Err(_) => reads_from = Some(Instant::now() + READ_PAUSE),
+                    // Accepting fails when the process is out of file descriptors.
+                    Err(_) => read_resume_at = Some(Instant::now() + READ_PAUSE),
                 },
             }
         }
         self.handle_event(&udp, Event::Leave);
     }
 
-    /// Handles an event, then carries out what follows from it and what other parts have left to do.
+    /// Handles an event, executes the resulting and the deferred actions, and sends the queued datagrams.
     fn handle_event(self: &Rc<Self>, udp: &UdpSocket, event: Event) {
         let mut actions = self.deferred_actions.take();
         let now = self.clock.now();
         actions.extend(self.membership.borrow_mut().handle(now, event));
         for action in actions {
-            self.carry_out(udp, action);
+            self.execute_action(udp, action);
         }
         loop {
-            let Some(datagram) = self.waiting_datagrams.borrow_mut().pop_front() else {
+            let Some(datagram) = self.queued_datagrams.borrow_mut().pop_front() else {
                 break;
             };
             let envelope = Envelope {
@@ -97,7 +97,7 @@
         }
     }
 
-    fn carry_out(self: &Rc<Self>, udp: &UdpSocket, action: Action) {
+    fn execute_action(self: &Rc<Self>, udp: &UdpSocket, action: Action) {
         match action {
             Action::Send { to, to_salt, frame } => {
                 let envelope = self.next_envelope(to_salt, frame);
@@ -124,11 +124,11 @@
         let bytes = self.codec.seal(envelope);
         self.traffic.sent_datagrams.add(bytes.len());
         if udp.send(&bytes, to).is_err() {
-            increment(&self.traffic.unsent); // as if it had been lost on the way
+            increment(&self.traffic.unsent); // handled like a datagram lost in the network
         }
     }
 
-    /// An envelope of this node's with the next sequence number.
+    /// Creates an envelope from this node with the next sequence number.
     fn next_envelope(&self, to_salt: u32, frame: Frame) -> Envelope {
         let membership = self.membership.borrow();
         let incarnation = membership.incarnation();
@@ -155,7 +155,6 @@
         }
     }
 
-    /// Handles a datagram.
     fn handle_datagram(self: &Rc<Self>, udp: &UdpSocket, bytes: &[u8]) -> ReadState {
         let now = self.clock.now();
         if !self.inbound_filter.borrow_mut().allow_read(now) {
@@ -195,8 +194,8 @@
         self.inbound_filter.borrow_mut().record_rejection(reason);
     }
 
-    /// Hands a payload to the handler of its topic, unless its sender's incarnation has ended. An unknown topic is a newer
-    /// build's.
+    /// Passes a payload to the handler of its topic, unless the sender's incarnation has ended. Unknown topics are ignored:
+    /// newer builds may send them.
     fn handle_payload(&self, envelope: &Envelope) {
         let is_current = self
             .inbound_filter
@@ -212,8 +211,8 @@
         }
     }
 
-    /// Handles a message of a connection; false if the connection has to be closed: this node's incarnation has ended since
-    /// it was made, or the message is invalid.
+    /// Handles a message of a connection. Returns false if the connection has to be closed, because this node's incarnation
+    /// has ended since the handshake or because the message is invalid.
     pub(crate) fn handle_message(
         &self,
         peer: &Name,
@@ -222,7 +221,7 @@
         message: &TopicMessage,
     ) -> bool {
         self.traffic.received.add_bytes(message.bytes.len());
-        // A pause is noticed before anything is believed that arrived before its end.
+        // Detects a pause of the process before applying a message that arrived during the pause.
         self.handle_deferring(Event::Tick);
         if self.incarnation() != own_incarnation {
             return false;
@@ -230,7 +229,7 @@
         if message.topic == SYNC_TOPIC {
             return self.handle_sync(peer, peer_incarnation, &message.bytes);
         }
-        // An unknown topic is a newer build's.
+        // Unknown topics are ignored: newer builds may send them.
         let handler = self.message_handlers.borrow().get(&message.topic).cloned();
         if let Some(handler) = handler {
             handler(peer, peer_incarnation, &message.bytes);
@@ -251,7 +250,7 @@
         true
     }
 
-    /// Handles an event, and leaves what follows from it to the event loop.
+    /// Handles an event and defers the resulting actions to the event loop.
     fn handle_deferring(&self, event: Event) {
         let now = self.clock.now();
         let actions = self.membership.borrow_mut().handle(now, event);
--- a/crates/peer-transport/src/handshake.rs
+++ b/crates/peer-transport/src/handshake.rs
@@ -1,4 +1,4 @@
-//! The handshake of a connection, and its messages on the stream.
+//! Connection handshake, and reading and writing of messages on the stream.
 
 use crate::envelope::Keys;
 use crate::mac::MAC_BYTES;
@@ -8,10 +8,11 @@
 use sillward_runtime::Stream;
 use sillward_runtime::random::entropy;
 
-/// A message is read in pieces of at most this many bytes, so that a length alone does not take its memory.
-const READ_PIECE_BYTES: usize = 8 * 1024;
+/// Chunk size for reading a message. The buffer grows as data arrives, so a length prefix alone cannot make the receiver
+/// allocate memory for the whole message.
+const READ_CHUNK_BYTES: usize = 8 * 1024;
 
-/// This end of a connection.
+/// Identity of the local end of a connection.
 pub(crate) struct LocalEnd<'a> {
     pub(crate) fleet: &'a str,
     pub(crate) name: &'a Name,
@@ -19,12 +20,12 @@
     pub(crate) incarnation: Incarnation,
 }
 
-/// An authenticated connection. It is void once either incarnation has ended.
+/// An authenticated connection. It is no longer valid once the incarnation of either end has ended.
 pub(crate) struct Session {
-    /// The other end.
+    /// Name of the remote member.
     pub(crate) peer: Name,
     pub(crate) peer_incarnation: Incarnation,
-    /// This node's incarnation when the connection was made.
+    /// This node's incarnation at the time of the handshake.
     pub(crate) own_incarnation: Incarnation,
     pub(crate) outbound: Channel,
     pub(crate) inbound: Channel,
@@ -42,7 +43,7 @@
     }
 }
 
-/// The dialer's handshake; `None` if it fails.
+/// Performs the dialer's side of the handshake; `None` if it fails.
 pub(crate) async fn dial(stream: &Stream, local: LocalEnd<'_>) -> Option<Session> {
     let nonce = entropy().ok()?.max(1);
     let mut outbound = Channel::new(local.keys, Direction::DialerToAcceptor);
@@ -59,7 +60,7 @@
     Some(Session::new(&local, peer, outbound, inbound))
 }
 
-/// The acceptor's handshake; `None` if it fails.
+/// Performs the acceptor's side of the handshake; `None` if it fails.
 pub(crate) async fn accept(stream: &Stream, local: LocalEnd<'_>) -> Option<Session> {
     let nonce = entropy().ok()?.max(1);
     let mut outbound = Channel::new(local.keys, Direction::AcceptorToDialer);
@@ -82,9 +83,9 @@
     Some(Session::new(&local, peer, outbound, inbound))
 }
 
-/// Reads a message without its length; `None` at the end of the stream or if the length is invalid.
+/// Reads a message and strips its length prefix; `None` if the stream ends or fails, or if the length is invalid.
 ///
-/// Not cancellation safe: a dropped future loses what it has read.
+/// Not cancellation safe: dropping the future loses the bytes read so far.
 pub(crate) async fn read_message(stream: &Stream) -> Option<Vec<u8>> {
     let mut length = [0; LENGTH_BYTES];
     read_exact(stream, &mut length).await?;
@@ -92,8 +93,8 @@
     let mut bytes = Vec::new();
     while bytes.len() < length {
         let start = bytes.len();
-        let piece = (length - start).min(READ_PIECE_BYTES);
-        bytes.resize(start + piece, 0);
+        let chunk = (length - start).min(READ_CHUNK_BYTES);
+        bytes.resize(start + chunk, 0);
         read_exact(stream, &mut bytes[start..]).await?;
     }
     debug_assert!(bytes.len() <= MAX_MESSAGE_BYTES + MAC_BYTES);
@@ -102,7 +103,7 @@
 
 /// Writes all bytes; `None` if the stream fails.
 ///
-/// Not cancellation safe: a dropped future may have written a part.
+/// Not cancellation safe: dropping the future may leave a partly written message on the stream.
 pub(crate) async fn write_all(stream: &Stream, mut bytes: &[u8]) -> Option<()> {
     while !bytes.is_empty() {
         let count = stream.write(bytes).await.ok().filter(|count| *count > 0)?;
--- a/crates/peer-transport/src/inbound_filter.rs
+++ b/crates/peer-transport/src/inbound_filter.rs
@@ -1,5 +1,5 @@
-//! What a node accepts: each sequence number of an incarnation once, a rate of frames per member, and a rate of datagrams
-//! in all. No I/O; memory is bounded.
+//! Admission of received datagrams: replay protection per incarnation, a rate limit per member, and a rate limit over all
+//! senders. Does no I/O and uses bounded memory.
 
 use crate::envelope::RejectReason;
 use crate::replay_window::ReplayWindow;
@@ -8,15 +8,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Frames of one member, a second and at once.
+/// Rate limit (datagrams per second) and burst of one member.
 const MEMBER_RATE: f64 = 400.0;
 const MEMBER_BURST: f64 = 800.0;
-/// Datagrams of all senders, a second and at once. What comes beyond that stays in the system's buffer, which drops it: at
-/// about 3 us each they take no more than 3 % of the node's core.
+/// Rate limit (datagrams per second) and burst of all senders together. Excess datagrams stay in the kernel's socket buffer,
+/// which drops them when full. At about 3 us per datagram, this rate uses at most 3 % of the node's core.
 const TOTAL_RATE: f64 = 10_000.0;
 const TOTAL_BURST: f64 = 2_000.0;
 
-/// What is remembered of a sender.
+/// Replay and rate-limit state of a sender.
 struct Sender {
     incarnation: Incarnation,
     replay_window: ReplayWindow,
@@ -24,7 +24,7 @@
     last_used: Duration,
 }
 
-/// The filter.
+/// Filters received datagrams by sequence number and rate.
 pub struct InboundFilter {
     senders: BTreeMap<Name, Sender>,
     max_senders: usize,
@@ -34,7 +34,7 @@
 }
 
 impl InboundFilter {
-    /// A filter that remembers at most `max_senders`.
+    /// Creates a filter that tracks at most `max_senders` senders.
     pub fn new(max_senders: usize, now: Duration) -> Self {
         InboundFilter {
             senders: BTreeMap::new(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Whether one more datagram may be read.
+    /// Takes a token of the total rate limit; returns whether a datagram may be processed.
     pub fn allow_read(&mut self, now: Duration) -> bool {
         self.datagrams.try_take(now)
     }
@@ -55,20 +55,20 @@
         *self.rejected.entry(reason).or_default() += 1;
     }
 
-    /// Datagrams rejected for that reason.
+    /// Number of datagrams rejected for the given reason.
     pub fn rejected(&self, reason: RejectReason) -> u64 {
         self.rejected.get(&reason).copied().unwrap_or_default()
     }
 
-    /// Frames accepted.
+    /// Number of datagrams accepted.
     pub fn accepted(&self) -> u64 {
         self.accepted
     }
 
-    /// Accepts an authentic frame, or returns why not.
+    /// Checks an authenticated datagram against the replay window and the rate limit of its sender.
     ///
     /// # Errors
-    /// Its sequence number was seen or is too old, or its sender sends too much.
+    /// The sequence number was already seen or is older than the replay window, or the sender exceeds its rate limit.
     pub fn admit(
         &mut self,
         now: Duration,
@@ -90,7 +90,8 @@
             sender.incarnation = incarnation;
             sender.replay_window = ReplayWindow::default();
         }
-        // A frame of an ended incarnation is never believed, only answered by a notice; so it may be a replay.
+        // Datagrams of an ended incarnation skip the replay check: they are never applied, and frames are only answered with a
+        // notice, so a replay does no harm.
         let is_ended = incarnation < sender.incarnation;
         if !is_ended && !sender.replay_window.accept(sequence) {
             return Err(RejectReason::Replayed);
@@ -99,28 +100,28 @@
         Ok(())
     }
 
-    /// Whether that is the newest incarnation that was seen of a member.
+    /// Whether the given incarnation is the newest one seen from a member.
     pub fn is_current_incarnation(&self, name: &Name, incarnation: Incarnation) -> bool {
         self.senders
             .get(name)
             .is_some_and(|sender| sender.incarnation == incarnation)
     }
 
-    /// Members whose sequence numbers are remembered.
+    /// Number of members with a tracked replay window.
     pub fn tracked_members(&self) -> usize {
         self.senders.len()
     }
 
-    /// Remembers a sender, in the place of the one that was idle longest if there are too many.
+    /// Starts tracking a sender; evicts the least recently used one when the limit is reached.
     fn add_sender(&mut self, name: &Name, incarnation: Incarnation, now: Duration) {
         if self.senders.len() >= self.max_senders {
-            let idle = self
+            let least_recent = self
                 .senders
                 .iter()
                 .min_by_key(|(_, sender)| sender.last_used)
                 .map(|(name, _)| name.clone());
-            if let Some(idle) = idle {
-                self.senders.remove(&idle);
+            if let Some(least_recent) = least_recent {
+                self.senders.remove(&least_recent);
             }
         }
         let sender = Sender {
--- a/crates/peer-transport/src/incarnation_store.rs
+++ b/crates/peer-transport/src/incarnation_store.rs
@@ -11,27 +11,27 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Whether the state directory has the present incarnation.
+/// Whether the current incarnation is stored in the state directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StoreStatus {
     /// There is no state directory, or the incarnation is being stored.
     Pending,
-    /// It is stored.
+    /// The incarnation is stored.
     Stored,
-    /// It could not be stored.
+    /// The incarnation could not be stored.
     Failed,
 }
 
-/// Hands incarnations to a task that stores them.
+/// Sends incarnations to a background task that stores them.
 pub(crate) struct IncarnationStore {
-    /// Incarnations to store; `None` without a state directory. Unbounded, as incarnations begin seldom and the task takes
-    /// all that wait at once.
+    /// Channel to the task; `None` without a state directory. Unbounded, because new incarnations are rare and the task
+    /// drains the channel at each step.
     incarnations: Option<mpsc::UnboundedSender<Incarnation>>,
     status: Rc<Cell<StoreStatus>>,
 }
 
 impl IncarnationStore {
-    /// Starts the task that stores incarnations, where there is a state directory.
+    /// Starts the background task if there is a state directory.
     pub(crate) fn start(state_dir: Option<PathBuf>, name: &Name) -> Self {
         let status = Rc::new(Cell::new(StoreStatus::Pending));
         let incarnations = state_dir.map(|state_dir| {
@@ -50,22 +50,22 @@
         }
     }
 
-    /// Begins to store an incarnation.
+    /// Requests that an incarnation be stored.
     pub(crate) fn store(&self, incarnation: Incarnation) {
         self.status.set(StoreStatus::Pending);
         if let Some(incarnations) = &self.incarnations {
-            // The task ends only with the runtime; incarnations that are not stored still differ by their salts.
+            // Sending fails only when the runtime shuts down; incarnations that are not stored still differ by their salts.
             let _ = incarnations.send(incarnation);
         }
     }
 
-    /// Whether the last incarnation is stored.
+    /// Storage status of the last incarnation.
     pub(crate) fn status(&self) -> StoreStatus {
         self.status.get()
     }
 }
 
-/// The epoch that a state directory holds; 0 if there is none. Creates the directory.
+/// Loads the epoch from the state directory, which is created if missing; returns 0 if there is no valid file.
 pub(crate) fn load(state_dir: &Path, name: &Name) -> Result<u32, TransportError> {
     let error = |source| TransportError::StateDir {
         path: state_dir.to_owned(),
@@ -79,7 +79,7 @@
     let epoch = incarnation_file::decode(name, &bytes);
     if epoch.is_none() {
         log(format_args!(
-            "the file {} in {} is corrupt or another node's: it counts as lost",
+            "ignoring the file {} in {}: it is corrupt or belongs to another node",
             incarnation_file::FILE_NAME,
             state_dir.display()
         ));
@@ -87,7 +87,7 @@
     Ok(epoch.unwrap_or_default())
 }
 
-/// Stores incarnations one after the other; of those that wait only the newest.
+/// Stores incarnations one at a time; if several are queued, only the newest.
 async fn store_newest(
     state_dir: PathBuf,
     name: Name,
--- a/crates/peer-transport/src/lib.rs
+++ b/crates/peer-transport/src/lib.rs
@@ -1,8 +1,8 @@
-//! Transport between the members of a fleet: datagrams for frames and short messages, and one authenticated connection per
-//! pair of members, opened on demand, for longer messages. [`sillward_membership`] decides what is sent; [`envelope`] and
-//! [`inbound_filter`] decide what is accepted.
+//! Transport between the members of a fleet: authenticated datagrams for membership frames and short messages, and one
+//! authenticated connection per pair of members, opened on demand, for longer messages. [`sillward_membership`] decides
+//! which frames to send; [`envelope`] and [`inbound_filter`] decide which datagrams to accept.
 //!
-//! Other parts of a node publish values and send messages by [`PeerTransport`] and open no sockets of their own.
+//! Other parts of a node publish values and send messages through [`PeerTransport`] instead of opening their own sockets.
 #![forbid(unsafe_code)]
 
 mod connection;
--- a/crates/peer-transport/src/replay_window.rs
+++ b/crates/peer-transport/src/replay_window.rs
@@ -1,9 +1,9 @@
-//! The replay window: each sequence number is accepted once.
+//! Replay window, which accepts each sequence number at most once.
 
-/// Sequence numbers that are remembered, the highest among them.
-const WINDOW: u64 = u128::BITS as u64;
+/// Number of tracked sequence numbers, including the highest.
+const WINDOW_SIZE: u64 = u128::BITS as u64;
 
-/// The sequence numbers of one sender that were seen.
+/// Recently seen sequence numbers of one sender.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ReplayWindow {
     highest: u64,
@@ -12,14 +12,14 @@
 }
 
 impl ReplayWindow {
-    /// Accepts a number that has not been seen and is not too old to tell.
+    /// Accepts a number that has not been seen; numbers older than the window are rejected.
     pub(crate) fn accept(&mut self, number: u64) -> bool {
         if number > self.highest {
             self.advance(number);
             return true;
         }
         let age = self.highest - number;
-        if age >= WINDOW || self.seen & (1 << age) != 0 {
+        if age >= WINDOW_SIZE || self.seen & (1 << age) != 0 {
             return false;
         }
         self.seen |= 1 << age;
@@ -28,7 +28,7 @@
 
     fn advance(&mut self, number: u64) {
         let distance = number - self.highest;
-        let shifted = if distance < WINDOW {
+        let shifted = if distance < WINDOW_SIZE {
             self.seen << distance
         } else {
             0
--- a/crates/peer-transport/src/send_queue.rs
+++ b/crates/peer-transport/src/send_queue.rs
@@ -1,38 +1,38 @@
-//! Messages that wait to be sent over a connection. A slow receiver gets the newest message of each slot, never a growing
-//! queue. No I/O.
+//! Bounded queue of messages to send over a connection. A queued message is replaced by a newer one of the same topic and
+//! slot, so the queue does not grow without bound when the receiver is slow. Does no I/O.
 
 use std::collections::VecDeque;
 
-/// Bytes that may wait for one member.
+/// Maximum number of bytes queued for one member.
 pub const MAX_BYTES: usize = 128 * 1024;
 
 /// A message to another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutboundMessage {
-    /// The topic, which selects the receiver's handler.
+    /// Topic, which selects the handler at the receiver.
     pub topic: u32,
-    /// A later message of the same topic and slot replaces an earlier one that still waits.
+    /// A newer message replaces a queued one of the same topic and slot.
     pub slot: u32,
-    /// The content.
+    /// Message content.
     pub bytes: Vec<u8>,
 }
 
-/// The queue.
+/// Queue of outbound messages with one entry per topic and slot.
 #[derive(Debug, Default)]
 pub struct SendQueue {
-    waiting: VecDeque<OutboundMessage>,
+    queued: VecDeque<OutboundMessage>,
     bytes: usize,
-    /// Messages that were replaced while they waited.
+    /// Number of queued messages that a newer one replaced.
     pub superseded: u64,
-    /// Messages that did not fit.
+    /// Number of messages dropped because the queue was full.
     pub dropped: u64,
 }
 
 impl SendQueue {
-    /// Adds a message, in the place of the one that it replaces.
+    /// Queues a message, or replaces the queued one of the same topic and slot in place.
     pub fn push(&mut self, message: OutboundMessage) {
         let index = self
-            .waiting
+            .queued
             .iter()
             .position(|other| (other.topic, other.slot) == (message.topic, message.slot));
         match index {
@@ -40,33 +40,33 @@
             None if self.bytes + message.bytes.len() > MAX_BYTES => self.dropped += 1,
             None => {
                 self.bytes += message.bytes.len();
-                self.waiting.push_back(message);
+                self.queued.push_back(message);
             }
         }
     }
 
-    /// Replaces a message. Where the new one does not fit, both go: the old one is outdated.
+    /// Replaces a queued message. If the new one does not fit, both are dropped, because the old one is outdated.
     fn replace(&mut self, index: usize, message: OutboundMessage) {
         self.superseded += 1;
-        self.bytes -= self.waiting[index].bytes.len();
+        self.bytes -= self.queued[index].bytes.len();
         if self.bytes + message.bytes.len() <= MAX_BYTES {
             self.bytes += message.bytes.len();
-            self.waiting[index] = message;
+            self.queued[index] = message;
         } else {
-            self.waiting.remove(index);
+            self.queued.remove(index);
             self.dropped += 1;
         }
     }
 
-    /// Removes the next message.
+    /// Removes and returns the oldest queued message.
     pub fn pop(&mut self) -> Option<OutboundMessage> {
-        let message = self.waiting.pop_front()?;
+        let message = self.queued.pop_front()?;
         self.bytes -= message.bytes.len();
         Some(message)
     }
 
-    /// Whether no message waits.
+    /// Whether no message is queued.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.queued.is_empty()
     }
 }
--- a/crates/peer-transport/src/session.rs
+++ b/crates/peer-transport/src/session.rs
@@ -1,21 +1,21 @@
-//! The messages of a connection: a handshake, then messages under a code that no other connection, direction or position
-//! has. No I/O.
+//! Message authentication of a connection: a handshake, then messages whose MAC is bound to the connection, the direction
+//! and the position in the stream. Does no I/O.
 //!
-//! The dialer sends a nonce, the acceptor answers with its own and returns the first, and all later codes cover both: each
-//! end knows that the other is present in the incarnation that it names, and a recorded connection opens no other. Wire:
-//! the length (4 bytes), the code (16 bytes), the message.
+//! The dialer sends a nonce; the acceptor echoes it and sends its own. All later MACs cover both nonces, which proves to each
+//! end that the other is live in the incarnation it claims, and prevents the replay of a recorded connection. Wire format:
+//! length (4 bytes), MAC (16 bytes), message.
 
 use crate::envelope::Keys;
 use crate::mac::{self, MAC_BYTES, Mac};
 use prost::Message;
 use sillward_membership::{Incarnation, Name};
 
-/// The longest message, in bytes.
+/// Maximum length of a message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 64 * 1024;
-/// The bytes of a message's length.
+/// Size of the length prefix, in bytes.
 pub(crate) const LENGTH_BYTES: usize = 4;
 
-/// The first message of either end.
+/// Handshake message, the first message that each end sends.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Hello {
     /// The fleet's name.
@@ -30,15 +30,15 @@
     /// The salt of the sender's incarnation.
     #[prost(fixed32, tag = "4")]
     pub salt: u32,
-    /// The sender's nonce, drawn for this connection; never 0.
+    /// The sender's nonce, random for each connection; never 0.
     #[prost(fixed64, tag = "5")]
     pub nonce: u64,
-    /// The other end's nonce; 0 from the dialer.
+    /// The receiver's nonce, echoed; 0 in the dialer's message.
     #[prost(fixed64, tag = "6")]
     pub echoed_nonce: u64,
 }
 
-/// A valid [`Hello`].
+/// A validated [`Hello`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerHello {
     /// The sender.
@@ -47,17 +47,17 @@
     pub incarnation: Incarnation,
     /// The sender's nonce.
     pub nonce: u64,
-    /// The receiver's nonce, returned.
+    /// The receiver's nonce, echoed by the sender.
     pub echoed_nonce: u64,
 }
 
 /// A message with its topic.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct TopicMessage {
-    /// The topic, which selects the receiver's handler.
+    /// Topic, which selects the handler at the receiver.
     #[prost(uint32, tag = "1")]
     pub topic: u32,
-    /// The content.
+    /// Message content.
     #[prost(bytes = "vec", tag = "2")]
     pub bytes: Vec<u8>,
 }
@@ -65,24 +65,24 @@
 /// The direction of messages on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// From the end that dialed.
+    /// From the end that dialed the connection.
     DialerToAcceptor = 1,
-    /// From the end that accepted.
+    /// From the end that accepted the connection.
     AcceptorToDialer = 2,
 }
 
-/// One direction of a connection.
+/// Seals or opens the messages of one direction of a connection.
 pub struct Channel {
     key: [u8; 32],
     direction: Direction,
     dialer_nonce: u64,
     acceptor_nonce: u64,
-    /// Messages sealed or opened so far.
+    /// Number of messages sealed or opened so far.
     position: u64,
 }
 
 impl Channel {
-    /// A channel before the handshake, during which both nonces count as 0.
+    /// Creates a channel for the handshake, during which the MAC uses 0 for both nonces.
     pub fn new(keys: &Keys, direction: Direction) -> Self {
         Channel {
             key: keys.connections,
@@ -93,13 +93,13 @@
         }
     }
 
-    /// Binds later messages to the nonces of the handshake.
+    /// Binds all later messages to the nonces of the handshake.
     pub fn bind(&mut self, dialer_nonce: u64, acceptor_nonce: u64) {
         self.dialer_nonce = dialer_nonce;
         self.acceptor_nonce = acceptor_nonce;
     }
 
-    /// The next message as bytes on the wire.
+    /// Encodes the next message with its length and MAC.
     pub fn seal(&mut self, body: &[u8]) -> Vec<u8> {
         let mac = self.mac(body);
         self.position += 1;
@@ -110,7 +110,7 @@
         bytes
     }
 
-    /// The number of bytes that follow a message's length; `None` if no message can be so long.
+    /// Decodes a length prefix into the number of bytes that follow it; `None` if it is out of range.
     pub fn frame_length(length: [u8; LENGTH_BYTES]) -> Option<usize> {
         let length = u32::from_be_bytes(length) as usize;
         (MAC_BYTES..=MAC_BYTES + MAX_MESSAGE_BYTES)
@@ -118,7 +118,8 @@
             .then_some(length)
     }
 
-    /// Opens the bytes that follow a message's length; `None` if they are not the next message of this connection.
+    /// Verifies the bytes that follow a length prefix and returns the message; `None` if they are not the next message of this
+    /// connection.
     pub fn open<'a>(&mut self, bytes: &'a [u8]) -> Option<&'a [u8]> {
         let (mac, body) = bytes.split_at_checked(MAC_BYTES)?;
         let expected = self.mac(body);
@@ -138,7 +139,7 @@
 }
 
 impl Hello {
-    /// The first message of an end.
+    /// Creates the handshake message.
     pub fn new(
         fleet: &str,
         name: &Name,
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Reads the other end's first message; `None` if it is of another fleet or invalid.
+    /// Decodes and validates the remote end's handshake message; `None` if it is invalid or belongs to another fleet.
     pub fn parse(body: &[u8], fleet: &str) -> Option<PeerHello> {
         let hello = Hello::decode(body).ok()?;
         let incarnation = Incarnation {
--- a/crates/peer-transport/src/settings.rs
+++ b/crates/peer-transport/src/settings.rs
@@ -5,29 +5,29 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What a member of a fleet needs to know.
+/// Settings of [`PeerTransport`](crate::PeerTransport).
 #[derive(Clone, Debug)]
 pub struct TransportSettings {
-    /// The fleet's name: at most [`MAX_FLEET_NAME_BYTES`](crate::envelope::MAX_FLEET_NAME_BYTES).
+    /// The fleet's name, at most [`MAX_FLEET_NAME_BYTES`](crate::envelope::MAX_FLEET_NAME_BYTES) long.
     pub fleet: String,
-    /// The fleet's keys.
+    /// Authentication keys of the fleet.
     pub keys: Keys,
     /// This member's name.
     pub name: Name,
-    /// Where it listens, for datagrams and connections.
+    /// Listen address for datagrams and connections.
     pub listen: SocketAddr,
-    /// Where the other members reach it, if that is not where it listens.
+    /// Address at which other members reach this one, if it differs from the listen address.
     pub advertise: Option<SocketAddr>,
-    /// The addresses by which it joins the fleet.
+    /// Addresses that are contacted first to join the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// Its metadata.
+    /// Metadata that this member announces.
     pub metadata: NodeMetadata,
-    /// The most bytes of a frame with its envelope.
+    /// Maximum size of a frame with its envelope, in bytes.
     pub max_frame_bytes: usize,
-    /// The most connections in use at once, and as many accepted connections.
+    /// Maximum number of connections used for sending; the same limit applies separately to accepted connections.
     pub max_connections: usize,
-    /// Where it stores its last incarnation; `None` to store nothing.
+    /// Directory that stores the last incarnation; `None` to store nothing.
     pub state_dir: Option<PathBuf>,
-    /// Settings of membership; `max_frame_bytes` in it is replaced by what the envelope leaves.
+    /// Membership settings; their `max_frame_bytes` is replaced by the space that the envelope leaves for a frame.
     pub membership: MembershipSettings,
 }
--- a/crates/peer-transport/src/sockets.rs
+++ b/crates/peer-transport/src/sockets.rs
@@ -1,22 +1,22 @@
-//! The sockets of a member: one for datagrams and one for connections, at the same address.
+//! The UDP and TCP sockets of a member, bound to the same address.
 
 use crate::error::TransportError;
 use sillward_runtime::net::{TcpListener, UdpSocket};
 use std::net::SocketAddr;
 
-/// Attempts to find one free port for both sockets.
+/// Maximum number of attempts to find a port that is free for both UDP and TCP.
 const MAX_BIND_ATTEMPTS: usize = 16;
 
-/// Bound sockets of a member that does not run yet.
+/// Bound sockets of a member whose event loop has not started.
 pub struct BoundSockets {
     pub(crate) udp: UdpSocket,
     pub(crate) tcp: TcpListener,
-    /// The address of both.
+    /// The address of both sockets.
     pub address: SocketAddr,
 }
 
 impl BoundSockets {
-    /// Binds both sockets at one address; where its port is 0, at a port that is free for both.
+    /// Binds both sockets to one address; if the port is 0, picks one that is free for both.
     pub(crate) async fn bind(listen: SocketAddr) -> Result<Self, TransportError> {
         let error = |source| TransportError::Listen {
             address: listen,
--- a/crates/peer-transport/src/status_page.rs
+++ b/crates/peer-transport/src/status_page.rs
@@ -1,4 +1,4 @@
-//! The admin page of the fleet: one JSON object. Times are in milliseconds; ages count from what was last known.
+//! Admin page of the fleet, a single JSON object. Times are in milliseconds; ages count from the last known event.
 
 use crate::envelope::RejectReason;
 use crate::incarnation_store::StoreStatus;
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The page.
+/// Renders the page as JSON.
 pub fn render(transport: &Rc<PeerTransport>) -> String {
     let status = transport.status();
     let now = transport.clock.now();
@@ -143,7 +143,7 @@
     }
 }
 
-/// `null` while it is not known.
+/// `None`, rendered as `null`, while the status is pending.
 fn store_status(status: StoreStatus) -> Option<bool> {
     match status {
         StoreStatus::Pending => None,
@@ -156,7 +156,7 @@
     now.saturating_sub(at).as_millis() as u64
 }
 
-/// Milliseconds with two decimals.
+/// Converts to milliseconds, rounded to two decimals.
 fn milliseconds(time: Duration) -> f64 {
     (time.as_secs_f64() * 1e5).round() / 100.0
 }
--- a/crates/peer-transport/src/token_bucket.rs
+++ b/crates/peer-transport/src/token_bucket.rs
@@ -1,20 +1,20 @@
-//! A token bucket.
+//! Token bucket rate limiter.
 
 use std::time::Duration;
 
-/// Limits events to a rate with bursts.
+/// Limits events to an average rate and a maximum burst.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenBucket {
     tokens: f64,
     refilled_at: Duration,
-    /// Tokens a second.
+    /// Refill rate in tokens per second.
     rate: f64,
-    /// The most tokens.
+    /// Capacity in tokens.
     burst: f64,
 }
 
 impl TokenBucket {
-    /// A full bucket of `burst` tokens that refills by `rate` a second.
+    /// Creates a full bucket of `burst` tokens that refills at `rate` tokens per second.
     pub(crate) fn new(rate: f64, burst: f64, now: Duration) -> Self {
         TokenBucket {
             tokens: burst,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Takes a token; false if there is none.
+    /// Takes a token; returns false if none is available.
     pub(crate) fn try_take(&mut self, now: Duration) -> bool {
         let elapsed = now.saturating_sub(self.refilled_at);
         self.refilled_at = self.refilled_at.max(now);
--- a/crates/peer-transport/src/traffic.rs
+++ b/crates/peer-transport/src/traffic.rs
@@ -1,21 +1,21 @@
-//! Counts of what is sent and received.
+//! Traffic counters.
 
 use std::cell::Cell;
 
-/// What a node has sent since it started.
+/// Traffic that a node has sent since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SentTraffic {
-    /// Datagrams.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Bytes of all datagrams.
     pub datagram_bytes: u64,
-    /// Messages over connections.
+    /// Number of messages over connections.
     pub messages: u64,
-    /// Their bytes.
+    /// Bytes of all messages over connections.
     pub message_bytes: u64,
 }
 
-/// A count of messages and their bytes.
+/// Counts messages and their bytes.
 #[derive(Debug, Default)]
 pub(crate) struct TrafficCounter {
     count: Cell<u64>,
@@ -23,13 +23,13 @@
 }
 
 impl TrafficCounter {
-    /// Counts one of that length.
+    /// Counts one message of the given length.
     pub(crate) fn add(&self, bytes: usize) {
         increment(&self.count);
         self.add_bytes(bytes);
     }
 
-    /// Counts bytes alone.
+    /// Counts bytes without a message.
     pub(crate) fn add_bytes(&self, bytes: usize) {
         self.bytes.set(self.bytes.get() + bytes as u64);
     }
@@ -43,18 +43,18 @@
     }
 }
 
-/// All counts of the transport.
+/// All traffic counters of the transport.
 #[derive(Debug, Default)]
 pub(crate) struct Traffic {
     pub(crate) sent_datagrams: TrafficCounter,
     pub(crate) sent_messages: TrafficCounter,
-    /// Received datagrams; the bytes include those of messages over connections.
+    /// Received datagrams; the byte count also includes messages received over connections.
     pub(crate) received: TrafficCounter,
-    /// Datagrams that the system did not take.
+    /// Datagrams whose send call failed.
     pub(crate) unsent: Cell<u64>,
-    /// Connections that failed to authenticate, sent invalid messages, or were over the limit.
+    /// Connections that failed the handshake, sent an invalid message, or exceeded the connection limit.
     pub(crate) bad_connections: Cell<u64>,
-    /// Messages for which there was no connection.
+    /// Messages dropped because the connection limit was reached.
     pub(crate) dropped_messages: Cell<u64>,
 }
 
@@ -69,7 +69,6 @@
     }
 }
 
-/// Adds one to a count.
 pub(crate) fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
--- a/crates/peer-transport/src/transport.rs
+++ b/crates/peer-transport/src/transport.rs
@@ -1,4 +1,4 @@
-//! A member's transport, as the other parts of the node use it.
+//! Public interface of a member's transport for the other parts of the node.
 
 use crate::connection::Connection;
 use crate::envelope::{EnvelopeCodec, Keys};
@@ -20,15 +20,15 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Datagrams that wait for the event loop: an answer for every member, and some more.
-const MAX_WAITING_DATAGRAMS: usize = 8192;
+/// Maximum number of datagrams queued for the event loop: room for one response to every member, and some more.
+const MAX_QUEUED_DATAGRAMS: usize = 8192;
 
-/// Handles the messages of a topic: the sender, its incarnation, the content.
+/// Handler for messages of a topic; takes the sender, its incarnation and the content.
 pub(crate) type MessageHandler = Rc<dyn Fn(&Name, Incarnation, &[u8])>;
-/// Handles the datagrams of a topic: the sender, its address, the payload.
+/// Handler for datagrams of a topic; takes the sender, its address and the payload.
 pub(crate) type DatagramHandler = Rc<dyn Fn(&Name, SocketAddr, &[u8])>;
 
-/// A datagram that waits to be sent.
+/// A datagram queued for sending.
 pub(crate) struct OutboundDatagram {
     pub(crate) to: SocketAddr,
     pub(crate) topic: u32,
@@ -57,11 +57,11 @@
     pub(crate) max_connections: usize,
     pub(crate) message_handlers: RefCell<BTreeMap<u32, MessageHandler>>,
     pub(crate) datagram_handlers: RefCell<BTreeMap<u32, DatagramHandler>>,
-    pub(crate) waiting_datagrams: RefCell<VecDeque<OutboundDatagram>>,
-    /// Wakes the event loop: something may be due earlier than it was.
+    pub(crate) queued_datagrams: RefCell<VecDeque<OutboundDatagram>>,
+    /// Wakes the event loop when there is new work or the next deadline may have become earlier.
     pub(crate) wake: Notify,
-    /// Actions that the event loop has to carry out, since they may need its socket; bounded by what one message of a
-    /// connection can cause before the loop runs.
+    /// Actions left to the event loop, because they may need its UDP socket. Bounded by the actions that one message of a
+    /// connection can cause before the event loop runs.
     pub(crate) deferred_actions: RefCell<Vec<Action>>,
     pub(crate) incarnation_store: IncarnationStore,
     pub(crate) traffic: Traffic,
@@ -69,10 +69,10 @@
 }
 
 impl PeerTransport {
-    /// Binds the sockets and begins an incarnation. Nothing is sent or received before [`PeerTransport::run`].
+    /// Binds the sockets and starts a new incarnation. Nothing is sent or received before [`PeerTransport::run`].
     ///
     /// # Errors
-    /// The sockets can't be bound, the state directory can't be used, or the system gives no random numbers.
+    /// The sockets cannot be bound, the state directory cannot be used, or the operating system provides no random numbers.
     pub async fn start(
         settings: TransportSettings,
         clock: Clock,
@@ -119,7 +119,7 @@
             max_connections: settings.max_connections,
             message_handlers: RefCell::default(),
             datagram_handlers: RefCell::default(),
-            waiting_datagrams: RefCell::default(),
+            queued_datagrams: RefCell::default(),
             wake: Notify::new(),
             deferred_actions: RefCell::default(),
             incarnation_store: IncarnationStore::start(settings.state_dir, &settings.name),
@@ -130,12 +130,12 @@
         Ok((transport, sockets))
     }
 
-    /// This node's present incarnation.
+    /// This node's current incarnation.
     pub fn incarnation(&self) -> Incarnation {
         self.membership.borrow().incarnation()
     }
 
-    /// The status of this node's membership now: a pause of the process that was not noticed yet is noticed here.
+    /// Returns the current membership status of this node, after checking for a pause of the process.
     pub fn status(&self) -> MembershipStatus {
         let now = self.clock.now();
         let actions = self.membership.borrow_mut().handle(now, Event::Tick);
@@ -143,10 +143,10 @@
         self.membership.borrow().status(now)
     }
 
-    /// Publishes a value of this node's own to the fleet.
+    /// Publishes a value of this node to the fleet.
     ///
     /// # Errors
-    /// The key, the value or the number of values is over its bound.
+    /// The key, the value or the number of values exceeds its limit.
     pub fn publish(&self, key: &str, bytes: &[u8]) -> Result<(), PublishError> {
         let now = self.clock.now();
         let published = self.membership.borrow_mut().publish(key, bytes, now);
@@ -154,42 +154,43 @@
         published
     }
 
-    /// Reads what is known of the fleet.
+    /// Calls `read` with the membership state.
     pub fn with_membership<T>(&self, read: impl FnOnce(&Membership) -> T) -> T {
         read(&self.membership.borrow())
     }
 
-    /// Handles datagrams of a topic, 2 or higher, from now on. The handler gets the sender, the address at which it says
-    /// that it is reached, and the payload.
+    /// Registers the handler for datagrams of a topic, which must be 2 or higher. The handler gets the sender, its advertised
+    /// address and the payload.
     pub fn on_datagram(&self, topic: u32, handler: impl Fn(&Name, SocketAddr, &[u8]) + 'static) {
         self.datagram_handlers
             .borrow_mut()
             .insert(topic, Rc::new(handler));
     }
 
-    /// Sends a payload in a datagram, which must fit [`MAX_DATAGRAM_BYTES`](crate::envelope::MAX_DATAGRAM_BYTES). It may be
-    /// lost, delayed, or delivered again after a restart.
+    /// Sends a payload in a datagram of at most [`MAX_DATAGRAM_BYTES`](crate::envelope::MAX_DATAGRAM_BYTES). It may be lost,
+    /// delayed, or delivered again after a restart.
     pub fn send_datagram(&self, to: SocketAddr, topic: u32, payload: Vec<u8>) {
-        let mut waiting = self.waiting_datagrams.borrow_mut();
-        if waiting.len() < MAX_WAITING_DATAGRAMS {
-            waiting.push_back(OutboundDatagram { to, topic, payload });
+        let mut queued = self.queued_datagrams.borrow_mut();
+        if queued.len() < MAX_QUEUED_DATAGRAMS {
+            queued.push_back(OutboundDatagram { to, topic, payload });
             self.wake.notify_one();
         }
     }
 
-    /// Handles messages of a topic, 2 or higher, from now on. The handler gets the sender, its incarnation, and the content.
+    /// Registers the handler for messages of a topic, which must be 2 or higher. The handler gets the sender, its incarnation
+    /// and the content.
     pub fn on_message(&self, topic: u32, handler: impl Fn(&Name, Incarnation, &[u8]) + 'static) {
         self.message_handlers
             .borrow_mut()
             .insert(topic, Rc::new(handler));
     }
 
-    /// What was sent since the start.
+    /// Traffic sent since the start.
     pub fn sent(&self) -> SentTraffic {
         self.traffic.sent()
     }
 
-    /// Leaves actions to the event loop, which has the socket for datagrams.
+    /// Defers actions to the event loop, which owns the UDP socket.
     pub(crate) fn defer(&self, actions: Vec<Action>) {
         if actions.is_empty() {
             return;
--- a/crates/peer-transport/tests/common/mod.rs
+++ b/crates/peer-transport/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Envelopes of a test fleet.
+//! Fixtures: the codec and envelopes of a test fleet.
 #![allow(dead_code, unreachable_pub)]
 
 use sillward_membership::wire::{Frame, FrameKind, MemberValue, Update};
--- a/crates/peer-transport/tests/envelopes.rs
+++ b/crates/peer-transport/tests/envelopes.rs
@@ -1,4 +1,4 @@
-//! Datagrams: forged, corrupt, of another fleet, and of older and newer builds.
+//! Tests of the envelope codec: forged and corrupt datagrams, other fleets, and older and newer builds.
 
 mod common;
 
@@ -10,13 +10,13 @@
 use sillward_peer_transport::envelope::{Envelope, EnvelopeCodec, Keys, RejectReason};
 
 #[test]
-fn opens_what_was_sealed() {
+fn opens_sealed_envelope() {
     let bytes = codec().seal(&envelope(9));
     assert_eq!(codec().open(&bytes), Ok(envelope(9)));
 }
 
 #[test]
-fn rejects_foreign_datagrams_with_a_reason() {
+fn rejects_invalid_datagrams_with_the_matching_reason() {
     let bytes = codec().seal(&envelope(1));
     assert_eq!(codec().open(&[]), Err(RejectReason::Length));
     assert_eq!(codec().open(&[1; 1401]), Err(RejectReason::Length));
@@ -74,13 +74,13 @@
     }
 
     #[test]
-    fn rejects_noise(noise in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn rejects_random_bytes(noise in proptest::collection::vec(any::<u8>(), 0..400)) {
         prop_assert!(codec().open(&noise).is_err());
     }
 }
 
-/// The files under `kept` were written by released builds and are never rewritten: a build that cannot read them breaks a
-/// rolling upgrade.
+/// Guards against breaking a rolling upgrade: the files under `kept` were written by released builds, are never rewritten,
+/// and must stay readable.
 #[test]
 fn reads_recorded_datagrams_of_all_builds() {
     let recorded = |name: &str| {
@@ -95,8 +95,8 @@
     };
     // The first build.
     assert_eq!(codec().open(&recorded("build-1.hex")), Ok(envelope(9)));
-    // A newer build: unknown fields of the envelope, the frame, an update and a value, an unknown kind of frame, and an unknown
-    // state of a member.
+    // A newer build: unknown fields in the envelope, the frame, an update and a value, an unknown frame kind, and an unknown
+    // member state.
     let newer = codec()
         .open(&recorded("newer.hex"))
         .expect("a valid datagram");
@@ -121,11 +121,11 @@
         (older.frame.digest, older.frame.updates[0].refutation),
         (0, 0)
     );
-    // The first build reads what this one sends.
+    // The first build can read datagrams of this one, because the bytes are identical.
     assert_eq!(codec().seal(&envelope(9)), recorded("build-1.hex"));
 }
 
-/// Writes the recorded files of this build: run by hand, once, when there is something new to record.
+/// Writes the recorded files. Run manually, once, when a new build has to be recorded.
 #[test]
 #[ignore = "writes the recorded files"]
 fn write_recorded_datagrams() {
@@ -139,8 +139,8 @@
     let path = |name: &str| format!("{}/tests/kept/{name}", env!("CARGO_MANIFEST_DIR"));
     let first = codec().seal(&envelope(9));
     std::fs::write(path("build-1.hex"), hex(&first)).expect("a file");
-    // Authenticated by hand, since no present build writes these.
-    let enveloped = |message: &[u8]| {
+    // Computes the MAC directly, because the codec cannot produce these messages.
+    let authenticated = |message: &[u8]| {
         let key = blake3::derive_key("sillward 2026-12-01 fleet frames", SECRET);
         let mut hasher = blake3::Hasher::new_keyed(&key);
         hasher.update(&[1]).update(message);
@@ -153,7 +153,7 @@
         out.extend_from_slice(bytes);
         out
     };
-    // The envelope's message without its frame, which comes last.
+    // The envelope message without its frame, which is the last field.
     let frame = envelope(9).frame;
     let head = &first[17..first.len() - field(8, &frame.encode_to_vec()).len()];
     let unknown = field(60, b"new");
@@ -179,7 +179,7 @@
     ]
     .concat();
     let newer = [head, &unknown, &field(8, &newer)].concat();
-    std::fs::write(path("newer.hex"), hex(&enveloped(&newer))).expect("a file");
+    std::fs::write(path("newer.hex"), hex(&authenticated(&newer))).expect("a file");
     let older = Update {
         refutation: 0,
         suspected_by: 0,
@@ -192,5 +192,5 @@
         ..frame
     };
     let older = [head, &field(8, &older.encode_to_vec())].concat();
-    std::fs::write(path("older.hex"), hex(&enveloped(&older))).expect("a file");
+    std::fs::write(path("older.hex"), hex(&authenticated(&older))).expect("a file");
 }
--- a/crates/peer-transport/tests/golden.rs
+++ b/crates/peer-transport/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden bytes of envelopes, of the messages of a connection and of the file that holds the last incarnation.
+//! Guards the wire format of envelopes and connection messages, and the incarnation file format, with golden files.
 
 use prost::Message;
 use sillward_membership::wire::{Frame, FrameKind};
@@ -41,25 +41,20 @@
 }
 
 #[test]
-fn envelopes_keep_their_bytes() {
-    let envelopes = EnvelopeCodec::new(Keys::derive(SECRET), "jateng", 256);
-    let written: Vec<_> = [0, 2]
-        .map(|topic| hex(&envelopes.seal(&sealed(topic))))
-        .into();
+fn envelopes_match_golden_bytes() {
+    let codec = EnvelopeCodec::new(Keys::derive(SECRET), "jateng", 256);
+    let written: Vec<_> = [0, 2].map(|topic| hex(&codec.seal(&sealed(topic)))).into();
     assert_eq!(
         written.join("\n"),
         include_str!("golden/envelopes.hex").trim()
     );
     for topic in [0, 2] {
-        assert_eq!(
-            envelopes.open(&envelopes.seal(&sealed(topic))),
-            Ok(sealed(topic))
-        );
+        assert_eq!(codec.open(&codec.seal(&sealed(topic))), Ok(sealed(topic)));
     }
 }
 
 #[test]
-fn messages_of_a_connection_keep_their_bytes() {
+fn connection_messages_match_golden_bytes() {
     let keys = Keys::derive(SECRET);
     let hello = Hello::new(
         "jateng",
@@ -69,7 +64,7 @@
         0x3344,
     )
     .encode_to_vec();
-    let long = TopicMessage {
+    let message = TopicMessage {
         topic: 3,
         bytes: vec![1, 2, 3],
     }
@@ -79,8 +74,8 @@
         let mut channel = Channel::new(&keys, direction);
         written.push(hex(&channel.seal(&hello)));
         channel.bind(0x1122, 0x3344);
-        written.push(hex(&channel.seal(&long)));
-        written.push(hex(&channel.seal(&long)));
+        written.push(hex(&channel.seal(&message)));
+        written.push(hex(&channel.seal(&message)));
     }
     assert_eq!(
         written.join("\n"),
@@ -89,7 +84,7 @@
 }
 
 #[test]
-fn the_incarnation_file_keeps_its_text() {
+fn incarnation_file_matches_golden_text() {
     let text = incarnation_file::encode(&name(), 41);
     assert_eq!(text, include_str!("golden/incarnation.txt"));
     assert_eq!(incarnation_file::decode(&name(), text.as_bytes()), Some(41));
--- a/crates/peer-transport/tests/inbound_filter.rs
+++ b/crates/peer-transport/tests/inbound_filter.rs
@@ -1,4 +1,4 @@
-//! The replay window and the rate limits.
+//! Tests of the replay window and the rate limits.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 proptest! {
-    /// In whatever order they arrive, unless they are too old to tell.
+    /// Sequence numbers may arrive in any order; those older than the replay window are rejected.
     #[test]
     fn accepts_each_sequence_number_once(numbers in proptest::collection::vec(1u64..300, 1..200)) {
         let (sender, incarnation) = (name("n3"), Incarnation { epoch: 1, salt: 7 });
@@ -21,8 +21,8 @@
             let now = SECOND + Duration::from_millis(place as u64 * 10);
             let accepted = filter.admit(now, &sender, incarnation, *number).is_ok();
             highest = highest.max(*number);
-            let due = !seen.contains(number) && highest - number < 128;
-            prop_assert_eq!(accepted, due, "number {}", number);
+            let expected = !seen.contains(number) && highest - number < 128;
+            prop_assert_eq!(accepted, expected, "number {}", number);
             seen.insert(*number);
         }
     }
@@ -40,7 +40,7 @@
     assert!(filter.admit(SECOND, &sender, new, 1).is_ok());
     assert!(
         filter.admit(SECOND, &sender, old, 501).is_ok(),
-        "membership tells the sender that it has ended"
+        "accepted, so that membership can notify the sender that its incarnation has ended"
     );
     assert_eq!(
         filter.admit(SECOND, &sender, new, 1),
@@ -49,9 +49,9 @@
     assert!(filter.admit(SECOND, &sender, new, 2).is_ok());
 }
 
-/// Guards against a flood under a valid key, and against senders that invent names without end.
+/// Guards against floods from senders with a valid key, and against unbounded memory when they use ever new names.
 #[test]
-fn limits_the_rate_of_a_member_and_of_all() {
+fn limits_member_rate_total_rate_and_tracked_members() {
     let incarnation = Incarnation { epoch: 1, salt: 7 };
     let mut filter = InboundFilter::new(8, SECOND);
     let sender = name("n3");
--- a/crates/peer-transport/tests/incarnation_file.rs
+++ b/crates/peer-transport/tests/incarnation_file.rs
@@ -1,11 +1,11 @@
-//! The file that holds the last incarnation.
+//! Tests of the incarnation file format.
 
 mod common;
 
 use common::name;
 use sillward_peer_transport::incarnation_file;
 
-/// Guards against an epoch from a file that was not completely written.
+/// Guards against loading an epoch from a partly written or corrupt file, or from another node's file.
 #[test]
 fn rejects_truncated_corrupt_and_foreign_files() {
     let node = name("n1");
--- a/crates/peer-transport/tests/session.rs
+++ b/crates/peer-transport/tests/session.rs
@@ -1,4 +1,4 @@
-//! The messages of a connection.
+//! Tests of message authentication on a connection.
 
 mod common;
 
@@ -12,18 +12,18 @@
 fn opens_only_messages_of_its_own_connection_direction_and_position() {
     let keys = Keys::derive(SECRET);
     let pair = |nonces: (u64, u64)| {
-        let (mut out, mut into) = (
+        let (mut sender, mut receiver) = (
             Channel::new(&keys, Direction::DialerToAcceptor),
             Channel::new(&keys, Direction::DialerToAcceptor),
         );
-        out.bind(nonces.0, nonces.1);
-        into.bind(nonces.0, nonces.1);
-        (out, into)
+        sender.bind(nonces.0, nonces.1);
+        receiver.bind(nonces.0, nonces.1);
+        (sender, receiver)
     };
-    let (mut out, mut into) = pair((1, 2));
-    let (first, second) = (out.seal(b"first"), out.seal(b"second"));
-    assert_eq!(into.open(&first[4..]), Some(&b"first"[..]));
-    assert_eq!(into.open(&first[4..]), None, "a second time");
+    let (mut sender, mut receiver) = pair((1, 2));
+    let (first, second) = (sender.seal(b"first"), sender.seal(b"second"));
+    assert_eq!(receiver.open(&first[4..]), Some(&b"first"[..]));
+    assert_eq!(receiver.open(&first[4..]), None, "replayed");
     let (_, mut other) = pair((1, 3));
     assert_eq!(other.open(&first[4..]), None, "on another connection");
     let (_, mut late) = pair((1, 2));
