--- a/crates/outcome-stats/src/codec.rs
+++ b/crates/outcome-stats/src/codec.rs
@@ -1,24 +1,24 @@
-//! The wire form of counts, packed by hand since they are nearly all that the fleet sends: a layout byte, a table of classes,
-//! the calls of each class, and the attempts at each backend, by falling number of attempts.
+//! The wire encoding of counts, in a compact custom format because they make up nearly all exchanged bytes: a layout byte, a
+//! table of classes, the calls of each class, and the attempts at each backend, in descending order of attempts.
 
 use crate::counts::{AttemptCounts, BackendClass, BackendId, CallCounts, ClassId, Counts};
 use crate::histogram::LatencyHistogram;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most bytes of encoded counts. Backends that do not fit are added to [`BackendId::OTHERS`].
+/// The maximum size of encoded counts, in bytes. Backends that do not fit are added to [`BackendId::OTHERS`].
 pub const MAX_COUNTS_BYTES: usize = 4096;
-/// The most classes of encoded counts.
+/// The maximum number of classes in encoded counts.
 pub const MAX_CLASSES: usize = 64;
-/// The first byte, which another layout changes.
-const LAYOUT: u8 = 1;
-/// The space that is left for [`BackendId::OTHERS`], in bytes: for the backend and its length, and for each class.
+/// The version of the layout, sent as the first byte.
+const LAYOUT_VERSION: u8 = 1;
+/// The space reserved for [`BackendId::OTHERS`], in bytes: for the backend and its length, and for each class.
 const OTHERS_BYTES: usize = 8;
 const OTHERS_CLASS_BYTES: usize = 32;
 
-/// The fields of [`AttemptCounts`] that follow the flags, beside the number of attempts sent.
+/// Flags of the fields of [`AttemptCounts`] that are present after the number of attempts sent.
 mod flags {
-    /// In time and late: without it, all that were sent were in time.
+    /// In time and late. If absent, all attempts sent were in time and none were late.
     pub(super) const OUTCOMES: u8 = 1;
     pub(super) const REJECTED: u8 = 2;
     pub(super) const FAILED: u8 = 4;
@@ -27,7 +27,7 @@
     pub(super) const HEALTH_CHECKS: u8 = 32;
 }
 
-/// Attempts by the place of their class in the table.
+/// Attempts by the index of their class in the class table.
 type ByClass<'a> = Vec<(usize, &'a AttemptCounts)>;
 
 /// Encodes counts in at most [`MAX_COUNTS_BYTES`].
@@ -35,8 +35,8 @@
 /// Backends that do not fit are added up, without latencies, so that sums over all backends stay complete.
 pub fn encode_counts(counts: &Counts) -> Vec<u8> {
     let classes = class_table(counts);
-    let place = |class: &ClassId| classes.binary_search(class).ok();
-    let mut bytes = vec![LAYOUT];
+    let index = |class: &ClassId| classes.binary_search(class).ok();
+    let mut bytes = vec![LAYOUT_VERSION];
     put_varint(&mut bytes, classes.len() as u32);
     for class in &classes {
         bytes.extend(class.0.to_le_bytes());
@@ -44,27 +44,27 @@
     let calls: Vec<(usize, &CallCounts)> = counts
         .calls
         .iter()
-        .filter_map(|(class, calls)| Some((place(class)?, calls)))
+        .filter_map(|(class, calls)| Some((index(class)?, calls)))
         .collect();
     put_calls(&mut bytes, &calls);
     let mut backends: BTreeMap<BackendId, ByClass<'_>> = BTreeMap::new();
     for (key, attempts) in &counts.attempts {
-        if let Some(place) = place(&key.class) {
+        if let Some(index) = index(&key.class) {
             backends
                 .entry(key.backend)
                 .or_default()
-                .push((place, attempts));
+                .push((index, attempts));
         }
     }
     let others = put_backends(&mut bytes, backends, classes.len());
     if !others.is_empty() {
-        let others: ByClass<'_> = others.iter().map(|(place, sum)| (*place, sum)).collect();
+        let others: ByClass<'_> = others.iter().map(|(index, sum)| (*index, sum)).collect();
         bytes.extend(encode_backend(BackendId::OTHERS, &others));
     }
     bytes
 }
 
-/// The classes that have calls or attempts, in order.
+/// The classes that have calls or attempts, in order, up to [`MAX_CLASSES`].
 fn class_table(counts: &Counts) -> Vec<ClassId> {
     let classes: BTreeSet<ClassId> = counts
         .calls
@@ -77,15 +77,15 @@
 
 fn put_calls(bytes: &mut Vec<u8>, calls: &[(usize, &CallCounts)]) {
     put_varint(bytes, calls.len() as u32);
-    for (place, calls) in calls {
-        put_varint(bytes, *place as u32);
+    for (index, calls) in calls {
+        put_varint(bytes, *index as u32);
         put_varint(bytes, calls.first);
         put_varint(bytes, calls.retries);
         put_varint(bytes, calls.rejected);
     }
 }
 
-/// Encodes the backends that fit, those with most attempts first. Returns the sum of the others.
+/// Encodes the backends that fit, those with the most attempts first. Returns the sum of the others.
 fn put_backends(
     bytes: &mut Vec<u8>,
     backends: BTreeMap<BackendId, ByClass<'_>>,
@@ -108,8 +108,8 @@
             bytes.extend(encoded);
             continue;
         }
-        for (place, attempts) in attempts {
-            let sum = others.entry(place).or_default();
+        for (index, attempts) in attempts {
+            let sum = others.entry(index).or_default();
             sum.merge(attempts);
             sum.latencies = LatencyHistogram::default();
         }
@@ -120,8 +120,8 @@
 fn encode_backend(backend: BackendId, attempts: &ByClass<'_>) -> Vec<u8> {
     let mut bytes = backend.0.to_le_bytes().to_vec();
     put_varint(&mut bytes, attempts.len() as u32);
-    for (place, attempts) in attempts {
-        put_varint(&mut bytes, *place as u32);
+    for (index, attempts) in attempts {
+        put_varint(&mut bytes, *index as u32);
         put_attempts(&mut bytes, attempts);
     }
     bytes
@@ -178,7 +178,7 @@
     }
     let layout = take_byte(&mut bytes)?;
     let class_count = take_varint(&mut bytes)? as usize;
-    if layout != LAYOUT || class_count > MAX_CLASSES {
+    if layout != LAYOUT_VERSION || class_count > MAX_CLASSES {
         return None;
     }
     let classes: Vec<ClassId> = (0..class_count)
--- a/crates/outcome-stats/src/config.rs
+++ b/crates/outcome-stats/src/config.rs
@@ -1,34 +1,34 @@
-//! Times and bounds.
+//! Settings of the exchange and the estimates.
 
 use std::time::Duration;
 
-/// A bug that tests inject to see that their checks find it.
+/// A bug that tests inject to verify that their checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
-    /// Reports count the same however old they are.
+    /// Reports have full weight whatever their age.
     IgnoreAge,
     /// The reports of a node's incarnations are added up as if they covered the same time.
     DoubleCountRestarts,
-    /// A node's report counts in full, whatever the others report.
+    /// The share of a node in an estimate is not capped.
     NoShareCap,
 }
 
-/// Times and bounds.
+/// Settings of the exchange and the estimates.
 #[derive(Clone, Debug)]
 pub struct StatsConfig {
     /// The length of a window.
     pub window: Duration,
-    /// Windows in a report.
+    /// The number of windows in a report.
     pub windows_per_report: usize,
-    /// The most bytes a second that a node sends, and that it requests.
+    /// The maximum byte rate that a node sends, and the maximum that it requests, per second.
     pub bytes_per_second: f64,
     /// The shortest time between two requests.
     pub min_request_interval: Duration,
     /// The number of nodes to pull from in rotation.
     pub rotation_size: usize,
-    /// A report of this age counts no more.
+    /// The age from which a report is no longer used.
     pub max_report_age: Duration,
-    /// The most members of the fleet.
+    /// The maximum number of members of the fleet.
     pub max_members: usize,
     /// An injected bug.
     pub injected_bug: Option<InjectedBug>,
--- a/crates/outcome-stats/src/counts/aggregate.rs
+++ b/crates/outcome-stats/src/counts/aggregate.rs
@@ -1,11 +1,11 @@
-//! Counts scaled to another time, and the median of several nodes' counts.
+//! Counts scaled to another time span, and the median of several nodes' counts.
 
 use super::{AttemptCounts, BackendClass, CallCounts, ClassId, Counts};
 use crate::histogram::LatencyHistogram;
 use std::collections::BTreeSet;
 
 impl Counts {
-    /// All counts times a factor, each rounded to the nearest.
+    /// Multiplies all counts by a factor and rounds each to the nearest integer.
     pub(crate) fn scaled(&self, factor: f64) -> Counts {
         Counts {
             attempts: self
@@ -21,7 +21,8 @@
         }
     }
 
-    /// The median of each count; of two the lower. Latencies are those of the median node by calls.
+    /// The median of each count, the lower one of an even number. The latencies are those of the node with the median number
+    /// of calls.
     pub(crate) fn median(all: &[&Counts]) -> Counts {
         if let [one] = all {
             return (*one).clone();
@@ -80,7 +81,7 @@
     }
 }
 
-/// The median of a field; of two the lower.
+/// The median of a field, the lower one of an even number.
 fn median_of<T>(items: &[T], field: fn(&T) -> u32) -> u32 {
     let mut counts: Vec<u32> = items.iter().map(field).collect();
     counts.sort_unstable();
--- a/crates/outcome-stats/src/counts/mod.rs
+++ b/crates/outcome-stats/src/counts/mod.rs
@@ -9,21 +9,21 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A backend, by a number that is the same at every node.
+/// A backend, identified by a number that is the same at every node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendId(pub u32);
 
 impl BackendId {
-    /// All backends that did not fit into a report.
+    /// Stands for all backends that did not fit into a report.
     pub const OTHERS: BackendId = BackendId(0);
 
-    /// The backend with this number in the node.
+    /// Folds the 64-bit backend number of the node into 32 bits, and keeps 0 for [`BackendId::OTHERS`].
     pub fn of(id: u64) -> Self {
         BackendId(((id ^ (id >> 32)) as u32).max(1))
     }
 }
 
-/// A class, by a hash of its name: nodes may list their classes in another order.
+/// A class, identified by a hash of its name, because nodes may list their classes in different orders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub u32);
 
@@ -70,7 +70,7 @@
     pub rejected: u32,
     /// Attempts that ended as [`AttemptOutcome::Failed`].
     pub failed: u32,
-    /// Expected work of the attempts as callers stated it, in milliseconds.
+    /// Expected work of the attempts as stated by the clients, in milliseconds.
     pub work_ms: u32,
     /// Health checks sent.
     pub health_checks: u32,
@@ -101,9 +101,9 @@
 /// Clients' calls of a class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
-    /// Admitted calls that are no retries of the client.
+    /// Admitted calls that are not client retries.
     pub first: u32,
-    /// Admitted calls that are retries of the client.
+    /// Admitted calls that are client retries.
     pub retries: u32,
     /// Calls that the node rejected.
     pub rejected: u32,
@@ -121,7 +121,7 @@
     *count = count.saturating_add(more);
 }
 
-/// All counts of some time.
+/// All counts of a time span.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Attempts, by backend and class.
@@ -144,7 +144,7 @@
         }
     }
 
-    /// All admitted calls, with retries.
+    /// The number of admitted calls, retries included.
     pub fn total_calls(&self) -> u64 {
         self.calls
             .values()
--- a/crates/outcome-stats/src/counts/tests.rs
+++ b/crates/outcome-stats/src/counts/tests.rs
@@ -22,15 +22,15 @@
 }
 
 #[test]
-fn one_of_three_speakers_that_lies_is_outvoted_in_every_count() {
+fn median_of_three_reports_rejects_one_false_report() {
     let (one, other) = (counts(100, 97), counts(104, 100));
-    for lie in [
+    for false_report in [
         counts(100_000, 0),
         Counts::default(),
         counts(0, 0),
         counts(102, 0),
     ] {
-        let median = Counts::median(&[&one, &lie, &other]);
+        let median = Counts::median(&[&one, &false_report, &other]);
         let first = median.calls[&ClassId(1)].first;
         let attempts = &median.attempts[&BackendClass {
             backend: BackendId(1),
--- a/crates/outcome-stats/src/estimate/backends.rs
+++ b/crates/outcome-stats/src/estimate/backends.rs
@@ -7,10 +7,10 @@
 use crate::histogram::LatencyHistogram;
 use std::collections::BTreeMap;
 
-/// A summary, and its attempts at the backend.
+/// A summary, and its attempts of a class at a backend.
 type Observation<'a> = (&'a Summary, &'a AttemptCounts);
 
-/// The estimates of all backends that are named.
+/// The estimates of all backends that reports list individually, by class.
 pub(super) fn estimate(
     summaries: &[Summary],
     totals: Totals,
--- a/crates/outcome-stats/src/estimate/demand.rs
+++ b/crates/outcome-stats/src/estimate/demand.rs
@@ -6,10 +6,10 @@
 use crate::counts::ClassId;
 use std::collections::BTreeMap;
 
-/// 19 of 20 estimates lie within so many standard deviations.
-const DEVIATIONS: f64 = 2.0;
+/// The number of standard deviations that covers 19 of 20 estimates.
+const ERROR_STANDARD_DEVIATIONS: f64 = 2.0;
 
-/// Events of a class, a second.
+/// Event rates of a class, per second.
 #[derive(Clone, Copy, Default)]
 struct Rates {
     first: f64,
@@ -33,7 +33,7 @@
     }
 }
 
-/// The part of a summary about a class.
+/// The part of a summary that concerns one class.
 struct ClassReport {
     weight: f64,
     nodes: f64,
@@ -46,7 +46,7 @@
         self.weight * self.rates.calls()
     }
 
-    /// The calls without those of the largest node of a group, and those of that node.
+    /// Splits the weighted calls into those of the largest node of a group (second) and those of all its other nodes (first).
     fn split_calls(&self) -> [f64; 2] {
         let calls = self.weighted_calls();
         if self.nodes > 1.0 {
@@ -59,8 +59,8 @@
         }
     }
 
-    /// The weighted sum of the nodes' squared deviations from the mean: those of a group are the largest one, and others that
-    /// are all alike.
+    /// The weighted sum of the nodes' squared deviations from the mean. A group is modelled as its largest node, and other
+    /// nodes that all have the same rate.
     fn squared_deviations(&self, mean: f64) -> f64 {
         let calls = self.rates.calls();
         let others = (self.nodes - 1.0).max(0.0);
@@ -134,8 +134,8 @@
     }
 }
 
-/// Caps each node's calls at those of all others together, and scales its other rates with them. The largest node of a group
-/// is capped apart from the rest of its group. Returns the sum of all calls.
+/// Caps each node's calls at the sum of all others, and scales its other rates by the same factor. The largest node of a
+/// group is capped separately from the rest of its group. Returns the sum of the capped calls.
 fn cap_calls(reports: &mut [ClassReport], caps_shares: bool) -> f64 {
     let calls: Vec<f64> = reports.iter().flat_map(ClassReport::split_calls).collect();
     let capped = if caps_shares {
@@ -155,8 +155,8 @@
     capped.iter().sum()
 }
 
-/// The error of the calls: nodes without reports may differ from the others as much as these differ from each other, counts
-/// of few calls vary by chance, and demand has changed since the reports.
+/// The error bound of the calls, from three causes: nodes without reports may differ from the others as much as these differ
+/// from each other, small counts vary randomly, and demand may have changed since the reports were made.
 fn error(reports: &[ClassReport], totals: Totals, mean: f64, total: f64) -> f64 {
     let weight = totals.weight;
     let with_class: f64 = reports
@@ -170,9 +170,10 @@
         .sum::<f64>()
         + without_class * mean * mean;
     let deviation = (squared / weight.max(1e-9)).sqrt();
-    let unheard = (totals.members - weight).max(0.0);
-    let missing = unheard * deviation / weight.max(1.0).sqrt() + deviation * unheard.sqrt();
-    let stale = total * (1.0 - (-totals.drift * totals.age).exp());
-    let chance = total.max(0.0).sqrt();
-    DEVIATIONS * (missing + chance) + stale
+    let unreported = (totals.members - weight).max(0.0);
+    let coverage_error =
+        unreported * deviation / weight.max(1.0).sqrt() + deviation * unreported.sqrt();
+    let drift_error = total * (1.0 - (-totals.drift * totals.age).exp());
+    let sampling_error = total.max(0.0).sqrt();
+    ERROR_STANDARD_DEVIATIONS * (coverage_error + sampling_error) + drift_error
 }
--- a/crates/outcome-stats/src/estimate/mod.rs
+++ b/crates/outcome-stats/src/estimate/mod.rs
@@ -1,7 +1,6 @@
-//! Estimates of the whole fleet from the known reports, with their age, their weight and their error.
+//! Estimates for the whole fleet from the known reports, with age, coverage and error bounds.
 //!
-//! A report is what its node has counted, or a lie: whatever a node reports, it has no more than a stated share of any
-//! estimate.
+//! Reports may be false: the share of one node in an estimate is capped, whatever it reports.
 
 mod backends;
 mod demand;
@@ -26,7 +25,7 @@
     pub living: usize,
     /// The members whose reports are used.
     pub reporting: usize,
-    /// The reports, each weighted by its age, over all living members: 1 if all are fresh.
+    /// The sum of the report weights, which fall with age, divided by the number of living members: 1 if all are fresh.
     pub weight: f64,
     /// The weighted mean age of the reports.
     pub age: Duration,
@@ -34,35 +33,36 @@
     pub oldest: Duration,
 }
 
-/// The calls of a class in the whole fleet, a second.
+/// The calls of a class in the whole fleet, per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DemandEstimate {
-    /// Calls that are no retries of the client.
+    /// Calls that are not client retries.
     pub first: f64,
-    /// Retries of clients.
+    /// Client retries.
     pub retries: f64,
     /// Calls that nodes rejected.
     pub rejected: f64,
     /// Attempts sent to backends.
     pub sent: f64,
-    /// Attempts that ended in time.
+    /// Attempts served within the latency objective.
     pub in_time: f64,
-    /// By how much `first` and `retries` together are wrong at the most, in 19 of 20 estimates.
+    /// The error bound of `first + retries`, which holds for 19 of 20 estimates.
     pub error: f64,
 }
 
 /// The attempts of a class at a backend, by all nodes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BackendEstimate {
-    /// Attempts a second.
+    /// Attempts per second.
     pub sent: f64,
-    /// The share in time of those that ended, with each node's share in it capped.
+    /// The share of ended attempts that were served in time. The influence of each node is capped.
     pub in_time: f64,
-    /// The share that failed, other than late or rejected.
+    /// The share of ended attempts that failed, neither late nor rejected.
     pub failed: f64,
-    /// The attempts that this rests on, after caps and weights, for use with pseudo-counts of a prior.
+    /// The number of ended attempts behind the shares, after caps and weights. Callers can combine it with the pseudo-counts of
+    /// a prior.
     pub evidence: f64,
-    /// The number of nodes of the own group, and of other groups, that report it.
+    /// The number of nodes of the own group plus the number of other groups that report it.
     pub observers: usize,
     /// Latencies of the served attempts.
     pub latencies: LatencyHistogram,
@@ -79,19 +79,19 @@
     pub backends: BTreeMap<BackendClass, BackendEstimate>,
 }
 
-/// Whose a group's report is.
+/// Identifies the report that one aggregator makes of a group.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct GroupReportKey {
-    /// The number of groups at that time.
+    /// The number of groups when the report was made.
     pub(crate) groups: u32,
-    /// The group, from 0 on.
+    /// The index of the group, from 0.
     pub(crate) group: u32,
-    /// The node that summed it up, and its incarnation.
-    pub(crate) speaker: Name,
+    /// The node that made the report, and its incarnation.
+    pub(crate) aggregator: Name,
     pub(crate) incarnation: Incarnation,
 }
 
-/// Up to which age a report counts in full, and from which age on not at all.
+/// The age up to which a report has full weight, and the age from which it has none.
 #[derive(Clone, Copy)]
 pub(crate) struct AgeLimits {
     pub(crate) fresh: Duration,
@@ -108,7 +108,7 @@
     }
 }
 
-/// What is known at a node.
+/// The inputs of the estimates at a node.
 pub(crate) struct Known<'a> {
     /// Reports of nodes.
     pub(crate) reports: &'a ReportStore<(Name, Incarnation)>,
@@ -116,22 +116,22 @@
     pub(crate) group_members: &'a BTreeMap<Name, Incarnation>,
     /// Reports of groups.
     pub(crate) group_reports: &'a ReportStore<GroupReportKey>,
-    /// The node's group, if its estimate of it comes from reports of nodes.
+    /// The node's group, if it is estimated from the reports of its nodes rather than from group reports.
     pub(crate) own_group: Option<u32>,
     /// The number of living members, this node among them.
     pub(crate) living: usize,
-    /// By which share of itself demand changes in a second.
+    /// The relative change of demand per second.
     pub(crate) drift: f64,
 }
 
-/// The fleet as a whole.
+/// Figures of the fleet as a whole.
 #[derive(Clone, Copy)]
 struct Totals {
     /// The number of living members.
     members: f64,
     /// The weight of all reports.
     weight: f64,
-    /// The age of the middle of the reports' windows, in seconds.
+    /// The mean age of the midpoints of the reports' spans, in seconds.
     age: f64,
     /// See [`Known::drift`].
     drift: f64,
@@ -140,7 +140,7 @@
 }
 
 impl Totals {
-    /// The factor from what was reported to the whole fleet.
+    /// The factor that extrapolates the reported counts to the whole fleet.
     fn scale(&self) -> f64 {
         self.members / self.weight.max(1e-9)
     }
@@ -189,7 +189,7 @@
     }
 }
 
-/// A summary for each node of the own group, if it is known by nodes, and for each other group.
+/// The summaries of the nodes of the own group, if it is estimated from their reports, and of each other group.
 fn summaries(
     known: &Known<'_>,
     now: Duration,
--- a/crates/outcome-stats/src/estimate/summary.rs
+++ b/crates/outcome-stats/src/estimate/summary.rs
@@ -8,16 +8,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What a node reported, its incarnations together, so that a restart neither doubles nor loses its calls; or the median of
-/// what a group's speakers reported. Times are in seconds.
+/// The merged reports of all incarnations of a node, so that a restart neither doubles nor loses its calls; or the median of
+/// the reports of a group's aggregators. Times are in seconds.
 pub(super) struct Summary {
     pub(super) counts: Counts,
     pub(super) span: f64,
     pub(super) age: f64,
     pub(super) weight: f64,
-    /// The number of nodes that it stands for.
+    /// The number of nodes whose reports it covers.
     pub(super) nodes: f64,
-    /// The share of the calls at the node that has most.
+    /// The share of the calls at the node with the most calls.
     pub(super) largest_share: f64,
 }
 
@@ -33,7 +33,7 @@
         .iter()
         .filter(|((name, _), _)| members.contains_key(name))
         .collect();
-    // The newest incarnation first: its age is the node's.
+    // The newest incarnation comes first, because its age is used as the age of the node.
     of_members.sort_by(|((a, incarnation), _), ((b, other), _)| (a, other).cmp(&(b, incarnation)));
     let mut nodes: BTreeMap<&Name, Summary> = BTreeMap::new();
     for ((name, _), report) in of_members {
@@ -53,7 +53,8 @@
     nodes.into_values().collect()
 }
 
-/// The summary of reports about the same: one report of a node, or those of a group's speakers. `None` if all are too old.
+/// Summarises reports about the same subject: a single report of a node, or the reports of a group's aggregators. `None` if
+/// all are too old.
 pub(super) fn of_reports(
     reports: &[&Report],
     now: Duration,
@@ -103,19 +104,19 @@
     Counts::median(&scaled.iter().collect::<Vec<_>>())
 }
 
-/// The report of a group, as one of its speakers makes it.
+/// The contents of a group report, as one of the aggregators makes it.
 pub(crate) struct GroupSummary {
     /// The sum of the nodes' counts.
     pub(crate) counts: Counts,
     /// The weighted mean age.
     pub(crate) age: Duration,
-    /// The number of nodes that it stands for.
+    /// The number of nodes whose reports it covers.
     pub(crate) represented: f64,
-    /// The share of the calls at the node that has most.
+    /// The share of the calls at the node with the most calls.
     pub(crate) largest_share: f64,
 }
 
-/// Sums up the reports of a group's members over a span; `None` if there are none.
+/// Adds up the reports of a group's members over a span; `None` if there are none.
 pub(crate) fn summarise_group(
     reports: &ReportStore<(Name, Incarnation)>,
     members: &BTreeMap<Name, Incarnation>,
--- a/crates/outcome-stats/src/exchange/byte_budget.rs
+++ b/crates/outcome-stats/src/exchange/byte_budget.rs
@@ -1,8 +1,8 @@
-//! Byte rates.
+//! A token bucket for bytes.
 
 use std::time::Duration;
 
-/// A rate with a burst of one second's bytes.
+/// A token bucket whose burst is one second's worth of bytes.
 #[derive(Debug)]
 pub(super) struct ByteBudget {
     bytes_per_second: f64,
@@ -19,7 +19,7 @@
         }
     }
 
-    /// The bytes that may be spent now; less than 0 after more was spent than there was.
+    /// The bytes that may be spent now; negative after overspending.
     pub(super) fn available(&mut self, now: Duration) -> f64 {
         let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
         self.available =
--- a/crates/outcome-stats/src/exchange/mod.rs
+++ b/crates/outcome-stats/src/exchange/mod.rs
@@ -1,13 +1,13 @@
-//! The exchange of reports, by pulling within a byte rate that does not depend on the size of the fleet.
+//! The pull-based exchange of reports, within a byte rate that does not depend on the size of the fleet.
 //!
-//! A node requests from others in rotation what they have received since its last request. The reports in a response were made
-//! after the request was sent, so each is at most as old as it claimed to be plus the time since the request: one that was
-//! delayed, or is forwarded by a node that received it long ago, cannot pass for a new one. The rotation is drawn by a hash of
-//! names, so that reports reach every node in few steps; one of several requests goes to a random node, so that no part of the
-//! fleet keeps to itself.
+//! A node requests from others, in rotation, the reports that they have received since its previous request. A response is made
+//! after its request was sent, so a report is at most as old as the response states plus the time since the request: one that
+//! was delayed, or forwarded long after its arrival, cannot appear new. The rotation follows a hash of the names, so that
+//! reports reach every node in few steps; one in several requests goes to a random node, so that no part of the fleet becomes
+//! isolated.
 //!
-//! Large fleets are divided into groups. Within a group, a few speakers pull the reports of all members, and each sums them up
-//! into a group's report; those go to everybody.
+//! Large fleets are divided into groups. Within a group, a few aggregators pull the reports of all members, and each adds them
+//! up to a group report; group reports are exchanged between all nodes.
 
 mod byte_budget;
 mod own_reports;
@@ -33,21 +33,21 @@
 use std::time::Duration;
 use topology::Topology;
 
-/// What a message costs on a link beside its bytes.
+/// The link overhead of a message, in bytes.
 const LINK_OVERHEAD_BYTES: usize = 64;
-/// What a report costs beside its counts, in bytes, at the most.
+/// The maximum size of a report without its counts, in bytes.
 const REPORT_OVERHEAD_BYTES: usize = 56;
-/// What a message costs beside its reports, in bytes, at the most.
+/// The maximum size of a message without its reports, in bytes.
 const MESSAGE_OVERHEAD_BYTES: usize = 160;
 /// A smaller response does not justify its overhead.
 const MIN_RESPONSE_BYTES: usize = 400;
-/// The most marks of known reports in a request.
+/// The maximum number of marks of known reports in a request, for node reports and for group reports each.
 const MAX_MARKS: usize = 256;
-/// The slots of a link: a message replaces an earlier one in its slot that still waits.
+/// The slots of a link: a message replaces an earlier one in the same slot that has not been sent yet.
 const REQUEST_SLOT: u32 = 1;
 const RESPONSE_SLOT: u32 = 2;
 
-/// What a node does.
+/// An action that the caller has to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Sends a message over a link.
@@ -61,7 +61,7 @@
     },
 }
 
-/// What was counted of the exchange.
+/// Counters of the exchange.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ExchangeCounters {
     /// Requests sent.
@@ -76,7 +76,7 @@
     pub invalid: u64,
     /// Bytes sent.
     pub bytes: u64,
-    /// Requests received that were not answered, for lack of budget.
+    /// Requests received that got no response for lack of budget.
     pub unanswered: u64,
 }
 
@@ -93,9 +93,9 @@
     group_members: BTreeMap<Name, Incarnation>,
     /// Reports of the members of its group.
     reports: ReportStore<(Name, Incarnation)>,
-    /// Reports of groups. Those of its own group are forwarded, and not used here.
+    /// Reports of groups. Those of its own group are only forwarded if the node estimates it from member reports.
     group_reports: ReportStore<GroupReportKey>,
-    /// The number of reports that it has made of its group.
+    /// The number of reports that this node has made of its group.
     group_report_version: u64,
     pulls: BTreeMap<Name, PullState>,
     last_request: u64,
@@ -103,11 +103,11 @@
     next_member_pull_at: Duration,
     next_report_at: Duration,
     next_group_report_at: Duration,
-    /// Between two reports of this node or its group: longer while responses are truncated, shorter while they are not.
+    /// The time between two reports of this node or its group: grows while responses are truncated, shrinks otherwise.
     report_interval: Duration,
     send_budget: ByteBudget,
     pull_budget: ByteBudget,
-    /// What a speaker pulls from its group beside that, at half the rate.
+    /// A separate budget, at half the rate, for what an aggregator pulls from the members of its group.
     member_pull_budget: ByteBudget,
     drift: DemandDrift,
     random: Pcg32,
@@ -115,7 +115,7 @@
 }
 
 impl StatsExchange {
-    /// A node's part from `now` on, in that incarnation.
+    /// Starts the exchange of a node at `now`, in the given incarnation.
     pub fn new(
         config: StatsConfig,
         own_name: Name,
@@ -158,8 +158,8 @@
         self.own_counts.open(now)
     }
 
-    /// Does what is due. `incarnation` is this node's, and `others` are the other living members: a node in a new incarnation
-    /// starts its counts again, and nothing is requested from members that do not live, or estimated from their reports.
+    /// Performs the work that is due. `incarnation` is this node's, and `others` are the other living members. A new
+    /// incarnation resets the counts. Members that are not listed receive no requests, and their reports are not used.
     pub fn tick<'a>(
         &mut self,
         now: Duration,
@@ -206,15 +206,15 @@
     fn update_topology(&mut self, now: Duration) {
         let rotation_size = self.config.rotation_size;
         let topology = Topology::new(&self.own_name, &self.living, rotation_size);
-        if topology.is_speaker && !self.topology.is_speaker {
+        if topology.is_aggregator && !self.topology.is_aggregator {
             let report_span = self.config.window * self.config.windows_per_report as u32;
             self.next_group_report_at = now + report_span;
         }
         self.topology = topology;
     }
 
-    /// Drops reports that are too old or of members that do not live. Reports of a member's earlier incarnation stay until they
-    /// are too old.
+    /// Drops reports that are too old or of members that are no longer living. Reports of a member's earlier incarnation
+    /// stay until they are too old.
     fn drop_unwanted(&mut self, now: Duration) {
         let max_age = self.config.max_report_age;
         let uses_members = self.topology.uses_members();
@@ -229,7 +229,9 @@
         });
         let (groups, living) = (self.topology.groups, &self.living);
         self.group_reports.retain(|key, report| {
-            key.groups == groups && living.contains_key(&key.speaker) && report.age(now) < max_age
+            key.groups == groups
+                && living.contains_key(&key.aggregator)
+                && report.age(now) < max_age
         });
         self.pulls.retain(|name, _| living.contains_key(name));
     }
@@ -237,7 +239,7 @@
     /// When the next [`StatsExchange::tick`] is due.
     pub fn next_wakeup(&self) -> Duration {
         let next = self.next_pull_at.min(self.next_report_at);
-        if self.topology.is_speaker {
+        if self.topology.is_aggregator {
             next.min(self.next_member_pull_at)
                 .min(self.next_group_report_at)
         } else {
@@ -245,7 +247,7 @@
         }
     }
 
-    /// Takes a message that came over a link from that member in that incarnation.
+    /// Handles a message that arrived over a link from a member in the given incarnation.
     pub fn handle_message(
         &mut self,
         now: Duration,
@@ -287,7 +289,7 @@
         }
     }
 
-    /// What was counted of the exchange.
+    /// Counters of the exchange.
     pub fn counters(&self) -> ExchangeCounters {
         self.counters
     }
@@ -297,7 +299,7 @@
         &self.reports
     }
 
-    /// Up to which age a report counts in full: some intervals between reports, within bounds.
+    /// The age up to which a report has full weight: a few report intervals, within bounds.
     pub fn fresh_for(&self) -> Duration {
         (4 * self.report_interval)
             .max(5 * self.config.window)
--- a/crates/outcome-stats/src/exchange/own_reports.rs
+++ b/crates/outcome-stats/src/exchange/own_reports.rs
@@ -1,4 +1,4 @@
-//! The reports that a node makes of itself and, as a speaker, of its group; and how fast demand changes.
+//! The reports that a node makes of itself and, as an aggregator, of its group; and the rate at which demand changes.
 
 use super::StatsExchange;
 use super::topology::Topology;
@@ -8,11 +8,12 @@
 use sillward_membership::{Incarnation, Name};
 use std::time::Duration;
 
-/// The fastest change of demand that was seen fades by this share with each update.
-const FADING: f64 = 0.03;
+/// The share by which the highest observed drift decays with each update.
+const DRIFT_DECAY: f64 = 0.03;
 
 impl StatsExchange {
-    /// Makes a report of this node when a window has closed and the others can have received the last report.
+    /// Makes a report of this node if a window has closed and the report interval has passed, so that the other nodes can have
+    /// received the previous report.
     pub(super) fn make_report(&mut self, now: Duration) {
         if now < self.next_report_at {
             return;
@@ -23,7 +24,7 @@
             self.next_report_at = ended_at + self.config.window;
             return;
         }
-        // In a fleet of several groups a node's own report goes to its speakers only, and costs little.
+        // In a fleet of several groups a node's own report goes to its aggregators only, so a report per window costs little.
         let interval = if self.topology.is_single_group() {
             self.report_interval
         } else {
@@ -46,9 +47,9 @@
         self.reports.insert(key, report);
     }
 
-    /// Makes a report of its group if this node is a speaker and its turn has come.
+    /// Makes a report of the group if this node is an aggregator and the report is due.
     pub(super) fn make_group_report(&mut self, now: Duration) {
-        if !self.topology.is_speaker || now < self.next_group_report_at {
+        if !self.topology.is_aggregator || now < self.next_group_report_at {
             return;
         }
         self.next_group_report_at = now + Topology::group_report_interval(self.report_interval);
@@ -79,14 +80,14 @@
         let key = GroupReportKey {
             groups: self.topology.groups,
             group: self.topology.own_group,
-            speaker: self.own_name.clone(),
+            aggregator: self.own_name.clone(),
             incarnation: self.incarnation,
         };
         self.group_reports.insert(key, report);
     }
 }
 
-/// By which share of itself demand changes in a second, from which the error of old reports follows.
+/// The relative change of demand per second, which determines the error of old reports.
 #[derive(Debug)]
 pub(super) struct DemandDrift {
     per_second: f64,
@@ -107,7 +108,7 @@
         self.per_second
     }
 
-    /// Compares the calls in the known reports with those of the last update, once in a window.
+    /// Compares the calls in the known reports with those of the last update, once per window.
     pub(super) fn update(
         &mut self,
         now: Duration,
@@ -125,8 +126,8 @@
         let last = self.last_total;
         let change = (total - last).abs() / (total + last).max(1e-9) * 2.0 / elapsed.as_secs_f64();
         let is_comparable = last > 0.0 && total > 0.0;
-        let seen = if is_comparable { change.min(1.0) } else { 0.0 };
-        self.per_second = (self.per_second * (1.0 - FADING)).max(seen);
+        let observed = if is_comparable { change.min(1.0) } else { 0.0 };
+        self.per_second = (self.per_second * (1.0 - DRIFT_DECAY)).max(observed);
         self.last_total = total;
         self.updated_at = now;
     }
--- a/crates/outcome-stats/src/exchange/pull.rs
+++ b/crates/outcome-stats/src/exchange/pull.rs
@@ -8,15 +8,15 @@
 use sillward_membership::Name;
 use std::time::Duration;
 
-/// A request without a response is forgotten after so long.
+/// The time after which a request without a response is dropped.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// One of so many requests goes to a random node.
-const RANDOM_EVERY: u64 = 6;
+/// One in this many requests goes to a random node.
+const RANDOM_PULL_EVERY: u64 = 6;
 /// The share of the byte rate that requests may use.
 const REQUEST_SHARE: f64 = 0.15;
 /// The longest time between two requests, in seconds.
 const MAX_REQUEST_INTERVAL_S: f64 = 10.0;
-/// Between two requests of a speaker to members of its group: all of them in some seconds.
+/// The time between two requests of an aggregator to members of its group, short enough to reach all of them within seconds.
 const MEMBER_PULL_INTERVAL: Duration = Duration::from_millis(60);
 
 /// A request that waits for its response.
@@ -26,10 +26,10 @@
     pub(super) sent_at: Duration,
 }
 
-/// What is remembered of a node that reports are pulled from.
+/// The state kept for a node that reports are pulled from.
 #[derive(Debug, Default)]
 pub(super) struct PullState {
-    /// The arrivals up to which it has answered, of reports of nodes and of groups, in the incarnation with this salt.
+    /// The arrival numbers up to which it has sent node reports and group reports, in the incarnation with this salt.
     pub(super) since: u64,
     pub(super) groups_since: u64,
     pub(super) salt: u32,
@@ -51,7 +51,7 @@
         if now >= self.next_pull_at {
             request = self.pull_from_next(now);
         }
-        if request.is_none() && self.topology.is_speaker && now >= self.next_member_pull_at {
+        if request.is_none() && self.topology.is_aggregator && now >= self.next_member_pull_at {
             request = self.pull_from_member(now);
         }
         request
@@ -62,7 +62,7 @@
         self.next_pull_at = now + self.pull_interval();
         let rate = self.config.bytes_per_second;
         let max_bytes = self.pull_budget.available(now).min(rate);
-        // Seldom and much at a time: a group's report would never fit into what is left over.
+        // Requests are few and large, because a group report would never fit into a small remaining budget.
         if max_bytes < rate / 2.0 || self.send_budget.available(now) < MESSAGE_OVERHEAD_BYTES as f64
         {
             return None;
@@ -88,12 +88,12 @@
             max_bytes: max_bytes as u32,
             own_only: false,
         };
-        // The least that a response costs; the rest is spent when it is here.
+        // Reserves the minimum size of a response; the rest is spent when it arrives.
         self.pull_budget.spend(MIN_RESPONSE_BYTES);
         Some(self.send_request(now, to, request))
     }
 
-    /// Requests are so far apart that they use no more than their share of the rate.
+    /// The time between two requests, such that requests use no more than their share of the byte rate.
     fn pull_interval(&self) -> Duration {
         let marks = if self.topology.is_single_group() {
             self.reports.len()
@@ -107,7 +107,7 @@
     }
 
     fn next_pull_target(&mut self) -> Option<Name> {
-        let is_random_turn = self.last_request % RANDOM_EVERY == RANDOM_EVERY - 1;
+        let is_random_turn = self.last_request % RANDOM_PULL_EVERY == RANDOM_PULL_EVERY - 1;
         if is_random_turn && self.living.len() > self.topology.rotation.len() + 1 {
             let index = self.draw_below(self.living.len());
             let name = self.living.keys().nth(index);
@@ -122,7 +122,7 @@
         ((u64::from(self.random.next_u32()) * bound as u64) >> 32) as usize
     }
 
-    /// Marks of the reports that need not be sent again, the last that arrived first.
+    /// Marks of the reports that need not be sent again, most recent arrival first.
     fn known_marks(&self) -> Vec<u32> {
         let is_single_group = self.topology.is_single_group();
         let nodes = self.reports.arrived_after(0).filter(|_| is_single_group);
@@ -131,13 +131,18 @@
         });
         let groups = self.group_reports.arrived_after(0).take(MAX_MARKS);
         let groups = groups.map(|(key, report)| {
-            let speaker = key.speaker.as_str();
-            report_mark(speaker, key.incarnation.salt, key.group + 1, report.version)
+            let aggregator = key.aggregator.as_str();
+            report_mark(
+                aggregator,
+                key.incarnation.salt,
+                key.group + 1,
+                report.version,
+            )
         });
         nodes.chain(groups).collect()
     }
 
-    /// A speaker requests the own report of the next member of its group.
+    /// An aggregator requests the own report of the next member of its group.
     fn pull_from_member(&mut self, now: Duration) -> Option<Action> {
         self.next_member_pull_at = now + MEMBER_PULL_INTERVAL;
         if self.member_pull_budget.available(now) < MIN_RESPONSE_BYTES as f64
--- a/crates/outcome-stats/src/exchange/receive.rs
+++ b/crates/outcome-stats/src/exchange/receive.rs
@@ -1,4 +1,4 @@
-//! Reports that come in responses.
+//! Handling of responses, and validation of the reports in them.
 
 use super::{MIN_RESPONSE_BYTES, StatsExchange};
 use crate::codec::decode_counts;
@@ -8,12 +8,12 @@
 use sillward_membership::{Incarnation, Name};
 use std::time::Duration;
 
-/// The factors of the report interval after a truncated response, and after a complete one.
-const LONGER: f64 = 1.1;
-const SHORTER: f64 = 0.96;
+/// The factors applied to the report interval after a truncated response, and after a complete one.
+const TRUNCATED_INTERVAL_FACTOR: f64 = 1.1;
+const COMPLETE_INTERVAL_FACTOR: f64 = 0.96;
 
 impl StatsExchange {
-    /// Takes a response of that many bytes.
+    /// Handles a response of `bytes` bytes.
     pub(super) fn receive(
         &mut self,
         now: Duration,
@@ -64,8 +64,8 @@
 
     fn adapt_report_interval(&mut self, response: &PullResponse) {
         let factor = match (response.truncated, response.own_only) {
-            (true, _) => LONGER,
-            (false, false) => SHORTER,
+            (true, _) => TRUNCATED_INTERVAL_FACTOR,
+            (false, false) => COMPLETE_INTERVAL_FACTOR,
             (false, true) => 1.0,
         };
         self.report_interval = self
@@ -75,7 +75,7 @@
             .max(self.config.window);
     }
 
-    /// Takes a report. Returns whether it is new.
+    /// Stores a report if its sender may provide it. Returns whether it is new.
     fn receive_report(
         &mut self,
         from: &Name,
@@ -88,25 +88,25 @@
             return false;
         };
         if message.group == 0 {
-            // A node's own report comes from itself, or within a single group from anybody.
-            let may_come = name == *from || !own_only && self.topology.is_single_group();
-            return may_come
+            // A node's own report is accepted from that node, or from any node if there is a single group.
+            let is_allowed = name == *from || !own_only && self.topology.is_single_group();
+            return is_allowed
                 && self.group_members.contains_key(&name)
                 && self.reports.insert((name, incarnation), report);
         }
         let key = GroupReportKey {
             groups: message.groups,
             group: message.group - 1,
-            speaker: name,
+            aggregator: name,
             incarnation,
         };
         self.topology
-            .is_speaker_of(&key.speaker, key.groups, key.group)
-            && self.living.contains_key(&key.speaker)
+            .is_aggregator_of(&key.aggregator, key.groups, key.group)
+            && self.living.contains_key(&key.aggregator)
             && self.group_reports.insert(key, report)
     }
 
-    /// Reads a report that was requested at that time; `None` if it is invalid.
+    /// Converts a report that was requested at `requested_at`; `None` if it is invalid.
     fn read_report(
         &self,
         message: &ReportMessage,
@@ -117,7 +117,7 @@
             epoch: message.epoch,
             salt: message.salt,
         };
-        // No other node makes reports of this one.
+        // Only this node makes reports under its own name.
         if name == self.own_name
             || message.span_ms == 0
             || message.version == 0
--- a/crates/outcome-stats/src/exchange/respond.rs
+++ b/crates/outcome-stats/src/exchange/respond.rs
@@ -11,16 +11,16 @@
 use sillward_membership::{Incarnation, Name};
 use std::time::Duration;
 
-/// The share of the burst that responses leave for the node's own requests and for speakers.
+/// The share of one second's bytes that responses leave for the node's own requests and for aggregators.
 const RESERVED_SHARE: f64 = 0.25;
-/// The share by which a clock may run fast or slow.
+/// The largest relative error of a clock rate.
 const CLOCK_DRIFT: f64 = 0.001;
 
 /// A report that may go into a response.
 struct Candidate<'a> {
     name: &'a Name,
     incarnation: Incarnation,
-    /// From 1 on; 0 for a node's own report.
+    /// The group number from 1; 0 for a node's own report.
     group: u32,
     report: &'a Report,
 }
@@ -41,7 +41,7 @@
     }
 
     fn to_message(&self, now: Duration, groups: u32) -> ReportMessage {
-        // Rounded up, with what a slow clock may have missed.
+        // Rounded up, and increased by what a slow clock may have missed.
         let age = self.report.age(now).mul_f64(1.0 + CLOCK_DRIFT) + Duration::from_millis(1);
         let milliseconds = |time: Duration| u32::try_from(time.as_millis()).unwrap_or(u32::MAX);
         let of_group = |value: u32| if self.group > 0 { value } else { 0 };
@@ -63,7 +63,7 @@
 }
 
 impl StatsExchange {
-    /// The response to a request; `None` if it is invalid or there is too little budget, so that the sender comes back later
+    /// The response to a request; `None` if it is invalid or there is too little budget, so that the sender retries later
     /// or asks another node.
     pub(super) fn respond(
         &mut self,
@@ -96,7 +96,7 @@
         Some(self.send(now, to.clone(), RESPONSE_SLOT, &message))
     }
 
-    /// The most bytes of a response; `None` if they are too few to justify a message.
+    /// The maximum size of a response in bytes; `None` if it is too small to justify a message.
     fn response_budget(&mut self, now: Duration, request: &PullRequest) -> Option<usize> {
         let rate = self.config.bytes_per_second;
         let reserved = if request.own_only {
@@ -113,7 +113,7 @@
         (!is_too_small).then_some(max_bytes)
     }
 
-    /// The reports that the sender lacks and that fit, and whether some did not.
+    /// The reports that the requesting node lacks and that fit, and whether any were omitted.
     fn select_reports(
         &self,
         now: Duration,
@@ -140,8 +140,8 @@
         (reports, truncated)
     }
 
-    /// Reports of groups first, which are few and stand for many nodes, then those of nodes; of each the last that arrived
-    /// first. What does not fit comes by another way, or in its next version.
+    /// Group reports first, because they are few and cover many nodes, then node reports; each most recent arrival first.
+    /// Reports that do not fit reach the node through other nodes, or in their next version.
     fn candidates<'a>(
         &'a self,
         to: &'a Name,
@@ -157,7 +157,7 @@
             .group_reports
             .arrived_after(groups_since)
             .map(|(key, report)| Candidate {
-                name: &key.speaker,
+                name: &key.aggregator,
                 incarnation: key.incarnation,
                 group: key.group + 1,
                 report,
@@ -171,17 +171,17 @@
                 group: 0,
                 report,
             });
-        let is_own_speaker =
-            self.topology.is_in_own_group(to) && self.topology.speakers.contains(to);
-        let may_have = move |name: &Name| {
+        let is_own_aggregator =
+            self.topology.is_in_own_group(to) && self.topology.aggregators.contains(to);
+        let may_send = move |name: &Name| {
             if own_only {
-                *name == self.own_name && is_own_speaker
+                *name == self.own_name && is_own_aggregator
             } else {
                 self.topology.is_single_group()
             }
         };
         groups
             .filter(move |_| !own_only)
-            .chain(nodes.filter(move |candidate| may_have(candidate.name)))
+            .chain(nodes.filter(move |candidate| may_send(candidate.name)))
     }
 }
--- a/crates/outcome-stats/src/exchange/topology.rs
+++ b/crates/outcome-stats/src/exchange/topology.rs
@@ -1,44 +1,45 @@
-//! Groups, their speakers, and whom a node pulls from, all by hashes of names, so that nodes with the same members agree.
+//! Groups, their aggregators, and the nodes to pull from, all derived from hashes of names, so that nodes with the same view of
+//! the membership agree.
 
 use sillward_membership::{Incarnation, Name};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Up to so many nodes exchange all reports. More are divided into groups of half of it or more.
+/// Up to this many nodes exchange all reports. Larger fleets are divided into groups of about half to all of this size.
 const MAX_GROUP_SIZE: usize = 48;
-/// The speakers of a group. What one of them makes up is outvoted by the other two.
-const SPEAKERS: usize = 3;
-/// Seeds of the hashes: of the group, of the order in the rotation, and, with the group's number, of the order of speakers.
+/// The median of three reports tolerates one aggregator that reports false counts.
+const AGGREGATORS_PER_GROUP: usize = 3;
+/// Seeds of the hashes: of the group, of the order in the rotation, and, with the group's number, of the order of aggregators.
 const GROUP_SEED: u64 = 1;
 const ROTATION_SEED: u64 = 3;
-const SPEAKER_SEED: u64 = 7;
+const AGGREGATOR_SEED: u64 = 7;
 
-/// See the module.
+/// The groups and pull targets as one node sees them.
 #[derive(Debug)]
 pub(super) struct Topology {
-    /// The number of groups: a power of two, so that it changes seldom.
+    /// The number of groups: a power of two, so that it rarely changes.
     pub(super) groups: u32,
-    /// The node's group, from 0 on.
+    /// The index of the node's group, from 0.
     pub(super) own_group: u32,
-    /// The speakers of all groups; none if there is one group. Nobody else's group reports are accepted, which bounds their
-    /// number.
-    pub(super) speakers: BTreeSet<Name>,
+    /// The aggregators of all groups; none if there is one group. Group reports of other nodes are not accepted, which
+    /// bounds their number.
+    pub(super) aggregators: BTreeSet<Name>,
     /// Whether the node is one of them.
-    pub(super) is_speaker: bool,
-    /// The nodes to pull from in turn, the next in front.
+    pub(super) is_aggregator: bool,
+    /// The nodes to pull from in turn; the next one is in front.
     pub(super) rotation: VecDeque<Name>,
-    /// A speaker's group members, from which it pulls their own reports in turn.
+    /// An aggregator's group members, from which it pulls their own reports in turn.
     pub(super) member_rotation: VecDeque<Name>,
 }
 
 impl Default for Topology {
-    /// That of a node that knows no other.
+    /// The topology of a node that knows no others.
     fn default() -> Self {
         Topology {
             groups: 1,
             own_group: 0,
-            speakers: BTreeSet::new(),
-            is_speaker: false,
+            aggregators: BTreeSet::new(),
+            is_aggregator: false,
             rotation: VecDeque::new(),
             member_rotation: VecDeque::new(),
         }
@@ -53,24 +54,26 @@
     ) -> Self {
         let groups = group_count(living.len());
         let own_group = group_of(own_name, groups);
-        let speakers: BTreeSet<Name> = if groups > 1 {
+        let aggregators: BTreeSet<Name> = if groups > 1 {
             (0..groups)
-                .flat_map(|group| members_in_speaker_order(living, groups, group).take(SPEAKERS))
+                .flat_map(|group| {
+                    members_in_aggregator_order(living, groups, group).take(AGGREGATORS_PER_GROUP)
+                })
                 .cloned()
                 .collect()
         } else {
             BTreeSet::new()
         };
-        let is_speaker = speakers.contains(own_name);
-        let member_rotation = members_in_speaker_order(living, groups, own_group)
-            .filter(|name| is_speaker && *name != own_name)
+        let is_aggregator = aggregators.contains(own_name);
+        let member_rotation = members_in_aggregator_order(living, groups, own_group)
+            .filter(|name| is_aggregator && *name != own_name)
             .cloned()
             .collect();
         Topology {
             groups,
             own_group,
-            speakers,
-            is_speaker,
+            aggregators,
+            is_aggregator,
             rotation: rotation(own_name, living, rotation_size),
             member_rotation,
         }
@@ -80,9 +83,9 @@
         group_of(name, self.groups) == self.own_group
     }
 
-    /// Whether that is a speaker of that group, of the present number of groups.
-    pub(super) fn is_speaker_of(&self, name: &Name, groups: u32, group: u32) -> bool {
-        groups == self.groups && group_of(name, groups) == group && self.speakers.contains(name)
+    /// Whether `name` is an aggregator of `group`, and `groups` is the current number of groups.
+    pub(super) fn is_aggregator_of(&self, name: &Name, groups: u32, group: u32) -> bool {
+        groups == self.groups && group_of(name, groups) == group && self.aggregators.contains(name)
     }
 
     /// Whether there is one group, whose members exchange all reports.
@@ -90,14 +93,15 @@
         self.groups == 1
     }
 
-    /// Whether the node knows its group by the reports of its members, rather than by those of its speakers.
+    /// Whether the node estimates its group from the reports of its members, rather than from those of its aggregators.
     pub(super) fn uses_members(&self) -> bool {
-        self.is_single_group() || self.is_speaker
+        self.is_single_group() || self.is_aggregator
     }
 
-    /// Between two group reports of a speaker, so that the group's speakers together make twice as many as `interval` says.
+    /// The time between two group reports of an aggregator, such that the aggregators of a group together make two reports per
+    /// `interval`.
     pub(super) fn group_report_interval(interval: std::time::Duration) -> std::time::Duration {
-        interval * SPEAKERS as u32 / 2
+        interval * AGGREGATORS_PER_GROUP as u32 / 2
     }
 }
 
@@ -113,8 +117,8 @@
     (hash(name, GROUP_SEED) % u64::from(groups.max(1))) as u32
 }
 
-/// The members of a group, its speakers first.
-fn members_in_speaker_order(
+/// The members of a group, its aggregators first.
+fn members_in_aggregator_order(
     living: &BTreeMap<Name, Incarnation>,
     groups: u32,
     group: u32,
@@ -123,12 +127,12 @@
         .keys()
         .filter(|name| group_of(name, groups) == group)
         .collect();
-    members.sort_by_key(|name| hash(name, u64::from(group) + SPEAKER_SEED));
+    members.sort_by_key(|name| hash(name, u64::from(group) + AGGREGATOR_SEED));
     members.into_iter()
 }
 
-/// Evenly spaced nodes on a circle of all names in the order of a hash: each node pulls from those the same steps ahead, so
-/// that as many pull from each.
+/// Picks evenly spaced nodes from the circle of all names in hash order. Every node uses the same offsets, so that each node is
+/// pulled from equally often.
 fn rotation(own_name: &Name, living: &BTreeMap<Name, Incarnation>, size: usize) -> VecDeque<Name> {
     let mut circle: Vec<&Name> = living.keys().collect();
     circle.sort_by_key(|name| hash(name, ROTATION_SEED));
--- a/crates/outcome-stats/src/histogram.rs
+++ b/crates/outcome-stats/src/histogram.rs
@@ -1,11 +1,11 @@
-//! Latencies in buckets whose bounds grow by a fifth: histograms of several nodes add up without loss, in any order. A report
-//! has few calls, so only buckets that are not empty are stored.
+//! Latency histograms with bucket bounds that grow by a factor of 1.2. Histograms of several nodes merge without loss, in any
+//! order. A report covers few calls, so only non-empty buckets are stored.
 
 use std::time::Duration;
 
-/// The bound of each bucket over that of the one before.
-const GROWTH: f64 = 1.2;
-/// The last bucket, which has all beyond about 97 s.
+/// The ratio between the upper bounds of neighbouring buckets.
+const BUCKET_GROWTH: f64 = 1.2;
+/// The last bucket, which also counts all latencies above about 97 s.
 const LAST_BUCKET: u8 = 63;
 
 /// A histogram of latencies.
@@ -17,13 +17,15 @@
     if ms <= 1.0 {
         0
     } else {
-        (ms.ln() / GROWTH.ln()).ceil().min(f64::from(LAST_BUCKET)) as u8
+        (ms.ln() / BUCKET_GROWTH.ln())
+            .ceil()
+            .min(f64::from(LAST_BUCKET)) as u8
     }
 }
 
 impl LatencyHistogram {
     /// The largest relative error of a quantile between 1 ms and 97 s.
-    pub const MAX_RELATIVE_ERROR: f64 = (GROWTH - 1.0) / (GROWTH + 1.0);
+    pub const MAX_RELATIVE_ERROR: f64 = (BUCKET_GROWTH - 1.0) / (BUCKET_GROWTH + 1.0);
 
     /// Counts one latency.
     pub fn record(&mut self, time: Duration) {
@@ -49,18 +51,18 @@
         }
     }
 
-    /// The buckets that are not empty with their counts, in order.
+    /// The non-empty buckets with their counts, in order.
     pub fn buckets(&self) -> &[(u8, u32)] {
         &self.0
     }
 
-    /// The number of latencies.
+    /// The number of recorded latencies.
     pub fn count(&self) -> u64 {
         self.0.iter().map(|(_, count)| u64::from(*count)).sum()
     }
 
-    /// The latency that this share of all does not exceed, within [`LatencyHistogram::MAX_RELATIVE_ERROR`]; `None` if there
-    /// is none. `share` is clamped to 0..=1.
+    /// The quantile at `share`, within [`LatencyHistogram::MAX_RELATIVE_ERROR`]; `None` if the histogram is empty. `share` is
+    /// clamped to 0..=1.
     pub fn quantile(&self, share: f64) -> Option<Duration> {
         let rank = (share.clamp(0.0, 1.0) * self.count() as f64)
             .ceil()
@@ -70,12 +72,12 @@
             below += u64::from(*count);
             below >= rank
         })?;
-        let bound = GROWTH.powi(i32::from(*bucket));
-        let middle = if *bucket == 0 {
+        let bound = BUCKET_GROWTH.powi(i32::from(*bucket));
+        let estimate_ms = if *bucket == 0 {
             1.0
         } else {
-            2.0 * bound / (GROWTH + 1.0)
+            2.0 * bound / (BUCKET_GROWTH + 1.0)
         };
-        Some(Duration::from_secs_f64(middle / 1e3))
+        Some(Duration::from_secs_f64(estimate_ms / 1e3))
     }
 }
--- a/crates/outcome-stats/src/lib.rs
+++ b/crates/outcome-stats/src/lib.rs
@@ -1,12 +1,13 @@
-//! Outcome statistics of a fleet: what each node has counted of backends and classes, exchanged between all nodes, and the
-//! estimates that a node makes from it. No I/O and no clock: events with times go in, messages come out, the same for the same
-//! seed.
+//! Outcome statistics of a fleet: the counts of each node by backend and class, their exchange between all nodes, and the
+//! estimates that a node makes from them. It does no I/O and reads no clock: the caller passes in events with their times and
+//! sends the returned messages. The behaviour is deterministic for a given seed.
 //!
-//! A node counts in windows ([`WindowedCounts`]). Its *report* is the sum of its last closed windows, under its name, its
-//! incarnation and a version. A newer report of an incarnation replaces an older one, so that receiving a report twice, late or
-//! by several ways adds nothing ([`ReportStore`]). Reports are never pushed: a node pulls from another what that one has
-//! received since the last pull, and so knows that no report in a response is older than it claimed to be when the request was
-//! sent ([`StatsExchange`]). The estimates come with their age, their weight and their error ([`FleetEstimate`]).
+//! A node counts in windows ([`WindowedCounts`]). Its *report* is the sum of its last closed windows, identified by its
+//! name, its incarnation and a version. A newer report of an incarnation replaces an older one, so that duplicates, late
+//! arrivals and several paths do not count a report twice ([`ReportStore`]). Reports are never pushed: a node pulls
+//! from another the reports that this one has received since the last pull. No report in a response is older than its stated
+//! age plus the time since the request was sent ([`StatsExchange`]). The estimates come with their age, coverage and
+//! error ([`FleetEstimate`]).
 //!
 //! The design and its measurements are in `docs/design/outcomes.md`.
 #![forbid(unsafe_code)]
--- a/crates/outcome-stats/src/report_store.rs
+++ b/crates/outcome-stats/src/report_store.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A time of this node's monotonic clock, in microseconds; events at other nodes may lie before its zero.
+/// A time of this node's monotonic clock in microseconds, signed because events at other nodes may precede its origin.
 pub(crate) fn micros(time: Duration) -> i64 {
     i64::try_from(time.as_micros()).unwrap_or(i64::MAX)
 }
@@ -15,32 +15,32 @@
 pub struct Report {
     /// The number of windows closed in its incarnation.
     pub version: u64,
-    /// Its last window ended no earlier than this.
+    /// The earliest time at which its last window can have ended.
     pub(crate) ended_us: i64,
-    /// The length of its windows together.
+    /// The total length of its windows.
     pub span: Duration,
     /// The counts.
     pub counts: Rc<Counts>,
-    /// The encoded counts, as they are forwarded.
+    /// The encoded counts, forwarded unchanged.
     pub encoded: Rc<[u8]>,
     /// The number of nodes in the group; 1 for a node's own report.
     pub group_size: f64,
-    /// The number of nodes whose reports it sums up; 1 for a node's own report.
+    /// The weighted number of nodes whose reports it contains; 1 for a node's own report.
     pub represented: f64,
-    /// The share of the group's calls at the node that has most; 1 for a node's own report.
+    /// The share of the group's calls at the node with the most calls; 1 for a node's own report.
     pub largest_share: f64,
-    /// The place in the order of arrival here.
+    /// The sequence number of its arrival at this node.
     pub(crate) arrival: u64,
 }
 
 impl Report {
-    /// The age at the most.
+    /// The maximum age of the report.
     pub fn age(&self, now: Duration) -> Duration {
         Duration::from_micros(micros(now).saturating_sub(self.ended_us).max(0) as u64)
     }
 }
 
-/// The newest reports, by whose they are.
+/// The newest reports, by origin.
 #[derive(Debug)]
 pub struct ReportStore<K> {
     reports: BTreeMap<K, Report>,
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Inserts a report if it is newer than the known one. Of the same version, the one that is known to be younger counts.
-    /// Returns false if nothing is new, or the store is full.
+    /// Inserts a report if it is newer than the known one. For the same version, the lower age bound
+    /// is kept. Returns false if the report is not newer or the store is full.
     pub fn insert(&mut self, key: K, report: Report) -> bool {
         let has_capacity = self.reports.len() < self.max_reports;
         match self.reports.get_mut(&key) {
@@ -106,7 +106,7 @@
         self.reports.get(key)
     }
 
-    /// The reports that arrived after the one with that number, the last first.
+    /// The reports that arrived after the given arrival number, most recent first.
     pub fn arrived_after(&self, arrival: u64) -> impl Iterator<Item = (&K, &Report)> {
         let later = self.by_arrival.range(arrival.saturating_add(1)..).rev();
         later.filter_map(|(_, key)| self.reports.get(key).map(|report| (key, report)))
@@ -117,12 +117,12 @@
         self.reports.len()
     }
 
-    /// Whether there is no report.
+    /// Whether the store is empty.
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty()
     }
 
-    /// The number of reports that have arrived in all.
+    /// The total number of reports inserted so far, which is the last arrival number.
     pub fn arrivals(&self) -> u64 {
         self.arrivals
     }
--- a/crates/outcome-stats/src/windowed_counts.rs
+++ b/crates/outcome-stats/src/windowed_counts.rs
@@ -1,4 +1,4 @@
-//! A node's own counts, in windows of a fixed length from the beginning of its incarnation.
+//! A node's own counts, in windows of a fixed length that start with its incarnation.
 
 use crate::counts::Counts;
 use std::collections::VecDeque;
@@ -24,17 +24,17 @@
     closed: VecDeque<Window>,
 }
 
-/// The sum of the last closed windows.
+/// The sum of the most recent closed windows.
 #[derive(Debug)]
 pub struct WindowSum {
     /// The sum.
     pub counts: Counts,
-    /// How many windows it covers, empty ones too.
+    /// The number of windows it covers, empty ones included.
     pub windows: u32,
 }
 
 impl WindowedCounts {
-    /// Starts at `now`. A report is the sum of the last `windows_per_report` closed windows.
+    /// Starts the first window at `now`. A report is the sum of the last `windows_per_report` closed windows.
     pub fn new(window: Duration, windows_per_report: usize, now: Duration) -> Self {
         WindowedCounts {
             window: window.max(Duration::from_millis(1)),
@@ -46,12 +46,12 @@
         }
     }
 
-    /// Starts again, for a new incarnation.
+    /// Discards all counts and starts a new incarnation at `now`.
     pub fn restart(&mut self, now: Duration) {
         *self = WindowedCounts::new(self.window, self.windows_per_report, now);
     }
 
-    /// The counts of the open window, after closing the one before if it is over.
+    /// The counts of the open window. Closes the previous window first if it has ended.
     pub fn open(&mut self, now: Duration) -> &mut Counts {
         let elapsed = now.saturating_sub(self.started_at);
         let number = (elapsed.as_nanos() / self.window.as_nanos()) as u64;
--- a/crates/outcome-stats/src/wire.rs
+++ b/crates/outcome-stats/src/wire.rs
@@ -1,27 +1,27 @@
-//! The messages between nodes, in protobuf: a reader skips fields that it does not know.
+//! The messages between nodes, encoded in protobuf, so that receivers skip unknown fields.
 
 use prost::Message;
 use std::collections::BTreeMap;
 
-/// Requests the reports that arrived since the last request.
+/// Requests the reports that arrived at the receiver since the previous request.
 #[derive(Clone, PartialEq, Message)]
 pub struct PullRequest {
     /// The number of the request, which the response repeats.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The arrival up to which the receiver has answered before, by its own count; 0 at first.
+    /// The receiver's arrival number up to which the sender has received its reports; 0 at first.
     #[prost(uint64, tag = "2")]
     pub since: u64,
-    /// The salt of the receiver's incarnation in which it counted that.
+    /// The salt of the receiver's incarnation to which `since` and `groups_since` belong.
     #[prost(fixed32, tag = "3")]
     pub salt: u32,
     /// Reports that the sender has, as [`report_mark`]s.
     #[prost(fixed32, repeated, tag = "4")]
     pub known: Vec<u32>,
-    /// The most bytes of a response.
+    /// The maximum size of the response, in bytes.
     #[prost(uint32, tag = "5")]
     pub max_bytes: u32,
-    /// As `since`, of the groups' reports.
+    /// Like `since`, for group reports.
     #[prost(uint64, tag = "6")]
     pub groups_since: u64,
     /// Whether only the receiver's own report is requested.
@@ -35,7 +35,7 @@
     /// The number of the request.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The arrival up to which this answers.
+    /// The sender's arrival number up to which this response covers reports.
     #[prost(uint64, tag = "2")]
     pub until: u64,
     /// The salt of the sender's incarnation.
@@ -44,21 +44,21 @@
     /// The reports.
     #[prost(message, repeated, tag = "4")]
     pub reports: Vec<ReportMessage>,
-    /// As `until`, of the groups' reports.
+    /// Like `until`, for group reports.
     #[prost(uint64, tag = "5")]
     pub groups_until: u64,
-    /// Whether some reports did not fit.
+    /// Whether reports were omitted for lack of space.
     #[prost(bool, tag = "6")]
     pub truncated: bool,
-    /// As in the request.
+    /// The value from the request.
     #[prost(bool, tag = "7")]
     pub own_only: bool,
 }
 
-/// The report of a node or a group, sent by any node. The fields of groups are 0 in a node's own report.
+/// The report of a node or a group, which other nodes may forward. The group fields are 0 in a node's own report.
 #[derive(Clone, PartialEq, Message)]
 pub struct ReportMessage {
-    /// The node's name; of a group's report, that of its speaker.
+    /// The name of the node, or of the aggregator of a group report.
     #[prost(string, tag = "1")]
     pub name: String,
     /// The epoch of the node's incarnation.
@@ -70,10 +70,10 @@
     /// The number of windows closed in that incarnation.
     #[prost(uint64, tag = "4")]
     pub version: u64,
-    /// The age of the last window at the most, when the message was sent.
+    /// The maximum age of the end of the last window when the message was sent.
     #[prost(uint32, tag = "5")]
     pub age_ms: u32,
-    /// The length of the windows together.
+    /// The total length of the windows.
     #[prost(uint32, tag = "6")]
     pub span_ms: u32,
     /// The counts, see [`encode_counts`](crate::codec::encode_counts).
@@ -82,13 +82,13 @@
     /// The number of groups.
     #[prost(uint32, tag = "8")]
     pub groups: u32,
-    /// The group, from 1 on.
+    /// The number of the group, from 1.
     #[prost(uint32, tag = "9")]
     pub group: u32,
     /// The number of nodes in the group.
     #[prost(uint32, tag = "10")]
     pub group_size: u32,
-    /// The number of nodes whose reports are summed up, in thousandths.
+    /// The weighted number of nodes whose reports it contains, in thousandths.
     #[prost(uint32, tag = "11")]
     pub represented_permille: u32,
     /// The largest node's share of the calls, in thousandths.
@@ -107,8 +107,8 @@
     pub response: Option<PullResponse>,
 }
 
-/// A report and its version in 4 bytes: 24 bits of a hash of whose it is, and the last 8 bits of the version. `group` is 0
-/// for a node's own report.
+/// Identifies a report and its version in 4 bytes: 24 bits of a hash of its origin, and the low 8 bits of the version.
+/// `group` is 0 for a node's own report.
 pub fn report_mark(name: &str, salt: u32, group: u32, version: u64) -> u32 {
     let seed = u64::from(salt) << 32 | u64::from(group);
     let hash = xxhash_rust::xxh3::xxh3_64_with_seed(name.as_bytes(), seed);
--- a/crates/outcome-stats/tests/fleet.rs
+++ b/crates/outcome-stats/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Estimates of simulated fleets against the truth, under loss, delay, partitions, restarts and false reports.
+//! Estimates of simulated fleets compared with the true demand, under loss, delay, partitions, restarts and false reports.
 
 mod common;
 
@@ -6,49 +6,49 @@
 use sillward_outcome_stats::{BackendClass, BackendId, InjectedBug, StatsConfig};
 use std::time::Duration;
 
-/// Of all readings of all nodes, once a second for so long, the share within what they say they may be wrong by; and the mean of
-/// how wrong they are, as a share.
+/// Samples the demand estimates of up to 12 nodes once per second. Returns the share of estimates within their stated error, and
+/// the mean relative error.
 fn accuracy(fleet: &mut Fleet, seconds: u64) -> (f64, f64) {
-    let (mut good, mut all, mut off) = (0, 0, 0.0);
+    let (mut within, mut all, mut error_sum) = (0, 0, 0.0);
     for _ in 0..seconds {
-        fleet.pass(ms(1000));
-        let truth = fleet.truth();
+        fleet.advance(ms(1000));
+        let truth = fleet.true_demand();
         for number in (0..fleet.nodes.len()).step_by(fleet.nodes.len().div_ceil(12)) {
-            let (read, error) = fleet.read(number);
+            let (estimated, error) = fleet.estimated_demand(number);
             all += 1;
-            good += usize::from((read - truth).abs() <= error);
-            off += (read - truth).abs() / truth;
+            within += usize::from((estimated - truth).abs() <= error);
+            error_sum += (estimated - truth).abs() / truth;
         }
     }
-    (good as f64 / f64::from(all), off / f64::from(all))
+    (within as f64 / f64::from(all), error_sum / f64::from(all))
 }
 
 #[test]
 fn estimates_demand_within_the_stated_error() {
-    for (seed, lost, late) in [(1, 0, 2), (2, 20, 500), (3, 5, 50)] {
+    for (seed, loss_percent, max_delay_ms) in [(1, 0, 2), (2, 20, 500), (3, 5, 50)] {
         let mut fleet = Fleet::new(12, 8, 40.0, seed, StatsConfig::default());
         fleet.nodes[0].rate = 300.0;
         fleet.network = Network {
-            lost,
-            late: ms(late),
+            loss_percent,
+            max_delay: ms(max_delay_ms),
         };
         fleet
             .nodes
             .iter_mut()
             .for_each(|node| node.swing = (0.2, 20.0));
-        fleet.pass(ms(10_000));
-        let (within, off) = accuracy(&mut fleet, 20);
+        fleet.advance(ms(10_000));
+        let (within, mean_error) = accuracy(&mut fleet, 20);
         assert!(
             within >= 0.95,
-            "{seed}: {within} of the readings are within their error"
+            "{seed}: {within} of the estimates are within their error"
         );
-        assert!(off < 0.2, "{seed}: {off}");
+        assert!(mean_error < 0.2, "{seed}: {mean_error}");
         assert!(
-            fleet.most_bytes <= 10_000.0,
+            fleet.max_bytes_per_second <= 10_000.0,
             "{seed}: {} bytes a node and second",
-            fleet.most_bytes
+            fleet.max_bytes_per_second
         );
-        let share = fleet.view(0).coverage;
+        let share = fleet.estimate(0).coverage;
         assert!(
             share.reporting == 12 && share.age < ms(8_000),
             "{seed}: {share:?}"
@@ -59,13 +59,13 @@
 #[test]
 fn estimates_backends_that_a_node_has_never_used() {
     let mut fleet = Fleet::new(12, 8, 30.0, 4, StatsConfig::default());
-    fleet.good[3] = 40;
-    // Node 11 is asked nothing.
+    fleet.in_time_percent[3] = 40;
+    // Node 11 receives no calls.
     fleet.nodes[11].rate = 0.0;
-    fleet.pass(ms(15_000));
-    let view = fleet.view(11);
+    fleet.advance(ms(15_000));
+    let estimate = fleet.estimate(11);
     let at = |backend: u64| {
-        view.backends[&BackendClass {
+        estimate.backends[&BackendClass {
             backend: BackendId::of(1 + backend),
             class: class(),
         }]
@@ -77,25 +77,25 @@
         "{:?}",
         at(4)
     );
-    let median = at(4).latencies.quantile(0.5).expect("times");
+    let median = at(4).latencies.quantile(0.5).expect("latencies");
     assert!(
         (22..=27).contains(&median.as_millis()),
-        "24 ms, an eleventh off: {median:?}"
+        "expected 24 ms within 1/11: {median:?}"
     );
 }
 
 #[test]
-fn partitioned_half_fades_and_counts_once_after_recovery() {
+fn weight_of_partitioned_nodes_falls_linearly_and_recovers() {
     let mut fleet = Fleet::new(12, 8, 40.0, 5, StatsConfig::default());
-    fleet.pass(ms(10_000));
-    let before = fleet.view(0).coverage.weight;
-    fleet.cut = Some(6);
+    fleet.advance(ms(10_000));
+    let before = fleet.estimate(0).coverage.weight;
+    fleet.partition_at = Some(6);
     let mut weights = vec![before];
     for _ in 0..70 {
-        fleet.pass(ms(1000));
-        weights.push(fleet.view(0).coverage.weight);
+        fleet.advance(ms(1000));
+        weights.push(fleet.estimate(0).coverage.weight);
     }
-    // By a straight line, and nothing at once.
+    // The weight falls linearly, without a jump.
     assert!(
         weights
             .windows(2)
@@ -106,24 +106,24 @@
         before > 0.99 && (0.45..0.55).contains(&weights[70]),
         "{weights:?}"
     );
-    // A half stands for the whole, and says how wrong that may be: its own callers ask as the others do.
-    let ((read, error), truth) = (fleet.read(0), fleet.truth());
+    // The reachable half is extrapolated to the whole fleet with a larger error. Both halves have the same call rate.
+    let ((estimated, error), truth) = (fleet.estimated_demand(0), fleet.true_demand());
     assert!(
-        (read - truth).abs() <= error && error > 0.1 * truth,
-        "{read} +- {error} of {truth}"
+        (estimated - truth).abs() <= error && error > 0.1 * truth,
+        "{estimated} +- {error} of {truth}"
     );
-    fleet.cut = None;
-    fleet.pass(ms(10_000));
+    fleet.partition_at = None;
+    fleet.advance(ms(10_000));
     let (within, _) = accuracy(&mut fleet, 10);
     assert!(
-        within >= 0.95 && fleet.view(0).coverage.weight > 0.99,
+        within >= 0.95 && fleet.estimate(0).coverage.weight > 0.99,
         "{within}"
     );
 }
 
 #[test]
 fn restart_neither_doubles_nor_loses_demand() {
-    let dip = |bug: Option<InjectedBug>| {
+    let demand_ratio_range = |bug: Option<InjectedBug>| {
         let mut fleet = Fleet::new(
             12,
             8,
@@ -135,27 +135,27 @@
             },
         );
         fleet.nodes[1].rate = 300.0;
-        fleet.pass(ms(10_000));
-        let (mut least, mut most) = (f64::MAX, 0.0f64);
+        fleet.advance(ms(10_000));
+        let (mut min, mut max) = (f64::MAX, 0.0f64);
         for round in 0..30 {
             if round % 3 == 0 {
                 fleet.restart(1 + round / 3);
             }
-            fleet.pass(ms(500));
-            let ratio = fleet.read(0).0 / fleet.truth();
-            (least, most) = (least.min(ratio), most.max(ratio));
+            fleet.advance(ms(500));
+            let ratio = fleet.estimated_demand(0).0 / fleet.true_demand();
+            (min, max) = (min.min(ratio), max.max(ratio));
         }
-        (least, most)
+        (min, max)
     };
-    let (least, most) = dip(None);
-    assert!(least > 0.75 && most < 1.25, "{least} to {most}");
-    let (_, doubled) = dip(Some(InjectedBug::DoubleCountRestarts));
+    let (min, max) = demand_ratio_range(None);
+    assert!(min > 0.75 && max < 1.25, "{min} to {max}");
+    let (_, doubled) = demand_ratio_range(Some(InjectedBug::DoubleCountRestarts));
     assert!(doubled > 1.25, "the injected bug has no effect: {doubled}");
 }
 
 #[test]
 fn false_reports_have_a_bounded_share_of_estimates() {
-    let sway = |bug: Option<InjectedBug>| {
+    let effect_of_false_report = |bug: Option<InjectedBug>| {
         let mut fleet = Fleet::new(
             12,
             8,
@@ -167,27 +167,27 @@
             },
         );
         fleet.nodes[2].inflation = 60.0;
-        fleet.pass(ms(15_000));
-        let judged = fleet.view(0).backends[&BackendClass {
+        fleet.advance(ms(15_000));
+        let in_time = fleet.estimate(0).backends[&BackendClass {
             backend: BackendId::of(1),
             class: class(),
         }]
             .in_time;
-        (fleet.read(0).0 / fleet.truth(), judged)
+        (fleet.estimated_demand(0).0 / fleet.true_demand(), in_time)
     };
-    let (sum, judged) = sway(None);
+    let (demand_ratio, in_time) = effect_of_false_report(None);
     assert!(
-        sum <= 2.1,
-        "all others together once more at the most: {sum}"
+        demand_ratio <= 2.1,
+        "the false report counts for more than all others together: {demand_ratio}"
     );
     assert!(
-        judged >= 0.97 * 0.75,
-        "a fifth of the judgement at the most: {judged}"
+        in_time >= 0.97 * 0.75,
+        "the false report has more than a fifth of the weight: {in_time}"
     );
-    let (believed, dead) = sway(Some(InjectedBug::NoShareCap));
+    let (uncapped_ratio, uncapped_in_time) = effect_of_false_report(Some(InjectedBug::NoShareCap));
     assert!(
-        believed > 4.0 && dead < 0.3,
-        "the injected bug has no effect: {believed} {dead}"
+        uncapped_ratio > 4.0 && uncapped_in_time < 0.3,
+        "the injected bug has no effect: {uncapped_ratio} {uncapped_in_time}"
     );
 }
 
@@ -195,9 +195,12 @@
 fn node_with_half_of_the_traffic_counts_in_full() {
     let mut fleet = Fleet::new(12, 8, 40.0, 8, StatsConfig::default());
     fleet.nodes[0].rate = 440.0;
-    fleet.pass(ms(15_000));
-    let (read, truth) = (fleet.read(5).0, fleet.truth());
-    assert!((0.85..1.15).contains(&(read / truth)), "{read} of {truth}");
+    fleet.advance(ms(15_000));
+    let (estimated, truth) = (fleet.estimated_demand(5).0, fleet.true_demand());
+    assert!(
+        (0.85..1.15).contains(&(estimated / truth)),
+        "{estimated} of {truth}"
+    );
 }
 
 #[test]
@@ -213,14 +216,17 @@
                 ..StatsConfig::default()
             },
         );
-        fleet.pass(ms(10_000));
-        // Everything that is said from now on is held up for 15 s, and asks are forgotten before that.
-        fleet.network.late = ms(0);
-        fleet.cut = Some(1);
-        fleet.pass(ms(40_000));
-        fleet.view(0).coverage.weight
+        fleet.advance(ms(10_000));
+        // The partition separates node 0 from the other five nodes.
+        fleet.network.max_delay = ms(0);
+        fleet.partition_at = Some(1);
+        fleet.advance(ms(40_000));
+        fleet.estimate(0).coverage.weight
     };
-    assert!(weight(None) < 0.6, "five of six are 40 s old");
+    assert!(
+        weight(None) < 0.6,
+        "reports of five of six nodes are 40 s old"
+    );
     assert!(
         weight(Some(InjectedBug::IgnoreAge)) > 0.9,
         "the injected bug has no effect"
@@ -228,26 +234,26 @@
 }
 
 #[test]
-fn loss_and_delay_never_make_a_report_younger() {
+fn loss_and_delay_never_understate_the_age_of_a_report() {
     let mut fleet = Fleet::new(12, 8, 20.0, 10, StatsConfig::default());
     fleet.network = Network {
-        lost: 20,
-        late: ms(1500),
+        loss_percent: 20,
+        max_delay: ms(1500),
     };
     for _ in 0..30 {
-        fleet.pass(ms(1000));
+        fleet.advance(ms(1000));
         for number in 0..12 {
-            for ((whose, incarnation), word) in fleet.nodes[number].exchange.reports().iter() {
-                let of: usize = whose.as_str()[1..].parse().expect("a node");
+            for ((origin, incarnation), report) in fleet.nodes[number].exchange.reports().iter() {
+                let of: usize = origin.as_str()[1..].parse().expect("a node number");
                 if fleet.nodes[of].incarnation != *incarnation {
                     continue;
                 }
-                // The word's last window ended so long after its incarnation began.
-                let ended = ms(10_000) + Duration::from_secs(word.version);
+                // Windows last one second, so the last window ended `version` seconds after the incarnation began.
+                let ended = ms(10_000) + Duration::from_secs(report.version);
                 let true_age = fleet.now.saturating_sub(ended);
                 assert!(
-                    word.age(fleet.now) + ms(1) >= true_age,
-                    "{whose} at n{number}"
+                    report.age(fleet.now) + ms(1) >= true_age,
+                    "{origin} at n{number}"
                 );
             }
         }
@@ -258,27 +264,27 @@
 fn hundred_nodes_exchange_by_groups_within_the_same_rate() {
     let mut fleet = Fleet::new(100, 40, 8.0, 11, StatsConfig::default());
     fleet.nodes[0].rate = 300.0;
-    fleet.good[3] = 40;
+    fleet.in_time_percent[3] = 40;
     fleet.network = Network {
-        lost: 2,
-        late: ms(20),
+        loss_percent: 2,
+        max_delay: ms(20),
     };
-    fleet.pass(ms(30_000));
-    let (within, off) = accuracy(&mut fleet, 4);
-    assert!(within >= 0.95 && off < 0.15, "{within} {off}");
+    fleet.advance(ms(30_000));
+    let (within, mean_error) = accuracy(&mut fleet, 4);
+    assert!(within >= 0.95 && mean_error < 0.15, "{within} {mean_error}");
     assert!(
-        fleet.most_bytes <= 10_000.0,
+        fleet.max_bytes_per_second <= 10_000.0,
         "{} bytes a node and second",
-        fleet.most_bytes
+        fleet.max_bytes_per_second
     );
     for number in (0..100).step_by(9) {
-        let view = fleet.view(number);
+        let estimate = fleet.estimate(number);
         assert!(
-            view.coverage.reporting >= 97 && view.coverage.age < ms(10_000),
+            estimate.coverage.reporting >= 97 && estimate.coverage.age < ms(10_000),
             "n{number} {:?}",
-            view.coverage
+            estimate.coverage
         );
-        let bad = &view.backends[&BackendClass {
+        let bad = &estimate.backends[&BackendClass {
             backend: BackendId::of(4),
             class: class(),
         }];
@@ -286,7 +292,8 @@
     }
 }
 
-/// `cargo test --release -p sillward-outcome-stats --test fleet -- --ignored --nocapture sizes`
+/// `cargo test --release -p sillward-outcome-stats --test fleet -- --ignored --nocapture sizes`. The environment variable `SIZES`
+/// lists the numbers of nodes.
 #[test]
 #[ignore = "a measurement"]
 fn sizes() {
@@ -312,22 +319,25 @@
             node.swing = (0.2, 60.0);
         });
         fleet.network = Network {
-            lost: 2,
-            late: ms(20),
+            loss_percent: 2,
+            max_delay: ms(20),
         };
-        fleet.pass(ms(60_000));
+        fleet.advance(ms(60_000));
         fleet.bytes = 0;
-        let (within, off) = accuracy(&mut fleet, 10);
+        let (within, mean_error) = accuracy(&mut fleet, 10);
         let bytes = fleet.bytes as f64 / 10.0 / nodes as f64;
-        let (share, (read, error)) = (fleet.view(nodes / 2).coverage, fleet.read(nodes / 2));
+        let (share, (estimated, error)) = (
+            fleet.estimate(nodes / 2).coverage,
+            fleet.estimated_demand(nodes / 2),
+        );
         println!(
             "| {nodes} | {backends} | {:.1}, {:.1} (fresh for {:.1}) | {:.3} | {:.3} | {bytes:.0} | {:.2} |",
             share.age.as_secs_f64(),
             share.oldest.as_secs_f64(),
             fleet.nodes[nodes / 2].exchange.fresh_for().as_secs_f64(),
             within,
-            off,
-            error / read
+            mean_error,
+            error / estimated
         );
     }
 }
--- a/crates/outcome-stats/tests/golden.rs
+++ b/crates/outcome-stats/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden bytes of the statistics that nodes exchange.
+//! The wire format of exchanged statistics, compared with golden files.
 
 use prost::Message;
 use sillward_outcome_stats::codec::{decode_counts, encode_counts};
@@ -47,14 +47,14 @@
     };
     full.latencies.add(7, 200);
     full.latencies.add(63, 1);
-    for (backend, class, tally) in [
+    for (backend, class, attempts) in [
         (BackendId(9), read, full),
         (BackendId(9), submit, plain.clone()),
         (BackendId::OTHERS, read, plain),
     ] {
         counts
             .attempts
-            .insert(BackendClass { backend, class }, tally);
+            .insert(BackendClass { backend, class }, attempts);
     }
     counts
 }
@@ -71,7 +71,7 @@
 
 #[test]
 fn requests_and_responses_keep_their_bytes() {
-    let ask = PullRequest {
+    let request = PullRequest {
         number: 3,
         since: 4,
         salt: 5,
@@ -80,7 +80,7 @@
         groups_since: 9,
         own_only: true,
     };
-    let told = ReportMessage {
+    let report = ReportMessage {
         name: "n3".to_owned(),
         epoch: 2,
         salt: 0xfeed_beef,
@@ -94,22 +94,22 @@
         represented_permille: 17_500,
         largest_share_permille: 120,
     };
-    let answer = PullResponse {
+    let response = PullResponse {
         number: 3,
         until: 10,
         salt: 5,
-        reports: vec![told],
+        reports: vec![report],
         groups_until: 2,
         truncated: true,
         own_only: false,
     };
-    let said = StatsMessage {
-        request: Some(ask),
-        response: Some(answer),
+    let message = StatsMessage {
+        request: Some(request),
+        response: Some(response),
     };
-    let bytes = said.encode_to_vec();
+    let bytes = message.encode_to_vec();
     assert_eq!(hex(&bytes), include_str!("golden/said.hex").trim());
-    assert_eq!(StatsMessage::decode(bytes.as_slice()), Ok(said));
+    assert_eq!(StatsMessage::decode(bytes.as_slice()), Ok(message));
 }
 
 #[test]
--- a/crates/outcome-stats/tests/parts.rs
+++ b/crates/outcome-stats/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Counts and histograms merge in any order; messages of others are decoded or rejected.
+//! Counts and histograms merge in any order; arbitrary messages are decoded or rejected without a panic.
 
 use proptest::prelude::*;
 use sillward_membership::{Incarnation, Name};
@@ -9,18 +9,18 @@
 };
 use std::time::Duration;
 
-fn sketches() -> impl Strategy<Value = LatencyHistogram> {
+fn histograms() -> impl Strategy<Value = LatencyHistogram> {
     prop::collection::vec((0u8..70, 1u32..50), 0..6).prop_map(|buckets| {
-        let mut sketch = LatencyHistogram::default();
+        let mut histogram = LatencyHistogram::default();
         buckets
             .into_iter()
-            .for_each(|(bucket, count)| sketch.add(bucket, count));
-        sketch
+            .for_each(|(bucket, count)| histogram.add(bucket, count));
+        histogram
     })
 }
 
-fn tallies() -> impl Strategy<Value = AttemptCounts> {
-    (prop::array::uniform7(0u32..500), sketches()).prop_map(
+fn attempt_counts() -> impl Strategy<Value = AttemptCounts> {
+    (prop::array::uniform7(0u32..500), histograms()).prop_map(
         |(
             [
                 sent,
@@ -45,23 +45,25 @@
     )
 }
 
-fn counts(most: usize) -> impl Strategy<Value = Counts> {
-    let cells = prop::collection::btree_map((1u32..400, 0u32..5), tallies(), 0..most);
-    let asked = prop::collection::btree_map(0u32..5, prop::array::uniform3(0u32..900), 0..5);
-    (cells, asked).prop_map(|(cells, asked)| Counts {
-        attempts: cells
+fn counts(max_keys: usize) -> impl Strategy<Value = Counts> {
+    let attempts_by_key =
+        prop::collection::btree_map((1u32..400, 0u32..5), attempt_counts(), 0..max_keys);
+    let calls_by_class =
+        prop::collection::btree_map(0u32..5, prop::array::uniform3(0u32..900), 0..5);
+    (attempts_by_key, calls_by_class).prop_map(|(attempts_by_key, calls_by_class)| Counts {
+        attempts: attempts_by_key
             .into_iter()
-            .map(|((backend, class), tally)| {
+            .map(|((backend, class), attempts)| {
                 (
                     BackendClass {
                         backend: BackendId(backend),
                         class: ClassId(class),
                     },
-                    tally,
+                    attempts,
                 )
             })
             .collect(),
-        calls: asked
+        calls: calls_by_class
             .into_iter()
             .map(|(class, [first, retries, rejected])| {
                 (
@@ -83,15 +85,15 @@
     sum
 }
 
-/// By class, over all backends.
+/// Attempts sent, attempts ended and health checks by class, over all backends.
 fn by_class(counts: &Counts) -> Vec<(u32, u64, u64, u64)> {
     let mut sums = std::collections::BTreeMap::<u32, (u64, u64, u64)>::new();
-    for (cell, tally) in &counts.attempts {
-        let sum = sums.entry(cell.class.0).or_default();
+    for (key, attempts) in &counts.attempts {
+        let sum = sums.entry(key.class.0).or_default();
         *sum = (
-            sum.0 + u64::from(tally.sent),
-            sum.1 + tally.ended(),
-            sum.2 + u64::from(tally.health_checks),
+            sum.0 + u64::from(attempts.sent),
+            sum.1 + attempts.ended(),
+            sum.2 + u64::from(attempts.health_checks),
         );
     }
     sums.into_iter()
@@ -113,23 +115,23 @@
     fn decodes_encoded_counts_and_keeps_sums_of_omitted_backends(counts in counts(300)) {
         let bytes = encode_counts(&counts);
         prop_assert!(bytes.len() <= MAX_COUNTS_BYTES, "{}", bytes.len());
-        let back = decode_counts(&bytes).expect("its own");
-        prop_assert_eq!(&back.calls, &counts.calls);
-        prop_assert_eq!(by_class(&back), by_class(&counts));
-        if back.attempts.keys().all(|cell| cell.backend != BackendId::OTHERS) {
-            prop_assert_eq!(back, counts);
+        let decoded = decode_counts(&bytes).expect("encoded counts are valid");
+        prop_assert_eq!(&decoded.calls, &counts.calls);
+        prop_assert_eq!(by_class(&decoded), by_class(&counts));
+        if decoded.attempts.keys().all(|key| key.backend != BackendId::OTHERS) {
+            prop_assert_eq!(decoded, counts);
         }
     }
 
     #[test]
     fn quantiles_are_within_the_stated_error(times in prop::collection::vec(2u64..60_000, 1..80), share in 0.0f64..1.0) {
-        let mut sketch = LatencyHistogram::default();
-        times.iter().for_each(|ms| sketch.record(Duration::from_millis(*ms)));
+        let mut histogram = LatencyHistogram::default();
+        times.iter().for_each(|ms| histogram.record(Duration::from_millis(*ms)));
         let mut sorted = times.clone();
         sorted.sort();
         let rank = ((share * sorted.len() as f64).ceil() as usize).clamp(1, sorted.len());
-        let (exact, read) = (sorted[rank - 1] as f64, sketch.quantile(share).expect("some").as_secs_f64() * 1e3);
-        prop_assert!((read - exact).abs() <= exact * (LatencyHistogram::MAX_RELATIVE_ERROR + 1e-6), "{} for {}", read, exact);
+        let (exact, estimated) = (sorted[rank - 1] as f64, histogram.quantile(share).expect("a non-empty histogram").as_secs_f64() * 1e3);
+        prop_assert!((estimated - exact).abs() <= exact * (LatencyHistogram::MAX_RELATIVE_ERROR + 1e-6), "{} for {}", estimated, exact);
     }
 
     #[test]
@@ -138,7 +140,7 @@
         receive(&bytes);
     }
 
-    /// Nearer to what there is than noise: one byte changed, or the end cut off.
+    /// Valid encodings with one byte changed, or truncated.
     #[test]
     fn damaged_reports_are_decoded_or_rejected(counts in counts(20), at in any::<prop::sample::Index>(), byte in any::<u8>(), cut in any::<prop::sample::Index>()) {
         let mut bytes = encode_counts(&counts);
@@ -150,20 +152,23 @@
 }
 
 fn receive(bytes: &[u8]) {
-    let (me, other) = (
-        Name::new("a").expect("a name"),
-        Name::new("b").expect("a name"),
+    let (own_name, other) = (
+        Name::new("a").expect("a valid name"),
+        Name::new("b").expect("a valid name"),
     );
     let (incarnation, now) = (Incarnation { epoch: 1, salt: 7 }, Duration::from_secs(5));
-    let mut exchange = StatsExchange::new(StatsConfig::default(), me, incarnation, 1, now);
+    let mut exchange = StatsExchange::new(StatsConfig::default(), own_name, incarnation, 1, now);
     let _ = exchange.tick(now, incarnation, [(&other, incarnation)].into_iter());
     let _ = exchange.handle_message(now, &other, incarnation, bytes);
-    assert!(exchange.reports().len() <= 1, "nothing was asked for");
+    assert!(
+        exchange.reports().len() <= 1,
+        "stored a report that was not requested"
+    );
 }
 
-/// `cargo test --release -p sillward-outcome-stats --test parts -- --ignored`: a million.
+/// Run with `cargo test --release -p sillward-outcome-stats --test parts -- --ignored`.
 #[test]
-#[ignore = "half a minute"]
+#[ignore = "takes about 30 s"]
 fn million_damaged_messages_are_decoded_or_rejected() {
     use rand_pcg::rand_core::{RngCore, SeedableRng};
     let mut random = rand_pcg::Pcg32::seed_from_u64(1);
@@ -200,9 +205,9 @@
 
 #[test]
 fn accepts_windows_as_long_as_the_maximum_age() {
-    let (me, other) = (
-        Name::new("a").expect("a name"),
-        Name::new("b").expect("a name"),
+    let (own_name, other) = (
+        Name::new("a").expect("a valid name"),
+        Name::new("b").expect("a valid name"),
     );
     let (incarnation, now) = (Incarnation { epoch: 1, salt: 7 }, Duration::from_secs(5));
     let window = Duration::from_secs(10);
@@ -212,62 +217,65 @@
             max_report_age: window,
             ..StatsConfig::default()
         },
-        me,
+        own_name,
         incarnation,
         1,
         now,
     );
-    let asked = exchange.tick(now, incarnation, [(&other, incarnation)].into_iter());
-    assert_eq!(asked.len(), 1);
+    let requests = exchange.tick(now, incarnation, [(&other, incarnation)].into_iter());
+    assert_eq!(requests.len(), 1);
     use prost::Message;
-    let answer = sillward_outcome_stats::wire::PullResponse {
+    let response = sillward_outcome_stats::wire::PullResponse {
         number: 1,
         ..Default::default()
     };
-    let said = sillward_outcome_stats::wire::StatsMessage {
+    let message = sillward_outcome_stats::wire::StatsMessage {
         request: None,
-        response: Some(answer),
+        response: Some(response),
     };
-    exchange.handle_message(now, &other, incarnation, &said.encode_to_vec());
+    exchange.handle_message(now, &other, incarnation, &message.encode_to_vec());
     assert!(exchange.fresh_for() <= window && exchange.estimate(now).coverage.living == 2);
 }
 
 #[test]
 fn single_node_estimates_from_its_own_counts() {
-    let (me, incarnation) = (
-        Name::new("a").expect("a name"),
+    let (own_name, incarnation) = (
+        Name::new("a").expect("a valid name"),
         Incarnation { epoch: 1, salt: 7 },
     );
     let mut now = Duration::from_secs(5);
-    let mut exchange = StatsExchange::new(StatsConfig::default(), me, incarnation, 1, now);
+    let mut exchange = StatsExchange::new(StatsConfig::default(), own_name, incarnation, 1, now);
     for _ in 0..100 {
         now += Duration::from_millis(100);
         exchange.counts(now).record_call(ClassId(1), false);
         assert!(exchange.tick(now, incarnation, [].into_iter()).is_empty());
     }
-    let view = exchange.estimate(now);
+    let estimate = exchange.estimate(now);
     assert!(
-        (8.0..12.0).contains(&view.demand[&ClassId(1)].first),
-        "{view:?}"
+        (8.0..12.0).contains(&estimate.demand[&ClassId(1)].first),
+        "{estimate:?}"
+    );
+    assert_eq!(
+        (estimate.coverage.living, estimate.coverage.reporting),
+        (1, 1)
     );
-    assert_eq!((view.coverage.living, view.coverage.reporting), (1, 1));
 }
 
 #[test]
 fn rejects_reports_that_were_not_requested() {
     use prost::Message;
     use sillward_outcome_stats::wire::{PullResponse, ReportMessage, StatsMessage};
-    let (me, other) = (
-        Name::new("a").expect("a name"),
-        Name::new("b").expect("a name"),
+    let (own_name, other) = (
+        Name::new("a").expect("a valid name"),
+        Name::new("b").expect("a valid name"),
     );
     let (incarnation, now) = (Incarnation { epoch: 1, salt: 7 }, Duration::from_secs(5));
-    let mut exchange = StatsExchange::new(StatsConfig::default(), me, incarnation, 1, now);
-    let asked = exchange.tick(now, incarnation, [(&other, incarnation)].into_iter());
-    assert_eq!(asked.len(), 1, "{asked:?}");
+    let mut exchange = StatsExchange::new(StatsConfig::default(), own_name, incarnation, 1, now);
+    let requests = exchange.tick(now, incarnation, [(&other, incarnation)].into_iter());
+    assert_eq!(requests.len(), 1, "{requests:?}");
     let mut counts = Counts::default();
     counts.record_call(ClassId(1), false);
-    let told = |name: &str| ReportMessage {
+    let report = |name: &str| ReportMessage {
         name: name.to_owned(),
         epoch: 1,
         salt: 7,
@@ -277,43 +285,54 @@
         counts: encode_counts(&counts),
         ..ReportMessage::default()
     };
-    let answer = |number: u64, name: &str| {
-        let answer = PullResponse {
+    let response = |number: u64, name: &str| {
+        let response = PullResponse {
             number,
             until: 1,
             salt: 7,
-            reports: vec![told(name)],
+            reports: vec![report(name)],
             ..PullResponse::default()
         };
         StatsMessage {
             request: None,
-            response: Some(answer),
+            response: Some(response),
         }
         .encode_to_vec()
     };
-    exchange.handle_message(now, &other, incarnation, &answer(9, "b"));
-    assert!(exchange.reports().is_empty(), "another number");
-    exchange.handle_message(now, &other, incarnation, &answer(1, "a"));
+    exchange.handle_message(now, &other, incarnation, &response(9, "b"));
+    assert!(
+        exchange.reports().is_empty(),
+        "the request number does not match"
+    );
+    exchange.handle_message(now, &other, incarnation, &response(1, "a"));
     assert!(
         exchange.reports().is_empty(),
-        "a word of this node's own, from somebody else"
+        "a report under this node's own name, from another node"
     );
-    let mut again = StatsExchange::new(
+    let mut second = StatsExchange::new(
         StatsConfig::default(),
-        Name::new("a").expect("a name"),
+        Name::new("a").expect("a valid name"),
         incarnation,
         1,
         now,
     );
-    again.tick(now, incarnation, [(&other, incarnation)].into_iter());
+    second.tick(now, incarnation, [(&other, incarnation)].into_iter());
     let later = now + Duration::from_millis(1500);
-    again.handle_message(later, &other, incarnation, &answer(1, "b"));
-    let (_, word) = again.reports().iter().next().expect("what was asked for");
+    second.handle_message(later, &other, incarnation, &response(1, "b"));
+    let (_, report) = second
+        .reports()
+        .iter()
+        .next()
+        .expect("the requested report");
     assert_eq!(
-        word.age(later),
+        report.age(later),
         Duration::from_millis(1600),
-        "counted from the ask"
+        "the age counts from the time of the request"
+    );
+    second.handle_message(later, &other, incarnation, &response(1, "b"));
+    assert_eq!(
+        second.counters().invalid,
+        1,
+        "a duplicate response is invalid"
     );
-    again.handle_message(later, &other, incarnation, &answer(1, "b"));
-    assert_eq!(again.counters().invalid, 1, "an answer counts once");
 }
