--- a/crates/balancer/src/policy/completion.rs
+++ b/crates/balancer/src/policy/completion.rs
@@ -9,8 +9,8 @@
 use crate::load_report::LoadReport;
 use std::time::Duration;
 
-/// An attempt that ended later after the deadline than this fraction of the mean latency is attributed to a pause of this
-/// node, not to the server.
+/// An attempt that ended after the deadline by more than this fraction of the mean latency is attributed to a pause of
+/// this node, not to the server.
 const MAX_OVERDUE_FRACTION: f64 = 1.0 / 4.0;
 /// A response is slow if it took more than this many quarters of the time available to it.
 const SLOW_QUARTERS: u32 = 3;
--- a/crates/balancer/src/policy/deadline.rs
+++ b/crates/balancer/src/policy/deadline.rs
@@ -12,8 +12,8 @@
 /// in this many.
 const SAME_TIMEOUT_DIVISOR: u32 = 64;
 
-/// How long clients wait for a first request, by class. A marked retry has less time left, by the time that its client has
-/// already waited.
+/// How long clients wait for a first request, by class. The remaining time of a marked retry is shorter: its client
+/// has already spent a part of it on earlier requests.
 #[derive(Debug)]
 pub(super) struct FirstRequestTimeouts(Vec<Duration>);
 
@@ -28,32 +28,38 @@
     }
 
     /// How long the client has already waited with earlier requests, as far as can be inferred.
-    fn already_waited(&mut self, request: &NewRequest, position: usize, class: &Class) -> Duration {
+    fn already_waited(
+        &mut self,
+        request: &NewRequest,
+        class_index: usize,
+        class: &Class,
+    ) -> Duration {
         if !request.client_retry {
-            self.0[position] = request.remaining;
+            self.0[class_index] = request.remaining;
         }
-        let first = self.0[position];
+        let first = self.0[class_index];
         if request.remaining.abs_diff(first) < first / SAME_TIMEOUT_DIVISOR {
             return Duration::ZERO;
         }
         class.deadline.saturating_sub(request.remaining)
     }
 
-    /// The deadline of a new request of the class at `position`. Timers are late by up to one timer resolution, and the
-    /// response has to reach the client before it gives up.
+    /// The deadline of a new request of the class at `class_index`: when its client gives up, or at the latency objective if
+    /// that is earlier and late responses have no weight. A margin is kept because timers are late by up to one timer
+    /// resolution, and the response has to reach the client in time.
     pub(super) fn deadline(
         &mut self,
         settings: &Settings,
         now: Duration,
         request: &NewRequest,
-        position: usize,
+        class_index: usize,
     ) -> Duration {
-        let class = &settings.classes[position];
+        let class = &settings.classes[class_index];
         let margin = 2 * settings.timer_resolution;
         let client_timeout_at = now + request.remaining.saturating_sub(margin);
         let work = request.expected_work.unwrap_or_default();
         let stretch = work.mul_f64(class.objective_stretch.clamp(0.0, MAX_OBJECTIVE_STRETCH));
-        let already_waited = self.already_waited(request, position, class);
+        let already_waited = self.already_waited(request, class_index, class);
         if class.late_weight > 0.0 {
             return client_timeout_at;
         }
--- a/crates/balancer/src/policy/estimators.rs
+++ b/crates/balancer/src/policy/estimators.rs
@@ -47,6 +47,7 @@
 /// An exponentially decaying rate per second.
 #[derive(Debug, Default)]
 pub(super) struct DecayedRate {
+    /// The sum of all amounts, decayed until `at`.
     amount: f64,
     at: Duration,
 }
--- a/crates/balancer/src/policy/selection.rs
+++ b/crates/balancer/src/policy/selection.rs
@@ -24,14 +24,15 @@
 pub(super) enum Selection {
     /// This server has the lowest estimate below the cap.
     BelowCap(ServerId),
-    /// All servers that are not overloaded have reached the cap.
+    /// All candidates have reached the cap: the servers that the concurrency gate admits and whose concurrency is not above
+    /// the average.
     AtCap {
         /// One of them, picked at random.
         fallback: ServerId,
         /// Servers whose load a health check could find out.
         unknown_load: Vec<ServerId>,
     },
-    /// All servers are overloaded.
+    /// All servers are overloaded: the concurrency gate admits none of them.
     Overloaded {
         /// Servers whose load a health check could find out.
         unknown_load: Vec<ServerId>,
@@ -45,7 +46,7 @@
     pub(super) context: Context<'a>,
     pub(super) gate: &'a ConcurrencyGate,
     pub(super) join_up_to: &'a JoinUpTo,
-    /// Whether the request may wait for health checks and does not wait for any yet.
+    /// Whether the request may wait for health checks and is not waiting for any yet.
     pub(super) may_check_health: bool,
 }
 
@@ -57,20 +58,20 @@
         eligible: Vec<&Server>,
         draws: Draws,
     ) -> Selection {
-        let healthy = self.preferred_by_health(request, eligible, draws);
-        let open: Vec<_> = healthy
+        let preferred = self.preferred_by_health(request, eligible, draws);
+        let admitted: Vec<_> = preferred
             .iter()
             .copied()
             .filter(|s| self.admits(s, request, draws))
             .collect();
-        let candidates = self.lowest_concurrency(open);
+        let candidates = self.at_or_below_average_concurrency(admitted);
         if let Some(server) = self
             .join_up_to
             .choose(&self.context, &candidates, draws.choice)
         {
             return Selection::BelowCap(server);
         }
-        let unknown_load = self.unknown_load(&healthy);
+        let unknown_load = self.unknown_load(&preferred);
         match random::pick(&candidates, draws.choice) {
             Some(server) => Selection::AtCap {
                 fallback: server.endpoint.id,
@@ -78,7 +79,7 @@
             },
             None => Selection::Overloaded {
                 unknown_load,
-                unexplored: healthy.iter().any(|s| self.is_unexplored(s)),
+                unexplored: preferred.iter().any(|s| self.is_unexplored(s)),
             },
         }
     }
@@ -146,7 +147,7 @@
     }
 
     /// The servers whose concurrency is not above the average.
-    fn lowest_concurrency<'s>(&self, servers: Vec<&'s Server>) -> Vec<&'s Server> {
+    fn at_or_below_average_concurrency<'s>(&self, servers: Vec<&'s Server>) -> Vec<&'s Server> {
         let concurrency: Vec<_> = servers
             .iter()
             .map(|s| s.concurrency(&self.context))
--- a/crates/balancer/src/policy/slow_start.rs
+++ b/crates/balancer/src/policy/slow_start.rs
@@ -87,9 +87,9 @@
         };
         let fraction = accrued.fract();
         self.accrual = Some(Accrual { at: now, fraction });
-        let age = Duration::from_secs_f64((fraction / rate.max(1e-9)).min(MAX_PERMIT_AGE_S));
-        if accrued >= 1.0 && age < lifetime {
-            self.valid_until = now + lifetime - age;
+        let permit_age = Duration::from_secs_f64((fraction / rate.max(1e-9)).min(MAX_PERMIT_AGE_S));
+        if accrued >= 1.0 && permit_age < lifetime {
+            self.valid_until = now + lifetime - permit_age;
         }
     }
 }
@@ -116,7 +116,7 @@
             .add(context.now, context.rate_window_s(), relative_work);
     }
 
-    /// Saves the rate of warm servers. Called before an endpoint update, after which no server may be warm.
+    /// Saves the rate of warm servers. Called before an endpoint update, which may leave no server warm.
     pub(super) fn before_endpoint_update(
         &mut self,
         context: &Context<'_>,
@@ -214,9 +214,9 @@
 fn target_fraction(safety: &SafetyRules, sharing_nodes: f64, bound: f64) -> f64 {
     let allowed = bound * sharing_nodes * safety.overload_window.as_secs_f64();
     let limit = allowed + 2.0 * allowed.sqrt() + 2.0;
-    let half = SAFETY_DEVIATIONS / 2.0;
+    let half_deviations = SAFETY_DEVIATIONS / 2.0;
     let poisson_target =
-        ((limit + SAFETY_DEVIATIONS * SAFETY_DEVIATIONS / 4.0).sqrt() - half).powi(2);
+        ((limit + SAFETY_DEVIATIONS * SAFETY_DEVIATIONS / 4.0).sqrt() - half_deviations).powi(2);
     let even_target = limit - SAFETY_DEVIATIONS * (sharing_nodes / 2.0).sqrt();
     (poisson_target.max(even_target) / allowed.max(1e-9)).min(MAX_TARGET_FRACTION)
 }
--- a/crates/balancer/tests/faults.rs
+++ b/crates/balancer/tests/faults.rs
@@ -112,7 +112,7 @@
         poll_endpoint_list: true,
         ..with_health_checks()
     });
-    let (mut failed, mut polls) = (None, 0);
+    let (mut failed_at, mut polls) = (None, 0);
     let end = harness.now + ms(24_000);
     while harness.now < end {
         let (before, at) = (harness.log.len(), harness.now);
@@ -121,7 +121,7 @@
         let polled = harness.log[before..]
             .iter()
             .any(|a| matches!(a, Action::WatchEndpoints { on: true }));
-        if let (Some(since), true) = (failed, polled) {
+        if let (Some(since), true) = (failed_at, polled) {
             let waited = harness.now - since;
             assert!(
                 waited >= ms(60) && waited <= ms(500 + 70),
@@ -130,9 +130,9 @@
         }
         if polled {
             harness.update_endpoints(EndpointUpdate::Failed, vec![]);
-            (failed, polls) = (Some(at), polls + 1);
+            (failed_at, polls) = (Some(at), polls + 1);
         }
-        let late = failed.is_some_and(|since| harness.now > since + ms(570));
+        let late = failed_at.is_some_and(|since| harness.now > since + ms(570));
         assert!(!late, "poll {polls} is not followed by another");
     }
     assert!(
@@ -222,7 +222,8 @@
 
 #[test]
 fn learns_that_servers_serve_although_they_are_never_idle() {
-    // Concurrency levels start closed: where no server was ever seen below a closed level, all requests were rejected forever.
+    // A concurrency level opens only after a lower one was served in time. If no server were ever at an open level, all
+    // requests would be rejected forever.
     let mut harness = Harness::with_servers(with_health_checks(), 4);
     assert_recovers(&mut harness);
 }
--- a/crates/membership/src/incarnation.rs
+++ b/crates/membership/src/incarnation.rs
@@ -6,7 +6,7 @@
 ///
 /// Each incarnation has a higher epoch than the one before, as long as the state directory or another member still has
 /// that epoch. The salt is drawn at random for each incarnation, so that two incarnations with the same epoch differ
-/// even if both records are lost (except with probability 2^-32).
+/// even if no one has the earlier epoch any more (except with probability 2^-32).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation {
     /// The epoch, at least 1.
@@ -16,7 +16,7 @@
 }
 
 impl Incarnation {
-    /// Whether both the epoch and the salt are other than 0, as in every incarnation of a process.
+    /// Whether both the epoch and the salt are other than 0, as in every incarnation that a node begins.
     pub fn is_valid(self) -> bool {
         self.epoch > 0 && self.salt > 0
     }
--- a/crates/membership/src/own_incarnation.rs
+++ b/crates/membership/src/own_incarnation.rs
@@ -8,8 +8,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The number of name conflicts within [`NAME_CONFLICT_WINDOW`] beyond which the node becomes silent. A name conflict
-/// makes the node begin a new incarnation because another process uses its name.
+/// A name conflict is an update with a newer incarnation under this node's name; it makes the node begin a new
+/// incarnation. With more than this number of name conflicts within [`NAME_CONFLICT_WINDOW`] the node becomes silent.
 const MAX_RECENT_NAME_CONFLICTS: usize = 4;
 /// The window in which name conflicts are counted, and the shortest time for which the node is silent after too many.
 const NAME_CONFLICT_WINDOW: Duration = Duration::from_secs(30);
@@ -124,6 +124,7 @@
     if needs_refutation {
         node.local.refutation = update.refutation.saturating_add(1);
         node.counters.refutations += 1;
+        // A node that was suspected may be slow or partitioned.
         node.health.degrade(1);
     }
     if needs_refutation || is_suspicion {
--- a/crates/membership/tests/common/agreement.rs
+++ b/crates/membership/tests/common/agreement.rs
@@ -17,59 +17,64 @@
                     .map(Membership::incarnation)
             })
             .collect();
-        for (by, node) in self.nodes.iter().enumerate() {
+        for (observer, node) in self.nodes.iter().enumerate() {
             let Some(membership) = node.membership.as_ref().filter(|_| !node.paused) else {
                 continue;
             };
-            for (of, incarnation) in incarnations
+            for (subject, incarnation) in incarnations
                 .iter()
                 .enumerate()
-                .filter(|(of, incarnation)| *of != by && incarnation.is_some())
+                .filter(|(subject, incarnation)| *subject != observer && incarnation.is_some())
             {
-                let is_false_death = membership.member(&name(of)).is_some_and(|m| {
+                let is_false_death = membership.member(&name(subject)).is_some_and(|m| {
                     m.state == MemberState::Dead && Some(m.incarnation) == *incarnation
                 });
                 if !is_false_death {
-                    self.false_deaths.remove(&(by, of));
-                } else if let Some(since) = self.false_deaths.get(&(by, of)) {
+                    self.false_deaths.remove(&(observer, subject));
+                } else if let Some(since) = self.false_deaths.get(&(observer, subject)) {
                     self.longest_false_death = self.longest_false_death.max(self.now - *since);
                 } else {
-                    self.false_deaths.insert((by, of), self.now);
+                    self.false_deaths.insert((observer, subject), self.now);
                     self.false_death_count += 1;
                 }
             }
         }
     }
 
-    /// The state of the member `of` in the table of the node `by`.
-    pub fn state_of(&self, by: usize, of: usize) -> Option<MemberState> {
-        self.nodes[by]
+    /// The state of the member `subject` in the table of the node `observer`.
+    pub fn state_of(&self, observer: usize, subject: usize) -> Option<MemberState> {
+        self.nodes[observer]
             .membership
             .as_ref()?
-            .member(&name(of))
+            .member(&name(subject))
             .map(|member| member.state)
     }
 
     /// Checks that on each running node, all other running nodes are alive in their current incarnations and no others
     /// are active.
     pub fn check_agreement(&self) -> Result<(), String> {
-        for (by, node) in self.nodes.iter().enumerate() {
+        for (observer, node) in self.nodes.iter().enumerate() {
             let Some(membership) = &node.membership else {
                 continue;
             };
             if membership.status(self.now) != MembershipStatus::Joined && self.nodes.len() > 1 {
-                return Err(format!("n{by} is {:?}", membership.status(self.now)));
+                return Err(format!("n{observer} is {:?}", membership.status(self.now)));
             }
-            for (of, other) in self.nodes.iter().enumerate().filter(|(of, _)| *of != by) {
+            for (subject, other) in self
+                .nodes
+                .iter()
+                .enumerate()
+                .filter(|(subject, _)| *subject != observer)
+            {
                 let known = membership
-                    .member(&name(of))
+                    .member(&name(subject))
                     .map(|member| (member.state, member.incarnation));
                 let is_correct = match &other.membership {
                     Some(other) => known == Some((MemberState::Alive, other.incarnation())),
                     None => known.is_none_or(|(state, _)| !state.is_active()),
                 };
                 if !is_correct {
-                    return Err(format!("n{by} has n{of} as {known:?}"));
+                    return Err(format!("n{observer} has n{subject} as {known:?}"));
                 }
             }
         }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! A simulated node.
+//! Instances: the balancers of simulated nodes.
 
 use crate::wire::{RawReport, named_report};
 use sillward_balancer::settings::{self, ReportField, SettingsError};
@@ -10,9 +10,9 @@
 /// The message of a panic in an instance's balancer, whose state is unusable afterwards.
 #[derive(Debug, Error, PartialEq)]
 #[error("{0}")]
-pub(crate) struct DecisionPanic(String);
+pub(crate) struct BalancerPanic(String);
 
-/// A running instance.
+/// The balancer of a running simulated node.
 pub(crate) struct Instance {
     balancer: Balancer,
     /// The fields of its load reports, in the order of the values on the wire.
@@ -34,9 +34,9 @@
         &mut self,
         now: Duration,
         mut event: Event,
-        raw: Option<RawReport>,
-    ) -> Result<Vec<Action>, DecisionPanic> {
-        let report = raw.map(|raw| named_report(raw, &self.report_fields));
+        raw_report: Option<RawReport>,
+    ) -> Result<Vec<Action>, BalancerPanic> {
+        let report = raw_report.map(|raw| named_report(raw, &self.report_fields));
         match &mut event {
             Event::AttemptEnded(end) => end.report = report,
             Event::HealthChecked(end) => end.report = report,
@@ -48,12 +48,12 @@
     }
 }
 
-fn catch_panic(decide: impl FnOnce()) -> Result<(), DecisionPanic> {
-    catch_unwind(AssertUnwindSafe(decide)).map_err(|panic| {
+fn catch_panic(handle: impl FnOnce()) -> Result<(), BalancerPanic> {
+    catch_unwind(AssertUnwindSafe(handle)).map_err(|panic| {
         let formatted = panic.downcast_ref::<String>().map(String::as_str);
         let literal = panic.downcast_ref::<&str>().copied();
         let message = formatted.or(literal).unwrap_or("the decisions panicked");
-        DecisionPanic(message.to_owned())
+        BalancerPanic(message.to_owned())
     })
 }
 
--- a/crates/simulator-adapter/src/wire/encode.rs
+++ b/crates/simulator-adapter/src/wire/encode.rs
@@ -94,6 +94,7 @@
         self.u8(code).u16(instance)
     }
 
+    /// Ends a record by padding it with zeros to its fixed size.
     fn close_record(&mut self) {
         self.count += 1;
         self.records.resize(self.count as usize * ACTION_RECORD, 0);
