--- a/crates/consensus-io/src/error.rs
+++ b/crates/consensus-io/src/error.rs
@@ -43,8 +43,8 @@
 /// Why a voter's state is treated as lost, so that the voter does not vote.
 #[derive(Debug, Error)]
 pub enum LostState {
-    /// The file does not exist.
-    #[error("{} does not exist: the voter was never founded, or the file is lost", .0.display())]
+    /// The file does not exist: the voter was never founded, or its file is lost.
+    #[error("{} is not there: it was never founded, or is lost", .0.display())]
     Missing(PathBuf),
     /// The file is damaged or not this voter's.
     #[error("{}: {source}", path.display())]
@@ -60,18 +60,19 @@
 #[derive(Debug, Error)]
 pub enum ProposeError {
     /// The settings, the reason and the author are too long together.
-    #[error("the change has {0} bytes, more than the limit of {MAX_PROPOSAL_BYTES}")]
+    #[error("{0} bytes are more than the {MAX_PROPOSAL_BYTES} of a change")]
     TooLong(usize),
     /// The settings are not valid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Some members run builds that cannot read the settings.
+    /// Some members run builds that cannot read the settings. Until they can, they would use the conservative value of
+    /// every key.
     #[error(
-        "cannot be read by {}: until they can, they would use the conservative value of every key",
+        "can't be read by {}: they would go by the careful reading of everything until they can",
         .0.join(", ")
     )]
     UnreadableByMembers(Vec<String>),
     /// Too many proposals of this node are pending.
-    #[error("too many proposals of this node are pending")]
+    #[error("too many changes are under way here")]
     TooManyPending,
 }
--- a/crates/consensus/src/voter/interface.rs
+++ b/crates/consensus/src/voter/interface.rs
@@ -49,13 +49,14 @@
 /// Why a voter no longer votes.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DisabledReason {
-    /// The engine rejects its configuration.
-    #[error("the consensus engine does not start: {0}")]
+    /// The consensus engine rejects its configuration.
+    #[error("the engine does not start: {0}")]
     Engine(String),
-    /// Another voter has seen a newer state of this voter's storage, or another storage.
+    /// Another voter has seen a newer state of this voter's storage, or another storage. The folder was lost or restored
+    /// from a copy, so this voter can only rejoin as a new one.
     #[error(
-        "voter {from} has seen a newer state of this voter's folder, or another folder (incarnation {} of storage {:x}, \
-         here {} of {:x}): the folder was lost or restored from a copy, so this voter can only rejoin as a new one",
+        "the voter at place {from} has seen a newer or another folder of this one's (ticket {} of {:x}, \
+         here {} of {:x}): it is lost or was put back, and comes back as a new voter only",
         .newer.number, .newer.storage_id, .own.number, .own.storage_id
     )]
     Superseded {
--- a/crates/consensus/src/voter_state.rs
+++ b/crates/consensus/src/voter_state.rs
@@ -23,19 +23,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum VoterStateError {
     /// The file is shorter than its header.
-    #[error("the file is truncated")]
+    #[error("it is cut off")]
     Truncated,
-    /// The file does not start with the magic number.
-    #[error("the file is not a voter's, or of an unknown format version")]
+    /// The file does not start with the magic number: it is not a voter's, or of an unknown format version.
+    #[error("it is no voter's file of this build's form")]
     UnknownFormat,
     /// The checksum or the encoding is wrong.
-    #[error("the file is corrupt")]
+    #[error("it is spoilt")]
     Corrupt,
     /// The file belongs to another log, or to a log with other voters.
-    #[error("the file belongs to another log, or to a log with other voters")]
+    #[error("it is of another log, or of other voters")]
     OtherLog,
     /// The file belongs to another voter.
-    #[error("the file belongs to another voter")]
+    #[error("it is another voter's")]
     OtherVoter,
 }
 
--- a/crates/fleet-settings/src/history.rs
+++ b/crates/fleet-settings/src/history.rs
@@ -44,9 +44,9 @@
     StaleBase(u64),
 }
 
-/// The versions do not form a history.
+/// The versions do not form a history: they are not consecutive, are too many, or start at 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("versions are not consecutive, are too many, or start at 0")]
+#[error("versions that do not follow each other")]
 pub struct HistoryError;
 
 /// The retained versions, without gaps.
--- a/crates/fleet-settings/src/settings.rs
+++ b/crates/fleet-settings/src/settings.rs
@@ -29,7 +29,7 @@
     #[error("{0}: stands twice")]
     Duplicate(Key),
     /// There are more than [`MAX_KEYS`].
-    #[error("{0} keys exceed the limit of {MAX_KEYS}")]
+    #[error("{0} keys are more than {MAX_KEYS}")]
     TooManyKeys(usize),
     /// The name in the key is empty, too long or contains control characters.
     #[error("{0}: the name must have 1 to {MAX_NAME_BYTES} bytes and no control characters")]
